--- a/relay/call.go
+++ b/relay/call.go
@@ -16,37 +16,39 @@
 )
 
 const (
-	// maxSends bounds the sendings of one request, refused ones included.
+	// maxSends is the maximum number of times that one request is sent, including attempts that an
+	// endpoint refuses.
 	maxSends = 4
-	// maxAnswer is the size of a plain answer in bytes up to which it is held until
-	// it is whole. An answer that breaks off can then still be replaced.
+	// maxBufferedAnswerBytes is the size up to which the answer to a plain call is buffered before
+	// any of it is delivered. An answer that breaks off within the buffer can still be replaced by
+	// that of another endpoint.
 	maxAnswer = 256 << 10
 )
 
-// answer is an answer of an endpoint that was read to its end, or up to maxAnswer.
+// answer is an endpoint's answer, read to its end or up to maxBufferedAnswerBytes.
 type answer struct {
 	resp *h1.Response
 	body []byte
-	// rest tells that the body goes on.
+	// hasMore reports whether the buffer is full, so that the body may continue beyond it.
 	rest bool
-	// release ends the exchange.
+	// release closes the exchange with the endpoint.
 	release func()
 }
 
-// result is how one sending ended.
+// attemptResult is the outcome of sending a request to one endpoint.
 type result struct {
 	answer *answer
-	// notRun tells that the endpoint certainly did not run the request.
+	// notRun reports that the endpoint definitely did not execute the request.
 	notRun bool
 	health fleet.Result
 	cause  string
 }
 
-// broken tells whether the connection ended before the answer did, as it does when the
+// broken reports whether the connection ended before the answer was complete, as it does when the
 // endpoint dies.
 func (r result) broken() bool { return r.cause == causeLost || r.cause == causeTruncated }
 
-// call serves a request whose answer is one message.
+// call serves a request whose answer is a single message.
 func (j *job) call(ctx context.Context) Verdict {
 	runs := 0
 	var held *answer
@@ -82,14 +84,15 @@
 	}
 }
 
-// causeLost is a connection that broke before an answer, causeTruncated one that broke
-// within it.
+// causeLost means that the connection broke before the answer, causeTruncated that it broke within
+// the answer.
 const (
 	causeLost      = "connection_lost"
 	causeTruncated = "answer_truncated"
 )
 
-// worthRepeating tells whether another endpoint may do better than this answer.
+// shouldRetryStatus reports whether another endpoint may give a better answer than one with this
+// status.
 func (j *job) worthRepeating(status int) bool {
 	return j.r.Route.Kind.Repeatable() && status >= http.StatusInternalServerError
 }
@@ -106,8 +109,8 @@
 	return true
 }
 
-// exhausted ends a request for which no further sending is possible: with the answer
-// of a failing endpoint if there is one, else with the refusal.
+// exhausted ends a request that cannot be sent again. It delivers the error answer of an endpoint
+// if there is one, and the refusal otherwise.
 func (j *job) exhausted(ctx context.Context, held *answer, refusal *crocusreel.Refusal) Verdict {
 	if held != nil {
 		return j.deliver(held)
@@ -128,7 +131,7 @@
 	return lost("%s", got.cause)
 }
 
-// sendOnce sends the request to one endpoint and reads the whole answer.
+// sendOnce sends the request to one endpoint and buffers its answer.
 func (j *job) sendOnce(ctx context.Context, p *fleet.Placement, runs int) result {
 	ctx, cancel := context.WithTimeout(ctx, j.attemptTime(runs))
 	resp, err := j.send(ctx, p, nil, nil)
@@ -143,7 +146,7 @@
 	return j.read(resp, cancel)
 }
 
-// read takes the body of an answer.
+// readAnswer reads the body of an answer, up to maxBufferedAnswerBytes.
 func (j *job) read(resp *h1.Response, cancel context.CancelFunc) result {
 	release := func() {
 		resp.Close()
@@ -166,9 +169,9 @@
 	return got
 }
 
-// attemptShare is the part of the remaining time after which work that may be
-// repeated is given to another endpoint, while that is possible. An endpoint that
-// hangs would otherwise use up all of it.
+// attemptTimeShare is the share of the remaining time after which repeatable work is retried on
+// another endpoint, as long as the route allows a further attempt. Without it, an endpoint that
+// hangs would use up all of the remaining time.
 const attemptShare = 0.45
 
 func (j *job) attemptTime(runs int) time.Duration {
@@ -196,8 +199,8 @@
 	return result{health: fleet.Failed, cause: causeLost}
 }
 
-// refused handles an answer by which the endpoint says that it did not run the
-// request.
+// refusedResult consumes an answer by which the endpoint states that it did not execute the
+// request. It returns false for any other answer.
 func (j *job) refused(resp *h1.Response) (result, bool) {
 	reply := j.Protocol.Reply(resp.StatusCode, resp.Header)
 	if !reply.NotRun {
@@ -214,7 +217,7 @@
 	return result{notRun: true, health: fleet.Busy, cause: "endpoint_busy"}, true
 }
 
-// deliver passes the answer on.
+// deliver sends the answer to the caller.
 func (j *job) deliver(a *answer) Verdict {
 	defer a.release()
 	j.verdict.Status = a.resp.StatusCode
@@ -232,14 +235,14 @@
 		source = io.MultiReader(source, a.resp.Body)
 	}
 	if _, err := io.Copy(sinkWriter{j.sink}, source); err != nil {
-		v := j.end(nil, "answer broken: "+err.Error())
+		v := j.end(nil, "answer interrupted: "+err.Error())
 		v.Broken = true
 		return v
 	}
 	return j.verdict
 }
 
-// sinkWriter is a Sink as an io.Writer.
+// sinkWriter adapts a Sink to io.Writer.
 type sinkWriter struct{ Sink }
 
 // Write implements io.Writer.
--- a/relay/claims.go
+++ b/relay/claims.go
@@ -16,43 +16,46 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// Deaths count against work once they are known. Work that is sent several times at once is
-// under way at several endpoints before that, and if it is deadly all of them die: nine copies
-// sent to three nodes after its first death killed nine more engines, for a bound of three. So
-// work that has a strike is claimed before it is placed, and the nodes tell each other of their
-// claims: it runs at no more endpoints at once than it may still kill. Innocent work that was
-// beside a death waits until the first of its copies has a whole answer, which clears it.
+// An endpoint's death counts against the work that ran on it only once the death is known. Copies
+// of that work that are sent concurrently may already be running on several endpoints before that,
+// and if the work is deadly, all of these endpoints die: nine copies sent to three nodes after the
+// first death killed nine more engines, although the limit was three. Work that has a strike is
+// therefore claimed before it is placed, and the nodes broadcast their claims to each other: the
+// work runs on no more endpoints at once than it is still allowed to kill. Harmless work that
+// happened to run on an endpoint that died waits until the first of its copies gets a complete
+// answer, which clears its strikes.
 //
-// Copies that all began before the first death are not bounded, and neither are those at nodes
-// that do not hear each other.
+// Two cases are not bounded: copies that all started before the first death, and copies on nodes
+// that do not receive each other's broadcasts.
 
 const (
-	// claimSettles is how long a claim is told before it counts: then every node that hears
-	// this one knows of it, and of two claims made at the same time both sides see which
-	// comes first. A datagram takes some milliseconds between data centres, and two may pass
-	// before it is sent.
+	// claimSettleTime is how long a new claim is broadcast before it is acted upon. By then every
+	// reachable node knows of it, and if two claims are made at the same time, both nodes agree on
+	// which comes first. A datagram between data centres takes a few milliseconds, and is
+	// sent with a delay of up to 2 ms.
 	claimSettles = 25 * time.Millisecond
-	// maxClaims bounds the claims that are told, in the order of their turns; those beyond
-	// are counted here only. Each takes 15 B of a datagram of 1,400.
+	// maxClaims is the maximum number of claims that a node broadcasts, in the order of their
+	// turns. Further claims count on this node only. Each claim takes 15 B of a datagram of 1,400
+	// B.
 	maxClaims = 16
-	// claimRetry is when a caller whose work could not be claimed may come back: most
-	// answers are whole by then, or their endpoints dead.
+	// claimRetryAfter is the retry delay given to a caller whose work could not be claimed. Within
+	// that time most of the running answers are complete, or their endpoints have died.
 	claimRetry = time.Second
 )
 
-// Claim is one run, or coming run, of work that an endpoint has died of.
+// Claim announces a running or pending run of work that has a strike.
 type Claim struct {
 	Work    Fingerprint
 	ID      uint32
 	Running bool
 }
 
-// before tells whether this claim has its turn before a waiting one.
+// precedes reports whether this claim has its turn before the given waiting claim.
 func (c Claim) before(waiting Claim) bool { return c.Running || c.ID < waiting.ID }
 
-// Claims are those of all nodes.
+// Claims holds the claims of all nodes. It is safe for concurrent use.
 type Claims struct {
-	// Tell is called when other nodes should hear at once; it must not block.
+	// Tell is called when other nodes should receive this node's claims at once. It must not block.
 	Tell func()
 
 	mu      sync.Mutex
@@ -61,14 +64,15 @@
 	changed chan struct{}
 }
 
-// NewClaims returns an empty record.
+// NewClaims returns an empty set of claims.
 func NewClaims() *Claims {
 	return &Claims{
 		Tell: func() {}, own: make(map[uint32]Claim), remote: make(map[string][]Claim), changed: make(chan struct{}),
 	}
 }
 
-// Own returns the claims of this node, for the others.
+// Own returns the claims of this node to broadcast to the others: running ones first, then by ID,
+// at most maxClaims.
 func (c *Claims) Own() []Claim {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +88,8 @@
 	return claims[:min(len(claims), maxClaims)]
 }
 
-// SetRemote replaces the claims of another node; none if it is no longer heard.
+// SetRemote replaces the claims of another node. An empty list removes them, which is also how the
+// claims of an unreachable node are dropped.
 func (c *Claims) SetRemote(node string, claims []Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +109,7 @@
 	c.changed = make(chan struct{})
 }
 
-// set adds or changes a claim of this node, and drop ends it.
+// set adds or updates a claim of this node.
 func (c *Claims) set(claim Claim) {
 	c.mu.Lock()
 	c.own[claim.ID] = claim
@@ -121,8 +126,8 @@
 	c.Tell()
 }
 
-// ahead counts the other claims to the work that have their turn before this one, and returns
-// a channel that is closed at the next change.
+// countAhead returns the number of other claims to the same work whose turn comes before this one,
+// and a channel that is closed at the next change of any claim.
 func (c *Claims) ahead(mine Claim) (int, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,15 +148,17 @@
 	return n, c.changed
 }
 
-// claimOf is the claim of a request to its work.
+// newClaim returns the claim of a request to its work. The claim's ID is a hash of the request's
+// ID.
 func claimOf(r *Request, running bool) Claim {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(r.ID))
 	return Claim{Work: r.Fingerprint, ID: h.Sum32(), Running: running}
 }
 
-// claim waits until the request may run beside the other copies of its work. Work without a
-// strike runs at once.
+// awaitClaim waits until the request may run concurrently with the other copies of its work. Work
+// without a strike runs at once. It returns a refusal if the work has reached strikeLimit or the
+// wait takes too long.
 func (j *job) claim(ctx context.Context) *crocusreel.Refusal {
 	if j.Strikes.Count(j.r.Fingerprint) == 0 {
 		return nil
@@ -186,7 +193,9 @@
 	}
 }
 
-// turn tells whether the request may run now, and if not, when to look again.
+// checkTurn reports whether the request may run now. If it may not, changed is closed when the
+// claims change and the turn should be checked again. It returns a refusal if the work has reached
+// strikeLimit.
 func (j *job) turn() (changed <-chan struct{}, mayRun bool, refusal *crocusreel.Refusal) {
 	ahead, changed := j.Claims.ahead(*j.own)
 	strikes := j.Strikes.Count(j.r.Fingerprint)
@@ -196,14 +205,14 @@
 	return changed, strikes == 0 || strikes+ahead < strikeLimit, nil
 }
 
-// setClaim tells the other nodes of the request's claim.
+// setClaim creates or updates the request's claim and broadcasts it to the other nodes.
 func (j *job) setClaim(running bool) {
 	claim := claimOf(j.r, running)
 	j.own = &claim
 	j.Claims.set(claim)
 }
 
-// dropClaim ends the request's claim, if it has one.
+// dropClaim removes the request's claim, if it has one.
 func (j *job) dropClaim() {
 	if j.own != nil {
 		j.Claims.drop(*j.own)
--- a/relay/copies.go
+++ b/relay/copies.go
@@ -14,33 +14,34 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// A long answer has a backup while memory is at hand: its engine sends the run's memory to
-// another one as it grows. When the engine is gone, announced or not, the run goes on from
-// there, and its caller sees a pause of some steps. Without it an engine that crashes takes
-// its streams along, and one that leaves on short notice is emptied over a link that is too
-// slow for all of its runs.
+// A long answer has a backup as long as spare memory is available: its engine sends the run's KV
+// cache to another engine as it grows. When the engine goes away, announced or not, the run is
+// resumed from the backup, and its caller sees a pause of a few steps. Without backups, an engine
+// that crashes loses all of its streams, and an engine that leaves at short notice must move all of
+// its runs over a link that is too slow for that.
 
 var (
-	// ErrNoRun is for a run that an engine does not know, or no longer.
+	// ErrNoRun means that the engine does not know the run, or does not know it any longer.
 	ErrNoRun = errors.New("the engine knows no such run")
-	// ErrCopying is for a run that an engine is copying already.
-	ErrCopying = errors.New("the engine is copying the run already")
+	// ErrCopying means that the engine is already copying the run.
+	ErrCopying = errors.New("the engine is already copying the run")
 )
 
 const (
-	// overTimeout bounds the question whether a run is over whose answer broke off: two
-	// connections that are not answered, and the rest.
+	// stopTimeout limits the attempts to make sure that a run has ended after its answer broke off.
+	// It allows for two connection attempts without an answer and for the remaining calls.
 	overTimeout = time.Second
-	// unreachableTries is the number of connections that an engine must leave without an
-	// answer to count as gone: the first packet of one may be lost.
+	// maxUnreachable is the number of connection attempts without an answer after which an engine
+	// counts as gone. One is not enough, because its first packet may be lost.
 	unreachableTries = 2
-	// overRetry is the pause between two such questions.
+	// stopRetryPause is the pause between two attempts to stop a run.
 	overRetry = 5 * time.Millisecond
-	// copyMargin is the time beyond its lifetime for which an engine may keep a copy.
+	// copyMargin is the time for which an engine may keep a copy beyond the configured lifetime.
 	copyMargin = 2 * time.Second
 )
 
-// holdBackup finds room for a backup of a long answer; nil if there is none.
+// holdBackup reserves room for the backup of a long answer on an endpoint that is not in except. It
+// returns nil for short answers and if no endpoint has room.
 func (j *job) holdBackup(p *fleet.Placement, except ...string) *fleet.Holding {
 	w := j.want()
 	w.Exclude = except
@@ -54,7 +55,8 @@
 	return h
 }
 
-// dropBackup gives the backup's room back once the engine has freed it.
+// dropBackup releases the reservation of a backup: at once if freed is set, because the engine has
+// freed the backup or never made it, and after copyLifetime otherwise.
 func (j *job) dropBackup(h *fleet.Holding, whole bool) {
 	switch {
 	case h == nil:
@@ -65,10 +67,11 @@
 	}
 }
 
-// copyLifetime is the time after which a copy that nobody uses is certainly gone.
+// copyLifetime returns the time after which an unused copy is guaranteed to be gone.
 func (j *job) copyLifetime() time.Duration { return j.r.Service.Engine.CopyLifetime + copyMargin }
 
-// sound tells whether the leg's backup can be counted on.
+// backupUsable reports whether the segment has a backup on an endpoint that is alive, not leaving
+// and not evacuated.
 func (l *leg) sound() bool {
 	if l.backup == nil || l.backup.Life().Err() != nil {
 		return false
@@ -81,17 +84,17 @@
 	}
 }
 
-// copyOfRun is a copy of a run's memory on an engine, from which the run can go on once it
-// is over at its own.
+// runCopy is a copy of a run's KV cache on another engine. The run can be resumed from it once it
+// has ended on its own engine.
 type copyOfRun struct {
 	engine fleet.Instance
 	resume Resume
-	// take returns the place of the run at the engine; nil if it can't be had any more.
+	// take returns the run's placement on the engine, or nil if it is no longer available.
 	take func() *fleet.Placement
 }
 
-// copies returns the copies that there are: that of a move that did not come to its end,
-// and the backup.
+// copies returns the available copies of the run: the copy made by an unfinished move, and the
+// backup.
 func (l *leg) copies(at *progress) []copyOfRun {
 	var all []copyOfRun
 	if m := l.mover.copied(); m != nil && m.target.Life().Err() == nil && m.target.Usable() {
@@ -111,7 +114,8 @@
 	return all
 }
 
-// fromCopy continues a stream whose engine is gone, nil if that is not possible.
+// resumeFromCopies resumes a stream whose engine is gone and returns its next segment, or nil if
+// the stream cannot be resumed.
 func (l *leg) fromCopy(ctx context.Context, at *progress) *leg {
 	known := l.mover.copied()
 	if next := l.fromOne(ctx, at, l.copies(at)); next != nil {
@@ -121,7 +125,7 @@
 		return nil
 	}
 	waited := l.mover.awaitOrder(ctx)
-	// The answer may also have come since the copies were looked at.
+	// The answer may also have arrived since the copies were listed.
 	late := l.mover.copied()
 	fresh := late != nil && late != known
 	if waited {
@@ -135,7 +139,8 @@
 	return l.fromOne(ctx, at, l.copies(at))
 }
 
-// fromOne continues a stream from one of the copies, nil if none of them serves.
+// resumeFromAny resumes a stream from the first of the copies that works. It returns nil if there
+// is none.
 func (l *leg) fromOne(ctx context.Context, at *progress, copies []copyOfRun) *leg {
 	if len(copies) == 0 || l.deadly() {
 		return nil
@@ -149,7 +154,7 @@
 		copies[0].resume = Resume{Source: l.p.Instance().Address, Handle: stopped, LastEvent: at.last}
 	}
 	if !leaving(l.p) {
-		// The death may be held against the work; this copy is under way all the same.
+		// The death may count as a strike against the work. This copy of the work keeps running.
 		l.setClaim(true)
 	}
 	for i := range copies {
@@ -166,10 +171,11 @@
 	return nil
 }
 
-// over makes certain that the run is over at its engine. A run whose answer broke off may
-// still be at work, and must not be at two engines at a time: it is told to stop, and its
-// memory then goes to the target under the handle that is returned. An engine that is
-// gone, or knows no such run, has none.
+// ensureStopped makes sure that the run has ended on its engine. A run whose answer broke off may
+// still be active, and must not run on two engines at once. The engine is therefore ordered to stop
+// it, after which its KV cache is copied to target under the returned handle. The handle is empty
+// if the engine is gone or does not know the run. ensureStopped returns false if the run may still
+// be active.
 func (l *leg) over(ctx context.Context, target fleet.Instance) (over bool, handle string) {
 	if l.p.Life().Err() != nil {
 		return true, ""
@@ -193,12 +199,12 @@
 			unreached++
 		}
 		if unreached >= unreachableTries || errors.Is(err, syscall.ECONNREFUSED) {
-			// Others must not be sent there, nor backups, until its entry is gone.
+			// Keeps new requests and backups off the endpoint until its entry is removed.
 			l.p.Report(fleet.Unreachable)
 			return true, ""
 		}
-		// A kept connection to an engine that has died ends without an answer; the next
-		// one is refused.
+		// A pooled connection to an engine that has died ends without an answer. The next
+		// connection attempt is refused.
 		retry.Sleep(ctx, overRetry)
 	}
 	return false, ""
--- a/relay/death.go
+++ b/relay/death.go
@@ -12,16 +12,17 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// A request may kill each endpoint that runs it, and comes again. It is known by the deaths
-// at which it ran. A connection that breaks is none: links reset connections and endpoints
-// lose single answers, and work that met three of those would be refused although it harms
-// nobody. An endpoint that has died refuses connections, or has started again.
+// A deadly request kills each endpoint that runs it, and its caller sends it again. It is
+// recognized by the deaths of endpoints on which it ran. A broken connection alone does not count
+// as a death: links reset connections and endpoints lose single answers, and work that met three of
+// those would be refused although it is harmless. An endpoint that has died refuses connections or
+// has restarted.
 
-// deathCheck bounds the look at an endpoint that broke a connection; one that has died
-// refuses within a round trip.
+// deathCheckTimeout limits the connection attempt to an endpoint that broke a connection. An
+// endpoint that has died refuses within a round trip.
 const deathCheck = 50 * time.Millisecond
 
-// gone tells whether the placement's incarnation of its endpoint has ended.
+// endpointGone reports whether the placement's incarnation of its endpoint has ended.
 func (j *job) gone(ctx context.Context, p *fleet.Placement) bool {
 	if p.Life().Err() != nil {
 		return true
@@ -31,8 +32,9 @@
 	return j.Client.Refuses(ctx, p.Instance().Address)
 }
 
-// strikeIfDead holds the death of the placement's endpoint against the request. One that had
-// said that it leaves did not die of the request.
+// strikeIfDead records a strike against the request if the placement's endpoint has died. An
+// endpoint that announced its departure is exempt, because it did not die of the request, unless
+// its incarnation is known to have ended: a restart marks the old incarnation as leaving, too.
 func (j *job) strikeIfDead(ctx context.Context, p *fleet.Placement) {
 	in := p.Instance()
 	if leaving(p) && p.Life().Err() == nil || !j.gone(ctx, p) {
@@ -44,10 +46,11 @@
 		logging.Work(uint64(j.r.Fingerprint)), zap.String("address", in.Address), zap.Int("strikes", strikes))
 }
 
-// strikeIfCut does the same for a stream that was cut off and may go on from a copy, which
-// should not pause for that question. Only if the death would be the last one allowed is it
-// answered at once; else the returned function waits for the answer. A caller that is told
-// of the loss may send the request again at once, and the strike has to be there before it.
+// strikeAfterCut does the same for a stream that was cut off and may be resumed from a copy. The
+// check runs in the background so that it does not delay the resumption, and the returned function
+// waits for it. If this death would reach strikeLimit, the check is finished before strikeAfterCut
+// returns. A caller that learns of the loss may send the request again immediately, and the strike
+// must be recorded before that.
 func (j *job) strikeIfCut(ctx context.Context, p *fleet.Placement) (wait func()) {
 	if j.Strikes.Count(j.r.Fingerprint)+1 >= strikeLimit {
 		j.strikeIfDead(ctx, p)
@@ -58,7 +61,8 @@
 	return asked.Wait
 }
 
-// deadly tells whether so many endpoints died of the request that it must not go on.
+// strikeLimitReached reports whether so many endpoints died of the request that it must not
+// continue.
 func (j *job) deadly() bool { return j.Strikes.Count(j.r.Fingerprint) >= strikeLimit }
 
 func leaving(p *fleet.Placement) bool {
--- a/relay/decisions_test.go
+++ b/relay/decisions_test.go
@@ -14,14 +14,14 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// spec is an engine of the users: 18,432 bytes a token over 2,700 Mbit/s are 18,300
+// spec is an engine of the users' deployments: 18,432 bytes a token over 2,700 Mbit/s are 18,300
 // tokens a second.
 var spec = &routing.EngineSpec{Slots: 24, Memory: 34_360, BytesPerToken: 18_432, LinkMbps: 2700, CanMove: true, TokensPerEvent: 4}
 
 var _ = Describe("the order in which runs leave an engine", func() {
-	// Engines are reclaimed 1.5 to 2.1 s after their notice. Nine runs of 4,000 tokens
-	// need two seconds on the link. Begun at once they would all end late, and with them
-	// all nine streams would be lost.
+	// Engines are reclaimed 1.5 to 2.1 s after their notice, and nine runs of 4,000 tokens need two
+	// seconds on the link. Copied concurrently, all of them finish late and all nine streams are
+	// lost.
 	It("lets the small runs of a full engine leave within the notice, one after another", func() {
 		var runs []relay.EngineRun
 		for i := range 9 {
@@ -39,10 +39,9 @@
 		Expect(saved).To(BeNumerically(">=", 6))
 	})
 
-	// Each node works out the order from its own question to the engine; the answers list
-	// the runs in any order, and are of different moments, so that runs have grown. Two
-	// nodes with different orders would move their runs at the same time, or each would
-	// wait for the other.
+	// Each node asks the engine itself. The answers list the runs in any order and at different
+	// times, so that runs have grown. Nodes with different orders move their runs concurrently or
+	// wait for each other.
 	It("does not depend on the order and the moment of the report", func() {
 		a := []relay.EngineRun{
 			{ID: "x", Tokens: 1100, Events: 20},
@@ -71,10 +70,9 @@
 	now := func() time.Duration { return time.Duration(time.Now().UnixNano()) }
 	runs := []relay.EngineRun{{ID: "a", Tokens: 1000, Events: 1}, {ID: "b", Tokens: 2000, Events: 1}, {ID: "c", Tokens: 3000, Events: 1}}
 
-	// Runs of several nodes leave one engine. One that begins before the last part of
-	// another is copied has its own copy queued ahead of that part, and the other's caller
-	// waits for both.
-	It("come when the runs before have left, on whichever node", func(ctx SpecContext) {
+	// A run that starts before the last part of another run is copied has its own copy queued ahead
+	// of that part, and the other run's caller waits for both.
+	It("come once the earlier runs have left, on any node", func(ctx SpecContext) {
 		here := relay.NewVacated(now)
 		d := relay.NewDeparture(here, runs, spec)
 		Expect(d.Await(ctx, "a")).To(BeNumerically("<", 20*time.Millisecond))
@@ -90,9 +88,9 @@
 		Eventually(done, 30*time.Millisecond).Should(BeClosed())
 	}, SpecTimeout(5*time.Second))
 
-	// The node whose run comes first is gone, or its copy goes far. The others must not
-	// wait until the engine has left.
-	It("come after a while when nothing is heard of the runs before", func(ctx SpecContext) {
+	// The node of the first run is gone, or its copy goes to another data centre. The other runs
+	// must not wait until the engine has left.
+	It("come after a timeout if nothing is reported of the earlier runs", func(ctx SpecContext) {
 		d := relay.NewDeparture(relay.NewVacated(now), runs, spec)
 		slack := func(tokens int) time.Duration {
 			return time.Duration(relay.TurnSlack * float64(relay.MoveTime(tokens, spec)))
@@ -102,8 +100,8 @@
 		Expect(d.Await(ctx, "c")).To(BeNumerically("~", slack(2000), 40*time.Millisecond))
 	}, SpecTimeout(5*time.Second))
 
-	// A run leaves one engine for another that soon leaves as well. What was told of the
-	// first must not count for the second.
+	// A run moves to an engine that soon leaves as well. The report that it has left the first engine
+	// must not count for the second.
 	It("count a run as gone from one engine only", func(ctx SpecContext) {
 		here := relay.NewVacated(now)
 		d := relay.NewDeparture(here, runs, spec)
@@ -118,9 +116,9 @@
 var _ = Describe("the reader of events", func() {
 	stream := "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"
 
-	// Events come in pieces of any size. Whatever the cut, the caller gets whole events
-	// and all of them.
-	It("returns whole events whatever the pieces", func() {
+	// A stream arrives in reads of any size. The caller must get all events, and complete ones
+	// only.
+	It("returns complete events whatever the size of the reads", func() {
 		r := relay.NewEventReader(iotest.OneByteReader(bytes.NewBufferString(stream)))
 		var got []byte
 		for {
@@ -135,8 +133,8 @@
 		Expect(string(got)).To(Equal(stream))
 	})
 
-	// An engine dies in the middle of an event. The half event joined to the next one
-	// of the run's continuation would be an event that nobody made.
+	// An engine dies in the middle of an event. Joined to the next event of the resumed run, the
+	// partial event would form an event that no engine sent.
 	It("never returns a part of an event", func() {
 		r := relay.NewEventReader(bytes.NewBufferString(stream[:len(stream)-3]))
 		batch, err := r.Next()
@@ -162,9 +160,8 @@
 		return relay.NewStrikes(func() time.Duration { return now })
 	}
 
-	// A request kills each engine that runs it and comes again at other nodes. Two nodes
-	// may report one death; counted twice it would stop a request that met two deaths
-	// by chance.
+	// Two nodes may report the same death. Counted twice, it would stop a request that met two
+	// deaths by chance.
 	It("count each death once, whoever reports it", func() {
 		s := newStrikes()
 		work := relay.NewFingerprint("ws", "/x", []byte("body"))
@@ -175,10 +172,9 @@
 		Expect(s.Count(relay.NewFingerprint("ws", "/x", []byte("other")))).To(BeZero())
 	})
 
-	// A node runs for weeks, and now and then an engine dies while it runs one of the common
-	// requests. Deaths that lie hours apart have nothing to do with each other; added up they
-	// would refuse that request for ever.
-	It("fade", func() {
+	// A node runs for weeks, and now and then an engine dies while it runs a common request. Added
+	// up, such unrelated deaths, hours apart, would refuse that request forever.
+	It("expire", func() {
 		s := newStrikes()
 		for endpoint := range uint32(3) {
 			s.Add(7, endpoint)
@@ -187,7 +183,7 @@
 		Expect(s.Count(7)).To(BeZero())
 	})
 
-	It("are told to others for a while only", func() {
+	It("are broadcast to other nodes for a limited time", func() {
 		s := newStrikes()
 		s.Add(7, 1)
 		s.Merge(8, 1)
@@ -196,7 +192,7 @@
 		Expect(s.Fresh(time.Second)).To(BeEmpty())
 	})
 
-	// A crash of all engines cuts hundreds of requests. None of them is at fault.
+	// A crash of all engines cuts hundreds of requests, none of which is at fault.
 	It("are bounded in number", func() {
 		s := newStrikes()
 		for i := range 5000 {
--- a/relay/events.go
+++ b/relay/events.go
@@ -5,15 +5,15 @@
 	"io"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
+// maxEventBytes is the maximum size of one event of a stream.
 const maxEvent = 256 << 10
 
-// eventReader cuts a stream into whole events. A part of an event at the end of a
-// broken stream is never returned: joined to the next event it would spoil both.
+// eventReader splits a stream into complete events. It never returns the part of an event at the
+// end of a broken stream: joined to the next event it would corrupt both.
 type eventReader struct {
 	source io.Reader
 	buf    []byte
-	// ready is the length of the whole events that the last call returned.
+	// ready is the length of the complete events that the last call returned.
 	ready int
 }
 
@@ -21,9 +21,9 @@
 	return &eventReader{source: source, buf: make([]byte, 0, 2048)}
 }
 
-// next returns the whole events that have come, at least one unless err is set. The
-// slice is valid until the next call. At the end of the stream err is io.EOF, or
-// io.ErrUnexpectedEOF within an event.
+// next returns the complete events received so far, at least one unless err is set. The slice is
+// valid until the next call. At the end of the stream err is io.EOF, or io.ErrUnexpectedEOF if the
+// stream ends within an event. An event longer than maxEventBytes gives io.ErrShortBuffer.
 func (r *eventReader) next() ([]byte, error) {
 	r.buf = append(r.buf[:0], r.buf[r.ready:]...)
 	r.ready = 0
@@ -48,7 +48,7 @@
 
 var eventEnds = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
-// wholeEvents returns the length of the whole events at the start of b.
+// completeEventsLen returns the length of the complete events at the start of b.
 func wholeEvents(b []byte) int {
 	length := 0
 	for _, end := range eventEnds {
@@ -59,7 +59,7 @@
 	return length
 }
 
-// splitEvent cuts the first event off b, which holds whole events.
+// splitEvent splits b, which holds complete events, after the first event.
 func splitEvent(b []byte) (event, rest []byte) {
 	length := len(b)
 	for _, end := range eventEnds {
--- a/relay/export_test.go
+++ b/relay/export_test.go
@@ -17,11 +17,11 @@
 	LeftKey        = runKey
 )
 
-// Next gives tests the events of a reader.
+// Next returns the next events of the reader.
 func (r *eventReader) Next() ([]byte, error) { return r.next() }
 
-// MoveOverhead is the time that a move takes beside its copy; TurnSlack is by how much a
-// run may take longer before the next one no longer waits.
+// MoveOverhead is the duration of a move without its copy. TurnSlack is the multiple of the
+// expected time after which the next run stops waiting.
 const (
 	MoveOverhead = moveOverhead
 	TurnSlack    = turnSlack
@@ -31,7 +31,7 @@
 // StrikeLimit is the number of endpoints that may die of one request.
 const StrikeLimit = strikeLimit
 
-// Departure is one engine that leaves, as one node sees it.
+// Departure is one leaving engine, as seen by one node.
 type Departure struct {
 	relay *Relay
 	e     *migration
@@ -45,7 +45,7 @@
 
 const departing fleet.EndpointKey = 7
 
-// Await waits for the run's turn and returns the time that it took.
+// Await waits for the run's turn and returns how long that took.
 func (d *Departure) Await(ctx context.Context, runID string) time.Duration {
 	began := time.Now()
 	d.relay.awaitTurn(ctx, d.e, runID)
--- a/relay/latenews_test.go
+++ b/relay/latenews_test.go
@@ -28,8 +28,8 @@
 // longStream is the number of events of a stream that is still running when its engine dies.
 const longStream = 100
 
-// startLeaving starts a stream at an engine with the options, adds another engine, and has
-// the first one say that it leaves.
+// startLeaving starts a stream on an engine with the options, adds a second engine, and marks the
+// first one as leaving.
 func startLeaving(o worker.Options) *leavingStream {
 	GinkgoHelper()
 	s := &leavingStream{rig: newRig(), answer: &answer{}, done: make(chan relay.Verdict, 1)}
@@ -47,11 +47,10 @@
 }
 
 var _ = Describe("a stream whose engine dies while its memory is copied", func() {
-	// An engine that leaves makes a copy of a run and dies at that moment. Its stream is
-	// cut, and the answer that the copy is made comes a little earlier or later, by another
-	// connection. The copy is there all the same: the caller's stream must go on from it.
-	// A node that looks for a copy at the cut only finds none and gives the stream up; its
-	// log shows "request ended" broken, right before "memory copied".
+	// A leaving engine copies a run and dies at that moment: the stream is cut, and the answer that
+	// the copy exists arrives slightly earlier or later on another connection. A node that looks
+	// for copies only at the cut gives the stream up; its log has a broken "request ended" right
+	// before "memory copied".
 	DescribeTable("goes on from the copy whichever comes first, the cut or the answer",
 		func(dying worker.Dying) {
 			s := startLeaving(worker.Options{Dying: &dying})
@@ -70,8 +69,8 @@
 		Entry("the cut long before", worker.Dying{CutAfter: time.Millisecond, AnswerAfter: 400 * time.Millisecond}),
 	)
 
-	// The engine dies with the answer unsent. Nobody knows the copy's name, and the caller
-	// has to learn at once that the stream is not whole.
+	// The engine dies before it sends the answer. Nobody knows the copy's handle, and the caller
+	// must learn at once that the stream is not complete.
 	It("is given up as soon as the answer is known to be lost", func() {
 		s := startLeaving(worker.Options{
 			Dying: &worker.Dying{CutAfter: time.Millisecond, AnswerAfter: 40 * time.Millisecond, AnswerLost: true},
@@ -80,8 +79,8 @@
 		Expect(s.second.Runs()).To(BeEmpty())
 	})
 
-	// The caller leaves while the stream waits for the answer. The copy must be freed, and
-	// its place given back.
+	// The caller leaves while the stream waits for the answer. The copy must be freed and its
+	// placement released.
 	It("leaves no copy behind when its caller does not wait", func() {
 		s := startLeaving(worker.Options{Dying: &worker.Dying{CutAfter: time.Millisecond, AnswerAfter: 400 * time.Millisecond}})
 		time.Sleep(100 * time.Millisecond)
@@ -94,10 +93,10 @@
 })
 
 var _ = Describe("a stream whose copy is made without an answer", func() {
-	// The connection of the order to copy breaks while the engine lives. The copy is there;
-	// asked again, the engine sends only what is new and names it. A node that goes to
-	// another target instead sends all of the memory once more, over a link on which other
-	// runs wait, and the engine is gone before the last of them.
+	// The connection of the order to copy breaks although the engine lives. The copy exists; a
+	// second order sends only what is new and returns the handle. A node that goes to another
+	// target instead sends all of the memory again over a link on which other runs wait, and the
+	// engine is gone before the last of them.
 	It("asks the same target again", func() {
 		s := startLeaving(worker.Options{LostMoveAnswers: 1})
 		s.engine("third", longStream, nil)
--- a/relay/migration.go
+++ b/relay/migration.go
@@ -15,45 +15,45 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// EngineReport is what an engine tells of itself, as of some hundred milliseconds ago.
+// EngineReport is an engine's report on itself. It is a few hundred milliseconds old.
 type EngineReport struct {
-	// Born is the Unix millisecond of the engine's start; 0 if it does not tell.
+	// Born is the start time of the engine in Unix milliseconds, 0 if unknown.
 	Born int64
-	// LeavesIn is the time until the engine stops; 0 if it does not know.
+	// LeavesIn is the time until the engine stops, 0 if the engine does not know.
 	LeavesIn time.Duration
 	Runs     []EngineRun
 }
 
-// EngineRun is a run on an engine, of any node.
+// EngineRun is a run on an engine, started by any node.
 type EngineRun struct {
 	ID     string
 	Tokens int
 	Events int
 }
 
-// Runs of an engine that leaves are moved one after another: their copies share the
-// engine's link, and those that are made at the same time all end late, or too late. Each
-// node asks the engine once for its runs, works out the same order, and tells the others
-// when it is done with one.
+// Runs of a leaving engine are moved one after another: their copies share the engine's link, and
+// copies that are made concurrently all finish late, or too late. Each node asks the engine once
+// for its runs, derives the same order from the answer, and tells the other nodes when one of its
+// runs has moved.
 const (
-	// reportTimeout bounds the question for the runs; without an answer runs are moved
-	// as if they were alone.
+	// reportTimeout limits the request for the engine's runs. Without an answer, each run is moved
+	// as if it were the only one.
 	reportTimeout = 150 * time.Millisecond
-	// orderLifetime is how long an order holds: longer than any notice.
+	// orderLifetime is how long an order is valid. It is longer than any notice period.
 	orderLifetime = 10 * time.Second
-	// moveOverhead is the time of a move beside its copy: three calls, and the way of the
-	// news that it is done.
+	// moveOverhead is the duration of a move without its copy: three calls, and the delivery of the
+	// message that the run has moved.
 	moveOverhead = 25 * time.Millisecond
-	// turnSlack is by how much a run may take longer than expected before the next one
-	// no longer waits for it: its copy may go to another data centre, which takes twice
-	// as long, or its node may be gone.
+	// turnSlackFactor is the multiple of the expected time that a run is given before the next one
+	// stops waiting for it. A copy to another data centre takes twice as long, and the run's node
+	// may be gone.
 	turnSlack = 2.2
 )
 
-// migrationOrder returns the runs in the order in which they move. Small runs go first:
-// with little time, more of them are saved. Nodes ask at slightly different moments, and
-// must find the same order all the same, so a run counts by its prompt, which does not grow.
-// A prompt that is still being read comes last.
+// migrationOrder returns the runs in the order in which they move. Small runs go first, because
+// that saves more runs when time is short. Nodes ask the engine at slightly different times and
+// must still derive the same order, so runs are compared by the length of their prompts, which does
+// not change. A run whose prompt is still being processed comes last.
 func migrationOrder(runs []EngineRun, spec *routing.EngineSpec) []EngineRun {
 	ordered := slices.Clone(runs)
 	size := func(r EngineRun) int {
@@ -68,24 +68,25 @@
 	return ordered
 }
 
-// moveTime is the time in which a run of so many tokens is expected to move.
+// moveTime returns the expected duration of the move of a run with this many tokens.
 func moveTime(tokens int, spec *routing.EngineSpec) time.Duration {
 	return spec.CopyTime(tokens) + moveOverhead
 }
 
-// migration is the departure of one engine.
+// migration is the departure of one engine and the order in which its runs move. order, spec and
+// engine are written before ready is closed.
 type migration struct {
 	ready chan struct{}
-	// began is when the first run asked for the order.
+	// began is when the first run requested the order.
 	began time.Time
-	// order holds the engine's runs in the order in which they move; spec is the engine's.
+	// order is the order in which the engine's runs move, spec is the specification of the engine.
 	order  []EngineRun
 	spec   *routing.EngineSpec
 	engine fleet.EndpointKey
 }
 
-// ahead returns the runs that move before the given one; all for a run that the engine
-// did not name.
+// runsAhead returns the runs that move before the given one, or all runs if the engine did not
+// report the given one.
 func (e *migration) ahead(runID string) []EngineRun {
 	for i, run := range e.order {
 		if run.ID == runID {
@@ -95,22 +96,24 @@
 	return e.order
 }
 
-// migrations are the departures under way, by endpoint.
+// migrations holds the current departures by endpoint incarnation.
 type migrations struct {
 	mu  sync.Mutex
 	all map[fleet.Incarnation]*migration
 }
 
-// maxMigrations bounds the remembered departures; a node's runs leave few at a time.
+// maxMigrations is the maximum number of departures kept; when it is reached, all are dropped. Only
+// a few endpoints that run work of this node leave at a time.
 const maxMigrations = 64
 
-// migration returns the order in which the runs of the leaving endpoint move.
+// migrationFor returns the migration of the leaving endpoint. The first caller asks the engine for
+// its runs; the others wait for the answer or for the end of ctx.
 func (l *Relay) migration(ctx context.Context, p *fleet.Placement, spec *routing.EngineSpec) *migration {
 	id := p.Instance().Incarnation()
 	l.departures.mu.Lock()
 	e, known := l.departures.all[id]
 	if known && time.Since(e.began) > orderLifetime {
-		// The endpoint has stayed after all, and leaves again.
+		// The endpoint did not stop after its previous notice and is leaving again.
 		known = false
 	}
 	if !known {
@@ -139,12 +142,12 @@
 	report, err := l.Mover.Report(ctx, p.Instance().Address)
 	if err != nil {
 		metrics.Count("report_failed")
-		l.Log.Warn("runs of a leaving endpoint not known", zap.String("endpoint", p.Instance().ID), zap.Error(err))
+		l.Log.Warn("cannot get the runs of a leaving endpoint", zap.String("endpoint", p.Instance().ID), zap.Error(err))
 		return
 	}
 	if born := p.Instance().Born; report.Born != 0 && report.Born != born {
 		metrics.Count("report_of_another_start")
-		l.Log.Warn("leaving endpoint has started again, its runs are lost", zap.String("endpoint", p.Instance().ID),
+		l.Log.Warn("leaving endpoint has restarted, its runs are lost", zap.String("endpoint", p.Instance().ID),
 			zap.Int64("born", born), zap.Int64("reported_born", report.Born))
 		return
 	}
@@ -155,7 +158,7 @@
 		zap.Duration("leaves_in", report.LeavesIn), zap.Duration("since_notice", p.Departure().Since))
 }
 
-// awaitTurn waits until the runs before the given one have moved, or have had their time.
+// awaitTurn waits until the runs ahead of the given one have moved or have used up their time.
 func (l *Relay) awaitTurn(ctx context.Context, e *migration, runID string) {
 	if l.Fleet.Without[fleet.MoveTurns] {
 		return
--- a/relay/migration_sim_test.go
+++ b/relay/migration_sim_test.go
@@ -13,34 +13,33 @@
 	"github.com/crocusreel/crocusreel/relay"
 )
 
-// The load that these specs answer: an engine with three to ten long generations is
-// reclaimed. Its figures are those of the users' deployments: 18,432 bytes a token over a
-// link of 2,700 Mbit/s, prompts of 3,000 tokens on average and answers of up to 2,200, a
-// notice of 1.54 to 2.1 s, 100 new tokens a second for each run; a quarter of the runs find
-// room in another data centre only, where a copy takes twice as long. Copies queue on the
-// link in the order in which they are asked for.
+// The simulated load: an engine with three to ten long generations is reclaimed. The figures are
+// those of the users' deployments: 18,432 bytes a token over a link of 2,700 Mbit/s, prompts of
+// 3,000 tokens on average and answers of up to 2,200, a notice of 1.54 to 2.1 s, and 100 new tokens
+// a second for each run. A quarter of the runs find room in another data centre only, where a copy
+// takes twice as long. Copies queue on the link in the order in which they are requested.
 const (
 	// stallLimit is the pause from which a caller's answer counts as stalled.
 	stallLimit = 180 * time.Millisecond
-	// resumeTime is the way of the request to the target.
+	// resumeTime is the latency of the request to the target.
 	resumeTime   = 20 * time.Millisecond
 	tokensPerSec = 100
 	departures   = 500
 	farShare     = 0.25
 	farTimes     = 2
-	// readPerSec is the number of prompt tokens that an engine reads in a second.
+	// promptTokensPerSec is the number of prompt tokens that an engine processes in a second.
 	readPerSec = 7500
-	// newsDelay is the way of the news that a run has moved.
+	// reportDelay is the latency of the message that a run has moved.
 	newsDelay = 15 * time.Millisecond
 )
 
-// run is a run on an engine that leaves; far is set if it finds room far away only.
+// run is a run on a leaving engine. far is set if it finds room in another data centre only.
 type run struct {
 	relay.EngineRun
 	far bool
 }
 
-// departure is one engine that leaves.
+// departure is one leaving engine.
 type departure struct {
 	runs   []run
 	notice time.Duration
@@ -78,7 +77,7 @@
 	return all
 }
 
-// outcome counts the streams of all departures.
+// outcome counts the streams of all departures by how they ended.
 type outcome struct{ smooth, stalled, lost int }
 
 func (o *outcome) add(stopped, pause, notice time.Duration) {
@@ -92,10 +91,10 @@
 	}
 }
 
-// link is an engine's link: one copy after another.
+// link models an engine's link, which transfers one copy after another.
 type link struct{ free time.Duration }
 
-// copy returns when a copy ends that is asked for at the given time.
+// copy returns when a copy ends that is requested at the given time.
 func (l *link) copy(at time.Duration, tokens int, far bool) time.Duration {
 	took := spec.CopyTime(tokens)
 	if far {
@@ -105,14 +104,14 @@
 	return l.free
 }
 
-// policy plays one departure.
+// policy simulates one departure.
 type policy func(d departure) outcome
 
 func noMoves(d departure) outcome { return outcome{lost: len(d.runs)} }
 
-// inTurn is as built: a run is copied, and the next one begins when it hears of that, or
-// waits no longer. When the engine is gone each run goes on from its copy, where the last
-// tokens are read again.
+// inTurn is the implemented policy: a run is copied, and the next one starts when that is reported
+// or its wait times out. When the engine is gone, each run is resumed from its copy, where the last
+// tokens are recomputed.
 func inTurn(news time.Duration) policy {
 	return func(d departure) (o outcome) {
 		l := &link{}
@@ -130,7 +129,7 @@
 
 func newTokens(d time.Duration) int { return int(d.Seconds() * tokensPerSec) }
 
-// step is the next thing that a run asks of the link.
+// step is the next copy that a run requests from the link.
 type step struct {
 	run run
 	at  time.Duration
@@ -140,8 +139,8 @@
 	since time.Duration
 }
 
-// whenQuiet begins each run's move at its time, and stops a run once a small copy was
-// quick, or 0.25 s before the engine is gone.
+// stopAndCopy starts each run's move at its given time, and stops the run once a small copy took
+// less than 40 ms, or 0.25 s before the engine is gone.
 func whenQuiet(starts func(d departure) []time.Duration) policy {
 	return func(d departure) (o outcome) {
 		var steps []step
@@ -173,7 +172,7 @@
 
 func atOnce(d departure) []time.Duration { return make([]time.Duration, len(d.runs)) }
 
-// spaced leaves each run the time of its copy and some more.
+// spaced allots each run the time of its copy and a margin.
 func spaced(d departure) []time.Duration {
 	var starts []time.Duration
 	at := time.Duration(0)
@@ -196,13 +195,13 @@
 }
 
 var _ = Describe("moves in turn, on a model of the link", func() {
-	// Two seeds, so that the comparison does not hang on one.
+	// Two seeds, so that the comparison does not depend on one.
 	for _, seed := range []uint64{1, 2} {
 		It(fmt.Sprintf("let more streams go on smoothly than other ways, seed %d", seed), func() {
 			all := randomDepartures(seed)
 			built, slots, once := play(all, inTurn(newsDelay)), play(all, whenQuiet(spaced)), play(all, whenQuiet(atOnce))
 			none, best := play(all, noMoves), play(all, inTurn(0))
-			AddReportEntry("smooth, stalled, lost", fmt.Sprintf("in turn %v, spaced %v, at once %v, no moves %v, without delay of news %v",
+			AddReportEntry("smooth, stalled, lost", fmt.Sprintf("in turn %v, spaced %v, at once %v, no moves %v, without report delay %v",
 				built, slots, once, none, best))
 			Expect(none.smooth).To(BeZero())
 			Expect(built.smooth).To(BeNumerically(">", slots.smooth))
--- a/relay/mover.go
+++ b/relay/mover.go
@@ -10,38 +10,38 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// mover copies the memory of a running generation away from an engine that is about to
-// leave. The run is not stopped: it goes on at its engine until that is gone, and then
-// from the copy, where the engine reads again what came after the last part of it. The
-// caller sees a pause of some steps. Without it every stream is lost whose engine leaves,
-// for a stream may not be run twice.
+// migrator copies the KV cache of a running generation away from an engine that is about to leave.
+// The run is not stopped: it continues on its engine until that is gone, and is then resumed from
+// the copy, where the engine recomputes the tokens generated since the last refresh of the copy.
+// The caller sees a pause of a few steps. Without a copy, every stream on a leaving engine is lost,
+// because a stream must not be run twice.
 //
-// A run that is stopped first, so that nothing need be read again, waits with its last
-// part behind whatever is queued on the links of source and target, and its caller with
-// it: half a second and more where other copies are under way.
+// Stopping the run first would avoid the recomputation, but its last part would wait behind
+// everything that is queued on the links of source and target, and so would its caller: half a
+// second and more while other copies are in progress.
 type mover struct {
 	leg    *leg
 	cancel context.CancelFunc
 	done   chan struct{}
-	// begun is closed with the first event: before it there is nothing to copy.
+	// begun is closed at the first event. Before that there is nothing to copy.
 	begun     chan struct{}
 	beginOnce sync.Once
 
-	// refused are engines that had no room for the run.
+	// refused holds the IDs of engines that had no room for the run.
 	refused []string
 
 	mu sync.Mutex
-	// copy is the run's copy at a target, nil while there is none.
+	// copy is the run's copy on a target, nil if there is none.
 	copy *targetCopy
-	// answered is closed once the order to copy that is under way has its answer, and the
-	// copy that it made, if any, is kept; nil while none is under way.
+	// answered is closed once the pending order to copy has been answered and the resulting copy,
+	// if any, is stored in copy. It is nil while no order is pending.
 	answered chan struct{}
 }
 
 const (
-	// moveTries bounds the targets that are tried for one run.
+	// maxMoveTries is the maximum number of targets that are tried for one run.
 	moveTries = 12
-	// moveRetry is the pause before engines are looked through again when none had room.
+	// moveRetryPause is the pause before the next search for a target when no engine had room.
 	moveRetry = 60 * time.Millisecond
 )
 
@@ -75,21 +75,21 @@
 
 func (m *mover) eventSeen() { m.beginOnce.Do(func() { close(m.begun) }) }
 
-// watch waits until the engine leaves and then has the run copied in its turn.
+// watch waits until the engine is leaving and then has the run copied when its turn comes.
 func (m *mover) watch(ctx context.Context) {
 	l := m.leg
 	if !await(ctx, l.p.Leaving()) || l.p.Life().Err() != nil {
 		return
 	}
 	if l.sound() {
-		// The run goes on from its backup; the link is left to runs without one.
+		// The run will be resumed from its backup, which leaves the link to runs without a backup.
 		l.Vacated.leave(l.runKey())
 		if !await(ctx, l.backup.Unusable()) {
 			return
 		}
 	}
 	if !m.hasBegun() {
-		// Others need not wait for a run whose prompt is still being read.
+		// Other runs need not wait for a run whose prompt is still being processed.
 		l.Vacated.leave(l.runKey())
 	}
 	if !await(ctx, m.begun) {
@@ -105,7 +105,7 @@
 	metrics.Count("move_given_up")
 }
 
-// await waits for the channel; it returns false if ctx ends first.
+// await waits until the channel is closed. It returns false if ctx ends first.
 func await(ctx context.Context, ch <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
@@ -115,8 +115,8 @@
 	}
 }
 
-// try copies the run to one target and keeps the copy fresh until the leg ends; it returns
-// true if no further try makes sense.
+// try copies the run to one target and refreshes the copy until the segment ends. It returns true
+// if no further try is useful.
 func (m *mover) try(ctx context.Context) bool {
 	l := m.leg
 	want := l.want()
@@ -139,7 +139,7 @@
 	return true
 }
 
-// order has the transfer's copy made and keeps it; it returns false if there is none.
+// orderCopy lets the transfer make its copy and stores the copy. It returns false if there is none.
 func (m *mover) order(ctx context.Context, t *transfer) bool {
 	answered := make(chan struct{})
 	defer close(answered)
@@ -157,12 +157,12 @@
 	return copied
 }
 
-// awaitOrder waits for the answer to the order to copy that is under way; it returns false
-// if there is none, or if ctx ends first.
+// awaitCopyAnswer waits for the answer to the pending order to copy. It returns false if no order
+// is pending or if ctx ends first.
 //
-// An engine may die right after it has made a copy. Its streams are then cut, each by a
-// connection of its own, a moment before or after the answer to the order: a stream that
-// asked for copies at its cut only would be given up with its copy at hand.
+// An engine may die right after it has made a copy. Its streams are then cut, each on its own
+// connection, shortly before or after the answer to the order arrives. A stream that looked for
+// copies only when it was cut would be given up although its copy exists.
 func (m *mover) awaitOrder(ctx context.Context) bool {
 	m.mu.Lock()
 	answered := m.answered
@@ -170,14 +170,15 @@
 	return answered != nil && await(ctx, answered)
 }
 
-// copied returns the run's copy, nil if there is none.
+// currentCopy returns the run's copy, or nil if there is none.
 func (m *mover) copied() *targetCopy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.copy
 }
 
-// takeCopy returns the place at which the copy is.
+// takeCopy returns the placement at the copy's target, or nil if there is no copy. The caller then
+// owns the placement.
 func (m *mover) takeCopy() *fleet.Placement {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -189,7 +190,8 @@
 	return target
 }
 
-// discard gives up a copy that is not needed: the stream ended, or its caller left.
+// discard stops the migration and frees an unused copy, after the stream has ended or its caller
+// has left.
 func (m *mover) discard() {
 	m.cancel()
 	<-m.done
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay takes one request of a caller through the system: it waits for a
-// place, sends the request to an endpoint, repeats it where that is allowed, and
-// brings back the whole answer or a truthful refusal.
+// Package relay serves one request of a caller: it waits for a placement, sends the request to an
+// endpoint, retries it where that is allowed, and returns the complete answer or an accurate
+// refusal.
 package relay
 
 import (
@@ -24,7 +24,7 @@
 	// ID is the caller's ID of this attempt.
 	ID     string
 	Method string
-	// Target is the path with the query as the caller sent it.
+	// Target is the path with the query, as the caller sent it.
 	Target string
 	Host   string
 	// Header holds the headers that are passed on.
@@ -34,112 +34,113 @@
 	Route     *routing.Route
 	Service   *routing.Service
 	Workspace *routing.Workspace
-	// ConfigVersion is the version that the request was admitted under.
+	// ConfigVersion is the configuration version under which the request was admitted.
 	ConfigVersion int64
 	Received      time.Time
-	// Deadline is the end of the caller's patience or of the route's timeout.
+	// Deadline is when the request ends at the latest, by the caller's deadline or the route's
+	// timeout.
 	Deadline time.Time
 	Size     Size
 	// Fingerprint identifies the work over all attempts of the caller.
 	Fingerprint Fingerprint
 }
 
-// Size is what a request tells of its generation, in tokens; zero for plain work.
+// Size is the size of a generation as stated by its request, in tokens. It is zero for plain work.
 type Size struct {
 	Prompt    int
 	MaxOutput int
-	// Hint is the caller's estimate of the output; 0 if there is none.
+	// Hint is the caller's estimate of the output, 0 if there is none.
 	Hint int
 }
 
 // Attempt is one sending of a request to an endpoint.
 type Attempt struct {
 	Instance fleet.Instance
-	// Remaining is the time that the endpoint may work.
+	// Remaining is the time that the endpoint has for the request.
 	Remaining time.Duration
-	// Backup is the address of the endpoint to which the run's memory is sent as it grows;
-	// empty for none.
+	// Backup is the address of the endpoint to which the run's KV cache is sent as it grows, empty
+	// for none.
 	Backup string
-	// Resume continues a run from its memory; nil for a new run.
+	// Resume continues a run from a copy of its KV cache. It is nil for a new run.
 	Resume *Resume
 }
 
-// Resume names the memory that a run goes on from.
+// Resume identifies the copy of the KV cache from which a run is resumed.
 type Resume struct {
 	// Source is the address of the endpoint that holds or held the run.
 	Source string
-	// Handle names the memory there.
+	// Handle identifies the KV cache at Source.
 	Handle string
-	// LastEvent is the ID of the last event that the caller has.
+	// LastEvent is the ID of the last event that the caller received.
 	LastEvent int64
 }
 
-// Reply is what the header of an endpoint's answer says.
+// Reply is the parsed header of an endpoint's answer.
 type Reply struct {
-	// NotRun tells that the endpoint certainly did not run the request.
+	// NotRun reports that the endpoint definitely did not execute the request.
 	NotRun bool
-	// Misdirected tells that another instance has the endpoint's address.
+	// Misdirected reports that another instance uses the endpoint's address.
 	Misdirected bool
-	// Notice is what the endpoint says of itself.
+	// Notice is what the endpoint states about itself.
 	Notice notice.Notice
 }
 
-// Protocol puts requests into the form that endpoints understand.
+// Protocol translates between requests and the HTTP headers and events that endpoints use.
 type Protocol interface {
-	// AttemptHeader returns the headers of one sending.
+	// AttemptHeader returns the request headers of one attempt.
 	AttemptHeader(r *Request, a *Attempt) http.Header
-	// Mine tells whether an answer belongs to the request.
+	// Mine reports whether an answer with the header h belongs to the request.
 	Mine(r *Request, h http.Header) bool
-	// Reply reads the head of an answer.
+	// Reply parses the status and header of an answer.
 	Reply(status int, h http.Header) Reply
 	// AnswerHeader returns the headers that are passed on to the caller.
 	AnswerHeader(h http.Header) http.Header
-	// ParseEvent returns the ID of an event of a stream; ok is false for an event
-	// without one.
+	// ParseEvent returns the ID of an event of a stream. ok is false for an event without an ID.
 	ParseEvent(event []byte) (id int64, ok bool)
 }
 
-// Mover moves the memory of running generations between engines.
+// Mover moves the KV caches of running generations between engines.
 type Mover interface {
-	// Move copies the run's memory from the engine at source to the one at target.
-	// With stop the run stops first. It returns the handle of the copy.
+	// Move copies the run's KV cache from the engine at source to the one at target and returns the
+	// handle of the copy. If stop is set, the run is stopped first.
 	Move(ctx context.Context, source, runID, target string, stop bool) (Moved, error)
 	// Report asks the engine at the address for its runs.
 	Report(ctx context.Context, address string) (EngineReport, error)
-	// Free gives up the copy that a move has made.
+	// Free deletes the copy made by a move.
 	Free(ctx context.Context, source, handle string) error
 }
 
 // Moved is the result of a move.
 type Moved struct {
 	Handle string
-	// Events is the number of events that the run had made.
+	// Events is the number of events that the run had produced.
 	Events int
-	// Refused is set if the copy could not be made. The run may have stopped; then
-	// Handle names its memory at the source.
+	// Refused is set if the copy could not be made. The run may have stopped; Handle then
+	// identifies its KV cache at the source.
 	Refused bool
 }
 
-// Sink takes the answer for the caller.
+// Sink receives the answer for the caller.
 type Sink interface {
-	// Begin sends the head of an answer.
+	// Begin sends the status and header of an answer.
 	Begin(status int, header http.Header) error
-	// Write sends a part of the body at once.
+	// Write sends a part of the body without buffering it.
 	Write(part []byte) error
-	// Begun tells whether the head was sent.
+	// Begun reports whether the status and header were sent.
 	Begun() bool
 }
 
-// Verdict is how a request ended.
+// Verdict is the outcome of a request.
 type Verdict struct {
-	// Status is the status that the caller got; 0 if it got none.
+	// Status is the status that the caller received, 0 if none.
 	Status int
-	// Broken tells that the answer was begun and is not whole: the connection to the
-	// caller must be closed so that it cannot be taken for whole.
+	// Broken reports that the answer was started but is not complete. The connection to the caller
+	// must be closed so that the caller cannot mistake the answer for a complete one.
 	Broken bool
-	// Refusal is set if the caller gets an answer of ours.
+	// Refusal is set if the relay itself answers the caller.
 	Refusal *crocusreel.Refusal
-	// Attempts counts the sendings, Moves the engines that a stream went on at.
+	// Attempts is the number of times that the request was sent, Moves the number of times that a
+	// stream was resumed on another engine.
 	Attempts int
 	Moves    int
 	Endpoint string
@@ -152,7 +153,7 @@
 	Detail     string
 }
 
-// Relay sends requests to endpoints.
+// Relay sends requests to endpoints. It is safe for concurrent use.
 type Relay struct {
 	Fleet    *fleet.Fleet
 	Client   *h1.Client
@@ -161,17 +162,18 @@
 	Budgets  *retry.Windows
 	Strikes  *Strikes
 	Claims   *Claims
-	// Vacated are the runs that have left engines which are about to stop, on all nodes.
+	// Vacated records, for all nodes, the runs that no longer use the links of engines that are
+	// about to stop.
 	Vacated *Vacated
 	Log     *zap.Logger
-	// Admit is asked right before each new run; a refusal stops the request. It
-	// guards against work of keys that were taken away while the request waited.
+	// Admit is called right before each new run; a refusal ends the request. It prevents work for
+	// keys that were revoked while the request waited.
 	Admit func(r *Request) *crocusreel.Refusal
 
 	departures migrations
 }
 
-// Serve takes the request to its end.
+// Serve processes the request until it ends and writes the answer to sink.
 func (l *Relay) Serve(ctx context.Context, r *Request, sink Sink) Verdict {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
@@ -187,16 +189,16 @@
 	return job.call(ctx)
 }
 
-// job is one request under way.
+// job is one request in progress.
 type job struct {
 	*Relay
 	r       *Request
 	sink    Sink
 	verdict Verdict
 	tried   []string
-	// own is the request's claim to its work; nil if it has none.
+	// ownClaim is the request's claim to its work, nil if it has none.
 	own *Claim
-	// ran is set once an endpoint may have run the request.
+	// ran is set once an endpoint may have executed the request.
 	ran bool
 }
 
@@ -216,16 +218,16 @@
 }
 
 const (
-	// readRate is the number of prompt tokens that a busy engine reads in a second beside
-	// its other work.
+	// promptTokensPerSecond is the rate at which a busy engine processes a prompt beside its other
+	// work.
 	readRate = 7500.0
-	// startMargin is the time beside the reading of its own prompt that a generation takes
-	// until its first event: the rest of another prompt, and the way.
+	// startMargin is the time that a generation needs until its first event, in addition to
+	// processing its own prompt: the rest of another prompt, and the network latency.
 	startMargin = 300 * time.Millisecond
 )
 
-// startWithin is the time within which the request must have its place for its first
-// event to be in time; 0 if its route names no target.
+// startWithin returns the time within which the request must be placed for its first event to meet
+// the latency target, 0 if its route has no target or the request no prompt.
 func (j *job) startWithin() time.Duration {
 	target := j.r.Route.TargetLatency
 	if target <= 0 || j.r.Size.Prompt == 0 {
@@ -235,8 +237,8 @@
 	return max(target-startMargin-reading-time.Since(j.r.Received), time.Nanosecond)
 }
 
-// expectedOutput is the length that room is kept for. Without an estimate of the
-// caller it is half of the longest answer.
+// expectedOutput returns the number of output tokens for which memory is reserved. Without an
+// estimate of the caller it is half of the maximum.
 func (s Size) expectedOutput() int {
 	if s.Hint > 0 {
 		return min(s.Hint, max(s.MaxOutput, 1))
@@ -244,7 +246,7 @@
 	return s.MaxOutput / 2
 }
 
-// place waits for a place and checks that the request may still run.
+// place waits for a placement and checks that the request may still run.
 func (j *job) place(ctx context.Context) (*fleet.Placement, *crocusreel.Refusal) {
 	if refusal := j.claim(ctx); refusal != nil {
 		return nil, refusal
@@ -262,12 +264,12 @@
 }
 
 const (
-	// patienceShare is the part of the remaining time that a request waits for a
-	// place: the rest is needed for the answer itself, or for another try after a
-	// refusal, for which callers wait up to a third of their time.
+	// maxWaitShare is the share of the remaining time that a request may wait for a placement. The
+	// rest is needed for the answer itself, or for another attempt after a refusal, for which
+	// callers wait up to a third of their time.
 	patienceShare = 0.4
-	// patienceTargets bounds the wait in multiples of the latency target: beyond, the
-	// answer is late anyway and keeps others from being on time.
+	// maxWaitTargets limits the wait to a multiple of the latency target. After a longer wait the
+	// answer is late anyway and delays others that could still meet the target.
 	patienceTargets = 3.0
 )
 
@@ -302,7 +304,8 @@
 	return resp, err
 }
 
-// note takes what the endpoint says of itself in an answer; another instance may have given it.
+// recordNotice passes on what the endpoint states about itself in an answer. It ignores the answer
+// of another instance at the same address.
 func (j *job) note(in fleet.Instance, resp *h1.Response) {
 	reply := j.Protocol.Reply(resp.StatusCode, resp.Header)
 	if reply.Misdirected {
@@ -314,7 +317,8 @@
 	j.Fleet.Note(in, reply.Notice, j.r.ID)
 }
 
-// limitedCounter tells first sendings to endpoints that name a limit from repeats.
+// limitedCounter returns the name of the counter of answers that name a rate limit. First attempts
+// and retries are counted separately.
 func (j *job) limitedCounter() string {
 	if j.verdict.Attempts > 1 {
 		return "answers_naming_limit_again"
@@ -332,22 +336,23 @@
 const (
 	// strikeLimit is the number of endpoints that may die of one request.
 	strikeLimit = 3
-	// lostRetry is when callers may come back after an endpoint was lost.
+	// lostRetryAfter is the retry delay given to callers after an endpoint was lost.
 	lostRetry = 200 * time.Millisecond
 )
 
-// lost is the answer to a request whose fate is not known.
+// lostRefusal is the answer to a request of which it is unknown whether it was executed.
 func lost(format string, args ...any) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetry, format, args...)
 }
 
-// timedOut is the answer to a request that reached its deadline.
-// suspect refuses work that so many endpoints died of.
+// suspectRefusal is the answer to work that this many endpoints died of. Its retry delay is the
+// time until the work has fewer strikes than strikeLimit.
 func (j *job) suspect(strikes int) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun,
 		j.Strikes.Below(j.r.Fingerprint, strikeLimit), "%d endpoints died while running this request", strikes)
 }
 
+// deadlineRefusal is the answer to a request that reached its deadline.
 func (j *job) timedOut() *crocusreel.Refusal {
 	outcome := crocusreel.OutcomeNotRun
 	if j.ran {
@@ -357,14 +362,14 @@
 }
 
 const (
-	// longestFirst and longestPerToken are the times of a generation on a crowded engine:
-	// reading its prompt behind others, and one token.
+	// maxFirstEventTime and maxTimePerToken are the longest times on a crowded engine: until the
+	// first event, when the prompt waits for others to be processed, and for each token.
 	longestFirst    = 2 * time.Second
 	longestPerToken = 12 * time.Millisecond
 )
 
-// LongestTime is how long a generation may take. It goes by the longest answer that is
-// allowed: callers' estimates are right at the median and often far too low.
+// LongestTime returns how long a generation may take. It is based on the maximum output length,
+// because callers' estimates are right at the median and often far too low.
 func LongestTime(s Size) time.Duration {
 	return longestFirst + time.Duration(s.MaxOutput)*longestPerToken
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -23,7 +23,7 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// rig is a relay with stand-ins behind it.
+// testRelay is a relay with stand-in workers behind it.
 type rig struct {
 	*relay.Relay
 	memory *worker.Memory
@@ -52,17 +52,17 @@
 	return r
 }
 
-// service adds a plain service's worker that does the given fault each time.
+// service adds a worker of a plain service that shows the given fault each time.
 func (r *rig) service(id string, fault worker.Fault) *worker.Worker {
 	return r.start("app", worker.Options{ID: id, FaultOf: always(fault)})
 }
 
-// engine adds an engine whose streams have so many events, 5 ms apart.
+// engine adds an engine whose streams have the given number of events, 5 ms apart.
 func (r *rig) engine(id string, events int, faultOf func(*worker.Run) worker.Fault) *worker.Worker {
 	return r.start("pool", worker.Options{ID: id, Events: events, Gap: 5 * time.Millisecond, Memory: r.memory, FaultOf: faultOf})
 }
 
-// runsAt counts what the workers began to work on.
+// runsAt counts the runs that the workers started.
 func runsAt(workers []*worker.Worker) (runs int) {
 	for _, w := range workers {
 		runs += len(w.Runs())
@@ -74,7 +74,7 @@
 	return func(*worker.Run) worker.Fault { return f }
 }
 
-// once does the fault with the first run of all engines.
+// once shows the fault on first runs only, not on resumed ones.
 func once(f worker.Fault) func(*worker.Run) worker.Fault {
 	return func(run *worker.Run) worker.Fault {
 		if run.Resumed {
@@ -133,7 +133,7 @@
 	}()
 )
 
-// answer is a Sink that keeps what it gets.
+// recordingSink is a Sink that records what it receives.
 type answer struct {
 	mu     sync.Mutex
 	status int
@@ -187,9 +187,9 @@
 		Expect(run.Header.Get("Crocusreel-Deadline-Ms")).To(MatchRegexp(`^2\d\d\d$`))
 	})
 
-	// Work that may have run is not sent again: a bed would be booked twice. Its caller
-	// must not be told that it has not run either.
-	DescribeTable("that may run once is not repeated after a fault that leaves its fate open",
+	// Work that may have run is not sent again: a bed would be booked twice. Its caller must not be
+	// told that it has not run either.
+	DescribeTable("that may run only once is not retried after a fault that leaves its outcome unknown",
 		func(fault worker.Fault) {
 			r := newRig()
 			one, two := r.service("i1", fault), r.service("i2", fault)
@@ -208,8 +208,8 @@
 		Entry("crash", worker.Crash),
 	)
 
-	// The same faults cost a caller of idempotent work nothing while another endpoint
-	// does its work.
+	// The same faults cost a caller of idempotent work nothing as long as another endpoint does the
+	// work.
 	DescribeTable("that may be repeated is given to another endpoint",
 		func(fault worker.Fault) {
 			r := newRig()
@@ -233,7 +233,7 @@
 		Entry("no answer", worker.Hang),
 	)
 
-	It("is sent on when an endpoint says that it has not run, also if it may run once only", func() {
+	It("is sent to another endpoint when one reports that it has not run, also if it may run only once", func() {
 		r := newRig()
 		full := r.service("full", worker.Shed)
 		good := r.service("good", worker.None)
@@ -253,8 +253,8 @@
 		Expect(v.Refusal.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	// The address of an endpoint that is gone was given to another service. The new
-	// owner says that it is not the one that was meant.
+	// The address of an endpoint that is gone was given to another service, which answers that it
+	// is not the intended endpoint.
 	It("does not run at another endpoint that has the address now", func() {
 		r := newRig()
 		stranger := r.service("new", worker.None)
@@ -265,7 +265,7 @@
 		Expect(v.Refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 	})
 
-	It("is not taken for run when nothing listens at the endpoint", func() {
+	It("counts as not run when nothing listens at the endpoint", func() {
 		r := newRig()
 		dead := r.service("dead", worker.None)
 		dead.Stop()
@@ -273,8 +273,8 @@
 		Expect(v.Refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 	})
 
-	// An answer to an earlier request comes late, just where the next is expected, or a
-	// second one follows an answer. Its caller must not get somebody else's answer.
+	// A late answer to an earlier request arrives where the next answer is expected, or a second
+	// answer follows one. A caller must not get the answer to somebody else's request.
 	It("skips answers that belong to another request", func() {
 		r := newRig()
 		r.service("i1", worker.Foreign)
@@ -296,7 +296,7 @@
 		}
 	})
 
-	It("takes an answer without a length for whole when its connection ends well", func() {
+	It("accepts an answer without a length as complete when its connection ends cleanly", func() {
 		r := newRig()
 		r.service("i1", worker.Unframed)
 		req := r.request(routing.NonIdempotent)
@@ -335,8 +335,8 @@
 		Expect(v.Events).To(Equal(20))
 	})
 
-	// Engines are reclaimed at short notice in the middle of long answers, and an answer
-	// may not be run twice. Its caller sees one stream without a seam.
+	// Engines are reclaimed at short notice in the middle of long answers, and an answer must not
+	// be run twice. The caller sees one uninterrupted stream.
 	It("goes on at another engine when its engine is about to leave", func() {
 		r := newRig()
 		first := r.engine("first", 100, nil)
@@ -359,8 +359,7 @@
 		Expect(second.Runs()[0].Resumed).To(BeTrue())
 	})
 
-	// An engine leaves and its process takes its time to end. The stream needs no other
-	// place as long as it runs.
+	// A leaving engine takes its time to exit. The stream needs no other engine as long as it runs.
 	It("stays at an engine that leaves until that is gone", func() {
 		r := newRig()
 		first := r.engine("first", 60, nil)
@@ -379,10 +378,9 @@
 		Eventually(r.Fleet.OwnLoads, 3*time.Second).Should(BeEmpty())
 	})
 
-	// The answer of a stream has no length, and its engine's process ends in the middle:
-	// to the node that looks like the end of the answer. The caller must not take what it
-	// has for the whole.
-	It("is not taken for whole when its engine ends and it has no length", func() {
+	// The engine's process exits in the middle of a stream without a length, which looks like the
+	// end of the answer to the node. The caller must not take what it has for the complete answer.
+	It("is reported as broken when its engine exits and the answer has no length", func() {
 		r := newRig()
 		first := r.engine("first", 100, always(worker.Unframed))
 		req := r.request(routing.Streaming)
@@ -394,8 +392,8 @@
 		Eventually(done, 3*time.Second).Should(Receive(HaveField("Broken", true)))
 	})
 
-	// An engine dies without a word in the middle of a long answer. Another engine has got
-	// the run's memory as it grew.
+	// An engine dies without notice in the middle of a long answer. Another engine has received the
+	// run's memory as it grew.
 	It("goes on from its backup when its engine dies", func() {
 		r := newRig()
 		r.backups = true
@@ -420,10 +418,9 @@
 		Eventually(r.Fleet.OwnLoads, 3*time.Second).Should(BeEmpty())
 	})
 
-	// An answer breaks off, and its engine lives and works on. The run must be stopped there
-	// before it goes on elsewhere, or two engines work on it and a caller's order is placed
-	// twice.
-	It("goes on elsewhere after its answer broke off only when the run is over", func() {
+	// An answer breaks off while its engine keeps working. The run must be stopped there before it
+	// is resumed elsewhere, or two engines work on it and a caller's order is placed twice.
+	It("is resumed elsewhere after its answer broke off only once the run has ended", func() {
 		r := newRig()
 		r.backups = true
 		engines := []*worker.Worker{
@@ -438,9 +435,9 @@
 		Expect(runs[0].Resumed != runs[1].Resumed).To(BeTrue())
 	})
 
-	// A request kills each engine that runs it. Its backup must not carry it on from one
-	// engine to the next beyond the bound.
-	It("does not go on from its backup beyond the bound of deaths", func() {
+	// A deadly request must not be carried by its backups from engine to engine beyond the strike
+	// limit.
+	It("is not resumed from its backup beyond the strike limit", func() {
 		r := newRig()
 		r.backups = true
 		var engines []*worker.Worker
@@ -453,9 +450,9 @@
 		Expect(runsAt(engines)).To(Equal(relay.StrikeLimit))
 	})
 
-	// A stream ends, or its caller leaves, while its memory is copied away. A copy left
-	// behind would hold memory that other requests then wait for.
-	DescribeTable("leaves no copy and no place behind when it ends while it moves",
+	// A stream ends, or its caller leaves, while its memory is copied. A leaked copy would hold
+	// memory that other requests wait for.
+	DescribeTable("leaves no copy and no placement behind when it ends while it moves",
 		func(callerLeaves bool) {
 			r := newRig()
 			r.start("pool", worker.Options{
@@ -481,8 +478,8 @@
 		Entry("caller gone", true),
 	)
 
-	// An engine leaves and no other has room: the stream goes on there to its end, which
-	// may come before the engine's.
+	// An engine leaves and no other has room. The stream continues there and may end before the
+	// engine does.
 	It("stays where it is when there is no other engine", func() {
 		r := newRig()
 		r.engine("only", 60, nil)
@@ -496,9 +493,9 @@
 		Expect(a.text()).To(Equal(events(req.ID, 1, 60)))
 	})
 
-	// An engine dies in the middle of an event. Nobody has the run's memory, and another
-	// run may not take its place: the caller must see that the stream is not whole.
-	DescribeTable("is broken off visibly when it cannot be whole, and never run again",
+	// An engine dies in the middle of an event. Nobody has the run's memory and it must not be run
+	// again, so the caller must see that the stream is not complete.
+	DescribeTable("is visibly broken off when it cannot be completed, and never run again",
 		func(fault worker.Fault) {
 			r := newRig()
 			one, two := r.engine("e1", 20, always(fault)), r.engine("e2", 20, always(fault))
@@ -513,7 +510,7 @@
 		Entry("an event that is missing", worker.SkipEvent),
 	)
 
-	// A caller leaves. Its engine would go on for seconds with work that nobody wants.
+	// A caller leaves. Without cancellation its engine would spend seconds on unwanted work.
 	It("ends at the engine when its caller leaves", func() {
 		r := newRig()
 		e := r.engine("e1", 400, nil)
@@ -557,8 +554,8 @@
 		Expect(v.Refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 	})
 
-	// After its first death a request is sent several times at once. All these copies are under
-	// way before their deaths are known, and each would kill an engine of its own.
+	// After its first death a request is sent several times at once. All copies run before their
+	// deaths are known, and each would kill an engine of its own.
 	It("runs at no more engines at once than it may still kill", func() {
 		r := newRig()
 		var engines []*worker.Worker
@@ -576,9 +573,9 @@
 		Expect(r.Claims.Own()).To(BeEmpty())
 	})
 
-	// An engine dies of something else while it runs a prompt that many callers send alike.
-	// They must not be refused, and wait no longer than for the first of them to be answered.
-	It("is held back until its first whole answer if it is innocent", func() {
+	// An engine dies of something else while it runs a prompt that many callers send. They must not
+	// be refused, and must wait only until the first of them is answered.
+	It("is held back only until its first complete answer if it is harmless", func() {
 		r := newRig()
 		r.engine("dying", 20, always(worker.Crash))
 		r.serve(r.request(routing.Streaming))
@@ -600,8 +597,8 @@
 		}
 	})
 
-	// A call kills each plain endpoint that runs it, and its caller sends it again. Without
-	// strikes it would take down the whole service, one endpoint after another.
+	// A call kills each plain endpoint that runs it, and its caller sends it again. Without strikes
+	// it would take down the whole service, one endpoint after another.
 	It("is stopped once three plain endpoints died of it", func() {
 		r := newRig()
 		var apps []*worker.Worker
@@ -616,9 +613,9 @@
 		Expect(v.Refusal.Reason).To(Equal(crocusreel.ReasonSuspect))
 	})
 
-	// An endpoint loses the answers to many calls and lives. Their work is harmless: it must
-	// not be refused as work that kills.
-	It("is not held to kill endpoints that only lose its answers", func() {
+	// An endpoint loses the answers to many calls and stays alive. Their work is harmless and must
+	// not be refused as deadly.
+	It("is not refused as deadly when endpoints only lose its answers", func() {
 		r := newRig()
 		r.service("a1", worker.LoseAnswer)
 		r.service("a2", worker.LoseAnswer)
@@ -628,11 +625,10 @@
 		}
 	})
 
-	// A link is bad and resets one stream after the other, all of them answers to the same
-	// prompt. Their engines live and have done nothing wrong, and neither has the prompt: its
-	// callers must not be refused as if it killed engines. In the logs "strike" came after
-	// "stream cut" although the next request to the same engine was answered.
-	DescribeTable("is not held to kill engines when only its connection breaks", func(fault worker.Fault) {
+	// A bad link resets several streams that answer the same prompt, while their engines stay
+	// alive. Callers of that prompt must not be refused as if it killed engines. In the logs,
+	// "strike" followed "stream cut" although the same engine answered the next request.
+	DescribeTable("is not refused as deadly when only its connection breaks", func(fault worker.Fault) {
 		r := newRig()
 		var engines []*worker.Worker
 		for i := range 6 {
@@ -650,10 +646,10 @@
 		Entry("before the first event", worker.LoseAnswer),
 	)
 
-	// Engines that die of something else take a popular prompt with them, one today and one
-	// some minutes later. In between it is answered again and again, so that it cannot be at
-	// fault: were the deaths added up all the same, its callers would be refused one day.
-	It("is forgiven its strikes once it has a whole answer", func() {
+	// Engines die of something else, minutes apart, while they run a popular prompt that is
+	// answered many times in between. If those deaths were added up, its callers would be refused
+	// eventually.
+	It("loses its strikes once it has a complete answer", func() {
 		r := newRig()
 		for n := range 4 {
 			dying := r.engine(fmt.Sprintf("dying%d", n), 20, always(worker.Crash))
@@ -669,7 +665,7 @@
 		}
 	})
 
-	// The key of a waiting request is taken away while it waits, or its machine sleeps.
+	// The key of a request is revoked while it waits, or its machine is suspended.
 	It("does not run when it may no longer be admitted", func() {
 		r := newRig()
 		e := r.engine("e1", 10, nil)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,28 +14,28 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// leg is the part of a stream that one endpoint produces.
+// segment is the part of a stream that one endpoint produces.
 type leg struct {
 	*job
 	p      *fleet.Placement
 	resp   *h1.Response
 	mover  *mover
 	events *eventReader
-	// backup is room for a copy of the run's memory elsewhere; nil for none.
+	// backup is the reservation for a copy of the run's KV cache on another endpoint, nil for none.
 	backup *fleet.Holding
 }
 
-// legEnd is how a leg ended.
+// segmentEnd is how a segment ended.
 type legEnd int
 
 const (
-	// legWhole: the stream came to its end.
+	// segmentComplete means that the stream reached its end.
 	legWhole legEnd = iota
-	// legCut: the connection to the endpoint broke before the end.
+	// segmentCut means that the connection to the endpoint broke before the end.
 	legCut
-	// legCallerGone: the caller no longer takes the stream.
+	// segmentCallerGone means that the caller no longer accepts data.
 	legCallerGone
-	// legCorrupt: an event is missing or out of order.
+	// segmentCorrupt means that an event is missing or out of order.
 	legCorrupt
 )
 
@@ -60,14 +60,14 @@
 	}
 }
 
-// progress is what the caller has of a stream.
+// progress is what the caller has received of a stream.
 type progress struct {
-	// last is the ID of the last event, and begun is set once there is one.
+	// last is the ID of the last event. It is valid once begun is set.
 	last  int64
 	begun bool
 	// count is the number of events.
 	count int
-	// lastAt is when the last event came, longestGap the longest pause between two.
+	// lastAt is when the last event arrived, longestGap the longest pause between two events.
 	lastAt     time.Time
 	longestGap time.Duration
 }
@@ -83,7 +83,7 @@
 	p.count++
 }
 
-// start finds an endpoint that takes the request. Without one, the leg is nil.
+// start finds an endpoint that accepts the request. It returns a nil segment if there is none.
 func (j *job) start(ctx context.Context) (*leg, Verdict) {
 	for {
 		p, refusal := j.place(ctx)
@@ -122,11 +122,11 @@
 	return failedSend(err)
 }
 
-// silentStart is the time without a head of an answer after which an engine counts as
-// silent: it is sent with the first event, which takes a second on a full engine.
+// silentThreshold is the time without the head of an answer after which an engine counts as silent.
+// The head is sent with the first event, which takes a second on a full engine.
 const silentStart = 2 * time.Second
 
-// failedStream passes on an endpoint's answer that is no stream.
+// deliverNonStream delivers an endpoint's answer that is not a stream.
 func (j *job) failedStream(p *fleet.Placement, resp *h1.Response) Verdict {
 	j.ran = true
 	got := j.read(resp, func() {})
@@ -137,8 +137,8 @@
 	return j.deliver(got.answer)
 }
 
-// run passes the events of this leg on. If the stream goes on at another endpoint it
-// returns the next leg.
+// run forwards the events of this segment. If the stream is resumed on another endpoint, run
+// returns the next segment.
 func (l *leg) run(ctx context.Context, at *progress) (legEnd, *leg) {
 	l.ran = true
 	l.mover = newMover(l)
@@ -152,7 +152,8 @@
 	return end, next
 }
 
-// pass passes events on until the leg ends and finds the next one.
+// forward sends the head of the answer and the events to the caller until the segment ends, and
+// then resumes the stream on another endpoint if the segment was cut.
 func (l *leg) pass(ctx context.Context, at *progress) (legEnd, *leg) {
 	if !l.sink.Begun() {
 		l.verdict.Status = l.resp.StatusCode
@@ -191,7 +192,8 @@
 	return end, nil
 }
 
-// cutHealth blames an endpoint for a cut stream unless it was leaving or has started again.
+// healthAfterCut returns the health result for an endpoint whose stream was cut: a failure, unless
+// the endpoint was leaving or has restarted.
 func (l *leg) cutHealth() fleet.Result {
 	if l.p.Life().Err() != nil || leaving(l.p) {
 		return fleet.Neutral
@@ -206,10 +208,10 @@
 	l.p.Release(r)
 }
 
-// producedEvery is the number of events between two updates of a placement.
+// eventsPerUpdate is the number of events between two updates of a placement.
 const producedEvery = 4
 
-// follow passes events on until the leg ends.
+// forwardEvents forwards events until the segment ends.
 func (l *leg) follow(at *progress) (legEnd, error) {
 	l.events = newEventReader(l.resp.Body)
 	for {
@@ -234,9 +236,9 @@
 	}
 }
 
-// take checks the order of the events and returns those that the caller lacks. After
-// a move, an engine may send the last events again, and one at fault may leave one out:
-// the caller must then not get a stream that looks whole.
+// newEvents checks the order of the events and returns those that the caller has not received yet.
+// It returns false if an event is missing. After a move, an engine may send the last events again,
+// and a faulty one may omit an event; the caller must then not get a stream that looks complete.
 func (l *leg) take(batch []byte, at *progress) ([]byte, bool) {
 	fresh := batch[:0]
 	for rest := batch; len(rest) > 0; {
@@ -279,8 +281,8 @@
 	return 1
 }
 
-// resume sends the request on to an engine that has its memory; it returns nil if the
-// engine does not take it.
+// resume sends the request to an engine that has a copy of the run's KV cache. It returns nil if
+// the engine does not accept it.
 func (l *leg) resume(ctx context.Context, place *fleet.Placement, resume *Resume, at *progress) *leg {
 	backup := l.holdBackup(place, l.p.Instance().ID)
 	resp, err := l.send(ctx, place, resume, backup)
@@ -301,7 +303,7 @@
 	return nil
 }
 
-// streamEnded makes the verdict of a stream.
+// streamEnded returns the outcome of a stream.
 func (j *job) streamEnded(ctx context.Context, end legEnd, at *progress) Verdict {
 	j.verdict.Events = at.count
 	j.verdict.LongestGap = at.longestGap
--- a/relay/strikes.go
+++ b/relay/strikes.go
@@ -9,8 +9,8 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-// Fingerprint identifies work by its path, its workspace and its content. A request
-// that kills endpoints comes back with a new attempt ID but the same fingerprint.
+// Fingerprint identifies work by its workspace, its path and its content. A request that kills
+// endpoints is sent again with a new attempt ID but has the same fingerprint.
 type Fingerprint uint64
 
 // NewFingerprint hashes the parts that stay the same when a caller sends work again.
@@ -24,8 +24,8 @@
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// Strike records that an endpoint died while it ran some work. Two reports of one
-// death are one strike.
+// Strike records that an endpoint died while it ran some work. Two reports of the same death are
+// one strike.
 type Strike struct {
 	Work     Fingerprint
 	Endpoint uint32
@@ -33,47 +33,49 @@
 }
 
 const (
-	// strikeMemory is how long a death is held against a request: longer than the
-	// retries of a caller and the restart of an engine together.
+	// strikeTTL is how long a death counts against a request: longer than the retries of a caller
+	// and the restart of an engine together.
 	strikeMemory = 90 * time.Second
-	// StrikesTold is how long each strike is told to the other nodes: several datagrams,
-	// any of which may be lost.
+	// StrikesTold is how long each strike is broadcast to the other nodes. That takes several
+	// datagrams, any of which may be lost.
 	StrikesTold = 2 * time.Second
 )
 
-// Strikes counts the endpoints that died while running a request, on all nodes.
+// Strikes counts the endpoints, on all nodes, that died while they ran a request. It is safe for
+// concurrent use.
 type Strikes struct {
-	// Tell is called when other nodes should hear at once; it must not block.
+	// Tell is called when other nodes should receive this node's strikes at once. It must not
+	// block.
 	Tell func()
 
 	now      func() time.Duration
 	mu       sync.Mutex
 	suspects *policy.Suspects
-	// fresh are those of this node that other nodes may not know yet.
+	// own holds the strikes of this node that are still to be broadcast.
 	fresh []Strike
 }
 
-// NewStrikes returns an empty record. Now reads a monotonic clock.
+// NewStrikes returns an empty record. The function now reads a monotonic clock.
 func NewStrikes(now func() time.Duration) *Strikes {
 	return &Strikes{Tell: func() {}, now: now, suspects: policy.NewSuspects(strikeMemory)}
 }
 
-// Count returns the number of endpoints that died of the work lately.
+// Count returns the number of endpoints that died of the work within the last strikeTTL.
 func (s *Strikes) Count(work Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.suspects.Count(uint64(work), s.now())
 }
 
-// Below returns how long it takes until the work has fewer strikes than the limit; 0 if it
-// has fewer now.
+// Below returns the time until the work has fewer strikes than the limit, 0 if it already has
+// fewer.
 func (s *Strikes) Below(work Fingerprint, limit int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.suspects.Below(uint64(work), limit, s.now())
 }
 
-// Add records a death seen by this node and returns the strikes against the work.
+// Add records a death seen by this node and returns the number of strikes against the work.
 func (s *Strikes) Add(work Fingerprint, endpoint uint32) int {
 	defer s.Tell()
 	s.mu.Lock()
@@ -84,9 +86,9 @@
 	return s.suspects.Count(uint64(work), strike.At)
 }
 
-// Merge records a death seen by another node. How old it is is not told, so it counts as
-// old as it may be: what others go on telling of work that was cleared here since does not
-// bring its strikes back.
+// Merge records a death reported by another node. Reports do not carry an age, so a strike is
+// assumed to be as old as the broadcast period allows: strikes that other nodes keep broadcasting
+// for work that has since been cleared here do not come back.
 func (s *Strikes) Merge(work Fingerprint, endpoint uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +96,8 @@
 	s.suspects.Merge(Strike{Work: work, Endpoint: endpoint, At: now - StrikesTold}.held(), now)
 }
 
-// Clear forgets the deaths of work that has had a whole answer: it does not kill endpoints.
+// Clear removes the strikes against work that got a complete answer, which proves that it does not
+// kill endpoints.
 func (s *Strikes) Clear(work Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +108,7 @@
 	return policy.Strike{Fingerprint: uint64(k.Work), Death: uint64(k.Endpoint), At: k.At}
 }
 
-// Fresh returns this node's strikes since the given age and forgets older ones.
+// Fresh returns the strikes of this node that are not older than age and drops the others.
 func (s *Strikes) Fresh(age time.Duration) []Strike {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/relay/transfer.go
+++ b/relay/transfer.go
@@ -14,32 +14,34 @@
 )
 
 const (
-	// copyTimeout bounds a copy: nine runs of a full engine, one after another on its
+	// copyTimeout limits a copy. Nine runs of a full engine, copied one after another over its
 	// link, take two seconds.
 	copyTimeout = 3 * time.Second
-	// refreshEvery is the time between two copies of what is new: 40 tokens of a run, which
-	// an engine reads again in some milliseconds. A copy is also kept for some seconds only.
+	// refreshInterval is the time between two refreshes of a copy. A run generates 40 tokens in
+	// that time, which an engine recomputes in a few milliseconds. Refreshing also keeps the copy
+	// alive, which an engine keeps for a few seconds only.
 	refreshEvery = 300 * time.Millisecond
-	// copyTries bounds the orders for one copy whose answers are lost, and copyRetry is the
-	// first pause between two of them; it doubles.
+	// maxCopyTries is the maximum number of orders for one copy if their answers are lost,
+	// copyRetryPause the pause after the first of them. It doubles with each further order.
 	copyTries = 6
 	copyRetry = 20 * time.Millisecond
-	// freeTimeout bounds the order to free a copy.
+	// freeTimeout limits an order to free a copy.
 	freeTimeout = 500 * time.Millisecond
 )
 
-// transfer copies the memory of one run to one target.
+// transfer copies the KV cache of one run to one target.
 type transfer struct {
 	*leg
 	target *fleet.Placement
-	// handle names the copy once there is one.
+	// handle identifies the copy. It is empty until there is one.
 	handle string
-	// doubtful is set when a copy may have been made without an answer.
+	// copyUncertain is set if a copy may have been made although no answer arrived.
 	doubtful bool
 }
 
-// copy copies what is new while the run goes on. It is not cut short when the stream
-// ends: the copy would be made all the same, and nobody would know how to free it.
+// copy copies what is new while the run continues, and reports success. It is not cancelled when
+// the stream ends: the engine would make the copy anyway, and its handle, which is needed to free
+// it, would be unknown.
 func (t *transfer) copy(ctx context.Context) bool {
 	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
 	defer cancel()
@@ -51,7 +53,7 @@
 	return err == nil && !got.Refused && ctx.Err() == nil
 }
 
-// refresh copies what is new again and again until the leg ends or the engine is gone.
+// refresh copies what is new at regular intervals until the segment ends or a copy fails.
 func (t *transfer) refresh(ctx context.Context) {
 	for {
 		retry.Sleep(ctx, refreshEvery)
@@ -61,10 +63,10 @@
 	}
 }
 
-// moveSurely orders the copy, and again while the order's answer is lost, until that
-// ends. The copy is made all the same, and only a second order, which sends what is new,
-// tells its name. Without it the whole memory would go to another target once more, on a
-// link that other runs of the leaving engine wait for.
+// moveWithRetry orders the copy, and repeats the order while its answer is lost, until the context
+// until ends. The engine makes the copy even if the answer is lost, and only a second order, which
+// sends just what is new, returns its handle. Without it, the whole KV cache would be sent again to
+// another target, over a link that other runs of the leaving engine wait for.
 func (t *transfer) moveSurely(ctx, until context.Context) (Moved, error) {
 	pause := copyRetry
 	for try := 1; ; try++ {
@@ -78,7 +80,8 @@
 	}
 }
 
-// answerLost tells whether an order to copy may be, or is, carried out without an answer.
+// answerLost reports whether an order to copy may have been carried out, or is being carried out,
+// although its answer was not received.
 func answerLost(err error) bool {
 	var failed *h1.Error
 	return errors.Is(err, ErrCopying) || errors.As(err, &failed) && failed.Sent
@@ -95,10 +98,10 @@
 	return got, err
 }
 
-// abandon gives the target up. A copy there occupies memory and a slot until it is freed;
-// where that is not certain, the place stays taken for as long as the engine keeps it.
-// Otherwise the engine would be given work that it has no room for, and that work would
-// wait there until its deadline.
+// abandon gives up the target in the background. A copy occupies memory and a slot on the target
+// until it is freed. If it is not certain that it was freed, the placement is kept for as long as
+// the engine may keep the copy. Otherwise the engine would be given work that it has no room for,
+// and that work would wait there until its deadline.
 func (t *transfer) abandon() {
 	go func() {
 		if !t.free() {
@@ -108,7 +111,7 @@
 	}()
 }
 
-// free frees the copy; it returns false if the copy may still be there.
+// free frees the copy. It returns false if the copy may still exist.
 func (t *transfer) free() bool {
 	if t.handle == "" {
 		return !t.doubtful
@@ -116,8 +119,8 @@
 	return t.freeHandle(t.p.Instance().Address, t.target.Instance().Address, t.handle)
 }
 
-// freeHandle frees a copy by an order to its source, which tells the target, or to the
-// target itself if the source is gone.
+// freeHandle frees a copy by an order to its source, which informs the target, or to the target
+// itself if the source fails. It returns false if the copy may still exist.
 func (j *job) freeHandle(source, target, handle string) bool {
 	var err error
 	for _, address := range []string{source, target} {
@@ -137,16 +140,18 @@
 	return j.Mover.Free(ctx, address, handle)
 }
 
-// targetCopy is the copy of a run's memory at the target of a transfer.
+// targetCopy is the copy of a run's KV cache at the target of a transfer.
 type targetCopy struct {
-	// source is the address of the engine where the run is; handle names the copy there.
+	// source is the address of the engine that runs the generation, handle identifies the copy
+	// there.
 	source string
 	handle string
-	// target is where the run can go on.
+	// target is the placement on which the run can be resumed.
 	target *fleet.Placement
 }
 
-// giveUp frees a copy that nobody needs.
+// discard frees an unused copy and releases its placement, after copyLifetime if the copy may still
+// exist.
 func (m *targetCopy) giveUp(j *job) {
 	if !j.freeHandle(m.source, m.target.Instance().Address, m.handle) {
 		time.Sleep(j.copyLifetime())
--- a/relay/vacated.go
+++ b/relay/vacated.go
@@ -9,8 +9,8 @@
 	"github.com/crocusreel/crocusreel/fleet"
 )
 
-// RunKey identifies a run on one engine in messages between nodes: a run that has moved
-// may soon have to leave its next engine, too.
+// RunKey identifies a run on one engine in messages between nodes. It depends on the engine,
+// because a run that has moved may soon have to leave its next engine as well.
 type RunKey uint32
 
 func runKey(id string, engine fleet.EndpointKey) RunKey {
@@ -21,32 +21,34 @@
 }
 
 const (
-	// vacatedMemory is how long it is remembered that a run has left its engine: longer
-	// than any notice of an engine.
+	// vacatedTTL is how long a run is remembered as having left its engine. It is longer than the
+	// notice period of any engine.
 	vacatedMemory = 5 * time.Second
-	// maxVacated bounds the remembered runs.
+	// maxVacated is the maximum number of runs in each map.
 	maxVacated = 1024
-	// endedMemory is how long ago a run may have ended that an engine still names: its
-	// report is some hundred milliseconds old.
+	// endedTTL is how long an ended run is remembered. An engine's report is a few hundred
+	// milliseconds old and may still contain runs that have ended since.
 	endedMemory = 2 * time.Second
 )
 
-// Vacated records which runs no longer use the link of an engine that leaves, on all
-// nodes: they have moved, have ended, or do not move. The next run's move waits for that.
+// Vacated records, for all nodes, which runs no longer use the link of a leaving engine because
+// they have moved, have ended or are not moved. The move of the next run waits for that. It is safe
+// for concurrent use.
 type Vacated struct {
 	now func() time.Duration
-	// Tell is called when other nodes should hear at once; it must not block.
+	// Tell is called when other nodes should receive this node's changes at once. It must not
+	// block.
 	Tell func()
 
 	mu  sync.Mutex
 	all map[RunKey]time.Duration
-	// own are those of this node, for the others, and ended are runs of this node that
-	// ended lately.
+	// own holds the runs of this node to broadcast to the others, ended the runs of this node that
+	// ended recently.
 	own, ended map[RunKey]time.Duration
 	changed    chan struct{}
 }
 
-// NewVacated returns an empty record. Now reads a monotonic clock.
+// NewVacated returns an empty record. The function now reads a monotonic clock.
 func NewVacated(now func() time.Duration) *Vacated {
 	return &Vacated{
 		now: now, Tell: func() {},
@@ -55,7 +57,7 @@
 	}
 }
 
-// Merge takes what another node told.
+// Merge adds the runs reported by another node.
 func (v *Vacated) Merge(runs []RunKey) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -79,8 +81,8 @@
 	}
 }
 
-// forget drops what is older than the given time once there is much of it, and all of it
-// if that is not enough.
+// evictExpired drops entries older than after once m has maxVacated entries, and all entries if it
+// is still full then.
 func forget(m map[RunKey]time.Duration, now, after time.Duration) {
 	if len(m) < maxVacated {
 		return
@@ -95,7 +97,7 @@
 	}
 }
 
-// leave records that a run of this node no longer uses its engine's link.
+// markVacated records that a run of this node no longer uses its engine's link.
 func (v *Vacated) leave(run RunKey) {
 	v.mu.Lock()
 	v.leaveLocked(run)
@@ -109,7 +111,7 @@
 	v.addLocked([]RunKey{run})
 }
 
-// end records that a stream of this node has ended.
+// markEnded records that a stream of this node has ended.
 func (v *Vacated) end(run RunKey) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -117,7 +119,7 @@
 	v.ended[run] = v.now()
 }
 
-// endedAmong tells the others which of the runs that an engine still names have ended.
+// announceEnded tells the other nodes which of the runs that an engine still reports have ended.
 func (v *Vacated) endedAmong(runs []EngineRun, engine fleet.EndpointKey) {
 	v.mu.Lock()
 	told := false
@@ -141,14 +143,14 @@
 	return left
 }
 
-// changes returns a channel that is closed when another run has left.
+// changes returns a channel that is closed when another run has left its engine.
 func (v *Vacated) changes() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// Fresh returns this node's runs that left since the given age and forgets older ones.
+// Fresh returns the runs of this node that left within the given age and drops the others.
 func (v *Vacated) Fresh(age time.Duration) []RunKey {
 	v.mu.Lock()
 	defer v.mu.Unlock()
