--- a/relay/call.go
+++ b/relay/call.go
@@ -22,7 +22,7 @@
 	// maxBufferedAnswerBytes is the size up to which the answer to a plain call is buffered before
 	// any of it is delivered. An answer that breaks off within the buffer can still be replaced by
 	// that of another endpoint.
-	maxAnswer = 256 << 10
+	maxBufferedAnswerBytes = 256 << 10
 )
 
 // answer is an endpoint's answer, read to its end or up to maxBufferedAnswerBytes.
@@ -30,13 +30,13 @@
 	resp *h1.Response
 	body []byte
 	// hasMore reports whether the buffer is full, so that the body may continue beyond it.
-	rest bool
-	// release closes the exchange with the endpoint.
-	release func()
+	hasMore bool
+	// closeExchange closes the exchange with the endpoint.
+	closeExchange func()
 }
 
 // attemptResult is the outcome of sending a request to one endpoint.
-type result struct {
+type attemptResult struct {
 	answer *answer
 	// notRun reports that the endpoint definitely did not execute the request.
 	notRun bool
@@ -46,7 +46,7 @@
 
 // broken reports whether the connection ended before the answer was complete, as it does when the
 // endpoint dies.
-func (r result) broken() bool { return r.cause == causeLost || r.cause == causeTruncated }
+func (r attemptResult) broken() bool { return r.cause == causeLost || r.cause == causeTruncated }
 
 // call serves a request whose answer is a single message.
 func (j *job) call(ctx context.Context) Verdict {
@@ -60,13 +60,13 @@
 		got := j.sendOnce(ctx, p, runs)
 		p.Release(got.health)
 		j.tried = append(j.tried, p.Instance().ID)
-		if got.answer != nil && !j.worthRepeating(got.answer.resp.StatusCode) {
+		if got.answer != nil && !j.shouldRetryStatus(got.answer.resp.StatusCode) {
 			j.Strikes.Clear(j.r.Fingerprint)
 			return j.deliver(got.answer)
 		}
 		if got.answer != nil {
 			if held != nil {
-				held.release()
+				held.closeExchange()
 			}
 			held = got.answer
 		}
@@ -77,8 +77,8 @@
 		if got.broken() {
 			j.strikeIfDead(ctx, p)
 		}
-		if ctx.Err() != nil || !j.mayRepeat(got, runs) || j.deadly() {
-			return j.exhausted(ctx, held, j.failure(got))
+		if ctx.Err() != nil || !j.mayRetry(got, runs) || j.strikeLimitReached() {
+			return j.exhausted(ctx, held, j.failureRefusal(got))
 		}
 		j.verdict.Detail = got.cause
 	}
@@ -93,11 +93,11 @@
 
 // shouldRetryStatus reports whether another endpoint may give a better answer than one with this
 // status.
-func (j *job) worthRepeating(status int) bool {
+func (j *job) shouldRetryStatus(status int) bool {
 	return j.r.Route.Kind.Repeatable() && status >= http.StatusInternalServerError
 }
 
-func (j *job) mayRepeat(got result, runs int) bool {
+func (j *job) mayRetry(got attemptResult, runs int) bool {
 	if !got.notRun && (!j.r.Route.Kind.Repeatable() || runs >= j.r.Route.MaxAttempts) {
 		return false
 	}
@@ -116,54 +116,54 @@
 		return j.deliver(held)
 	}
 	if ctx.Err() != nil {
-		return j.end(j.timedOut(), j.verdict.Detail)
+		return j.end(j.deadlineRefusal(), j.verdict.Detail)
 	}
 	if j.ran && refusal.Outcome == crocusreel.OutcomeNotRun {
-		refusal = lost("%s", refusal.Message)
+		refusal = lostRefusal("%s", refusal.Message)
 	}
 	return j.end(refusal, j.verdict.Detail)
 }
 
-func (j *job) failure(got result) *crocusreel.Refusal {
+func (j *job) failureRefusal(got attemptResult) *crocusreel.Refusal {
 	if got.notRun {
-		return crocusreel.Refuse(crocusreel.ReasonEndpointRefused, crocusreel.OutcomeNotRun, lostRetry, "%s", got.cause)
+		return crocusreel.Refuse(crocusreel.ReasonEndpointRefused, crocusreel.OutcomeNotRun, lostRetryAfter, "%s", got.cause)
 	}
-	return lost("%s", got.cause)
+	return lostRefusal("%s", got.cause)
 }
 
 // sendOnce sends the request to one endpoint and buffers its answer.
-func (j *job) sendOnce(ctx context.Context, p *fleet.Placement, runs int) result {
-	ctx, cancel := context.WithTimeout(ctx, j.attemptTime(runs))
+func (j *job) sendOnce(ctx context.Context, p *fleet.Placement, runs int) attemptResult {
+	ctx, cancel := context.WithTimeout(ctx, j.attemptTimeout(runs))
 	resp, err := j.send(ctx, p, nil, nil)
 	if err != nil {
 		cancel()
-		return failedSend(err)
+		return sendErrorResult(err)
 	}
-	if got, refused := j.refused(resp); refused {
+	if got, refused := j.refusedResult(resp); refused {
 		cancel()
 		return got
 	}
-	return j.read(resp, cancel)
+	return j.readAnswer(resp, cancel)
 }
 
 // readAnswer reads the body of an answer, up to maxBufferedAnswerBytes.
-func (j *job) read(resp *h1.Response, cancel context.CancelFunc) result {
+func (j *job) readAnswer(resp *h1.Response, cancel context.CancelFunc) attemptResult {
 	release := func() {
 		resp.Close()
 		cancel()
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswerBytes))
 	if err != nil {
 		release()
-		return result{health: fleet.Failed, cause: causeTruncated}
+		return attemptResult{health: fleet.Failed, cause: causeTruncated}
 	}
-	got := result{health: fleet.Good}
-	got.answer = &answer{resp: resp, body: body, rest: len(body) == maxAnswer, release: release}
+	got := attemptResult{health: fleet.Good}
+	got.answer = &answer{resp: resp, body: body, hasMore: len(body) == maxBufferedAnswerBytes, closeExchange: release}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		got.health = fleet.Failed
 		got.cause = "endpoint_failed"
 	}
-	if !got.answer.rest {
+	if !got.answer.hasMore {
 		resp.Finish()
 	}
 	return got
@@ -172,58 +172,58 @@
 // attemptTimeShare is the share of the remaining time after which repeatable work is retried on
 // another endpoint, as long as the route allows a further attempt. Without it, an endpoint that
 // hangs would use up all of the remaining time.
-const attemptShare = 0.45
+const attemptTimeShare = 0.45
 
-func (j *job) attemptTime(runs int) time.Duration {
+func (j *job) attemptTimeout(runs int) time.Duration {
 	remaining := time.Until(j.r.Deadline)
 	if j.r.Route.Kind.Repeatable() && runs+1 < j.r.Route.MaxAttempts {
-		return time.Duration(attemptShare * float64(remaining))
+		return time.Duration(attemptTimeShare * float64(remaining))
 	}
 	return remaining
 }
 
-func failedSend(err error) result {
+func sendErrorResult(err error) attemptResult {
 	var failed *h1.Error
 	if errors.As(err, &failed) && !failed.Sent {
-		return result{notRun: true, health: fleet.Unreachable, cause: "endpoint_unreachable"}
+		return attemptResult{notRun: true, health: fleet.Unreachable, cause: "endpoint_unreachable"}
 	}
 	if errors.Is(err, fleet.ErrRestarted) {
-		return result{health: fleet.Neutral, cause: causeLost}
+		return attemptResult{health: fleet.Neutral, cause: causeLost}
 	}
 	if errors.Is(err, context.Canceled) {
-		return result{health: fleet.Neutral, cause: "caller_gone"}
+		return attemptResult{health: fleet.Neutral, cause: "caller_gone"}
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return result{health: fleet.Silent, cause: "endpoint_silent"}
+		return attemptResult{health: fleet.Silent, cause: "endpoint_silent"}
 	}
-	return result{health: fleet.Failed, cause: causeLost}
+	return attemptResult{health: fleet.Failed, cause: causeLost}
 }
 
 // refusedResult consumes an answer by which the endpoint states that it did not execute the
 // request. It returns false for any other answer.
-func (j *job) refused(resp *h1.Response) (result, bool) {
+func (j *job) refusedResult(resp *h1.Response) (attemptResult, bool) {
 	reply := j.Protocol.Reply(resp.StatusCode, resp.Header)
 	if !reply.NotRun {
-		return result{}, false
+		return attemptResult{}, false
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedAnswerBytes)); err != nil {
 		resp.Close()
 	} else {
 		resp.Finish()
 	}
 	if reply.Misdirected {
-		return result{notRun: true, health: fleet.Unreachable, cause: "endpoint_replaced"}, true
+		return attemptResult{notRun: true, health: fleet.Unreachable, cause: "endpoint_replaced"}, true
 	}
-	return result{notRun: true, health: fleet.Busy, cause: "endpoint_busy"}, true
+	return attemptResult{notRun: true, health: fleet.Busy, cause: "endpoint_busy"}, true
 }
 
 // deliver sends the answer to the caller.
 func (j *job) deliver(a *answer) Verdict {
-	defer a.release()
+	defer a.closeExchange()
 	j.verdict.Status = a.resp.StatusCode
 	j.verdict.FirstEvent = time.Since(j.r.Received)
 	header := j.Protocol.AnswerHeader(a.resp.Header)
-	if !a.rest {
+	if !a.hasMore {
 		header.Del("Content-Length")
 		header.Set("Content-Length", strconv.Itoa(len(a.body)))
 	}
@@ -231,7 +231,7 @@
 		return j.end(nil, "caller gone")
 	}
 	var source io.Reader = bytes.NewReader(a.body)
-	if a.rest {
+	if a.hasMore {
 		source = io.MultiReader(source, a.resp.Body)
 	}
 	if _, err := io.Copy(sinkWriter{j.sink}, source); err != nil {
--- a/relay/claims.go
+++ b/relay/claims.go
@@ -33,14 +33,14 @@
 	// reachable node knows of it, and if two claims are made at the same time, both nodes agree on
 	// which comes first. A datagram between data centres takes a few milliseconds, and is
 	// sent with a delay of up to 2 ms.
-	claimSettles = 25 * time.Millisecond
+	claimSettleTime = 25 * time.Millisecond
 	// maxClaims is the maximum number of claims that a node broadcasts, in the order of their
 	// turns. Further claims count on this node only. Each claim takes 15 B of a datagram of 1,400
 	// B.
 	maxClaims = 16
 	// claimRetryAfter is the retry delay given to a caller whose work could not be claimed. Within
 	// that time most of the running answers are complete, or their endpoints have died.
-	claimRetry = time.Second
+	claimRetryAfter = time.Second
 )
 
 // Claim announces a running or pending run of work that has a strike.
@@ -50,8 +50,8 @@
 	Running bool
 }
 
-// precedes reports whether this claim has its turn before the given waiting claim.
-func (c Claim) before(waiting Claim) bool { return c.Running || c.ID < waiting.ID }
+// precedes reports whether this claim has its turn precedes the given waiting claim.
+func (c Claim) precedes(waiting Claim) bool { return c.Running || c.ID < waiting.ID }
 
 // Claims holds the claims of all nodes. It is safe for concurrent use.
 type Claims struct {
@@ -101,10 +101,10 @@
 	} else {
 		c.remote[node] = claims
 	}
-	c.changedLocked()
+	c.notifyLocked()
 }
 
-func (c *Claims) changedLocked() {
+func (c *Claims) notifyLocked() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -113,7 +113,7 @@
 func (c *Claims) set(claim Claim) {
 	c.mu.Lock()
 	c.own[claim.ID] = claim
-	c.changedLocked()
+	c.notifyLocked()
 	c.mu.Unlock()
 	c.Tell()
 }
@@ -121,19 +121,19 @@
 func (c *Claims) drop(claim Claim) {
 	c.mu.Lock()
 	delete(c.own, claim.ID)
-	c.changedLocked()
+	c.notifyLocked()
 	c.mu.Unlock()
 	c.Tell()
 }
 
 // countAhead returns the number of other claims to the same work whose turn comes before this one,
 // and a channel that is closed at the next change of any claim.
-func (c *Claims) ahead(mine Claim) (int, <-chan struct{}) {
+func (c *Claims) countAhead(mine Claim) (int, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	count := func(other Claim) {
-		if other.Work == mine.Work && other.ID != mine.ID && other.before(mine) {
+		if other.Work == mine.Work && other.ID != mine.ID && other.precedes(mine) {
 			n++
 		}
 	}
@@ -150,7 +150,7 @@
 
 // newClaim returns the claim of a request to its work. The claim's ID is a hash of the request's
 // ID.
-func claimOf(r *Request, running bool) Claim {
+func newClaim(r *Request, running bool) Claim {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(r.ID))
 	return Claim{Work: r.Fingerprint, ID: h.Sum32(), Running: running}
@@ -159,19 +159,19 @@
 // awaitClaim waits until the request may run concurrently with the other copies of its work. Work
 // without a strike runs at once. It returns a refusal if the work has reached strikeLimit or the
 // wait takes too long.
-func (j *job) claim(ctx context.Context) *crocusreel.Refusal {
+func (j *job) awaitClaim(ctx context.Context) *crocusreel.Refusal {
 	if j.Strikes.Count(j.r.Fingerprint) == 0 {
 		return nil
 	}
 	began := time.Now()
-	fresh := j.own == nil
+	isNew := j.ownClaim == nil
 	j.setClaim(false)
-	if fresh && !retry.Sleep(ctx, claimSettles) {
-		return j.timedOut()
+	if isNew && !retry.Sleep(ctx, claimSettleTime) {
+		return j.deadlineRefusal()
 	}
-	given := time.After(j.patience())
+	timeout := time.After(j.maxWait())
 	for {
-		changed, mayRun, refusal := j.turn()
+		changed, mayRun, refusal := j.checkTurn()
 		if refusal != nil {
 			return refusal
 		}
@@ -184,37 +184,37 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return j.timedOut()
-		case <-given:
+			return j.deadlineRefusal()
+		case <-timeout:
 			metrics.Count("claim_not_had")
-			return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun, claimRetry,
+			return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun, claimRetryAfter,
 				"an endpoint died while running this request, and it runs elsewhere")
 		}
 	}
 }
 
 // checkTurn reports whether the request may run now. If it may not, changed is closed when the
-// claims change and the turn should be checked again. It returns a refusal if the work has reached
+// claims change and the checkTurn should be checked again. It returns a refusal if the work has reached
 // strikeLimit.
-func (j *job) turn() (changed <-chan struct{}, mayRun bool, refusal *crocusreel.Refusal) {
-	ahead, changed := j.Claims.ahead(*j.own)
+func (j *job) checkTurn() (changed <-chan struct{}, mayRun bool, refusal *crocusreel.Refusal) {
+	ahead, changed := j.Claims.countAhead(*j.ownClaim)
 	strikes := j.Strikes.Count(j.r.Fingerprint)
 	if strikes >= strikeLimit {
-		return nil, false, j.suspect(strikes)
+		return nil, false, j.suspectRefusal(strikes)
 	}
 	return changed, strikes == 0 || strikes+ahead < strikeLimit, nil
 }
 
 // setClaim creates or updates the request's claim and broadcasts it to the other nodes.
 func (j *job) setClaim(running bool) {
-	claim := claimOf(j.r, running)
-	j.own = &claim
+	claim := newClaim(j.r, running)
+	j.ownClaim = &claim
 	j.Claims.set(claim)
 }
 
 // dropClaim removes the request's claim, if it has one.
 func (j *job) dropClaim() {
-	if j.own != nil {
-		j.Claims.drop(*j.own)
+	if j.ownClaim != nil {
+		j.Claims.drop(*j.ownClaim)
 	}
 }
--- a/relay/copies.go
+++ b/relay/copies.go
@@ -30,12 +30,12 @@
 const (
 	// stopTimeout limits the attempts to make sure that a run has ended after its answer broke off.
 	// It allows for two connection attempts without an answer and for the remaining calls.
-	overTimeout = time.Second
+	stopTimeout = time.Second
 	// maxUnreachable is the number of connection attempts without an answer after which an engine
 	// counts as gone. One is not enough, because its first packet may be lost.
-	unreachableTries = 2
+	maxUnreachable = 2
 	// stopRetryPause is the pause between two attempts to stop a run.
-	overRetry = 5 * time.Millisecond
+	stopRetryPause = 5 * time.Millisecond
 	// copyMargin is the time for which an engine may keep a copy beyond the configured lifetime.
 	copyMargin = 2 * time.Second
 )
@@ -57,10 +57,10 @@
 
 // dropBackup releases the reservation of a backup: at once if freed is set, because the engine has
 // freed the backup or never made it, and after copyLifetime otherwise.
-func (j *job) dropBackup(h *fleet.Holding, whole bool) {
+func (j *job) dropBackup(h *fleet.Holding, freed bool) {
 	switch {
 	case h == nil:
-	case whole:
+	case freed:
 		h.Release(0)
 	default:
 		h.Release(j.copyLifetime())
@@ -72,12 +72,12 @@
 
 // backupUsable reports whether the segment has a backup on an endpoint that is alive, not leaving
 // and not evacuated.
-func (l *leg) sound() bool {
-	if l.backup == nil || l.backup.Life().Err() != nil {
+func (s *segment) backupUsable() bool {
+	if s.backup == nil || s.backup.Life().Err() != nil {
 		return false
 	}
 	select {
-	case <-l.backup.Unusable():
+	case <-s.backup.Unusable():
 		return false
 	default:
 		return true
@@ -86,7 +86,7 @@
 
 // runCopy is a copy of a run's KV cache on another engine. The run can be resumed from it once it
 // has ended on its own engine.
-type copyOfRun struct {
+type runCopy struct {
 	engine fleet.Instance
 	resume Resume
 	// take returns the run's placement on the engine, or nil if it is no longer available.
@@ -95,20 +95,20 @@
 
 // copies returns the available copies of the run: the copy made by an unfinished move, and the
 // backup.
-func (l *leg) copies(at *progress) []copyOfRun {
-	var all []copyOfRun
-	if m := l.mover.copied(); m != nil && m.target.Life().Err() == nil && m.target.Usable() {
-		all = append(all, copyOfRun{
+func (s *segment) copies(prog *progress) []runCopy {
+	var all []runCopy
+	if m := s.migrator.currentCopy(); m != nil && m.target.Life().Err() == nil && m.target.Usable() {
+		all = append(all, runCopy{
 			engine: m.target.Instance(),
-			resume: Resume{Source: m.source, Handle: m.handle, LastEvent: at.last},
-			take:   l.mover.takeCopy,
+			resume: Resume{Source: m.source, Handle: m.handle, LastEvent: prog.last},
+			take:   s.migrator.takeCopy,
 		})
 	}
-	if l.backup != nil && l.backup.Life().Err() == nil {
-		all = append(all, copyOfRun{
-			engine: l.backup.Instance(),
-			resume: Resume{Source: l.backup.Instance().Address, Handle: l.r.ID, LastEvent: at.last},
-			take:   func() *fleet.Placement { return l.backup.Take(at.count * l.tokensPerEvent()) },
+	if s.backup != nil && s.backup.Life().Err() == nil {
+		all = append(all, runCopy{
+			engine: s.backup.Instance(),
+			resume: Resume{Source: s.backup.Instance().Address, Handle: s.r.ID, LastEvent: prog.last},
+			take:   func() *fleet.Placement { return s.backup.Take(prog.count * s.tokensPerEvent()) },
 		})
 	}
 	return all
@@ -116,53 +116,53 @@
 
 // resumeFromCopies resumes a stream whose engine is gone and returns its next segment, or nil if
 // the stream cannot be resumed.
-func (l *leg) fromCopy(ctx context.Context, at *progress) *leg {
-	known := l.mover.copied()
-	if next := l.fromOne(ctx, at, l.copies(at)); next != nil {
+func (s *segment) resumeFromCopies(ctx context.Context, prog *progress) *segment {
+	known := s.migrator.currentCopy()
+	if next := s.resumeFromAny(ctx, prog, s.copies(prog)); next != nil {
 		return next
 	}
-	if l.deadly() {
+	if s.strikeLimitReached() {
 		return nil
 	}
-	waited := l.mover.awaitOrder(ctx)
+	waited := s.migrator.awaitCopyAnswer(ctx)
 	// The answer may also have arrived since the copies were listed.
-	late := l.mover.copied()
+	late := s.migrator.currentCopy()
 	fresh := late != nil && late != known
 	if waited {
 		metrics.Count("stream_awaited_copy")
-		l.Log.Info("stream waited for its copy", zap.String("request", l.r.ID), zap.String("endpoint", l.p.Instance().ID),
-			zap.Bool("copied", fresh), zap.Duration("pause", time.Since(at.lastAt)))
+		s.Log.Info("stream waited for its copy", zap.String("request", s.r.ID), zap.String("endpoint", s.p.Instance().ID),
+			zap.Bool("copied", fresh), zap.Duration("pause", time.Since(prog.lastAt)))
 	}
 	if !fresh {
 		return nil
 	}
-	return l.fromOne(ctx, at, l.copies(at))
+	return s.resumeFromAny(ctx, prog, s.copies(prog))
 }
 
 // resumeFromAny resumes a stream from the first of the copies that works. It returns nil if there
 // is none.
-func (l *leg) fromOne(ctx context.Context, at *progress, copies []copyOfRun) *leg {
-	if len(copies) == 0 || l.deadly() {
+func (s *segment) resumeFromAny(ctx context.Context, prog *progress, copies []runCopy) *segment {
+	if len(copies) == 0 || s.strikeLimitReached() {
 		return nil
 	}
-	over, stopped := l.over(ctx, copies[0].engine)
-	if !over {
+	ended, handle := s.ensureStopped(ctx, copies[0].engine)
+	if !ended {
 		metrics.Count("stream_not_over")
 		return nil
 	}
-	if stopped != "" {
-		copies[0].resume = Resume{Source: l.p.Instance().Address, Handle: stopped, LastEvent: at.last}
+	if handle != "" {
+		copies[0].resume = Resume{Source: s.p.Instance().Address, Handle: handle, LastEvent: prog.last}
 	}
-	if !leaving(l.p) {
+	if !leaving(s.p) {
 		// The death may count as a strike against the work. This copy of the work keeps running.
-		l.setClaim(true)
+		s.setClaim(true)
 	}
 	for i := range copies {
 		place := copies[i].take()
 		if place == nil {
 			continue
 		}
-		if next := l.resume(ctx, place, &copies[i].resume, at); next != nil {
+		if next := s.resume(ctx, place, &copies[i].resume, prog); next != nil {
 			metrics.Count("stream_from_copy")
 			return next
 		}
@@ -176,17 +176,17 @@
 // it, after which its KV cache is copied to target under the returned handle. The handle is empty
 // if the engine is gone or does not know the run. ensureStopped returns false if the run may still
 // be active.
-func (l *leg) over(ctx context.Context, target fleet.Instance) (over bool, handle string) {
-	if l.p.Life().Err() != nil {
+func (s *segment) ensureStopped(ctx context.Context, target fleet.Instance) (ended bool, handle string) {
+	if s.p.Life().Err() != nil {
 		return true, ""
 	}
-	ctx, cancel := context.WithTimeout(ctx, overTimeout)
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	source := l.p.Instance()
+	source := s.p.Instance()
 	unreached := 0
 	for ctx.Err() == nil {
-		got, err := l.Mover.Move(ctx, source.Address, l.r.ID, target.Address, true)
-		l.Log.Info("stream broke off", zap.String("request", l.r.ID), zap.String("endpoint", source.ID),
+		got, err := s.Mover.Move(ctx, source.Address, s.r.ID, target.Address, true)
+		s.Log.Info("stream broke off", zap.String("request", s.r.ID), zap.String("endpoint", source.ID),
 			zap.String("copy_at", target.ID), zap.Bool("stopped", err == nil), zap.NamedError("cause", err))
 		if err == nil {
 			return got.Handle != "" && !got.Refused, got.Handle
@@ -198,14 +198,14 @@
 		if errors.As(err, &failed) && !failed.Sent {
 			unreached++
 		}
-		if unreached >= unreachableTries || errors.Is(err, syscall.ECONNREFUSED) {
+		if unreached >= maxUnreachable || errors.Is(err, syscall.ECONNREFUSED) {
 			// Keeps new requests and backups off the endpoint until its entry is removed.
-			l.p.Report(fleet.Unreachable)
+			s.p.Report(fleet.Unreachable)
 			return true, ""
 		}
 		// A pooled connection to an engine that has died ends without an answer. The next
 		// connection attempt is refused.
-		retry.Sleep(ctx, overRetry)
+		retry.Sleep(ctx, stopRetryPause)
 	}
 	return false, ""
 }
--- a/relay/death.go
+++ b/relay/death.go
@@ -20,14 +20,14 @@
 
 // deathCheckTimeout limits the connection attempt to an endpoint that broke a connection. An
 // endpoint that has died refuses within a round trip.
-const deathCheck = 50 * time.Millisecond
+const deathCheckTimeout = 50 * time.Millisecond
 
 // endpointGone reports whether the placement's incarnation of its endpoint has ended.
-func (j *job) gone(ctx context.Context, p *fleet.Placement) bool {
+func (j *job) endpointGone(ctx context.Context, p *fleet.Placement) bool {
 	if p.Life().Err() != nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, deathCheck)
+	ctx, cancel := context.WithTimeout(ctx, deathCheckTimeout)
 	defer cancel()
 	return j.Client.Refuses(ctx, p.Instance().Address)
 }
@@ -37,7 +37,7 @@
 // its incarnation is known to have ended: a restart marks the old incarnation as leaving, too.
 func (j *job) strikeIfDead(ctx context.Context, p *fleet.Placement) {
 	in := p.Instance()
-	if leaving(p) && p.Life().Err() == nil || !j.gone(ctx, p) {
+	if leaving(p) && p.Life().Err() == nil || !j.endpointGone(ctx, p) {
 		return
 	}
 	strikes := j.Strikes.Add(j.r.Fingerprint, uint32(in.Incarnation().Key()))
@@ -51,19 +51,19 @@
 // waits for it. If this death would reach strikeLimit, the check is finished before strikeAfterCut
 // returns. A caller that learns of the loss may send the request again immediately, and the strike
 // must be recorded before that.
-func (j *job) strikeIfCut(ctx context.Context, p *fleet.Placement) (wait func()) {
+func (j *job) strikeAfterCut(ctx context.Context, p *fleet.Placement) (wait func()) {
 	if j.Strikes.Count(j.r.Fingerprint)+1 >= strikeLimit {
 		j.strikeIfDead(ctx, p)
 		return func() {}
 	}
-	var asked sync.WaitGroup
-	asked.Go(func() { j.strikeIfDead(ctx, p) })
-	return asked.Wait
+	var check sync.WaitGroup
+	check.Go(func() { j.strikeIfDead(ctx, p) })
+	return check.Wait
 }
 
 // strikeLimitReached reports whether so many endpoints died of the request that it must not
 // continue.
-func (j *job) deadly() bool { return j.Strikes.Count(j.r.Fingerprint) >= strikeLimit }
+func (j *job) strikeLimitReached() bool { return j.Strikes.Count(j.r.Fingerprint) >= strikeLimit }
 
 func leaving(p *fleet.Placement) bool {
 	select {
--- a/relay/decisions_test.go
+++ b/relay/decisions_test.go
@@ -93,7 +93,7 @@
 	It("come after a timeout if nothing is reported of the earlier runs", func(ctx SpecContext) {
 		d := relay.NewDeparture(relay.NewVacated(now), runs, spec)
 		slack := func(tokens int) time.Duration {
-			return time.Duration(relay.TurnSlack * float64(relay.MoveTime(tokens, spec)))
+			return time.Duration(relay.TurnSlackFactor * float64(relay.MoveTime(tokens, spec)))
 		}
 		Expect(d.Await(ctx, "b")).To(BeNumerically("~", slack(1000), 40*time.Millisecond))
 		d.Leave("a")
@@ -109,7 +109,7 @@
 		other := relay.NewVacated(now)
 		other.Merge(here.Fresh(time.Second))
 		Expect(d.Await(ctx, "b")).To(BeNumerically("<", 20*time.Millisecond))
-		Expect(relay.LeftKey("a", 7)).NotTo(Equal(relay.LeftKey("a", 8)))
+		Expect(relay.NewRunKey("a", 7)).NotTo(Equal(relay.NewRunKey("a", 8)))
 	}, SpecTimeout(5*time.Second))
 })
 
--- a/relay/events.go
+++ b/relay/events.go
@@ -6,7 +6,7 @@
 )
 
 // maxEventBytes is the maximum size of one event of a stream.
-const maxEvent = 256 << 10
+const maxEventBytes = 256 << 10
 
 // eventReader splits a stream into complete events. It never returns the part of an event at the
 // end of a broken stream: joined to the next event it would corrupt both.
@@ -29,14 +29,14 @@
 	r.ready = 0
 	for {
 		if len(r.buf) == cap(r.buf) {
-			if len(r.buf) >= maxEvent {
+			if len(r.buf) >= maxEventBytes {
 				return nil, io.ErrShortBuffer
 			}
 			r.buf = append(make([]byte, 0, 2*cap(r.buf)), r.buf...)
 		}
 		n, err := r.source.Read(r.buf[len(r.buf):cap(r.buf)])
 		r.buf = r.buf[:len(r.buf)+n]
-		r.ready = wholeEvents(r.buf)
+		r.ready = completeEventsLen(r.buf)
 		if err == io.EOF && r.ready < len(r.buf) {
 			err = io.ErrUnexpectedEOF
 		}
@@ -46,12 +46,12 @@
 	}
 }
 
-var eventEnds = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
+var eventTerminators = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
 // completeEventsLen returns the length of the complete events at the start of b.
-func wholeEvents(b []byte) int {
+func completeEventsLen(b []byte) int {
 	length := 0
-	for _, end := range eventEnds {
+	for _, end := range eventTerminators {
 		if i := bytes.LastIndex(b, end); i >= 0 {
 			length = max(length, i+len(end))
 		}
@@ -62,7 +62,7 @@
 // splitEvent splits b, which holds complete events, after the first event.
 func splitEvent(b []byte) (event, rest []byte) {
 	length := len(b)
-	for _, end := range eventEnds {
+	for _, end := range eventTerminators {
 		if i := bytes.Index(b, end); i >= 0 {
 			length = min(length, i+len(end))
 		}
--- a/relay/export_test.go
+++ b/relay/export_test.go
@@ -14,18 +14,18 @@
 	MoveTime       = moveTime
 	NewEventReader = newEventReader
 	SplitEvent     = splitEvent
-	LeftKey        = runKey
+	NewRunKey      = newRunKey
 )
 
 // Next returns the next events of the reader.
 func (r *eventReader) Next() ([]byte, error) { return r.next() }
 
-// MoveOverhead is the duration of a move without its copy. TurnSlack is the multiple of the
+// MoveOverhead is the duration of a move without its copy. TurnSlackFactor is the multiple of the
 // expected time after which the next run stops waiting.
 const (
-	MoveOverhead = moveOverhead
-	TurnSlack    = turnSlack
-	RefreshEvery = refreshEvery
+	MoveOverhead    = moveOverhead
+	TurnSlackFactor = turnSlackFactor
+	RefreshInterval = refreshInterval
 )
 
 // StrikeLimit is the number of endpoints that may die of one request.
@@ -33,24 +33,24 @@
 
 // Departure is one leaving engine, as seen by one node.
 type Departure struct {
-	relay *Relay
-	e     *migration
+	relay     *Relay
+	migration *migration
 }
 
 // NewDeparture returns the departure of an engine with the given runs.
 func NewDeparture(v *Vacated, runs []EngineRun, spec *routing.EngineSpec) *Departure {
-	e := &migration{order: migrationOrder(runs, spec), spec: spec, engine: departing}
-	return &Departure{relay: &Relay{Vacated: v, Fleet: &fleet.Fleet{}}, e: e}
+	e := &migration{order: migrationOrder(runs, spec), spec: spec, engine: testEngineKey}
+	return &Departure{relay: &Relay{Vacated: v, Fleet: &fleet.Fleet{}}, migration: e}
 }
 
-const departing fleet.EndpointKey = 7
+const testEngineKey fleet.EndpointKey = 7
 
 // Await waits for the run's turn and returns how long that took.
 func (d *Departure) Await(ctx context.Context, runID string) time.Duration {
 	began := time.Now()
-	d.relay.awaitTurn(ctx, d.e, runID)
+	d.relay.awaitTurn(ctx, d.migration, runID)
 	return time.Since(began)
 }
 
 // Leave records that a run has left the engine.
-func (d *Departure) Leave(runID string) { d.relay.Vacated.leave(runKey(runID, departing)) }
+func (d *Departure) Leave(runID string) { d.relay.Vacated.markVacated(newRunKey(runID, testEngineKey)) }
--- a/relay/latenews_test.go
+++ b/relay/latenews_test.go
@@ -14,26 +14,26 @@
 
 // leavingStream is a stream whose engine leaves while another one has room.
 type leavingStream struct {
-	*rig
+	*testRelay
 	req           *relay.Request
 	first, second *worker.Worker
-	answer        *answer
+	answer        *recordingSink
 	done          chan relay.Verdict
 	cancel        context.CancelFunc
 }
 
-// answerTime is longer than an answer takes from one goroutine of this process to another.
-const answerTime = 50 * time.Millisecond
+// answerLatency is longer than an answer takes from one goroutine of this process to another.
+const answerLatency = 50 * time.Millisecond
 
-// longStream is the number of events of a stream that is still running when its engine dies.
-const longStream = 100
+// longStreamEvents is the number of events of a stream that is still running when its engine dies.
+const longStreamEvents = 100
 
 // startLeaving starts a stream on an engine with the options, adds a second engine, and marks the
 // first one as leaving.
 func startLeaving(o worker.Options) *leavingStream {
 	GinkgoHelper()
-	s := &leavingStream{rig: newRig(), answer: &answer{}, done: make(chan relay.Verdict, 1)}
-	o.ID, o.Events, o.Gap, o.Memory = "first", longStream, 5*time.Millisecond, s.memory
+	s := &leavingStream{testRelay: newTestRelay(), answer: &recordingSink{}, done: make(chan relay.Verdict, 1)}
+	o.ID, o.Events, o.Gap, o.Memory = "first", longStreamEvents, 5*time.Millisecond, s.memory
 	s.first = s.start("pool", o)
 	s.req = s.request(routing.Streaming)
 	var ctx context.Context
@@ -41,7 +41,7 @@
 	DeferCleanup(s.cancel)
 	go func() { s.done <- s.Serve(ctx, s.req, s.answer) }()
 	Eventually(s.answer.text).Should(ContainSubstring("id: 10\n"))
-	s.second = s.engine("second", longStream, nil)
+	s.second = s.engine("second", longStreamEvents, nil)
 	s.leaving("first")
 	return s
 }
@@ -58,7 +58,7 @@
 			Eventually(s.done, 3*time.Second).Should(Receive(&v))
 			Expect(v.Broken).To(BeFalse())
 			Expect(v.Moves).To(Equal(1))
-			Expect(s.answer.text()).To(Equal(events(s.req.ID, 1, longStream)))
+			Expect(s.answer.text()).To(Equal(events(s.req.ID, 1, longStreamEvents)))
 			Expect(s.second.Runs()).To(HaveLen(1))
 			Expect(s.second.Runs()[0].Resumed).To(BeTrue())
 			Eventually(s.Fleet.OwnLoads, 3*time.Second).Should(BeEmpty())
@@ -99,12 +99,12 @@
 	// engine is gone before the last of them.
 	It("asks the same target again", func() {
 		s := startLeaving(worker.Options{LostMoveAnswers: 1})
-		s.engine("third", longStream, nil)
+		s.engine("third", longStreamEvents, nil)
 		Eventually(s.first.Targets, 100*time.Millisecond, time.Millisecond).Should(HaveLen(2))
-		time.Sleep(answerTime)
+		time.Sleep(answerLatency)
 		Expect(s.first.Targets()).To(HaveEach(s.first.Targets()[0]))
 		s.first.Stop()
 		Eventually(s.done, 3*time.Second).Should(Receive(HaveField("Broken", false)))
-		Expect(s.answer.text()).To(Equal(events(s.req.ID, 1, longStream)))
+		Expect(s.answer.text()).To(Equal(events(s.req.ID, 1, longStreamEvents)))
 	})
 })
--- a/relay/migration.go
+++ b/relay/migration.go
@@ -47,7 +47,7 @@
 	// turnSlackFactor is the multiple of the expected time that a run is given before the next one
 	// stops waiting for it. A copy to another data centre takes twice as long, and the run's node
 	// may be gone.
-	turnSlack = 2.2
+	turnSlackFactor = 2.2
 )
 
 // migrationOrder returns the runs in the order in which they move. Small runs go first, because
@@ -87,13 +87,13 @@
 
 // runsAhead returns the runs that move before the given one, or all runs if the engine did not
 // report the given one.
-func (e *migration) ahead(runID string) []EngineRun {
-	for i, run := range e.order {
+func (m *migration) runsAhead(runID string) []EngineRun {
+	for i, run := range m.order {
 		if run.ID == runID {
-			return e.order[:i]
+			return m.order[:i]
 		}
 	}
-	return e.order
+	return m.order
 }
 
 // migrations holds the current departures by endpoint incarnation.
@@ -106,24 +106,24 @@
 // a few endpoints that run work of this node leave at a time.
 const maxMigrations = 64
 
-// migrationFor returns the migration of the leaving endpoint. The first caller asks the engine for
+// migrationFor returns the migrationFor of the leaving endpoint. The first caller asks the engine for
 // its runs; the others wait for the answer or for the end of ctx.
-func (l *Relay) migration(ctx context.Context, p *fleet.Placement, spec *routing.EngineSpec) *migration {
+func (l *Relay) migrationFor(ctx context.Context, p *fleet.Placement, spec *routing.EngineSpec) *migration {
 	id := p.Instance().Incarnation()
-	l.departures.mu.Lock()
-	e, known := l.departures.all[id]
+	l.migrations.mu.Lock()
+	e, known := l.migrations.all[id]
 	if known && time.Since(e.began) > orderLifetime {
 		// The endpoint did not stop after its previous notice and is leaving again.
 		known = false
 	}
 	if !known {
-		if l.departures.all == nil || len(l.departures.all) >= maxMigrations {
-			l.departures.all = make(map[fleet.Incarnation]*migration)
+		if l.migrations.all == nil || len(l.migrations.all) >= maxMigrations {
+			l.migrations.all = make(map[fleet.Incarnation]*migration)
 		}
 		e = &migration{ready: make(chan struct{}), began: time.Now()}
-		l.departures.all[id] = e
+		l.migrations.all[id] = e
 	}
-	l.departures.mu.Unlock()
+	l.migrations.mu.Unlock()
 	if !known {
 		l.planMigration(e, p, spec)
 		close(e.ready)
@@ -153,7 +153,7 @@
 	}
 	e.order = migrationOrder(report.Runs, spec)
 	e.engine = p.Instance().Incarnation().Key()
-	l.Vacated.endedAmong(e.order, e.engine)
+	l.Vacated.announceEnded(e.order, e.engine)
 	l.Log.Info("runs of a leaving endpoint migrate", zap.String("endpoint", p.Instance().ID), zap.Int("runs", len(report.Runs)),
 		zap.Duration("leaves_in", report.LeavesIn), zap.Duration("since_notice", p.Departure().Since))
 }
@@ -169,8 +169,8 @@
 		changed := l.Vacated.changes()
 		var left time.Duration
 		count := 0
-		for _, run := range e.ahead(runID) {
-			if !l.Vacated.has(runKey(run.ID, e.engine)) {
+		for _, run := range e.runsAhead(runID) {
+			if !l.Vacated.has(newRunKey(run.ID, e.engine)) {
 				count++
 				left += moveTime(run.Tokens, e.spec)
 			}
@@ -181,7 +181,7 @@
 		if count < pending {
 			pending, since = count, time.Now()
 		}
-		wait := time.Until(since.Add(time.Duration(turnSlack * float64(left))))
+		wait := time.Until(since.Add(time.Duration(turnSlackFactor * float64(left))))
 		if wait <= 0 {
 			metrics.Count("move_turn_overdue")
 			return
--- a/relay/migration_sim_test.go
+++ b/relay/migration_sim_test.go
@@ -22,15 +22,15 @@
 	// stallLimit is the pause from which a caller's answer counts as stalled.
 	stallLimit = 180 * time.Millisecond
 	// resumeTime is the latency of the request to the target.
-	resumeTime   = 20 * time.Millisecond
-	tokensPerSec = 100
-	departures   = 500
-	farShare     = 0.25
-	farTimes     = 2
+	resumeTime     = 20 * time.Millisecond
+	tokensPerSec   = 100
+	departureCount = 500
+	farShare       = 0.25
+	farFactor      = 2
 	// promptTokensPerSec is the number of prompt tokens that an engine processes in a second.
-	readPerSec = 7500
+	promptTokensPerSec = 7500
 	// reportDelay is the latency of the message that a run has moved.
-	newsDelay = 15 * time.Millisecond
+	reportDelay = 15 * time.Millisecond
 )
 
 // run is a run on a leaving engine. far is set if it finds room in another data centre only.
@@ -48,7 +48,7 @@
 func randomDepartures(seed uint64) []departure {
 	random := rand.New(rand.NewPCG(seed, 0))
 	var all []departure
-	for range departures {
+	for range departureCount {
 		d := departure{notice: 1540*time.Millisecond + time.Duration(random.IntN(560))*time.Millisecond}
 		for i := range 3 + random.IntN(8) {
 			events := 1 + random.IntN(500)
@@ -98,7 +98,7 @@
 func (l *link) copy(at time.Duration, tokens int, far bool) time.Duration {
 	took := spec.CopyTime(tokens)
 	if far {
-		took *= farTimes
+		took *= farFactor
 	}
 	l.free = max(l.free, at) + took
 	return l.free
@@ -112,16 +112,16 @@
 // inTurn is the implemented policy: a run is copied, and the next one starts when that is reported
 // or its wait times out. When the engine is gone, each run is resumed from its copy, where the last
 // tokens are recomputed.
-func inTurn(news time.Duration) policy {
+func inTurn(delay time.Duration) policy {
 	return func(d departure) (o outcome) {
 		l := &link{}
 		at := time.Duration(0)
 		for _, r := range d.ordered() {
 			copied := l.copy(at, r.Tokens, r.far)
-			again := float64(newTokens(relay.RefreshEvery)) / readPerSec
-			o.add(copied, time.Duration(again*float64(time.Second)), d.notice)
-			patience := time.Duration(relay.TurnSlack * float64(relay.MoveTime(r.Tokens, spec)))
-			at = min(copied+news, at+patience)
+			recomputed := float64(newTokens(relay.RefreshInterval)) / promptTokensPerSec
+			o.add(copied, time.Duration(recomputed*float64(time.Second)), d.notice)
+			maxWait := time.Duration(relay.TurnSlackFactor * float64(relay.MoveTime(r.Tokens, spec)))
+			at = min(copied+delay, at+maxWait)
 		}
 		return o
 	}
@@ -141,7 +141,7 @@
 
 // stopAndCopy starts each run's move at its given time, and stops the run once a small copy took
 // less than 40 ms, or 0.25 s before the engine is gone.
-func whenQuiet(starts func(d departure) []time.Duration) policy {
+func stopAndCopy(starts func(d departure) []time.Duration) policy {
 	return func(d departure) (o outcome) {
 		var steps []step
 		at := starts(d)
@@ -183,7 +183,7 @@
 	return starts
 }
 
-func play(all []departure, p policy) outcome {
+func simulate(all []departure, p policy) outcome {
 	var sum outcome
 	for _, d := range all {
 		o := p(d)
@@ -199,8 +199,8 @@
 	for _, seed := range []uint64{1, 2} {
 		It(fmt.Sprintf("let more streams go on smoothly than other ways, seed %d", seed), func() {
 			all := randomDepartures(seed)
-			built, slots, once := play(all, inTurn(newsDelay)), play(all, whenQuiet(spaced)), play(all, whenQuiet(atOnce))
-			none, best := play(all, noMoves), play(all, inTurn(0))
+			built, slots, once := simulate(all, inTurn(reportDelay)), simulate(all, stopAndCopy(spaced)), simulate(all, stopAndCopy(atOnce))
+			none, best := simulate(all, noMoves), simulate(all, inTurn(0))
 			AddReportEntry("smooth, stalled, lost", fmt.Sprintf("in turn %v, spaced %v, at once %v, no moves %v, without report delay %v",
 				built, slots, once, none, best))
 			Expect(none.smooth).To(BeZero())
--- a/relay/mover.go
+++ b/relay/mover.go
@@ -19,10 +19,10 @@
 // Stopping the run first would avoid the recomputation, but its last part would wait behind
 // everything that is queued on the links of source and target, and so would its caller: half a
 // second and more while other copies are in progress.
-type mover struct {
-	leg    *leg
-	cancel context.CancelFunc
-	done   chan struct{}
+type migrator struct {
+	segment *segment
+	cancel  context.CancelFunc
+	done    chan struct{}
 	// begun is closed at the first event. Before that there is nothing to copy.
 	begun     chan struct{}
 	beginOnce sync.Once
@@ -40,19 +40,19 @@
 
 const (
 	// maxMoveTries is the maximum number of targets that are tried for one run.
-	moveTries = 12
+	maxMoveTries = 12
 	// moveRetryPause is the pause before the next search for a target when no engine had room.
-	moveRetry = 60 * time.Millisecond
+	moveRetryPause = 60 * time.Millisecond
 )
 
-func newMover(l *leg) *mover {
-	return &mover{leg: l, done: make(chan struct{}), begun: make(chan struct{})}
+func newMigrator(s *segment) *migrator {
+	return &migrator{segment: s, done: make(chan struct{}), begun: make(chan struct{})}
 }
 
-func (m *mover) start(ctx context.Context) {
+func (m *migrator) start(ctx context.Context) {
 	ctx, m.cancel = context.WithCancel(ctx)
-	spec := m.leg.r.Service.Engine
-	if spec == nil || !spec.CanMove || m.leg.Fleet.Without[fleet.Moves] {
+	spec := m.segment.r.Service.Engine
+	if spec == nil || !spec.CanMove || m.segment.Fleet.Without[fleet.Moves] {
 		close(m.done)
 		return
 	}
@@ -62,9 +62,9 @@
 	}()
 }
 
-func (m *mover) stop() { m.cancel() }
+func (m *migrator) stop() { m.cancel() }
 
-func (m *mover) hasBegun() bool {
+func (m *migrator) hasBegun() bool {
 	select {
 	case <-m.begun:
 		return true
@@ -73,31 +73,31 @@
 	}
 }
 
-func (m *mover) eventSeen() { m.beginOnce.Do(func() { close(m.begun) }) }
+func (m *migrator) markBegun() { m.beginOnce.Do(func() { close(m.begun) }) }
 
 // watch waits until the engine is leaving and then has the run copied when its turn comes.
-func (m *mover) watch(ctx context.Context) {
-	l := m.leg
-	if !await(ctx, l.p.Leaving()) || l.p.Life().Err() != nil {
+func (m *migrator) watch(ctx context.Context) {
+	s := m.segment
+	if !await(ctx, s.p.Leaving()) || s.p.Life().Err() != nil {
 		return
 	}
-	if l.sound() {
+	if s.backupUsable() {
 		// The run will be resumed from its backup, which leaves the link to runs without a backup.
-		l.Vacated.leave(l.runKey())
-		if !await(ctx, l.backup.Unusable()) {
+		s.Vacated.markVacated(s.runKey())
+		if !await(ctx, s.backup.Unusable()) {
 			return
 		}
 	}
 	if !m.hasBegun() {
 		// Other runs need not wait for a run whose prompt is still being processed.
-		l.Vacated.leave(l.runKey())
+		s.Vacated.markVacated(s.runKey())
 	}
 	if !await(ctx, m.begun) {
 		return
 	}
-	l.awaitTurn(ctx, l.migration(ctx, l.p, l.r.Service.Engine), l.r.ID)
-	defer l.Vacated.leave(l.runKey())
-	for range moveTries {
+	s.awaitTurn(ctx, s.migrationFor(ctx, s.p, s.r.Service.Engine), s.r.ID)
+	defer s.Vacated.markVacated(s.runKey())
+	for range maxMoveTries {
 		if m.try(ctx) || ctx.Err() != nil {
 			return
 		}
@@ -117,30 +117,30 @@
 
 // try copies the run to one target and refreshes the copy until the segment ends. It returns true
 // if no further try is useful.
-func (m *mover) try(ctx context.Context) bool {
-	l := m.leg
-	want := l.want()
+func (m *migrator) try(ctx context.Context) bool {
+	s := m.segment
+	want := s.want()
 	want.Exclude = m.refused
-	target := l.Fleet.Target(l.p, want)
+	target := s.Fleet.Target(s.p, want)
 	if target == nil {
 		metrics.Count("move_no_target")
 		m.refused = nil
-		retry.Sleep(ctx, moveRetry)
+		retry.Sleep(ctx, moveRetryPause)
 		return false
 	}
-	t := &transfer{leg: l, target: target}
-	if !m.order(ctx, t) {
+	t := &transfer{segment: s, target: target}
+	if !m.orderCopy(ctx, t) {
 		m.refused = append(m.refused, target.Instance().ID)
 		t.abandon()
 		return ctx.Err() != nil
 	}
-	l.Vacated.leave(l.runKey())
+	s.Vacated.markVacated(s.runKey())
 	t.refresh(ctx)
 	return true
 }
 
 // orderCopy lets the transfer make its copy and stores the copy. It returns false if there is none.
-func (m *mover) order(ctx context.Context, t *transfer) bool {
+func (m *migrator) orderCopy(ctx context.Context, t *transfer) bool {
 	answered := make(chan struct{})
 	defer close(answered)
 	m.mu.Lock()
@@ -152,7 +152,7 @@
 	defer m.mu.Unlock()
 	m.answered = nil
 	if copied {
-		m.copy = &targetCopy{source: m.leg.p.Instance().Address, handle: t.handle, target: t.target}
+		m.copy = &targetCopy{source: m.segment.p.Instance().Address, handle: t.handle, target: t.target}
 	}
 	return copied
 }
@@ -163,7 +163,7 @@
 // An engine may die right after it has made a copy. Its streams are then cut, each on its own
 // connection, shortly before or after the answer to the order arrives. A stream that looked for
 // copies only when it was cut would be given up although its copy exists.
-func (m *mover) awaitOrder(ctx context.Context) bool {
+func (m *migrator) awaitCopyAnswer(ctx context.Context) bool {
 	m.mu.Lock()
 	answered := m.answered
 	m.mu.Unlock()
@@ -171,7 +171,7 @@
 }
 
 // currentCopy returns the run's copy, or nil if there is none.
-func (m *mover) copied() *targetCopy {
+func (m *migrator) currentCopy() *targetCopy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.copy
@@ -179,7 +179,7 @@
 
 // takeCopy returns the placement at the copy's target, or nil if there is no copy. The caller then
 // owns the placement.
-func (m *mover) takeCopy() *fleet.Placement {
+func (m *migrator) takeCopy() *fleet.Placement {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.copy == nil {
@@ -192,7 +192,7 @@
 
 // discard stops the migration and frees an unused copy, after the stream has ended or its caller
 // has left.
-func (m *mover) discard() {
+func (m *migrator) discard() {
 	m.cancel()
 	<-m.done
 	m.mu.Lock()
@@ -200,6 +200,6 @@
 	m.copy = nil
 	m.mu.Unlock()
 	if unused != nil {
-		unused.giveUp(m.leg.job)
+		unused.discard(m.segment.job)
 	}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -170,7 +170,7 @@
 	// keys that were revoked while the request waited.
 	Admit func(r *Request) *crocusreel.Refusal
 
-	departures migrations
+	migrations migrations
 }
 
 // Serve processes the request until it ends and writes the answer to sink.
@@ -180,7 +180,7 @@
 	l.Budgets.Get(r.Service.Name).Earn()
 	job := &job{Relay: l, r: r, sink: sink}
 	if n := l.Strikes.Count(r.Fingerprint); n >= strikeLimit {
-		return Verdict{Refusal: job.suspect(n)}
+		return Verdict{Refusal: job.suspectRefusal(n)}
 	}
 	defer job.dropClaim()
 	if r.Route.Kind == routing.Streaming {
@@ -197,7 +197,7 @@
 	verdict Verdict
 	tried   []string
 	// ownClaim is the request's claim to its work, nil if it has none.
-	own *Claim
+	ownClaim *Claim
 	// ran is set once an endpoint may have executed the request.
 	ran bool
 }
@@ -220,7 +220,7 @@
 const (
 	// promptTokensPerSecond is the rate at which a busy engine processes a prompt beside its other
 	// work.
-	readRate = 7500.0
+	promptTokensPerSecond = 7500.0
 	// startMargin is the time that a generation needs until its first event, in addition to
 	// processing its own prompt: the rest of another prompt, and the network latency.
 	startMargin = 300 * time.Millisecond
@@ -233,7 +233,7 @@
 	if target <= 0 || j.r.Size.Prompt == 0 {
 		return 0
 	}
-	reading := time.Duration(float64(j.r.Size.Prompt) / readRate * float64(time.Second))
+	reading := time.Duration(float64(j.r.Size.Prompt) / promptTokensPerSecond * float64(time.Second))
 	return max(target-startMargin-reading-time.Since(j.r.Received), time.Nanosecond)
 }
 
@@ -248,10 +248,10 @@
 
 // place waits for a placement and checks that the request may still run.
 func (j *job) place(ctx context.Context) (*fleet.Placement, *crocusreel.Refusal) {
-	if refusal := j.claim(ctx); refusal != nil {
+	if refusal := j.awaitClaim(ctx); refusal != nil {
 		return nil, refusal
 	}
-	p, refusal := j.Fleet.Acquire(ctx, j.want(), j.patience())
+	p, refusal := j.Fleet.Acquire(ctx, j.want(), j.maxWait())
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -267,16 +267,16 @@
 	// maxWaitShare is the share of the remaining time that a request may wait for a placement. The
 	// rest is needed for the answer itself, or for another attempt after a refusal, for which
 	// callers wait up to a third of their time.
-	patienceShare = 0.4
+	maxWaitShare = 0.4
 	// maxWaitTargets limits the wait to a multiple of the latency target. After a longer wait the
 	// answer is late anyway and delays others that could still meet the target.
-	patienceTargets = 3.0
+	maxWaitTargets = 3.0
 )
 
-func (j *job) patience() time.Duration {
-	remaining := time.Duration(patienceShare * float64(time.Until(j.r.Deadline)))
+func (j *job) maxWait() time.Duration {
+	remaining := time.Duration(maxWaitShare * float64(time.Until(j.r.Deadline)))
 	if target := j.r.Route.TargetLatency; target > 0 {
-		remaining = min(remaining, time.Duration(patienceTargets*float64(target)))
+		remaining = min(remaining, time.Duration(maxWaitTargets*float64(target)))
 	}
 	return remaining
 }
@@ -299,14 +299,14 @@
 		Life:   p.Life(),
 	})
 	if err == nil {
-		j.note(attempt.Instance, resp)
+		j.recordNotice(attempt.Instance, resp)
 	}
 	return resp, err
 }
 
 // recordNotice passes on what the endpoint states about itself in an answer. It ignores the answer
 // of another instance at the same address.
-func (j *job) note(in fleet.Instance, resp *h1.Response) {
+func (j *job) recordNotice(in fleet.Instance, resp *h1.Response) {
 	reply := j.Protocol.Reply(resp.StatusCode, resp.Header)
 	if reply.Misdirected {
 		return
@@ -337,39 +337,39 @@
 	// strikeLimit is the number of endpoints that may die of one request.
 	strikeLimit = 3
 	// lostRetryAfter is the retry delay given to callers after an endpoint was lost.
-	lostRetry = 200 * time.Millisecond
+	lostRetryAfter = 200 * time.Millisecond
 )
 
 // lostRefusal is the answer to a request of which it is unknown whether it was executed.
-func lost(format string, args ...any) *crocusreel.Refusal {
-	return crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetry, format, args...)
+func lostRefusal(format string, args ...any) *crocusreel.Refusal {
+	return crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetryAfter, format, args...)
 }
 
 // suspectRefusal is the answer to work that this many endpoints died of. Its retry delay is the
 // time until the work has fewer strikes than strikeLimit.
-func (j *job) suspect(strikes int) *crocusreel.Refusal {
+func (j *job) suspectRefusal(strikes int) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun,
 		j.Strikes.Below(j.r.Fingerprint, strikeLimit), "%d endpoints died while running this request", strikes)
 }
 
 // deadlineRefusal is the answer to a request that reached its deadline.
-func (j *job) timedOut() *crocusreel.Refusal {
+func (j *job) deadlineRefusal() *crocusreel.Refusal {
 	outcome := crocusreel.OutcomeNotRun
 	if j.ran {
 		outcome = crocusreel.OutcomeUnknown
 	}
-	return crocusreel.Refuse(crocusreel.ReasonDeadline, outcome, lostRetry, "the time is over")
+	return crocusreel.Refuse(crocusreel.ReasonDeadline, outcome, lostRetryAfter, "the time is over")
 }
 
 const (
 	// maxFirstEventTime and maxTimePerToken are the longest times on a crowded engine: until the
 	// first event, when the prompt waits for others to be processed, and for each token.
-	longestFirst    = 2 * time.Second
-	longestPerToken = 12 * time.Millisecond
+	maxFirstEventTime = 2 * time.Second
+	maxTimePerToken   = 12 * time.Millisecond
 )
 
 // LongestTime returns how long a generation may take. It is based on the maximum output length,
 // because callers' estimates are right at the median and often far too low.
 func LongestTime(s Size) time.Duration {
-	return longestFirst + time.Duration(s.MaxOutput)*longestPerToken
+	return maxFirstEventTime + time.Duration(s.MaxOutput)*maxTimePerToken
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -24,7 +24,7 @@
 )
 
 // testRelay is a relay with stand-in workers behind it.
-type rig struct {
+type testRelay struct {
 	*relay.Relay
 	memory *worker.Memory
 	ids    int
@@ -32,9 +32,9 @@
 	backups bool
 }
 
-func newRig() *rig {
+func newTestRelay() *testRelay {
 	client := h1.NewClient()
-	r := &rig{memory: worker.NewMemory()}
+	r := &testRelay{memory: worker.NewMemory()}
 	r.Relay = &relay.Relay{
 		Fleet:    fleet.New("dc1", boottime.Now),
 		Client:   client,
@@ -53,12 +53,12 @@
 }
 
 // service adds a worker of a plain service that shows the given fault each time.
-func (r *rig) service(id string, fault worker.Fault) *worker.Worker {
+func (r *testRelay) service(id string, fault worker.Fault) *worker.Worker {
 	return r.start("app", worker.Options{ID: id, FaultOf: always(fault)})
 }
 
 // engine adds an engine whose streams have the given number of events, 5 ms apart.
-func (r *rig) engine(id string, events int, faultOf func(*worker.Run) worker.Fault) *worker.Worker {
+func (r *testRelay) engine(id string, events int, faultOf func(*worker.Run) worker.Fault) *worker.Worker {
 	return r.start("pool", worker.Options{ID: id, Events: events, Gap: 5 * time.Millisecond, Memory: r.memory, FaultOf: faultOf})
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-func (r *rig) start(service string, o worker.Options) *worker.Worker {
+func (r *testRelay) start(service string, o worker.Options) *worker.Worker {
 	GinkgoHelper()
 	w, err := worker.Start(o)
 	Expect(err).NotTo(HaveOccurred())
@@ -93,11 +93,11 @@
 	return w
 }
 
-func (r *rig) leaving(id string) {
+func (r *testRelay) leaving(id string) {
 	r.Fleet.Update(fleet.Instance{ID: id, Service: "pool", DataCentre: "dc1", Slots: 8, Leaving: true})
 }
 
-func (r *rig) request(kind routing.Kind) *relay.Request {
+func (r *testRelay) request(kind routing.Kind) *relay.Request {
 	r.ids++
 	service := app
 	if kind == routing.Streaming {
@@ -134,7 +134,7 @@
 )
 
 // recordingSink is a Sink that records what it receives.
-type answer struct {
+type recordingSink struct {
 	mu     sync.Mutex
 	status int
 	header http.Header
@@ -142,12 +142,12 @@
 	fail   bool
 }
 
-func (a *answer) Begin(status int, h http.Header) error {
+func (a *recordingSink) Begin(status int, h http.Header) error {
 	a.status, a.header = status, h
 	return nil
 }
 
-func (a *answer) Write(part []byte) error {
+func (a *recordingSink) Write(part []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.fail {
@@ -157,22 +157,22 @@
 	return nil
 }
 
-func (a *answer) Begun() bool { return a.status != 0 }
+func (a *recordingSink) Begun() bool { return a.status != 0 }
 
-func (a *answer) text() string {
+func (a *recordingSink) text() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.body.String()
 }
 
-func (r *rig) serve(req *relay.Request) (relay.Verdict, *answer) {
-	a := &answer{}
+func (r *testRelay) serve(req *relay.Request) (relay.Verdict, *recordingSink) {
+	a := &recordingSink{}
 	return r.Serve(context.Background(), req, a), a
 }
 
 var _ = Describe("a call to a plain service", func() {
 	It("brings back the answer unchanged", func() {
-		r := newRig()
+		r := newTestRelay()
 		w := r.service("i1", worker.None)
 		req := r.request(routing.NonIdempotent)
 		v, a := r.serve(req)
@@ -191,7 +191,7 @@
 	// told that it has not run either.
 	DescribeTable("that may run only once is not retried after a fault that leaves its outcome unknown",
 		func(fault worker.Fault) {
-			r := newRig()
+			r := newTestRelay()
 			one, two := r.service("i1", fault), r.service("i2", fault)
 			req := r.request(routing.NonIdempotent)
 			req.Deadline = time.Now().Add(300 * time.Millisecond)
@@ -212,7 +212,7 @@
 	// work.
 	DescribeTable("that may be repeated is given to another endpoint",
 		func(fault worker.Fault) {
-			r := newRig()
+			r := newTestRelay()
 			bad := r.service("bad", fault)
 			r.service("good", worker.None)
 			for range 20 {
@@ -234,7 +234,7 @@
 	)
 
 	It("is sent to another endpoint when one reports that it has not run, also if it may run only once", func() {
-		r := newRig()
+		r := newTestRelay()
 		full := r.service("full", worker.Shed)
 		good := r.service("good", worker.None)
 		for range 6 {
@@ -246,7 +246,7 @@
 	})
 
 	It("is refused as not run when every endpoint says so", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.service("full", worker.Shed)
 		v, _ := r.serve(r.request(routing.NonIdempotent))
 		Expect(v.Refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
@@ -256,7 +256,7 @@
 	// The address of an endpoint that is gone was given to another service, which answers that it
 	// is not the intended endpoint.
 	It("does not run at another endpoint that has the address now", func() {
-		r := newRig()
+		r := newTestRelay()
 		stranger := r.service("new", worker.None)
 		r.Fleet.Remove("new", false)
 		r.Fleet.Update(fleet.Instance{ID: "old", Service: "app", Address: stranger.Address(), DataCentre: "dc1", Slots: 8})
@@ -266,7 +266,7 @@
 	})
 
 	It("counts as not run when nothing listens at the endpoint", func() {
-		r := newRig()
+		r := newTestRelay()
 		dead := r.service("dead", worker.None)
 		dead.Stop()
 		v, _ := r.serve(r.request(routing.NonIdempotent))
@@ -276,7 +276,7 @@
 	// A late answer to an earlier request arrives where the next answer is expected, or a second
 	// answer follows one. A caller must not get the answer to somebody else's request.
 	It("skips answers that belong to another request", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.service("i1", worker.Foreign)
 		for range 5 {
 			req := r.request(routing.NonIdempotent)
@@ -287,7 +287,7 @@
 	})
 
 	It("drops what follows an answer", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.service("i1", worker.Extra)
 		for range 5 {
 			req := r.request(routing.NonIdempotent)
@@ -297,7 +297,7 @@
 	})
 
 	It("accepts an answer without a length as complete when its connection ends cleanly", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.service("i1", worker.Unframed)
 		req := r.request(routing.NonIdempotent)
 		_, a := r.serve(req)
@@ -306,7 +306,7 @@
 	})
 
 	It("passes on the failure of an endpoint with its seal when there is no other", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.service("i1", worker.Fail)
 		req := r.request(routing.Idempotent)
 		v, a := r.serve(req)
@@ -326,7 +326,7 @@
 
 var _ = Describe("a stream", func() {
 	It("brings every event once and in order", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.engine("e1", 20, nil)
 		req := r.request(routing.Streaming)
 		v, a := r.serve(req)
@@ -338,10 +338,10 @@
 	// Engines are reclaimed at short notice in the middle of long answers, and an answer must not
 	// be run twice. The caller sees one uninterrupted stream.
 	It("goes on at another engine when its engine is about to leave", func() {
-		r := newRig()
+		r := newTestRelay()
 		first := r.engine("first", 100, nil)
 		req := r.request(routing.Streaming)
-		a := &answer{}
+		a := &recordingSink{}
 		done := make(chan relay.Verdict)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 10\n"))
@@ -361,10 +361,10 @@
 
 	// A leaving engine takes its time to exit. The stream needs no other engine as long as it runs.
 	It("stays at an engine that leaves until that is gone", func() {
-		r := newRig()
+		r := newTestRelay()
 		first := r.engine("first", 60, nil)
 		req := r.request(routing.Streaming)
-		a := &answer{}
+		a := &recordingSink{}
 		done := make(chan relay.Verdict)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 5\n"))
@@ -381,10 +381,10 @@
 	// The engine's process exits in the middle of a stream without a length, which looks like the
 	// end of the answer to the node. The caller must not take what it has for the complete answer.
 	It("is reported as broken when its engine exits and the answer has no length", func() {
-		r := newRig()
+		r := newTestRelay()
 		first := r.engine("first", 100, always(worker.Unframed))
 		req := r.request(routing.Streaming)
-		a := &answer{}
+		a := &recordingSink{}
 		done := make(chan relay.Verdict)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 5\n"))
@@ -395,11 +395,11 @@
 	// An engine dies without notice in the middle of a long answer. Another engine has received the
 	// run's memory as it grew.
 	It("goes on from its backup when its engine dies", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.backups = true
 		engines := map[string]*worker.Worker{"e1": r.engine("e1", 100, nil), "e2": r.engine("e2", 100, nil)}
 		req := r.request(routing.Streaming)
-		a := &answer{}
+		a := &recordingSink{}
 		done := make(chan relay.Verdict)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 10\n"))
@@ -421,7 +421,7 @@
 	// An answer breaks off while its engine keeps working. The run must be stopped there before it
 	// is resumed elsewhere, or two engines work on it and a caller's order is placed twice.
 	It("is resumed elsewhere after its answer broke off only once the run has ended", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.backups = true
 		engines := []*worker.Worker{
 			r.engine("e1", 40, once(worker.Truncate)), r.engine("e2", 40, once(worker.Truncate)),
@@ -438,7 +438,7 @@
 	// A deadly request must not be carried by its backups from engine to engine beyond the strike
 	// limit.
 	It("is not resumed from its backup beyond the strike limit", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.backups = true
 		var engines []*worker.Worker
 		for i := range 6 {
@@ -454,13 +454,13 @@
 	// memory that other requests wait for.
 	DescribeTable("leaves no copy and no placement behind when it ends while it moves",
 		func(callerLeaves bool) {
-			r := newRig()
+			r := newTestRelay()
 			r.start("pool", worker.Options{
 				ID: "first", Events: 30, Gap: 5 * time.Millisecond, Memory: r.memory, MoveTime: 300 * time.Millisecond,
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			a := &answer{}
+			a := &recordingSink{}
 			done := make(chan relay.Verdict)
 			go func() { done <- r.Serve(ctx, r.request(routing.Streaming), a) }()
 			Eventually(a.text).Should(ContainSubstring("id: 5\n"))
@@ -481,10 +481,10 @@
 	// An engine leaves and no other has room. The stream continues there and may end before the
 	// engine does.
 	It("stays where it is when there is no other engine", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.engine("only", 60, nil)
 		req := r.request(routing.Streaming)
-		a := &answer{}
+		a := &recordingSink{}
 		done := make(chan relay.Verdict)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 5\n"))
@@ -497,7 +497,7 @@
 	// again, so the caller must see that the stream is not complete.
 	DescribeTable("is visibly broken off when it cannot be completed, and never run again",
 		func(fault worker.Fault) {
-			r := newRig()
+			r := newTestRelay()
 			one, two := r.engine("e1", 20, always(fault)), r.engine("e2", 20, always(fault))
 			req := r.request(routing.Streaming)
 			v, a := r.serve(req)
@@ -512,11 +512,11 @@
 
 	// A caller leaves. Without cancellation its engine would spend seconds on unwanted work.
 	It("ends at the engine when its caller leaves", func() {
-		r := newRig()
+		r := newTestRelay()
 		e := r.engine("e1", 400, nil)
 		ctx, cancel := context.WithCancel(context.Background())
 		req := r.request(routing.Streaming)
-		a := &answer{}
+		a := &recordingSink{}
 		done := make(chan relay.Verdict)
 		go func() { done <- r.Serve(ctx, req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 5\n"))
@@ -526,7 +526,7 @@
 	})
 
 	It("is sent to another engine when one refuses it unrun", func() {
-		r := newRig()
+		r := newTestRelay()
 		full := r.engine("full", 10, always(worker.Shed))
 		r.engine("good", 10, nil)
 		for range 5 {
@@ -540,7 +540,7 @@
 
 	// A request kills each engine that runs it, and its caller sends it again and again.
 	It("is stopped once three engines died of it", func() {
-		r := newRig()
+		r := newTestRelay()
 		var engines []*worker.Worker
 		for i := range 6 {
 			engines = append(engines, r.engine(fmt.Sprintf("e%d", i), 20, always(worker.Crash)))
@@ -557,7 +557,7 @@
 	// After its first death a request is sent several times at once. All copies run before their
 	// deaths are known, and each would kill an engine of its own.
 	It("runs at no more engines at once than it may still kill", func() {
-		r := newRig()
+		r := newTestRelay()
 		var engines []*worker.Worker
 		for i := range 8 {
 			engines = append(engines, r.engine(fmt.Sprintf("e%d", i), 20, always(worker.Crash)))
@@ -576,7 +576,7 @@
 	// An engine dies of something else while it runs a prompt that many callers send. They must not
 	// be refused, and must wait only until the first of them is answered.
 	It("is held back only until its first complete answer if it is harmless", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.engine("dying", 20, always(worker.Crash))
 		r.serve(r.request(routing.Streaming))
 		r.Fleet.Remove("dying", false)
@@ -600,7 +600,7 @@
 	// A call kills each plain endpoint that runs it, and its caller sends it again. Without strikes
 	// it would take down the whole service, one endpoint after another.
 	It("is stopped once three plain endpoints died of it", func() {
-		r := newRig()
+		r := newTestRelay()
 		var apps []*worker.Worker
 		for i := range 6 {
 			apps = append(apps, r.service(fmt.Sprintf("a%d", i), worker.Crash))
@@ -616,7 +616,7 @@
 	// An endpoint loses the answers to many calls and stays alive. Their work is harmless and must
 	// not be refused as deadly.
 	It("is not refused as deadly when endpoints only lose its answers", func() {
-		r := newRig()
+		r := newTestRelay()
 		r.service("a1", worker.LoseAnswer)
 		r.service("a2", worker.LoseAnswer)
 		for range 4 {
@@ -629,7 +629,7 @@
 	// alive. Callers of that prompt must not be refused as if it killed engines. In the logs,
 	// "strike" followed "stream cut" although the same engine answered the next request.
 	DescribeTable("is not refused as deadly when only its connection breaks", func(fault worker.Fault) {
-		r := newRig()
+		r := newTestRelay()
 		var engines []*worker.Worker
 		for i := range 6 {
 			engines = append(engines, r.engine(fmt.Sprintf("e%d", i), 20, always(fault)))
@@ -650,7 +650,7 @@
 	// answered many times in between. If those deaths were added up, its callers would be refused
 	// eventually.
 	It("loses its strikes once it has a complete answer", func() {
-		r := newRig()
+		r := newTestRelay()
 		for n := range 4 {
 			dying := r.engine(fmt.Sprintf("dying%d", n), 20, always(worker.Crash))
 			v, _ := r.serve(r.request(routing.Streaming))
@@ -667,7 +667,7 @@
 
 	// The key of a request is revoked while it waits, or its machine is suspended.
 	It("does not run when it may no longer be admitted", func() {
-		r := newRig()
+		r := newTestRelay()
 		e := r.engine("e1", 10, nil)
 		r.Admit = func(*relay.Request) *crocusreel.Refusal {
 			return crocusreel.Refuse(crocusreel.ReasonNotReady, crocusreel.OutcomeNotRun, time.Second, "too old")
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -15,48 +15,48 @@
 )
 
 // segment is the part of a stream that one endpoint produces.
-type leg struct {
+type segment struct {
 	*job
-	p      *fleet.Placement
-	resp   *h1.Response
-	mover  *mover
-	events *eventReader
+	p        *fleet.Placement
+	resp     *h1.Response
+	migrator *migrator
+	events   *eventReader
 	// backup is the reservation for a copy of the run's KV cache on another endpoint, nil for none.
 	backup *fleet.Holding
 }
 
 // segmentEnd is how a segment ended.
-type legEnd int
+type segmentEnd int
 
 const (
 	// segmentComplete means that the stream reached its end.
-	legWhole legEnd = iota
+	segmentComplete segmentEnd = iota
 	// segmentCut means that the connection to the endpoint broke before the end.
-	legCut
+	segmentCut
 	// segmentCallerGone means that the caller no longer accepts data.
-	legCallerGone
+	segmentCallerGone
 	// segmentCorrupt means that an event is missing or out of order.
-	legCorrupt
+	segmentCorrupt
 )
 
 // stream serves a request whose answer is a series of events.
 func (j *job) stream(ctx context.Context) Verdict {
-	l, verdict := j.start(ctx)
-	if l == nil {
+	s, verdict := j.start(ctx)
+	if s == nil {
 		return verdict
 	}
-	if l.resp.StatusCode != http.StatusOK {
-		j.dropBackup(l.backup, false)
-		return j.failedStream(l.p, l.resp)
+	if s.resp.StatusCode != http.StatusOK {
+		j.dropBackup(s.backup, false)
+		return j.deliverNonStream(s.p, s.resp)
 	}
-	progress := &progress{}
+	prog := &progress{}
 	for {
-		end, next := l.run(ctx, progress)
-		j.dropBackup(l.backup, end == legWhole)
+		end, next := s.run(ctx, prog)
+		j.dropBackup(s.backup, end == segmentComplete)
 		if next == nil {
-			return j.streamEnded(ctx, end, progress)
+			return j.streamEnded(ctx, end, prog)
 		}
-		l = next
+		s = next
 	}
 }
 
@@ -72,7 +72,7 @@
 	longestGap time.Duration
 }
 
-func (p *progress) saw(id int64) {
+func (p *progress) record(id int64) {
 	now := time.Now()
 	if p.begun {
 		p.longestGap = max(p.longestGap, now.Sub(p.lastAt))
@@ -84,21 +84,21 @@
 }
 
 // start finds an endpoint that accepts the request. It returns a nil segment if there is none.
-func (j *job) start(ctx context.Context) (*leg, Verdict) {
+func (j *job) start(ctx context.Context) (*segment, Verdict) {
 	for {
 		p, refusal := j.place(ctx)
 		if refusal != nil {
 			return nil, j.exhausted(ctx, nil, refusal)
 		}
 		backup := j.holdBackup(p)
-		quiet := time.AfterFunc(silentStart, func() { p.Report(fleet.Silent) })
+		quiet := time.AfterFunc(silentThreshold, func() { p.Report(fleet.Silent) })
 		resp, err := j.send(ctx, p, nil, backup)
 		quiet.Stop()
-		got := failedStart(err)
+		got := startErrorResult(err)
 		if err == nil {
 			refused := false
-			if got, refused = j.refused(resp); !refused {
-				return &leg{job: j, p: p, resp: resp, backup: backup}, Verdict{}
+			if got, refused = j.refusedResult(resp); !refused {
+				return &segment{job: j, p: p, resp: resp, backup: backup}, Verdict{}
 			}
 		}
 		p.Release(got.health)
@@ -109,129 +109,129 @@
 		if got.broken() {
 			j.strikeIfDead(ctx, p)
 		}
-		if ctx.Err() != nil || !j.mayRepeat(got, maxSends) || j.deadly() {
-			return nil, j.exhausted(ctx, nil, j.failure(got))
+		if ctx.Err() != nil || !j.mayRetry(got, maxSends) || j.strikeLimitReached() {
+			return nil, j.exhausted(ctx, nil, j.failureRefusal(got))
 		}
 	}
 }
 
-func failedStart(err error) result {
+func startErrorResult(err error) attemptResult {
 	if err == nil {
-		return result{}
+		return attemptResult{}
 	}
-	return failedSend(err)
+	return sendErrorResult(err)
 }
 
 // silentThreshold is the time without the head of an answer after which an engine counts as silent.
 // The head is sent with the first event, which takes a second on a full engine.
-const silentStart = 2 * time.Second
+const silentThreshold = 2 * time.Second
 
 // deliverNonStream delivers an endpoint's answer that is not a stream.
-func (j *job) failedStream(p *fleet.Placement, resp *h1.Response) Verdict {
+func (j *job) deliverNonStream(p *fleet.Placement, resp *h1.Response) Verdict {
 	j.ran = true
-	got := j.read(resp, func() {})
+	got := j.readAnswer(resp, func() {})
 	p.Release(got.health)
 	if got.answer == nil {
-		return j.end(lost("%s", got.cause), got.cause)
+		return j.end(lostRefusal("%s", got.cause), got.cause)
 	}
 	return j.deliver(got.answer)
 }
 
 // run forwards the events of this segment. If the stream is resumed on another endpoint, run
 // returns the next segment.
-func (l *leg) run(ctx context.Context, at *progress) (legEnd, *leg) {
-	l.ran = true
-	l.mover = newMover(l)
-	l.mover.start(ctx)
-	defer l.mover.stop()
-	end, next := l.pass(ctx, at)
-	l.Vacated.end(l.runKey())
-	if next == nil || l.mover.copied() != nil {
-		go l.mover.discard()
+func (s *segment) run(ctx context.Context, prog *progress) (segmentEnd, *segment) {
+	s.ran = true
+	s.migrator = newMigrator(s)
+	s.migrator.start(ctx)
+	defer s.migrator.stop()
+	end, next := s.forward(ctx, prog)
+	s.Vacated.markEnded(s.runKey())
+	if next == nil || s.migrator.currentCopy() != nil {
+		go s.migrator.discard()
 	}
 	return end, next
 }
 
 // forward sends the head of the answer and the events to the caller until the segment ends, and
 // then resumes the stream on another endpoint if the segment was cut.
-func (l *leg) pass(ctx context.Context, at *progress) (legEnd, *leg) {
-	if !l.sink.Begun() {
-		l.verdict.Status = l.resp.StatusCode
-		if err := l.sink.Begin(l.resp.StatusCode, l.Protocol.AnswerHeader(l.resp.Header)); err != nil {
-			l.finish(fleet.Neutral)
-			return legCallerGone, nil
+func (s *segment) forward(ctx context.Context, prog *progress) (segmentEnd, *segment) {
+	if !s.sink.Begun() {
+		s.verdict.Status = s.resp.StatusCode
+		if err := s.sink.Begin(s.resp.StatusCode, s.Protocol.AnswerHeader(s.resp.Header)); err != nil {
+			s.finish(fleet.Neutral)
+			return segmentCallerGone, nil
 		}
 	}
-	end, cause := l.follow(at)
+	end, cause := s.forwardEvents(prog)
 	switch end {
-	case legWhole:
-		if l.resp.Framed() || !l.gone(ctx, l.p) {
-			l.resp.Finish()
-			l.p.Release(fleet.Good)
-			l.Strikes.Clear(l.r.Fingerprint)
+	case segmentComplete:
+		if s.resp.Framed() || !s.endpointGone(ctx, s.p) {
+			s.resp.Finish()
+			s.p.Release(fleet.Good)
+			s.Strikes.Clear(s.r.Fingerprint)
 			return end, nil
 		}
-		end, cause = legCut, io.ErrUnexpectedEOF
-	case legCallerGone, legCorrupt:
-		l.finish(fleet.Neutral)
+		end, cause = segmentCut, io.ErrUnexpectedEOF
+	case segmentCallerGone, segmentCorrupt:
+		s.finish(fleet.Neutral)
 		return end, nil
-	case legCut:
+	case segmentCut:
 	}
 	if ctx.Err() != nil {
-		l.finish(fleet.Neutral)
-		return legCut, nil
+		s.finish(fleet.Neutral)
+		return segmentCut, nil
 	}
-	wait := l.strikeIfCut(ctx, l.p)
-	if next := l.fromCopy(ctx, at); next != nil {
-		l.finish(l.cutHealth())
+	wait := s.strikeAfterCut(ctx, s.p)
+	if next := s.resumeFromCopies(ctx, prog); next != nil {
+		s.finish(s.healthAfterCut())
 		return end, next
 	}
 	wait()
-	l.verdict.Detail = "stream cut: " + cause.Error()
-	l.finish(l.cutHealth())
+	s.verdict.Detail = "stream cut: " + cause.Error()
+	s.finish(s.healthAfterCut())
 	return end, nil
 }
 
 // healthAfterCut returns the health result for an endpoint whose stream was cut: a failure, unless
 // the endpoint was leaving or has restarted.
-func (l *leg) cutHealth() fleet.Result {
-	if l.p.Life().Err() != nil || leaving(l.p) {
+func (s *segment) healthAfterCut() fleet.Result {
+	if s.p.Life().Err() != nil || leaving(s.p) {
 		return fleet.Neutral
 	}
 	return fleet.Failed
 }
 
-func (l *leg) runKey() RunKey { return runKey(l.r.ID, l.p.Instance().Incarnation().Key()) }
+func (s *segment) runKey() RunKey { return newRunKey(s.r.ID, s.p.Instance().Incarnation().Key()) }
 
-func (l *leg) finish(r fleet.Result) {
-	l.resp.Close()
-	l.p.Release(r)
+func (s *segment) finish(r fleet.Result) {
+	s.resp.Close()
+	s.p.Release(r)
 }
 
 // eventsPerUpdate is the number of events between two updates of a placement.
-const producedEvery = 4
+const eventsPerUpdate = 4
 
 // forwardEvents forwards events until the segment ends.
-func (l *leg) follow(at *progress) (legEnd, error) {
-	l.events = newEventReader(l.resp.Body)
+func (s *segment) forwardEvents(prog *progress) (segmentEnd, error) {
+	s.events = newEventReader(s.resp.Body)
 	for {
-		batch, err := l.events.next()
+		batch, err := s.events.next()
 		if len(batch) > 0 {
-			fresh, ok := l.take(batch, at)
+			fresh, ok := s.newEvents(batch, prog)
 			if !ok {
-				return legCorrupt, io.ErrUnexpectedEOF
+				return segmentCorrupt, io.ErrUnexpectedEOF
 			}
 			if len(fresh) > 0 {
-				if err := l.sink.Write(fresh); err != nil {
-					return legCallerGone, err
+				if err := s.sink.Write(fresh); err != nil {
+					return segmentCallerGone, err
 				}
 			}
 		}
 		if err == io.EOF {
-			return legWhole, io.EOF
+			return segmentComplete, io.EOF
 		}
 		if err != nil {
-			return legCut, err
+			return segmentCut, err
 		}
 	}
 }
@@ -239,43 +239,43 @@
 // newEvents checks the order of the events and returns those that the caller has not received yet.
 // It returns false if an event is missing. After a move, an engine may send the last events again,
 // and a faulty one may omit an event; the caller must then not get a stream that looks complete.
-func (l *leg) take(batch []byte, at *progress) ([]byte, bool) {
+func (s *segment) newEvents(batch []byte, prog *progress) ([]byte, bool) {
 	fresh := batch[:0]
 	for rest := batch; len(rest) > 0; {
 		var event []byte
 		event, rest = splitEvent(rest)
-		id, numbered := l.Protocol.ParseEvent(event)
-		if numbered && at.begun {
-			if id <= at.last {
+		id, numbered := s.Protocol.ParseEvent(event)
+		if numbered && prog.begun {
+			if id <= prog.last {
 				metrics.Count("event_repeated")
 				continue
 			}
-			if id != at.last+1 {
+			if id != prog.last+1 {
 				metrics.Count("event_missing")
 				return nil, false
 			}
 		}
 		if numbered {
-			l.count(id, at)
+			s.recordEvent(id, prog)
 		}
 		fresh = append(fresh, event...)
 	}
 	return fresh, true
 }
 
-func (l *leg) count(id int64, at *progress) {
-	if !at.begun {
-		l.verdict.FirstEvent = time.Since(l.r.Received)
+func (s *segment) recordEvent(id int64, prog *progress) {
+	if !prog.begun {
+		s.verdict.FirstEvent = time.Since(s.r.Received)
 	}
-	at.saw(id)
-	if at.count%producedEvery == 1 {
-		l.p.Produced(at.count * l.tokensPerEvent())
+	prog.record(id)
+	if prog.count%eventsPerUpdate == 1 {
+		s.p.Produced(prog.count * s.tokensPerEvent())
 	}
-	l.mover.eventSeen()
+	s.migrator.markBegun()
 }
 
-func (l *leg) tokensPerEvent() int {
-	if spec := l.r.Service.Engine; spec != nil {
+func (s *segment) tokensPerEvent() int {
+	if spec := s.r.Service.Engine; spec != nil {
 		return spec.TokensPerEvent
 	}
 	return 1
@@ -283,41 +283,41 @@
 
 // resume sends the request to an engine that has a copy of the run's KV cache. It returns nil if
 // the engine does not accept it.
-func (l *leg) resume(ctx context.Context, place *fleet.Placement, resume *Resume, at *progress) *leg {
-	backup := l.holdBackup(place, l.p.Instance().ID)
-	resp, err := l.send(ctx, place, resume, backup)
+func (s *segment) resume(ctx context.Context, place *fleet.Placement, resume *Resume, prog *progress) *segment {
+	backup := s.holdBackup(place, s.p.Instance().ID)
+	resp, err := s.send(ctx, place, resume, backup)
 	if err == nil {
-		_, refused := l.refused(resp)
+		_, refused := s.refusedResult(resp)
 		if !refused && resp.StatusCode == http.StatusOK {
-			l.verdict.Moves++
+			s.verdict.Moves++
 			metrics.Count("stream_moved")
-			l.Log.Info("stream goes on", zap.String("request", l.r.ID), zap.String("endpoint", place.Instance().ID),
-				zap.Int64("last_event", at.last), zap.Duration("pause", time.Since(at.lastAt)))
-			return &leg{job: l.job, p: place, resp: resp, backup: backup}
+			s.Log.Info("stream goes on", zap.String("request", s.r.ID), zap.String("endpoint", place.Instance().ID),
+				zap.Int64("last_event", prog.last), zap.Duration("pause", time.Since(prog.lastAt)))
+			return &segment{job: s.job, p: place, resp: resp, backup: backup}
 		}
 		resp.Close()
 	}
-	l.dropBackup(backup, false)
-	l.Log.Warn("stream not resumed", zap.String("request", l.r.ID), zap.String("endpoint", place.Instance().ID),
+	s.dropBackup(backup, false)
+	s.Log.Warn("stream not resumed", zap.String("request", s.r.ID), zap.String("endpoint", place.Instance().ID),
 		zap.NamedError("cause", err))
 	return nil
 }
 
 // streamEnded returns the outcome of a stream.
-func (j *job) streamEnded(ctx context.Context, end legEnd, at *progress) Verdict {
-	j.verdict.Events = at.count
-	j.verdict.LongestGap = at.longestGap
-	if end == legWhole {
+func (j *job) streamEnded(ctx context.Context, end segmentEnd, prog *progress) Verdict {
+	j.verdict.Events = prog.count
+	j.verdict.LongestGap = prog.longestGap
+	if end == segmentComplete {
 		return j.verdict
 	}
 	v := j.end(nil, j.verdict.Detail)
 	v.Broken = true
 	switch {
-	case end == legCallerGone || errors.Is(ctx.Err(), context.Canceled):
+	case end == segmentCallerGone || errors.Is(ctx.Err(), context.Canceled):
 		v.Detail = "caller gone"
 	case ctx.Err() != nil:
 		v.Detail = "time over"
-	case end == legCorrupt:
+	case end == segmentCorrupt:
 		v.Detail = "event missing"
 	}
 	return v
--- a/relay/strikes.go
+++ b/relay/strikes.go
@@ -35,7 +35,7 @@
 const (
 	// strikeTTL is how long a death counts against a request: longer than the retries of a caller
 	// and the restart of an engine together.
-	strikeMemory = 90 * time.Second
+	strikeTTL = 90 * time.Second
 	// StrikesTold is how long each strike is broadcast to the other nodes. That takes several
 	// datagrams, any of which may be lost.
 	StrikesTold = 2 * time.Second
@@ -52,12 +52,12 @@
 	mu       sync.Mutex
 	suspects *policy.Suspects
 	// own holds the strikes of this node that are still to be broadcast.
-	fresh []Strike
+	own []Strike
 }
 
 // NewStrikes returns an empty record. The function now reads a monotonic clock.
 func NewStrikes(now func() time.Duration) *Strikes {
-	return &Strikes{Tell: func() {}, now: now, suspects: policy.NewSuspects(strikeMemory)}
+	return &Strikes{Tell: func() {}, now: now, suspects: policy.NewSuspects(strikeTTL)}
 }
 
 // Count returns the number of endpoints that died of the work within the last strikeTTL.
@@ -81,8 +81,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	strike := Strike{Work: work, Endpoint: endpoint, At: s.now()}
-	s.suspects.Strike(strike.held())
-	s.fresh = append(s.fresh, strike)
+	s.suspects.Strike(strike.toPolicy())
+	s.own = append(s.own, strike)
 	return s.suspects.Count(uint64(work), strike.At)
 }
 
@@ -93,7 +93,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.suspects.Merge(Strike{Work: work, Endpoint: endpoint, At: now - StrikesTold}.held(), now)
+	s.suspects.Merge(Strike{Work: work, Endpoint: endpoint, At: now - StrikesTold}.toPolicy(), now)
 }
 
 // Clear removes the strikes against work that got a complete answer, which proves that it does not
@@ -104,7 +104,7 @@
 	s.suspects.Clear(uint64(work), s.now())
 }
 
-func (k Strike) held() policy.Strike {
+func (k Strike) toPolicy() policy.Strike {
 	return policy.Strike{Fingerprint: uint64(k.Work), Death: uint64(k.Endpoint), At: k.At}
 }
 
@@ -113,12 +113,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	kept := s.fresh[:0]
-	for _, k := range s.fresh {
+	kept := s.own[:0]
+	for _, k := range s.own {
 		if now-k.At <= age {
 			kept = append(kept, k)
 		}
 	}
-	s.fresh = kept
+	s.own = kept
 	return append([]Strike(nil), kept...)
 }
--- a/relay/transfer.go
+++ b/relay/transfer.go
@@ -20,23 +20,23 @@
 	// refreshInterval is the time between two refreshes of a copy. A run generates 40 tokens in
 	// that time, which an engine recomputes in a few milliseconds. Refreshing also keeps the copy
 	// alive, which an engine keeps for a few seconds only.
-	refreshEvery = 300 * time.Millisecond
+	refreshInterval = 300 * time.Millisecond
 	// maxCopyTries is the maximum number of orders for one copy if their answers are lost,
 	// copyRetryPause the pause after the first of them. It doubles with each further order.
-	copyTries = 6
-	copyRetry = 20 * time.Millisecond
+	maxCopyTries   = 6
+	copyRetryPause = 20 * time.Millisecond
 	// freeTimeout limits an order to free a copy.
 	freeTimeout = 500 * time.Millisecond
 )
 
 // transfer copies the KV cache of one run to one target.
 type transfer struct {
-	*leg
+	*segment
 	target *fleet.Placement
 	// handle identifies the copy. It is empty until there is one.
 	handle string
 	// copyUncertain is set if a copy may have been made although no answer arrived.
-	doubtful bool
+	copyUncertain bool
 }
 
 // copy copies what is new while the run continues, and reports success. It is not cancelled when
@@ -45,18 +45,18 @@
 func (t *transfer) copy(ctx context.Context) bool {
 	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
 	defer cancel()
-	got, err := t.moveSurely(call, ctx)
+	got, err := t.moveWithRetry(call, ctx)
 	if got.Handle != "" {
 		t.handle = got.Handle
 	}
-	t.doubtful = err != nil
+	t.copyUncertain = err != nil
 	return err == nil && !got.Refused && ctx.Err() == nil
 }
 
 // refresh copies what is new at regular intervals until the segment ends or a copy fails.
 func (t *transfer) refresh(ctx context.Context) {
 	for {
-		retry.Sleep(ctx, refreshEvery)
+		retry.Sleep(ctx, refreshInterval)
 		if ctx.Err() != nil || !t.copy(ctx) {
 			return
 		}
@@ -67,11 +67,11 @@
 // until ends. The engine makes the copy even if the answer is lost, and only a second order, which
 // sends just what is new, returns its handle. Without it, the whole KV cache would be sent again to
 // another target, over a link that other runs of the leaving engine wait for.
-func (t *transfer) moveSurely(ctx, until context.Context) (Moved, error) {
-	pause := copyRetry
+func (t *transfer) moveWithRetry(ctx, until context.Context) (Moved, error) {
+	pause := copyRetryPause
 	for try := 1; ; try++ {
 		got, err := t.move(ctx)
-		if !answerLost(err) || try == copyTries || until.Err() != nil {
+		if !answerLost(err) || try == maxCopyTries || until.Err() != nil {
 			return got, err
 		}
 		metrics.Count("copy_ordered_again")
@@ -114,7 +114,7 @@
 // free frees the copy. It returns false if the copy may still exist.
 func (t *transfer) free() bool {
 	if t.handle == "" {
-		return !t.doubtful
+		return !t.copyUncertain
 	}
 	return t.freeHandle(t.p.Instance().Address, t.target.Instance().Address, t.handle)
 }
@@ -152,7 +152,7 @@
 
 // discard frees an unused copy and releases its placement, after copyLifetime if the copy may still
 // exist.
-func (m *targetCopy) giveUp(j *job) {
+func (m *targetCopy) discard(j *job) {
 	if !j.freeHandle(m.source, m.target.Instance().Address, m.handle) {
 		time.Sleep(j.copyLifetime())
 	}
--- a/relay/vacated.go
+++ b/relay/vacated.go
@@ -13,7 +13,7 @@
 // because a run that has moved may soon have to leave its next engine as well.
 type RunKey uint32
 
-func runKey(id string, engine fleet.EndpointKey) RunKey {
+func newRunKey(id string, engine fleet.EndpointKey) RunKey {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(engine)))
@@ -23,12 +23,12 @@
 const (
 	// vacatedTTL is how long a run is remembered as having left its engine. It is longer than the
 	// notice period of any engine.
-	vacatedMemory = 5 * time.Second
+	vacatedTTL = 5 * time.Second
 	// maxVacated is the maximum number of runs in each map.
 	maxVacated = 1024
 	// endedTTL is how long an ended run is remembered. An engine's report is a few hundred
 	// milliseconds old and may still contain runs that have ended since.
-	endedMemory = 2 * time.Second
+	endedTTL = 2 * time.Second
 )
 
 // Vacated records, for all nodes, which runs no longer use the link of a leaving engine because
@@ -71,7 +71,7 @@
 		if _, known := v.all[run]; known {
 			continue
 		}
-		forget(v.all, now, vacatedMemory)
+		evictExpired(v.all, now, vacatedTTL)
 		v.all[run] = now
 		fresh = true
 	}
@@ -83,7 +83,7 @@
 
 // evictExpired drops entries older than after once m has maxVacated entries, and all entries if it
 // is still full then.
-func forget(m map[RunKey]time.Duration, now, after time.Duration) {
+func evictExpired(m map[RunKey]time.Duration, now, after time.Duration) {
 	if len(m) < maxVacated {
 		return
 	}
@@ -98,40 +98,40 @@
 }
 
 // markVacated records that a run of this node no longer uses its engine's link.
-func (v *Vacated) leave(run RunKey) {
+func (v *Vacated) markVacated(run RunKey) {
 	v.mu.Lock()
-	v.leaveLocked(run)
+	v.markVacatedLocked(run)
 	v.mu.Unlock()
 	v.Tell()
 }
 
-func (v *Vacated) leaveLocked(run RunKey) {
-	forget(v.own, v.now(), vacatedMemory)
+func (v *Vacated) markVacatedLocked(run RunKey) {
+	evictExpired(v.own, v.now(), vacatedTTL)
 	v.own[run] = v.now()
 	v.addLocked([]RunKey{run})
 }
 
 // markEnded records that a stream of this node has ended.
-func (v *Vacated) end(run RunKey) {
+func (v *Vacated) markEnded(run RunKey) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	forget(v.ended, v.now(), endedMemory)
+	evictExpired(v.ended, v.now(), endedTTL)
 	v.ended[run] = v.now()
 }
 
 // announceEnded tells the other nodes which of the runs that an engine still reports have ended.
-func (v *Vacated) endedAmong(runs []EngineRun, engine fleet.EndpointKey) {
+func (v *Vacated) announceEnded(runs []EngineRun, engine fleet.EndpointKey) {
 	v.mu.Lock()
-	told := false
+	announced := false
 	for _, r := range runs {
-		run := runKey(r.ID, engine)
-		if at, ended := v.ended[run]; ended && v.now()-at <= endedMemory {
-			v.leaveLocked(run)
-			told = true
+		run := newRunKey(r.ID, engine)
+		if at, ended := v.ended[run]; ended && v.now()-at <= endedTTL {
+			v.markVacatedLocked(run)
+			announced = true
 		}
 	}
 	v.mu.Unlock()
-	if told {
+	if announced {
 		v.Tell()
 	}
 }
