--- a/relay/claims.go
+++ b/relay/claims.go
@@ -50,7 +50,7 @@
 	Running bool
 }
 
-// precedes reports whether this claim has its turn precedes the given waiting claim.
+// precedes reports whether this claim has its turn before the given waiting claim.
 func (c Claim) precedes(waiting Claim) bool { return c.Running || c.ID < waiting.ID }
 
 // Claims holds the claims of all nodes. It is safe for concurrent use.
@@ -194,7 +194,7 @@
 }
 
 // checkTurn reports whether the request may run now. If it may not, changed is closed when the
-// claims change and the checkTurn should be checked again. It returns a refusal if the work has reached
+// claims change and the turn should be checked again. It returns a refusal if the work has reached
 // strikeLimit.
 func (j *job) checkTurn() (changed <-chan struct{}, mayRun bool, refusal *crocusreel.Refusal) {
 	ahead, changed := j.Claims.countAhead(*j.ownClaim)
--- a/relay/migration.go
+++ b/relay/migration.go
@@ -106,7 +106,7 @@
 // a few endpoints that run work of this node leave at a time.
 const maxMigrations = 64
 
-// migrationFor returns the migrationFor of the leaving endpoint. The first caller asks the engine for
+// migrationFor returns the migration of the leaving endpoint. The first caller asks the engine for
 // its runs; the others wait for the answer or for the end of ctx.
 func (l *Relay) migrationFor(ctx context.Context, p *fleet.Placement, spec *routing.EngineSpec) *migration {
 	id := p.Instance().Incarnation()
