--- a/entry/entry.go
+++ b/entry/entry.go
@@ -89,7 +89,7 @@
 // turnAway refuses a request that was not taken on.
 func (h *Handler) turnAway(s *sink, r *http.Request, refusal *crocusreel.Refusal) {
 	h.refuse(s, refusal)
-	h.logEnd(r, nil, relay.Verdict{Refusal: refusal, Status: statusOf(refusal)})
+	h.logEnd(r, nil, relay.Result{Refusal: refusal, Status: statusOf(refusal)})
 }
 
 // admit checks a request; it returns a refusal for one that cannot be served.
@@ -262,7 +262,7 @@
 
 // logEnd writes the line of a request. Its fields lead from the request's ID to the
 // endpoint and the cause.
-func (h *Handler) logEnd(r *http.Request, req *relay.Request, v relay.Verdict) {
+func (h *Handler) logEnd(r *http.Request, req *relay.Request, v relay.Result) {
 	fields := []zap.Field{
 		zap.String("path", r.URL.Path),
 		zap.Int("status", v.Status),
@@ -298,7 +298,7 @@
 	h.Log.Info("request ended", fields...)
 }
 
-func observe(req *relay.Request, v *relay.Verdict) {
+func observe(req *relay.Request, v *relay.Result) {
 	kind := "call"
 	if req.Route.Kind == routing.Streaming {
 		kind = "stream"
--- a/relay/call.go
+++ b/relay/call.go
@@ -49,7 +49,7 @@
 func (r attemptResult) broken() bool { return r.cause == causeLost || r.cause == causeTruncated }
 
 // call serves a request whose answer is a single message.
-func (j *job) call(ctx context.Context) Verdict {
+func (j *job) call(ctx context.Context) Result {
 	runs := 0
 	var held *answer
 	for {
@@ -80,7 +80,7 @@
 		if ctx.Err() != nil || !j.mayRetry(got, runs) || j.strikeLimitReached() {
 			return j.exhausted(ctx, held, j.failureRefusal(got))
 		}
-		j.verdict.Detail = got.cause
+		j.result.Detail = got.cause
 	}
 }
 
@@ -101,7 +101,7 @@
 	if !got.notRun && (!j.r.Route.Kind.Repeatable() || runs >= j.r.Route.MaxAttempts) {
 		return false
 	}
-	if j.verdict.Attempts >= maxSends || j.Fleet.Without[fleet.Retries] || !j.Budgets.Get(j.r.Service.Name).Spend() {
+	if j.result.Attempts >= maxSends || j.Fleet.Without[fleet.Retries] || !j.Budgets.Get(j.r.Service.Name).Spend() {
 		metrics.Count("retry_denied")
 		return false
 	}
@@ -111,17 +111,17 @@
 
 // exhausted ends a request that cannot be sent again. It delivers the error answer of an endpoint
 // if there is one, and the refusal otherwise.
-func (j *job) exhausted(ctx context.Context, held *answer, refusal *crocusreel.Refusal) Verdict {
+func (j *job) exhausted(ctx context.Context, held *answer, refusal *crocusreel.Refusal) Result {
 	if held != nil {
 		return j.deliver(held)
 	}
 	if ctx.Err() != nil {
-		return j.end(j.deadlineRefusal(), j.verdict.Detail)
+		return j.end(j.deadlineRefusal(), j.result.Detail)
 	}
 	if j.ran && refusal.Outcome == crocusreel.OutcomeNotRun {
 		refusal = lostRefusal("%s", refusal.Message)
 	}
-	return j.end(refusal, j.verdict.Detail)
+	return j.end(refusal, j.result.Detail)
 }
 
 func (j *job) failureRefusal(got attemptResult) *crocusreel.Refusal {
@@ -218,10 +218,10 @@
 }
 
 // deliver sends the answer to the caller.
-func (j *job) deliver(a *answer) Verdict {
+func (j *job) deliver(a *answer) Result {
 	defer a.closeExchange()
-	j.verdict.Status = a.resp.StatusCode
-	j.verdict.FirstEvent = time.Since(j.r.Received)
+	j.result.Status = a.resp.StatusCode
+	j.result.FirstEvent = time.Since(j.r.Received)
 	header := j.Protocol.AnswerHeader(a.resp.Header)
 	if !a.hasMore {
 		header.Del("Content-Length")
@@ -239,7 +239,7 @@
 		v.Broken = true
 		return v
 	}
-	return j.verdict
+	return j.result
 }
 
 // sinkWriter adapts a Sink to io.Writer.
--- a/relay/latenews_test.go
+++ b/relay/latenews_test.go
@@ -18,7 +18,7 @@
 	req           *relay.Request
 	first, second *worker.Worker
 	answer        *recordingSink
-	done          chan relay.Verdict
+	done          chan relay.Result
 	cancel        context.CancelFunc
 }
 
@@ -32,7 +32,7 @@
 // first one as leaving.
 func startLeaving(o worker.Options) *leavingStream {
 	GinkgoHelper()
-	s := &leavingStream{testRelay: newTestRelay(), answer: &recordingSink{}, done: make(chan relay.Verdict, 1)}
+	s := &leavingStream{testRelay: newTestRelay(), answer: &recordingSink{}, done: make(chan relay.Result, 1)}
 	o.ID, o.Events, o.Gap, o.Memory = "first", longStreamEvents, 5*time.Millisecond, s.memory
 	s.first = s.start("pool", o)
 	s.req = s.request(routing.Streaming)
@@ -54,7 +54,7 @@
 	DescribeTable("goes on from the copy whichever comes first, the cut or the answer",
 		func(dying worker.Dying) {
 			s := startLeaving(worker.Options{Dying: &dying})
-			var v relay.Verdict
+			var v relay.Result
 			Eventually(s.done, 3*time.Second).Should(Receive(&v))
 			Expect(v.Broken).To(BeFalse())
 			Expect(v.Moves).To(Equal(1))
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -130,8 +130,8 @@
 	Begun() bool
 }
 
-// Verdict is the outcome of a request.
-type Verdict struct {
+// Result is the outcome of a request.
+type Result struct {
 	// Status is the status that the caller received, 0 if none.
 	Status int
 	// Broken reports that the answer was started but is not complete. The connection to the caller
@@ -174,13 +174,13 @@
 }
 
 // Serve processes the request until it ends and writes the answer to sink.
-func (l *Relay) Serve(ctx context.Context, r *Request, sink Sink) Verdict {
+func (l *Relay) Serve(ctx context.Context, r *Request, sink Sink) Result {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	l.Budgets.Get(r.Service.Name).Earn()
 	job := &job{Relay: l, r: r, sink: sink}
 	if n := l.Strikes.Count(r.Fingerprint); n >= strikeLimit {
-		return Verdict{Refusal: job.suspectRefusal(n)}
+		return Result{Refusal: job.suspectRefusal(n)}
 	}
 	defer job.dropClaim()
 	if r.Route.Kind == routing.Streaming {
@@ -192,10 +192,10 @@
 // job is one request in progress.
 type job struct {
 	*Relay
-	r       *Request
-	sink    Sink
-	verdict Verdict
-	tried   []string
+	r      *Request
+	sink   Sink
+	result Result
+	tried  []string
 	// ownClaim is the request's claim to its work, nil if it has none.
 	ownClaim *Claim
 	// ran is set once an endpoint may have executed the request.
@@ -255,7 +255,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	j.verdict.Waited += p.Waited
+	j.result.Waited += p.Waited
 	if refusal := j.Admit(j.r); refusal != nil {
 		p.Release(fleet.Neutral)
 		return nil, refusal
@@ -287,8 +287,8 @@
 	if backup != nil {
 		attempt.Backup = backup.Instance().Address
 	}
-	j.verdict.Attempts++
-	j.verdict.Endpoint = attempt.Instance.ID
+	j.result.Attempts++
+	j.result.Endpoint = attempt.Instance.ID
 	resp, err := j.Client.Do(ctx, attempt.Instance.Address, &h1.Request{
 		Method: j.r.Method,
 		Target: j.r.Target,
@@ -320,17 +320,17 @@
 // limitedCounter returns the name of the counter of answers that name a rate limit. First attempts
 // and retries are counted separately.
 func (j *job) limitedCounter() string {
-	if j.verdict.Attempts > 1 {
+	if j.result.Attempts > 1 {
 		return "answers_naming_limit_again"
 	}
 	return "answers_naming_limit_first"
 }
 
-func (j *job) end(refusal *crocusreel.Refusal, detail string) Verdict {
-	j.verdict.Refusal = refusal
-	j.verdict.Broken = j.sink.Begun()
-	j.verdict.Detail = detail
-	return j.verdict
+func (j *job) end(refusal *crocusreel.Refusal, detail string) Result {
+	j.result.Refusal = refusal
+	j.result.Broken = j.sink.Begun()
+	j.result.Detail = detail
+	return j.result
 }
 
 const (
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -165,7 +165,7 @@
 	return a.body.String()
 }
 
-func (r *testRelay) serve(req *relay.Request) (relay.Verdict, *recordingSink) {
+func (r *testRelay) serve(req *relay.Request) (relay.Result, *recordingSink) {
 	a := &recordingSink{}
 	return r.Serve(context.Background(), req, a), a
 }
@@ -342,14 +342,14 @@
 		first := r.engine("first", 100, nil)
 		req := r.request(routing.Streaming)
 		a := &recordingSink{}
-		done := make(chan relay.Verdict)
+		done := make(chan relay.Result)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 10\n"))
 		second := r.engine("second", 100, nil)
 		r.leaving("first")
 		Eventually(r.memory.Copies).Should(Equal(1))
 		first.Stop()
-		var v relay.Verdict
+		var v relay.Result
 		Eventually(done, 3*time.Second).Should(Receive(&v))
 		Expect(v.Broken).To(BeFalse())
 		Expect(v.Moves).To(Equal(1))
@@ -365,7 +365,7 @@
 		first := r.engine("first", 60, nil)
 		req := r.request(routing.Streaming)
 		a := &recordingSink{}
-		done := make(chan relay.Verdict)
+		done := make(chan relay.Result)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 5\n"))
 		second := r.engine("second", 60, nil)
@@ -385,7 +385,7 @@
 		first := r.engine("first", 100, always(worker.Unframed))
 		req := r.request(routing.Streaming)
 		a := &recordingSink{}
-		done := make(chan relay.Verdict)
+		done := make(chan relay.Result)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 5\n"))
 		first.Stop()
@@ -400,7 +400,7 @@
 		engines := map[string]*worker.Worker{"e1": r.engine("e1", 100, nil), "e2": r.engine("e2", 100, nil)}
 		req := r.request(routing.Streaming)
 		a := &recordingSink{}
-		done := make(chan relay.Verdict)
+		done := make(chan relay.Result)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 10\n"))
 		first, second := engines["e1"], engines["e2"]
@@ -409,7 +409,7 @@
 		}
 		Expect(first.Runs()[0].Header.Get("Crocusreel-Kv-Backup")).To(Equal(second.Address()))
 		first.Stop()
-		var v relay.Verdict
+		var v relay.Result
 		Eventually(done, 3*time.Second).Should(Receive(&v))
 		Expect(v.Broken).To(BeFalse())
 		Expect(v.Moves).To(Equal(1))
@@ -461,7 +461,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			a := &recordingSink{}
-			done := make(chan relay.Verdict)
+			done := make(chan relay.Result)
 			go func() { done <- r.Serve(ctx, r.request(routing.Streaming), a) }()
 			Eventually(a.text).Should(ContainSubstring("id: 5\n"))
 			r.engine("second", 30, nil)
@@ -485,7 +485,7 @@
 		r.engine("only", 60, nil)
 		req := r.request(routing.Streaming)
 		a := &recordingSink{}
-		done := make(chan relay.Verdict)
+		done := make(chan relay.Result)
 		go func() { done <- r.Serve(context.Background(), req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 5\n"))
 		r.leaving("only")
@@ -517,7 +517,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		req := r.request(routing.Streaming)
 		a := &recordingSink{}
-		done := make(chan relay.Verdict)
+		done := make(chan relay.Result)
 		go func() { done <- r.Serve(ctx, req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 5\n"))
 		cancel()
@@ -584,7 +584,7 @@
 			r.engine(fmt.Sprintf("e%d", i), 20, nil)
 		}
 		var copies sync.WaitGroup
-		verdicts := make([]relay.Verdict, 8)
+		verdicts := make([]relay.Result, 8)
 		for i := range verdicts {
 			req := r.request(routing.Streaming)
 			copies.Go(func() { verdicts[i], _ = r.serve(req) })
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -40,10 +40,10 @@
 )
 
 // stream serves a request whose answer is a series of events.
-func (j *job) stream(ctx context.Context) Verdict {
-	s, verdict := j.start(ctx)
+func (j *job) stream(ctx context.Context) Result {
+	s, result := j.start(ctx)
 	if s == nil {
-		return verdict
+		return result
 	}
 	if s.resp.StatusCode != http.StatusOK {
 		j.dropBackup(s.backup, false)
@@ -84,7 +84,7 @@
 }
 
 // start finds an endpoint that accepts the request. It returns a nil segment if there is none.
-func (j *job) start(ctx context.Context) (*segment, Verdict) {
+func (j *job) start(ctx context.Context) (*segment, Result) {
 	for {
 		p, refusal := j.place(ctx)
 		if refusal != nil {
@@ -98,13 +98,13 @@
 		if err == nil {
 			refused := false
 			if got, refused = j.refusedResult(resp); !refused {
-				return &segment{job: j, p: p, resp: resp, backup: backup}, Verdict{}
+				return &segment{job: j, p: p, resp: resp, backup: backup}, Result{}
 			}
 		}
 		p.Release(got.health)
 		j.dropBackup(backup, got.notRun)
 		j.tried = append(j.tried, p.Instance().ID)
-		j.verdict.Detail = got.cause
+		j.result.Detail = got.cause
 		j.ran = j.ran || !got.notRun
 		if got.broken() {
 			j.strikeIfDead(ctx, p)
@@ -127,7 +127,7 @@
 const silentThreshold = 2 * time.Second
 
 // deliverNonStream delivers an endpoint's answer that is not a stream.
-func (j *job) deliverNonStream(p *fleet.Placement, resp *h1.Response) Verdict {
+func (j *job) deliverNonStream(p *fleet.Placement, resp *h1.Response) Result {
 	j.ran = true
 	got := j.readAnswer(resp, func() {})
 	p.Release(got.health)
@@ -156,7 +156,7 @@
 // then resumes the stream on another endpoint if the segment was cut.
 func (s *segment) forward(ctx context.Context, prog *progress) (segmentEnd, *segment) {
 	if !s.sink.Begun() {
-		s.verdict.Status = s.resp.StatusCode
+		s.result.Status = s.resp.StatusCode
 		if err := s.sink.Begin(s.resp.StatusCode, s.Protocol.AnswerHeader(s.resp.Header)); err != nil {
 			s.finish(fleet.Neutral)
 			return segmentCallerGone, nil
@@ -187,7 +187,7 @@
 		return end, next
 	}
 	wait()
-	s.verdict.Detail = "stream cut: " + cause.Error()
+	s.result.Detail = "stream cut: " + cause.Error()
 	s.finish(s.healthAfterCut())
 	return end, nil
 }
@@ -265,7 +265,7 @@
 
 func (s *segment) recordEvent(id int64, prog *progress) {
 	if !prog.begun {
-		s.verdict.FirstEvent = time.Since(s.r.Received)
+		s.result.FirstEvent = time.Since(s.r.Received)
 	}
 	prog.record(id)
 	if prog.count%eventsPerUpdate == 1 {
@@ -289,7 +289,7 @@
 	if err == nil {
 		_, refused := s.refusedResult(resp)
 		if !refused && resp.StatusCode == http.StatusOK {
-			s.verdict.Moves++
+			s.result.Moves++
 			metrics.Count("stream_moved")
 			s.Log.Info("stream goes on", zap.String("request", s.r.ID), zap.String("endpoint", place.Instance().ID),
 				zap.Int64("last_event", prog.last), zap.Duration("pause", time.Since(prog.lastAt)))
@@ -304,13 +304,13 @@
 }
 
 // streamEnded returns the outcome of a stream.
-func (j *job) streamEnded(ctx context.Context, end segmentEnd, prog *progress) Verdict {
-	j.verdict.Events = prog.count
-	j.verdict.LongestGap = prog.longestGap
+func (j *job) streamEnded(ctx context.Context, end segmentEnd, prog *progress) Result {
+	j.result.Events = prog.count
+	j.result.LongestGap = prog.longestGap
 	if end == segmentComplete {
-		return j.verdict
+		return j.result
 	}
-	v := j.end(nil, j.verdict.Detail)
+	v := j.end(nil, j.result.Detail)
 	v.Broken = true
 	switch {
 	case end == segmentCallerGone || errors.Is(ctx.Err(), context.Canceled):
