--- a/node/node.go
+++ b/node/node.go
@@ -151,9 +151,9 @@
 		Vacated: relay.NewVacated(boottime.Now),
 		Log:     log,
 	}
-	n.relay.Vacated.Tell = n.gossip.TellAll
-	n.relay.Strikes.Tell = n.gossip.TellNow
-	n.relay.Claims.Tell = n.gossip.TellNow
+	n.relay.Vacated.Broadcast = n.gossip.TellAll
+	n.relay.Strikes.Broadcast = n.gossip.TellNow
+	n.relay.Claims.Broadcast = n.gossip.TellNow
 	n.starter = n.newStarter()
 	n.configFeed = &feed{
 		store: n.store, table: platform.TableOperator, wait: changesWait, log: log,
--- a/relay/claims.go
+++ b/relay/claims.go
@@ -55,8 +55,8 @@
 
 // Claims holds the claims of all nodes. It is safe for concurrent use.
 type Claims struct {
-	// Tell is called when other nodes should receive this node's claims at once. It must not block.
-	Tell func()
+	// Broadcast is called when other nodes should receive this node's claims at once. It must not block.
+	Broadcast func()
 
 	mu      sync.Mutex
 	own     map[uint32]Claim
@@ -67,7 +67,7 @@
 // NewClaims returns an empty set of claims.
 func NewClaims() *Claims {
 	return &Claims{
-		Tell: func() {}, own: make(map[uint32]Claim), remote: make(map[string][]Claim), changed: make(chan struct{}),
+		Broadcast: func() {}, own: make(map[uint32]Claim), remote: make(map[string][]Claim), changed: make(chan struct{}),
 	}
 }
 
@@ -115,7 +115,7 @@
 	c.own[claim.ID] = claim
 	c.notifyLocked()
 	c.mu.Unlock()
-	c.Tell()
+	c.Broadcast()
 }
 
 func (c *Claims) drop(claim Claim) {
@@ -123,7 +123,7 @@
 	delete(c.own, claim.ID)
 	c.notifyLocked()
 	c.mu.Unlock()
-	c.Tell()
+	c.Broadcast()
 }
 
 // countAhead returns the number of other claims to the same work whose turn comes before this one,
--- a/relay/strikes.go
+++ b/relay/strikes.go
@@ -44,9 +44,9 @@
 // Strikes counts the endpoints, on all nodes, that died while they ran a request. It is safe for
 // concurrent use.
 type Strikes struct {
-	// Tell is called when other nodes should receive this node's strikes at once. It must not
+	// Broadcast is called when other nodes should receive this node's strikes at once. It must not
 	// block.
-	Tell func()
+	Broadcast func()
 
 	now      func() time.Duration
 	mu       sync.Mutex
@@ -57,7 +57,7 @@
 
 // NewStrikes returns an empty record. The function now reads a monotonic clock.
 func NewStrikes(now func() time.Duration) *Strikes {
-	return &Strikes{Tell: func() {}, now: now, suspects: policy.NewSuspects(strikeTTL)}
+	return &Strikes{Broadcast: func() {}, now: now, suspects: policy.NewSuspects(strikeTTL)}
 }
 
 // Count returns the number of endpoints that died of the work within the last strikeTTL.
@@ -77,7 +77,7 @@
 
 // Add records a death seen by this node and returns the number of strikes against the work.
 func (s *Strikes) Add(work Fingerprint, endpoint uint32) int {
-	defer s.Tell()
+	defer s.Broadcast()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	strike := Strike{Work: work, Endpoint: endpoint, At: s.now()}
--- a/relay/vacated.go
+++ b/relay/vacated.go
@@ -36,9 +36,9 @@
 // for concurrent use.
 type Vacated struct {
 	now func() time.Duration
-	// Tell is called when other nodes should receive this node's changes at once. It must not
+	// Broadcast is called when other nodes should receive this node's changes at once. It must not
 	// block.
-	Tell func()
+	Broadcast func()
 
 	mu  sync.Mutex
 	all map[RunKey]time.Duration
@@ -51,7 +51,7 @@
 // NewVacated returns an empty record. The function now reads a monotonic clock.
 func NewVacated(now func() time.Duration) *Vacated {
 	return &Vacated{
-		now: now, Tell: func() {},
+		now: now, Broadcast: func() {},
 		all: make(map[RunKey]time.Duration), own: make(map[RunKey]time.Duration), ended: make(map[RunKey]time.Duration),
 		changed: make(chan struct{}),
 	}
@@ -102,7 +102,7 @@
 	v.mu.Lock()
 	v.markVacatedLocked(run)
 	v.mu.Unlock()
-	v.Tell()
+	v.Broadcast()
 }
 
 func (v *Vacated) markVacatedLocked(run RunKey) {
@@ -132,7 +132,7 @@
 	}
 	v.mu.Unlock()
 	if announced {
-		v.Tell()
+		v.Broadcast()
 	}
 }
 
