--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -63,7 +63,7 @@
 			Fleet: endpoints, Client: client, Protocol: platform.Wire{}, Mover: platform.NewEngines(client), Log: zap.NewNop(),
 			Budgets: &retry.Windows{Ratio: 0.2, Slack: 50, Length: 10 * time.Second, Now: boottime.Now, Nodes: func() int { return 1 }},
 			Strikes: relay.NewStrikes(boottime.Now),
-			Vacated: relay.NewVacated(func() time.Duration { return time.Duration(time.Now().UnixNano()) }),
+			Vacated: relay.NewVacatedRuns(func() time.Duration { return time.Duration(time.Now().UnixNano()) }),
 		},
 	}
 	h.Relay.Admit = h.Recheck
--- a/node/node.go
+++ b/node/node.go
@@ -148,7 +148,7 @@
 		},
 		Strikes: relay.NewStrikes(boottime.Now),
 		Claims:  relay.NewClaims(),
-		Vacated: relay.NewVacated(boottime.Now),
+		Vacated: relay.NewVacatedRuns(boottime.Now),
 		Log:     log,
 	}
 	n.relay.Vacated.Broadcast = n.gossip.TellAll
--- a/relay/decisions_test.go
+++ b/relay/decisions_test.go
@@ -73,7 +73,7 @@
 	// A run that starts before the last part of another run is copied has its own copy queued ahead
 	// of that part, and the other run's caller waits for both.
 	It("come once the earlier runs have left, on any node", func(ctx SpecContext) {
-		here := relay.NewVacated(now)
+		here := relay.NewVacatedRuns(now)
 		d := relay.NewDeparture(here, runs, spec)
 		Expect(d.Await(ctx, "a")).To(BeNumerically("<", 20*time.Millisecond))
 		done := make(chan struct{})
@@ -82,7 +82,7 @@
 			d.Await(ctx, "b")
 		}()
 		Consistently(done, 30*time.Millisecond).ShouldNot(BeClosed())
-		there := relay.NewVacated(now)
+		there := relay.NewVacatedRuns(now)
 		relay.NewDeparture(there, runs, spec).Leave("a")
 		here.Merge(there.Fresh(time.Second))
 		Eventually(done, 30*time.Millisecond).Should(BeClosed())
@@ -91,7 +91,7 @@
 	// The node of the first run is gone, or its copy goes to another data centre. The other runs
 	// must not wait until the engine has left.
 	It("come after a timeout if nothing is reported of the earlier runs", func(ctx SpecContext) {
-		d := relay.NewDeparture(relay.NewVacated(now), runs, spec)
+		d := relay.NewDeparture(relay.NewVacatedRuns(now), runs, spec)
 		slack := func(tokens int) time.Duration {
 			return time.Duration(relay.TurnSlackFactor * float64(relay.MoveTime(tokens, spec)))
 		}
@@ -103,10 +103,10 @@
 	// A run moves to an engine that soon leaves as well. The report that it has left the first engine
 	// must not count for the second.
 	It("count a run as gone from one engine only", func(ctx SpecContext) {
-		here := relay.NewVacated(now)
+		here := relay.NewVacatedRuns(now)
 		d := relay.NewDeparture(here, runs, spec)
 		d.Leave("a")
-		other := relay.NewVacated(now)
+		other := relay.NewVacatedRuns(now)
 		other.Merge(here.Fresh(time.Second))
 		Expect(d.Await(ctx, "b")).To(BeNumerically("<", 20*time.Millisecond))
 		Expect(relay.NewRunKey("a", 7)).NotTo(Equal(relay.NewRunKey("a", 8)))
--- a/relay/export_test.go
+++ b/relay/export_test.go
@@ -38,7 +38,7 @@
 }
 
 // NewDeparture returns the departure of an engine with the given runs.
-func NewDeparture(v *Vacated, runs []EngineRun, spec *routing.EngineSpec) *Departure {
+func NewDeparture(v *VacatedRuns, runs []EngineRun, spec *routing.EngineSpec) *Departure {
 	e := &migration{order: migrationOrder(runs, spec), spec: spec, engine: testEngineKey}
 	return &Departure{relay: &Relay{Vacated: v, Fleet: &fleet.Fleet{}}, migration: e}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -164,7 +164,7 @@
 	Claims   *Claims
 	// Vacated records, for all nodes, the runs that no longer use the links of engines that are
 	// about to stop.
-	Vacated *Vacated
+	Vacated *VacatedRuns
 	Log     *zap.Logger
 	// Admit is called right before each new run; a refusal ends the request. It prevents work for
 	// keys that were revoked while the request waited.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -45,7 +45,7 @@
 		},
 		Strikes: relay.NewStrikes(boottime.Now),
 		Claims:  relay.NewClaims(),
-		Vacated: relay.NewVacated(func() time.Duration { return time.Duration(time.Now().UnixNano()) }),
+		Vacated: relay.NewVacatedRuns(func() time.Duration { return time.Duration(time.Now().UnixNano()) }),
 		Log:     zap.NewNop(),
 		Admit:   func(*relay.Request) *crocusreel.Refusal { return nil },
 	}
--- a/relay/vacated.go
+++ b/relay/vacated.go
@@ -31,10 +31,10 @@
 	endedTTL = 2 * time.Second
 )
 
-// Vacated records, for all nodes, which runs no longer use the link of a leaving engine because
+// VacatedRuns records, for all nodes, which runs no longer use the link of a leaving engine because
 // they have moved, have ended or are not moved. The move of the next run waits for that. It is safe
 // for concurrent use.
-type Vacated struct {
+type VacatedRuns struct {
 	now func() time.Duration
 	// Broadcast is called when other nodes should receive this node's changes at once. It must not
 	// block.
@@ -48,9 +48,9 @@
 	changed    chan struct{}
 }
 
-// NewVacated returns an empty record. The function now reads a monotonic clock.
-func NewVacated(now func() time.Duration) *Vacated {
-	return &Vacated{
+// NewVacatedRuns returns an empty record. The function now reads a monotonic clock.
+func NewVacatedRuns(now func() time.Duration) *VacatedRuns {
+	return &VacatedRuns{
 		now: now, Broadcast: func() {},
 		all: make(map[RunKey]time.Duration), own: make(map[RunKey]time.Duration), ended: make(map[RunKey]time.Duration),
 		changed: make(chan struct{}),
@@ -58,13 +58,13 @@
 }
 
 // Merge adds the runs reported by another node.
-func (v *Vacated) Merge(runs []RunKey) {
+func (v *VacatedRuns) Merge(runs []RunKey) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.addLocked(runs)
 }
 
-func (v *Vacated) addLocked(runs []RunKey) {
+func (v *VacatedRuns) addLocked(runs []RunKey) {
 	fresh := false
 	now := v.now()
 	for _, run := range runs {
@@ -98,21 +98,21 @@
 }
 
 // markVacated records that a run of this node no longer uses its engine's link.
-func (v *Vacated) markVacated(run RunKey) {
+func (v *VacatedRuns) markVacated(run RunKey) {
 	v.mu.Lock()
 	v.markVacatedLocked(run)
 	v.mu.Unlock()
 	v.Broadcast()
 }
 
-func (v *Vacated) markVacatedLocked(run RunKey) {
+func (v *VacatedRuns) markVacatedLocked(run RunKey) {
 	evictExpired(v.own, v.now(), vacatedTTL)
 	v.own[run] = v.now()
 	v.addLocked([]RunKey{run})
 }
 
 // markEnded records that a stream of this node has ended.
-func (v *Vacated) markEnded(run RunKey) {
+func (v *VacatedRuns) markEnded(run RunKey) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	evictExpired(v.ended, v.now(), endedTTL)
@@ -120,7 +120,7 @@
 }
 
 // announceEnded tells the other nodes which of the runs that an engine still reports have ended.
-func (v *Vacated) announceEnded(runs []EngineRun, engine fleet.EndpointKey) {
+func (v *VacatedRuns) announceEnded(runs []EngineRun, engine fleet.EndpointKey) {
 	v.mu.Lock()
 	announced := false
 	for _, r := range runs {
@@ -136,7 +136,7 @@
 	}
 }
 
-func (v *Vacated) has(run RunKey) bool {
+func (v *VacatedRuns) has(run RunKey) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	_, left := v.all[run]
@@ -144,14 +144,14 @@
 }
 
 // changes returns a channel that is closed when another run has left its engine.
-func (v *Vacated) changes() <-chan struct{} {
+func (v *VacatedRuns) changes() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
 // Fresh returns the runs of this node that left within the given age and drops the others.
-func (v *Vacated) Fresh(age time.Duration) []RunKey {
+func (v *VacatedRuns) Fresh(age time.Duration) []RunKey {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var runs []RunKey
