--- a/node/peers.go
+++ b/node/peers.go
@@ -52,13 +52,13 @@
 			Key: uint32(l.Key), Limited: l.Limited, RequestsPerSecond: l.Limit, AgeMs: uint32(l.Age.Milliseconds()),
 		})
 	}
-	for _, k := range n.relay.Strikes.Fresh(relay.StrikesTold) {
+	for _, k := range n.relay.Strikes.OwnRecent(relay.StrikeBroadcastPeriod) {
 		s.Strikes = append(s.Strikes, &exchangev1.Strike{Work: uint64(k.Work), Endpoint: k.Endpoint})
 	}
 	for _, c := range n.relay.Claims.Own() {
 		s.Claims = append(s.Claims, &exchangev1.Claim{Work: uint64(c.Work), Id: c.ID, Running: c.Running})
 	}
-	for _, run := range n.relay.Vacated.Fresh(vacatedTold) {
+	for _, run := range n.relay.Vacated.OwnRecent(vacatedTold) {
 		s.Vacated = append(s.Vacated, uint32(run))
 	}
 	return s
--- a/relay/decisions_test.go
+++ b/relay/decisions_test.go
@@ -84,7 +84,7 @@
 		Consistently(done, 30*time.Millisecond).ShouldNot(BeClosed())
 		there := relay.NewVacatedRuns(now)
 		relay.NewDeparture(there, runs, spec).Leave("a")
-		here.Merge(there.Fresh(time.Second))
+		here.Merge(there.OwnRecent(time.Second))
 		Eventually(done, 30*time.Millisecond).Should(BeClosed())
 	}, SpecTimeout(5*time.Second))
 
@@ -107,7 +107,7 @@
 		d := relay.NewDeparture(here, runs, spec)
 		d.Leave("a")
 		other := relay.NewVacatedRuns(now)
-		other.Merge(here.Fresh(time.Second))
+		other.Merge(here.OwnRecent(time.Second))
 		Expect(d.Await(ctx, "b")).To(BeNumerically("<", 20*time.Millisecond))
 		Expect(relay.NewRunKey("a", 7)).NotTo(Equal(relay.NewRunKey("a", 8)))
 	}, SpecTimeout(5*time.Second))
@@ -187,9 +187,9 @@
 		s := newStrikes()
 		s.Add(7, 1)
 		s.Merge(8, 1)
-		Expect(s.Fresh(time.Second)).To(HaveLen(1))
+		Expect(s.OwnRecent(time.Second)).To(HaveLen(1))
 		now += 2 * time.Second
-		Expect(s.Fresh(time.Second)).To(BeEmpty())
+		Expect(s.OwnRecent(time.Second)).To(BeEmpty())
 	})
 
 	// A crash of all engines cuts hundreds of requests, none of which is at fault.
--- a/relay/strikes.go
+++ b/relay/strikes.go
@@ -36,9 +36,9 @@
 	// strikeTTL is how long a death counts against a request: longer than the retries of a caller
 	// and the restart of an engine together.
 	strikeTTL = 90 * time.Second
-	// StrikesTold is how long each strike is broadcast to the other nodes. That takes several
+	// StrikeBroadcastPeriod is how long each strike is broadcast to the other nodes. That takes several
 	// datagrams, any of which may be lost.
-	StrikesTold = 2 * time.Second
+	StrikeBroadcastPeriod = 2 * time.Second
 )
 
 // Strikes counts the endpoints, on all nodes, that died while they ran a request. It is safe for
@@ -93,7 +93,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.suspects.Merge(Strike{Work: work, Endpoint: endpoint, At: now - StrikesTold}.toPolicy(), now)
+	s.suspects.Merge(Strike{Work: work, Endpoint: endpoint, At: now - StrikeBroadcastPeriod}.toPolicy(), now)
 }
 
 // Clear removes the strikes against work that got a complete answer, which proves that it does not
@@ -108,14 +108,14 @@
 	return policy.Strike{Fingerprint: uint64(k.Work), Death: uint64(k.Endpoint), At: k.At}
 }
 
-// Fresh returns the strikes of this node that are not older than age and drops the others.
-func (s *Strikes) Fresh(age time.Duration) []Strike {
+// OwnRecent returns the strikes of this node that are not older than age and drops the others.
+func (s *Strikes) OwnRecent(maxAge time.Duration) []Strike {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	kept := s.own[:0]
 	for _, k := range s.own {
-		if now-k.At <= age {
+		if now-k.At <= maxAge {
 			kept = append(kept, k)
 		}
 	}
--- a/relay/vacated.go
+++ b/relay/vacated.go
@@ -150,13 +150,13 @@
 	return v.changed
 }
 
-// Fresh returns the runs of this node that left within the given age and drops the others.
-func (v *VacatedRuns) Fresh(age time.Duration) []RunKey {
+// OwnRecent returns the runs of this node that left within the given age and drops the others.
+func (v *VacatedRuns) OwnRecent(maxAge time.Duration) []RunKey {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var runs []RunKey
 	for run, at := range v.own {
-		if v.now()-at > age {
+		if v.now()-at > maxAge {
 			delete(v.own, run)
 			continue
 		}
