--- a/entry/entry.go
+++ b/entry/entry.go
@@ -187,7 +187,7 @@
 	if !h.Gate.Leaving() || route.Kind != routing.Streaming {
 		return nil
 	}
-	if relay.LongestTime(size) < h.Gate.Remaining() {
+	if relay.MaxGenerationTime(size) < h.Gate.Remaining() {
 		return nil
 	}
 	return refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetry, "this node is leaving; use another address")
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -103,15 +103,15 @@
 type Mover interface {
 	// Move copies the run's KV cache from the engine at source to the one at target and returns the
 	// handle of the copy. If stop is set, the run is stopped first.
-	Move(ctx context.Context, source, runID, target string, stop bool) (Moved, error)
+	Move(ctx context.Context, source, runID, target string, stop bool) (MoveResult, error)
 	// Report asks the engine at the address for its runs.
 	Report(ctx context.Context, address string) (EngineReport, error)
 	// Free deletes the copy made by a move.
 	Free(ctx context.Context, source, handle string) error
 }
 
-// Moved is the result of a move.
-type Moved struct {
+// MoveResult is the result of a move.
+type MoveResult struct {
 	Handle string
 	// Events is the number of events that the run had produced.
 	Events int
@@ -349,7 +349,7 @@
 // time until the work has fewer strikes than strikeLimit.
 func (j *job) suspectRefusal(strikes int) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun,
-		j.Strikes.Below(j.r.Fingerprint, strikeLimit), "%d endpoints died while running this request", strikes)
+		j.Strikes.UntilBelow(j.r.Fingerprint, strikeLimit), "%d endpoints died while running this request", strikes)
 }
 
 // deadlineRefusal is the answer to a request that reached its deadline.
@@ -368,8 +368,8 @@
 	maxTimePerToken   = 12 * time.Millisecond
 )
 
-// LongestTime returns how long a generation may take. It is based on the maximum output length,
+// MaxGenerationTime returns how long a generation may take. It is based on the maximum output length,
 // because callers' estimates are right at the median and often far too low.
-func LongestTime(s Size) time.Duration {
+func MaxGenerationTime(s Size) time.Duration {
 	return maxFirstEventTime + time.Duration(s.MaxOutput)*maxTimePerToken
 }
--- a/relay/strikes.go
+++ b/relay/strikes.go
@@ -67,9 +67,9 @@
 	return s.suspects.Count(uint64(work), s.now())
 }
 
-// Below returns the time until the work has fewer strikes than the limit, 0 if it already has
+// UntilBelow returns the time until the work has fewer strikes than the limit, 0 if it already has
 // fewer.
-func (s *Strikes) Below(work Fingerprint, limit int) time.Duration {
+func (s *Strikes) UntilBelow(work Fingerprint, limit int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.suspects.Below(uint64(work), limit, s.now())
@@ -108,7 +108,7 @@
 	return policy.Strike{Fingerprint: uint64(k.Work), Death: uint64(k.Endpoint), At: k.At}
 }
 
-// OwnRecent returns the strikes of this node that are not older than age and drops the others.
+// OwnRecent returns the strikes of this node that are not older than maxAge and drops the others.
 func (s *Strikes) OwnRecent(maxAge time.Duration) []Strike {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/relay/transfer.go
+++ b/relay/transfer.go
@@ -67,7 +67,7 @@
 // until ends. The engine makes the copy even if the answer is lost, and only a second order, which
 // sends just what is new, returns its handle. Without it, the whole KV cache would be sent again to
 // another target, over a link that other runs of the leaving engine wait for.
-func (t *transfer) moveWithRetry(ctx, until context.Context) (Moved, error) {
+func (t *transfer) moveWithRetry(ctx, until context.Context) (MoveResult, error) {
 	pause := copyRetryPause
 	for try := 1; ; try++ {
 		got, err := t.move(ctx)
@@ -87,7 +87,7 @@
 	return errors.Is(err, ErrCopying) || errors.As(err, &failed) && failed.Sent
 }
 
-func (t *transfer) move(ctx context.Context) (Moved, error) {
+func (t *transfer) move(ctx context.Context) (MoveResult, error) {
 	started := time.Now()
 	source, target := t.p.Instance(), t.target.Instance()
 	got, err := t.Mover.Move(ctx, source.Address, t.r.ID, target.Address, false)
--- a/relay/vacated.go
+++ b/relay/vacated.go
@@ -150,7 +150,7 @@
 	return v.changed
 }
 
-// OwnRecent returns the runs of this node that left within the given age and drops the others.
+// OwnRecent returns the runs of this node that left within maxAge and drops the others.
 func (v *VacatedRuns) OwnRecent(maxAge time.Duration) []RunKey {
 	v.mu.Lock()
 	defer v.mu.Unlock()
