--- a/relay/claims.go
+++ b/relay/claims.go
@@ -31,19 +31,19 @@
 const (
 	// claimSettleTime is how long a new claim is broadcast before it is acted upon. By then every
 	// reachable node knows of it, and if two claims are made at the same time, both nodes agree on
-	// which comes first. A datagram between data centres takes a few milliseconds, and is
-	// sent with a delay of up to 2 ms.
+	// which comes first. A datagram between data centres takes a few milliseconds, and is sent with
+	// a delay of up to 2 ms.
 	claimSettleTime = 25 * time.Millisecond
 	// maxClaims is the maximum number of claims that a node broadcasts, in the order of their
-	// turns. Further claims count on this node only. Each claim takes 15 B of a datagram of 1,400
-	// B.
+	// turns. Further claims count on this node only. Each claim takes 15 bytes of a datagram of
+	// 1,400 bytes.
 	maxClaims = 16
 	// claimRetryAfter is the retry delay given to a caller whose work could not be claimed. Within
 	// that time most of the running answers are complete, or their endpoints have died.
 	claimRetryAfter = time.Second
 )
 
-// Claim announces a running or pending run of work that has a strike.
+// Claim announces a running or pending run of work that an endpoint has died of.
 type Claim struct {
 	Work    Fingerprint
 	ID      uint32
@@ -55,7 +55,8 @@
 
 // Claims holds the claims of all nodes. It is safe for concurrent use.
 type Claims struct {
-	// Broadcast is called when other nodes should receive this node's claims at once. It must not block.
+	// Broadcast is called when other nodes should receive this node's claims at once. It must not
+	// block.
 	Broadcast func()
 
 	mu      sync.Mutex
@@ -148,8 +149,7 @@
 	return n, c.changed
 }
 
-// newClaim returns the claim of a request to its work. The claim's ID is a hash of the request's
-// ID.
+// newClaim returns the claim of a request to its work. Its ID is a hash of the request's ID.
 func newClaim(r *Request, running bool) Claim {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(r.ID))
--- a/relay/mover.go
+++ b/relay/mover.go
@@ -190,8 +190,7 @@
 	return target
 }
 
-// discard stops the migration and frees an unused copy, after the stream has ended or its caller
-// has left.
+// discard stops the migration and frees the copy if the stream was not resumed from it.
 func (m *migrator) discard() {
 	m.cancel()
 	<-m.done
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -368,8 +368,8 @@
 	maxTimePerToken   = 12 * time.Millisecond
 )
 
-// MaxGenerationTime returns how long a generation may take. It is based on the maximum output length,
-// because callers' estimates are right at the median and often far too low.
+// MaxGenerationTime returns how long a generation may take. It is based on the maximum output
+// length, because callers' estimates are right at the median and often far too low.
 func MaxGenerationTime(s Size) time.Duration {
 	return maxFirstEventTime + time.Duration(s.MaxOutput)*maxTimePerToken
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -584,13 +584,13 @@
 			r.engine(fmt.Sprintf("e%d", i), 20, nil)
 		}
 		var copies sync.WaitGroup
-		verdicts := make([]relay.Result, 8)
-		for i := range verdicts {
+		results := make([]relay.Result, 8)
+		for i := range results {
 			req := r.request(routing.Streaming)
-			copies.Go(func() { verdicts[i], _ = r.serve(req) })
+			copies.Go(func() { results[i], _ = r.serve(req) })
 		}
 		copies.Wait()
-		for _, v := range verdicts {
+		for _, v := range results {
 			Expect(v.Refusal).To(BeNil())
 			Expect(v.Broken).To(BeFalse())
 			Expect(v.FirstEvent).To(BeNumerically("<", time.Second))
--- a/relay/strikes.go
+++ b/relay/strikes.go
@@ -36,8 +36,8 @@
 	// strikeTTL is how long a death counts against a request: longer than the retries of a caller
 	// and the restart of an engine together.
 	strikeTTL = 90 * time.Second
-	// StrikeBroadcastPeriod is how long each strike is broadcast to the other nodes. That takes several
-	// datagrams, any of which may be lost.
+	// StrikeBroadcastPeriod is how long each strike is broadcast to the other nodes. That takes
+	// several datagrams, any of which may be lost.
 	StrikeBroadcastPeriod = 2 * time.Second
 )
 
