--- a/node/node.go
+++ b/node/node.go
@@ -148,12 +148,12 @@
 		},
 		Strikes: relay.NewStrikes(boottime.Now),
 		Claims:  relay.NewClaims(),
-		Vacated: relay.NewVacated(boottime.Now),
+		Vacated: relay.NewVacatedRuns(boottime.Now),
 		Log:     log,
 	}
-	n.relay.Vacated.Tell = n.gossip.TellAll
-	n.relay.Strikes.Tell = n.gossip.TellNow
-	n.relay.Claims.Tell = n.gossip.TellNow
+	n.relay.Vacated.Broadcast = n.gossip.TellAll
+	n.relay.Strikes.Broadcast = n.gossip.TellNow
+	n.relay.Claims.Broadcast = n.gossip.TellNow
 	n.starter = n.newStarter()
 	n.configFeed = &feed{
 		store: n.store, table: platform.TableOperator, wait: changesWait, log: log,
--- a/relay/copies.go
+++ b/relay/copies.go
@@ -14,33 +14,34 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// A long answer has a backup while memory is at hand: its engine sends the run's memory to
-// another one as it grows. When the engine is gone, announced or not, the run goes on from
-// there, and its caller sees a pause of some steps. Without it an engine that crashes takes
-// its streams along, and one that leaves on short notice is emptied over a link that is too
-// slow for all of its runs.
+// A long answer has a backup as long as spare memory is available: its engine sends the run's KV
+// cache to another engine as it grows. When the engine goes away, announced or not, the run is
+// resumed from the backup, and its caller sees a pause of a few steps. Without backups, an engine
+// that crashes loses all of its streams, and an engine that leaves at short notice must move all of
+// its runs over a link that is too slow for that.
 
 var (
-	// ErrNoRun is for a run that an engine does not know, or no longer.
+	// ErrNoRun means that the engine does not know the run, or does not know it any longer.
 	ErrNoRun = errors.New("the engine knows no such run")
-	// ErrCopying is for a run that an engine is copying already.
-	ErrCopying = errors.New("the engine is copying the run already")
+	// ErrCopying means that the engine is already copying the run.
+	ErrCopying = errors.New("the engine is already copying the run")
 )
 
 const (
-	// overTimeout bounds the question whether a run is over whose answer broke off: two
-	// connections that are not answered, and the rest.
-	overTimeout = time.Second
-	// unreachableTries is the number of connections that an engine must leave without an
-	// answer to count as gone: the first packet of one may be lost.
-	unreachableTries = 2
-	// overRetry is the pause between two such questions.
-	overRetry = 5 * time.Millisecond
-	// copyMargin is the time beyond its lifetime for which an engine may keep a copy.
+	// stopTimeout limits the attempts to make sure that a run has ended after its answer broke off.
+	// It allows for two connection attempts without an answer and for the remaining calls.
+	stopTimeout = time.Second
+	// maxUnreachable is the number of connection attempts without an answer after which an engine
+	// counts as gone. One is not enough, because its first packet may be lost.
+	maxUnreachable = 2
+	// stopRetryPause is the pause between two attempts to stop a run.
+	stopRetryPause = 5 * time.Millisecond
+	// copyMargin is the time for which an engine may keep a copy beyond the configured lifetime.
 	copyMargin = 2 * time.Second
 )
 
-// holdBackup finds room for a backup of a long answer; nil if there is none.
+// holdBackup reserves room for the backup of a long answer on an endpoint that is not in except. It
+// returns nil for short answers and if no endpoint has room.
 func (j *job) holdBackup(p *fleet.Placement, except ...string) *fleet.Holding {
 	w := j.want()
 	w.Exclude = except
@@ -54,110 +55,114 @@
 	return h
 }
 
-// dropBackup gives the backup's room back once the engine has freed it.
-func (j *job) dropBackup(h *fleet.Holding, whole bool) {
+// dropBackup releases the reservation of a backup: at once if freed is set, because the engine has
+// freed the backup or never made it, and after copyLifetime otherwise.
+func (j *job) dropBackup(h *fleet.Holding, freed bool) {
 	switch {
 	case h == nil:
-	case whole:
+	case freed:
 		h.Release(0)
 	default:
 		h.Release(j.copyLifetime())
 	}
 }
 
-// copyLifetime is the time after which a copy that nobody uses is certainly gone.
+// copyLifetime returns the time after which an unused copy is guaranteed to be gone.
 func (j *job) copyLifetime() time.Duration { return j.r.Service.Engine.CopyLifetime + copyMargin }
 
-// sound tells whether the leg's backup can be counted on.
-func (l *leg) sound() bool {
-	if l.backup == nil || l.backup.Life().Err() != nil {
+// backupUsable reports whether the segment has a backup on an endpoint that is alive, not leaving
+// and not evacuated.
+func (s *segment) backupUsable() bool {
+	if s.backup == nil || s.backup.Life().Err() != nil {
 		return false
 	}
 	select {
-	case <-l.backup.Unusable():
+	case <-s.backup.Unusable():
 		return false
 	default:
 		return true
 	}
 }
 
-// copyOfRun is a copy of a run's memory on an engine, from which the run can go on once it
-// is over at its own.
-type copyOfRun struct {
+// runCopy is a copy of a run's KV cache on another engine. The run can be resumed from it once it
+// has ended on its own engine.
+type runCopy struct {
 	engine fleet.Instance
 	resume Resume
-	// take returns the place of the run at the engine; nil if it can't be had any more.
+	// take returns the run's placement on the engine, or nil if it is no longer available.
 	take func() *fleet.Placement
 }
 
-// copies returns the copies that there are: that of a move that did not come to its end,
-// and the backup.
-func (l *leg) copies(at *progress) []copyOfRun {
-	var all []copyOfRun
-	if m := l.mover.copied(); m != nil && m.target.Life().Err() == nil && m.target.Usable() {
-		all = append(all, copyOfRun{
+// copies returns the available copies of the run: the copy made by an unfinished move, and the
+// backup.
+func (s *segment) copies(prog *progress) []runCopy {
+	var all []runCopy
+	if m := s.migrator.currentCopy(); m != nil && m.target.Life().Err() == nil && m.target.Usable() {
+		all = append(all, runCopy{
 			engine: m.target.Instance(),
-			resume: Resume{Source: m.source, Handle: m.handle, LastEvent: at.last},
-			take:   l.mover.takeCopy,
+			resume: Resume{Source: m.source, Handle: m.handle, LastEvent: prog.last},
+			take:   s.migrator.takeCopy,
 		})
 	}
-	if l.backup != nil && l.backup.Life().Err() == nil {
-		all = append(all, copyOfRun{
-			engine: l.backup.Instance(),
-			resume: Resume{Source: l.backup.Instance().Address, Handle: l.r.ID, LastEvent: at.last},
-			take:   func() *fleet.Placement { return l.backup.Take(at.count * l.tokensPerEvent()) },
+	if s.backup != nil && s.backup.Life().Err() == nil {
+		all = append(all, runCopy{
+			engine: s.backup.Instance(),
+			resume: Resume{Source: s.backup.Instance().Address, Handle: s.r.ID, LastEvent: prog.last},
+			take:   func() *fleet.Placement { return s.backup.Take(prog.count * s.tokensPerEvent()) },
 		})
 	}
 	return all
 }
 
-// fromCopy continues a stream whose engine is gone, nil if that is not possible.
-func (l *leg) fromCopy(ctx context.Context, at *progress) *leg {
-	known := l.mover.copied()
-	if next := l.fromOne(ctx, at, l.copies(at)); next != nil {
+// resumeFromCopies resumes a stream whose engine is gone and returns its next segment, or nil if
+// the stream cannot be resumed.
+func (s *segment) resumeFromCopies(ctx context.Context, prog *progress) *segment {
+	known := s.migrator.currentCopy()
+	if next := s.resumeFromAny(ctx, prog, s.copies(prog)); next != nil {
 		return next
 	}
-	if l.deadly() {
+	if s.strikeLimitReached() {
 		return nil
 	}
-	waited := l.mover.awaitOrder(ctx)
-	// The answer may also have come since the copies were looked at.
-	late := l.mover.copied()
+	waited := s.migrator.awaitCopyAnswer(ctx)
+	// The answer may also have arrived since the copies were listed.
+	late := s.migrator.currentCopy()
 	fresh := late != nil && late != known
 	if waited {
 		metrics.Count("stream_awaited_copy")
-		l.Log.Info("stream waited for its copy", zap.String("request", l.r.ID), zap.String("endpoint", l.p.Instance().ID),
-			zap.Bool("copied", fresh), zap.Duration("pause", time.Since(at.lastAt)))
+		s.Log.Info("stream waited for its copy", zap.String("request", s.r.ID), zap.String("endpoint", s.p.Instance().ID),
+			zap.Bool("copied", fresh), zap.Duration("pause", time.Since(prog.lastAt)))
 	}
 	if !fresh {
 		return nil
 	}
-	return l.fromOne(ctx, at, l.copies(at))
+	return s.resumeFromAny(ctx, prog, s.copies(prog))
 }
 
-// fromOne continues a stream from one of the copies, nil if none of them serves.
-func (l *leg) fromOne(ctx context.Context, at *progress, copies []copyOfRun) *leg {
-	if len(copies) == 0 || l.deadly() {
+// resumeFromAny resumes a stream from the first of the copies that works. It returns nil if there
+// is none.
+func (s *segment) resumeFromAny(ctx context.Context, prog *progress, copies []runCopy) *segment {
+	if len(copies) == 0 || s.strikeLimitReached() {
 		return nil
 	}
-	over, stopped := l.over(ctx, copies[0].engine)
-	if !over {
+	ended, handle := s.ensureStopped(ctx, copies[0].engine)
+	if !ended {
 		metrics.Count("stream_not_over")
 		return nil
 	}
-	if stopped != "" {
-		copies[0].resume = Resume{Source: l.p.Instance().Address, Handle: stopped, LastEvent: at.last}
+	if handle != "" {
+		copies[0].resume = Resume{Source: s.p.Instance().Address, Handle: handle, LastEvent: prog.last}
 	}
-	if !leaving(l.p) {
-		// The death may be held against the work; this copy is under way all the same.
-		l.setClaim(true)
+	if !leaving(s.p) {
+		// The death may count as a strike against the work. This copy of the work keeps running.
+		s.setClaim(true)
 	}
 	for i := range copies {
 		place := copies[i].take()
 		if place == nil {
 			continue
 		}
-		if next := l.resume(ctx, place, &copies[i].resume, at); next != nil {
+		if next := s.resume(ctx, place, &copies[i].resume, prog); next != nil {
 			metrics.Count("stream_from_copy")
 			return next
 		}
@@ -166,21 +171,22 @@
 	return nil
 }
 
-// over makes certain that the run is over at its engine. A run whose answer broke off may
-// still be at work, and must not be at two engines at a time: it is told to stop, and its
-// memory then goes to the target under the handle that is returned. An engine that is
-// gone, or knows no such run, has none.
-func (l *leg) over(ctx context.Context, target fleet.Instance) (over bool, handle string) {
-	if l.p.Life().Err() != nil {
+// ensureStopped makes sure that the run has ended on its engine. A run whose answer broke off may
+// still be active, and must not run on two engines at once. The engine is therefore ordered to stop
+// it, after which its KV cache is copied to target under the returned handle. The handle is empty
+// if the engine is gone or does not know the run. ensureStopped returns false if the run may still
+// be active.
+func (s *segment) ensureStopped(ctx context.Context, target fleet.Instance) (ended bool, handle string) {
+	if s.p.Life().Err() != nil {
 		return true, ""
 	}
-	ctx, cancel := context.WithTimeout(ctx, overTimeout)
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	source := l.p.Instance()
+	source := s.p.Instance()
 	unreached := 0
 	for ctx.Err() == nil {
-		got, err := l.Mover.Move(ctx, source.Address, l.r.ID, target.Address, true)
-		l.Log.Info("stream broke off", zap.String("request", l.r.ID), zap.String("endpoint", source.ID),
+		got, err := s.Mover.Move(ctx, source.Address, s.r.ID, target.Address, true)
+		s.Log.Info("stream broke off", zap.String("request", s.r.ID), zap.String("endpoint", source.ID),
 			zap.String("copy_at", target.ID), zap.Bool("stopped", err == nil), zap.NamedError("cause", err))
 		if err == nil {
 			return got.Handle != "" && !got.Refused, got.Handle
@@ -192,14 +198,14 @@
 		if errors.As(err, &failed) && !failed.Sent {
 			unreached++
 		}
-		if unreached >= unreachableTries || errors.Is(err, syscall.ECONNREFUSED) {
-			// Others must not be sent there, nor backups, until its entry is gone.
-			l.p.Report(fleet.Unreachable)
+		if unreached >= maxUnreachable || errors.Is(err, syscall.ECONNREFUSED) {
+			// Keeps new requests and backups off the endpoint until its entry is removed.
+			s.p.Report(fleet.Unreachable)
 			return true, ""
 		}
-		// A kept connection to an engine that has died ends without an answer; the next
-		// one is refused.
-		retry.Sleep(ctx, overRetry)
+		// A pooled connection to an engine that has died ends without an answer. The next
+		// connection attempt is refused.
+		retry.Sleep(ctx, stopRetryPause)
 	}
 	return false, ""
 }
--- a/relay/export_test.go
+++ b/relay/export_test.go
@@ -14,43 +14,43 @@
 	MoveTime       = moveTime
 	NewEventReader = newEventReader
 	SplitEvent     = splitEvent
-	LeftKey        = runKey
+	NewRunKey      = newRunKey
 )
 
-// Next gives tests the events of a reader.
+// Next returns the next events of the reader.
 func (r *eventReader) Next() ([]byte, error) { return r.next() }
 
-// MoveOverhead is the time that a move takes beside its copy; TurnSlack is by how much a
-// run may take longer before the next one no longer waits.
+// MoveOverhead is the duration of a move without its copy. TurnSlackFactor is the multiple of the
+// expected time after which the next run stops waiting.
 const (
-	MoveOverhead = moveOverhead
-	TurnSlack    = turnSlack
-	RefreshEvery = refreshEvery
+	MoveOverhead    = moveOverhead
+	TurnSlackFactor = turnSlackFactor
+	RefreshInterval = refreshInterval
 )
 
 // StrikeLimit is the number of endpoints that may die of one request.
 const StrikeLimit = strikeLimit
 
-// Departure is one engine that leaves, as one node sees it.
+// Departure is one leaving engine, as seen by one node.
 type Departure struct {
-	relay *Relay
-	e     *migration
+	relay     *Relay
+	migration *migration
 }
 
 // NewDeparture returns the departure of an engine with the given runs.
-func NewDeparture(v *Vacated, runs []EngineRun, spec *routing.EngineSpec) *Departure {
-	e := &migration{order: migrationOrder(runs, spec), spec: spec, engine: departing}
-	return &Departure{relay: &Relay{Vacated: v, Fleet: &fleet.Fleet{}}, e: e}
+func NewDeparture(v *VacatedRuns, runs []EngineRun, spec *routing.EngineSpec) *Departure {
+	e := &migration{order: migrationOrder(runs, spec), spec: spec, engine: testEngineKey}
+	return &Departure{relay: &Relay{Vacated: v, Fleet: &fleet.Fleet{}}, migration: e}
 }
 
-const departing fleet.EndpointKey = 7
+const testEngineKey fleet.EndpointKey = 7
 
-// Await waits for the run's turn and returns the time that it took.
+// Await waits for the run's turn and returns how long that took.
 func (d *Departure) Await(ctx context.Context, runID string) time.Duration {
 	began := time.Now()
-	d.relay.awaitTurn(ctx, d.e, runID)
+	d.relay.awaitTurn(ctx, d.migration, runID)
 	return time.Since(began)
 }
 
 // Leave records that a run has left the engine.
-func (d *Departure) Leave(runID string) { d.relay.Vacated.leave(runKey(runID, departing)) }
+func (d *Departure) Leave(runID string) { d.relay.Vacated.markVacated(newRunKey(runID, testEngineKey)) }
--- a/relay/mover.go
+++ b/relay/mover.go
@@ -10,49 +10,49 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// mover copies the memory of a running generation away from an engine that is about to
-// leave. The run is not stopped: it goes on at its engine until that is gone, and then
-// from the copy, where the engine reads again what came after the last part of it. The
-// caller sees a pause of some steps. Without it every stream is lost whose engine leaves,
-// for a stream may not be run twice.
+// migrator copies the KV cache of a running generation away from an engine that is about to leave.
+// The run is not stopped: it continues on its engine until that is gone, and is then resumed from
+// the copy, where the engine recomputes the tokens generated since the last refresh of the copy.
+// The caller sees a pause of a few steps. Without a copy, every stream on a leaving engine is lost,
+// because a stream must not be run twice.
 //
-// A run that is stopped first, so that nothing need be read again, waits with its last
-// part behind whatever is queued on the links of source and target, and its caller with
-// it: half a second and more where other copies are under way.
-type mover struct {
-	leg    *leg
-	cancel context.CancelFunc
-	done   chan struct{}
-	// begun is closed with the first event: before it there is nothing to copy.
+// Stopping the run first would avoid the recomputation, but its last part would wait behind
+// everything that is queued on the links of source and target, and so would its caller: half a
+// second and more while other copies are in progress.
+type migrator struct {
+	segment *segment
+	cancel  context.CancelFunc
+	done    chan struct{}
+	// begun is closed at the first event. Before that there is nothing to copy.
 	begun     chan struct{}
 	beginOnce sync.Once
 
-	// refused are engines that had no room for the run.
+	// refused holds the IDs of engines that had no room for the run.
 	refused []string
 
 	mu sync.Mutex
-	// copy is the run's copy at a target, nil while there is none.
+	// copy is the run's copy on a target, nil if there is none.
 	copy *targetCopy
-	// answered is closed once the order to copy that is under way has its answer, and the
-	// copy that it made, if any, is kept; nil while none is under way.
+	// answered is closed once the pending order to copy has been answered and the resulting copy,
+	// if any, is stored in copy. It is nil while no order is pending.
 	answered chan struct{}
 }
 
 const (
-	// moveTries bounds the targets that are tried for one run.
-	moveTries = 12
-	// moveRetry is the pause before engines are looked through again when none had room.
-	moveRetry = 60 * time.Millisecond
+	// maxMoveTries is the maximum number of targets that are tried for one run.
+	maxMoveTries = 12
+	// moveRetryPause is the pause before the next search for a target when no engine had room.
+	moveRetryPause = 60 * time.Millisecond
 )
 
-func newMover(l *leg) *mover {
-	return &mover{leg: l, done: make(chan struct{}), begun: make(chan struct{})}
+func newMigrator(s *segment) *migrator {
+	return &migrator{segment: s, done: make(chan struct{}), begun: make(chan struct{})}
 }
 
-func (m *mover) start(ctx context.Context) {
+func (m *migrator) start(ctx context.Context) {
 	ctx, m.cancel = context.WithCancel(ctx)
-	spec := m.leg.r.Service.Engine
-	if spec == nil || !spec.CanMove || m.leg.Fleet.Without[fleet.Moves] {
+	spec := m.segment.r.Service.Engine
+	if spec == nil || !spec.CanMove || m.segment.Fleet.Without[fleet.Moves] {
 		close(m.done)
 		return
 	}
@@ -62,9 +62,9 @@
 	}()
 }
 
-func (m *mover) stop() { m.cancel() }
+func (m *migrator) stop() { m.cancel() }
 
-func (m *mover) hasBegun() bool {
+func (m *migrator) hasBegun() bool {
 	select {
 	case <-m.begun:
 		return true
@@ -73,31 +73,31 @@
 	}
 }
 
-func (m *mover) eventSeen() { m.beginOnce.Do(func() { close(m.begun) }) }
+func (m *migrator) markBegun() { m.beginOnce.Do(func() { close(m.begun) }) }
 
-// watch waits until the engine leaves and then has the run copied in its turn.
-func (m *mover) watch(ctx context.Context) {
-	l := m.leg
-	if !await(ctx, l.p.Leaving()) || l.p.Life().Err() != nil {
+// watch waits until the engine is leaving and then has the run copied when its turn comes.
+func (m *migrator) watch(ctx context.Context) {
+	s := m.segment
+	if !await(ctx, s.p.Leaving()) || s.p.Life().Err() != nil {
 		return
 	}
-	if l.sound() {
-		// The run goes on from its backup; the link is left to runs without one.
-		l.Vacated.leave(l.runKey())
-		if !await(ctx, l.backup.Unusable()) {
+	if s.backupUsable() {
+		// The run will be resumed from its backup, which leaves the link to runs without a backup.
+		s.Vacated.markVacated(s.runKey())
+		if !await(ctx, s.backup.Unusable()) {
 			return
 		}
 	}
 	if !m.hasBegun() {
-		// Others need not wait for a run whose prompt is still being read.
-		l.Vacated.leave(l.runKey())
+		// Other runs need not wait for a run whose prompt is still being processed.
+		s.Vacated.markVacated(s.runKey())
 	}
 	if !await(ctx, m.begun) {
 		return
 	}
-	l.awaitTurn(ctx, l.migration(ctx, l.p, l.r.Service.Engine), l.r.ID)
-	defer l.Vacated.leave(l.runKey())
-	for range moveTries {
+	s.awaitTurn(ctx, s.migrationFor(ctx, s.p, s.r.Service.Engine), s.r.ID)
+	defer s.Vacated.markVacated(s.runKey())
+	for range maxMoveTries {
 		if m.try(ctx) || ctx.Err() != nil {
 			return
 		}
@@ -105,7 +105,7 @@
 	metrics.Count("move_given_up")
 }
 
-// await waits for the channel; it returns false if ctx ends first.
+// await waits until the channel is closed. It returns false if ctx ends first.
 func await(ctx context.Context, ch <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
@@ -115,32 +115,32 @@
 	}
 }
 
-// try copies the run to one target and keeps the copy fresh until the leg ends; it returns
-// true if no further try makes sense.
-func (m *mover) try(ctx context.Context) bool {
-	l := m.leg
-	want := l.want()
+// try copies the run to one target and refreshes the copy until the segment ends. It returns true
+// if no further try is useful.
+func (m *migrator) try(ctx context.Context) bool {
+	s := m.segment
+	want := s.want()
 	want.Exclude = m.refused
-	target := l.Fleet.Target(l.p, want)
+	target := s.Fleet.Target(s.p, want)
 	if target == nil {
 		metrics.Count("move_no_target")
 		m.refused = nil
-		retry.Sleep(ctx, moveRetry)
+		retry.Sleep(ctx, moveRetryPause)
 		return false
 	}
-	t := &transfer{leg: l, target: target}
-	if !m.order(ctx, t) {
+	t := &transfer{segment: s, target: target}
+	if !m.orderCopy(ctx, t) {
 		m.refused = append(m.refused, target.Instance().ID)
 		t.abandon()
 		return ctx.Err() != nil
 	}
-	l.Vacated.leave(l.runKey())
+	s.Vacated.markVacated(s.runKey())
 	t.refresh(ctx)
 	return true
 }
 
-// order has the transfer's copy made and keeps it; it returns false if there is none.
-func (m *mover) order(ctx context.Context, t *transfer) bool {
+// orderCopy lets the transfer make its copy and stores the copy. It returns false if there is none.
+func (m *migrator) orderCopy(ctx context.Context, t *transfer) bool {
 	answered := make(chan struct{})
 	defer close(answered)
 	m.mu.Lock()
@@ -152,33 +152,34 @@
 	defer m.mu.Unlock()
 	m.answered = nil
 	if copied {
-		m.copy = &targetCopy{source: m.leg.p.Instance().Address, handle: t.handle, target: t.target}
+		m.copy = &targetCopy{source: m.segment.p.Instance().Address, handle: t.handle, target: t.target}
 	}
 	return copied
 }
 
-// awaitOrder waits for the answer to the order to copy that is under way; it returns false
-// if there is none, or if ctx ends first.
+// awaitCopyAnswer waits for the answer to the pending order to copy. It returns false if no order
+// is pending or if ctx ends first.
 //
-// An engine may die right after it has made a copy. Its streams are then cut, each by a
-// connection of its own, a moment before or after the answer to the order: a stream that
-// asked for copies at its cut only would be given up with its copy at hand.
-func (m *mover) awaitOrder(ctx context.Context) bool {
+// An engine may die right after it has made a copy. Its streams are then cut, each on its own
+// connection, shortly before or after the answer to the order arrives. A stream that looked for
+// copies only when it was cut would be given up although its copy exists.
+func (m *migrator) awaitCopyAnswer(ctx context.Context) bool {
 	m.mu.Lock()
 	answered := m.answered
 	m.mu.Unlock()
 	return answered != nil && await(ctx, answered)
 }
 
-// copied returns the run's copy, nil if there is none.
-func (m *mover) copied() *targetCopy {
+// currentCopy returns the run's copy, or nil if there is none.
+func (m *migrator) currentCopy() *targetCopy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.copy
 }
 
-// takeCopy returns the place at which the copy is.
-func (m *mover) takeCopy() *fleet.Placement {
+// takeCopy returns the placement at the copy's target, or nil if there is no copy. The caller then
+// owns the placement.
+func (m *migrator) takeCopy() *fleet.Placement {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.copy == nil {
@@ -189,8 +190,8 @@
 	return target
 }
 
-// discard gives up a copy that is not needed: the stream ended, or its caller left.
-func (m *mover) discard() {
+// discard stops the migration and frees the copy if the stream was not resumed from it.
+func (m *migrator) discard() {
 	m.cancel()
 	<-m.done
 	m.mu.Lock()
@@ -198,6 +199,6 @@
 	m.copy = nil
 	m.mu.Unlock()
 	if unused != nil {
-		unused.giveUp(m.leg.job)
+		unused.discard(m.segment.job)
 	}
 }
--- a/relay/vacated.go
+++ b/relay/vacated.go
@@ -9,11 +9,11 @@
 	"github.com/crocusreel/crocusreel/fleet"
 )
 
-// RunKey identifies a run on one engine in messages between nodes: a run that has moved
-// may soon have to leave its next engine, too.
+// RunKey identifies a run on one engine in messages between nodes. It depends on the engine,
+// because a run that has moved may soon have to leave its next engine as well.
 type RunKey uint32
 
-func runKey(id string, engine fleet.EndpointKey) RunKey {
+func newRunKey(id string, engine fleet.EndpointKey) RunKey {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(engine)))
@@ -21,55 +21,57 @@
 }
 
 const (
-	// vacatedMemory is how long it is remembered that a run has left its engine: longer
-	// than any notice of an engine.
-	vacatedMemory = 5 * time.Second
-	// maxVacated bounds the remembered runs.
+	// vacatedTTL is how long a run is remembered as having left its engine. It is longer than the
+	// notice period of any engine.
+	vacatedTTL = 5 * time.Second
+	// maxVacated is the maximum number of runs in each map.
 	maxVacated = 1024
-	// endedMemory is how long ago a run may have ended that an engine still names: its
-	// report is some hundred milliseconds old.
-	endedMemory = 2 * time.Second
+	// endedTTL is how long an ended run is remembered. An engine's report is a few hundred
+	// milliseconds old and may still contain runs that have ended since.
+	endedTTL = 2 * time.Second
 )
 
-// Vacated records which runs no longer use the link of an engine that leaves, on all
-// nodes: they have moved, have ended, or do not move. The next run's move waits for that.
-type Vacated struct {
+// VacatedRuns records, for all nodes, which runs no longer use the link of a leaving engine because
+// they have moved, have ended or are not moved. The move of the next run waits for that. It is safe
+// for concurrent use.
+type VacatedRuns struct {
 	now func() time.Duration
-	// Tell is called when other nodes should hear at once; it must not block.
-	Tell func()
+	// Broadcast is called when other nodes should receive this node's changes at once. It must not
+	// block.
+	Broadcast func()
 
 	mu  sync.Mutex
 	all map[RunKey]time.Duration
-	// own are those of this node, for the others, and ended are runs of this node that
-	// ended lately.
+	// own holds the runs of this node to broadcast to the others, ended the runs of this node that
+	// ended recently.
 	own, ended map[RunKey]time.Duration
 	changed    chan struct{}
 }
 
-// NewVacated returns an empty record. Now reads a monotonic clock.
-func NewVacated(now func() time.Duration) *Vacated {
-	return &Vacated{
-		now: now, Tell: func() {},
+// NewVacatedRuns returns an empty record. The function now reads a monotonic clock.
+func NewVacatedRuns(now func() time.Duration) *VacatedRuns {
+	return &VacatedRuns{
+		now: now, Broadcast: func() {},
 		all: make(map[RunKey]time.Duration), own: make(map[RunKey]time.Duration), ended: make(map[RunKey]time.Duration),
 		changed: make(chan struct{}),
 	}
 }
 
-// Merge takes what another node told.
-func (v *Vacated) Merge(runs []RunKey) {
+// Merge adds the runs reported by another node.
+func (v *VacatedRuns) Merge(runs []RunKey) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.addLocked(runs)
 }
 
-func (v *Vacated) addLocked(runs []RunKey) {
+func (v *VacatedRuns) addLocked(runs []RunKey) {
 	fresh := false
 	now := v.now()
 	for _, run := range runs {
 		if _, known := v.all[run]; known {
 			continue
 		}
-		forget(v.all, now, vacatedMemory)
+		evictExpired(v.all, now, vacatedTTL)
 		v.all[run] = now
 		fresh = true
 	}
@@ -79,9 +81,9 @@
 	}
 }
 
-// forget drops what is older than the given time once there is much of it, and all of it
-// if that is not enough.
-func forget(m map[RunKey]time.Duration, now, after time.Duration) {
+// evictExpired drops entries older than after once m has maxVacated entries, and all entries if it
+// is still full then.
+func evictExpired(m map[RunKey]time.Duration, now, after time.Duration) {
 	if len(m) < maxVacated {
 		return
 	}
@@ -95,66 +97,66 @@
 	}
 }
 
-// leave records that a run of this node no longer uses its engine's link.
-func (v *Vacated) leave(run RunKey) {
+// markVacated records that a run of this node no longer uses its engine's link.
+func (v *VacatedRuns) markVacated(run RunKey) {
 	v.mu.Lock()
-	v.leaveLocked(run)
+	v.markVacatedLocked(run)
 	v.mu.Unlock()
-	v.Tell()
+	v.Broadcast()
 }
 
-func (v *Vacated) leaveLocked(run RunKey) {
-	forget(v.own, v.now(), vacatedMemory)
+func (v *VacatedRuns) markVacatedLocked(run RunKey) {
+	evictExpired(v.own, v.now(), vacatedTTL)
 	v.own[run] = v.now()
 	v.addLocked([]RunKey{run})
 }
 
-// end records that a stream of this node has ended.
-func (v *Vacated) end(run RunKey) {
+// markEnded records that a stream of this node has ended.
+func (v *VacatedRuns) markEnded(run RunKey) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	forget(v.ended, v.now(), endedMemory)
+	evictExpired(v.ended, v.now(), endedTTL)
 	v.ended[run] = v.now()
 }
 
-// endedAmong tells the others which of the runs that an engine still names have ended.
-func (v *Vacated) endedAmong(runs []EngineRun, engine fleet.EndpointKey) {
+// announceEnded tells the other nodes which of the runs that an engine still reports have ended.
+func (v *VacatedRuns) announceEnded(runs []EngineRun, engine fleet.EndpointKey) {
 	v.mu.Lock()
-	told := false
+	announced := false
 	for _, r := range runs {
-		run := runKey(r.ID, engine)
-		if at, ended := v.ended[run]; ended && v.now()-at <= endedMemory {
-			v.leaveLocked(run)
-			told = true
+		run := newRunKey(r.ID, engine)
+		if at, ended := v.ended[run]; ended && v.now()-at <= endedTTL {
+			v.markVacatedLocked(run)
+			announced = true
 		}
 	}
 	v.mu.Unlock()
-	if told {
-		v.Tell()
+	if announced {
+		v.Broadcast()
 	}
 }
 
-func (v *Vacated) has(run RunKey) bool {
+func (v *VacatedRuns) has(run RunKey) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	_, left := v.all[run]
 	return left
 }
 
-// changes returns a channel that is closed when another run has left.
-func (v *Vacated) changes() <-chan struct{} {
+// changes returns a channel that is closed when another run has left its engine.
+func (v *VacatedRuns) changes() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// Fresh returns this node's runs that left since the given age and forgets older ones.
-func (v *Vacated) Fresh(age time.Duration) []RunKey {
+// OwnRecent returns the runs of this node that left within maxAge and drops the others.
+func (v *VacatedRuns) OwnRecent(maxAge time.Duration) []RunKey {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var runs []RunKey
 	for run, at := range v.own {
-		if v.now()-at > age {
+		if v.now()-at > maxAge {
 			delete(v.own, run)
 			continue
 		}
