--- a/node/addresses_test.go
+++ b/node/addresses_test.go
@@ -9,7 +9,7 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// Guards against callers who are sent to nodes that are gone, or needlessly to another region.
+// Guards against sending callers to nodes that are gone, or needlessly to another region.
 func TestAddressesForACaller(t *testing.T) {
 	regions := map[string]string{"dc1": "north", "dc2": "north", "dc3": "south"}
 	var all []gossip.Peer
@@ -23,7 +23,7 @@
 		caller string
 		fresh  bool
 		bound  []string
-		// gone are addresses of nodes that are not ready.
+		// gone lists the addresses of nodes that are not ready.
 		gone []string
 		want []string
 	}{
@@ -48,7 +48,7 @@
 			}
 			question := platform.AddressQuestion{Host: "a.example", DataCentre: c.caller, Region: regions[c.caller]}
 			if got := node.ChooseAddresses(nodes, regions, c.bound, "dc1", c.fresh, question); !slices.Equal(got, c.want) {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("chosen addresses %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/node/benchmark_test.go
+++ b/node/benchmark_test.go
@@ -9,7 +9,7 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// benchEndpoints is the number of endpoints that a node knows here.
+// benchEndpoints is the number of endpoints in the benchmarked table.
 const benchEndpoints = 3000
 
 func benchRow(i int, version int64) platform.Row {
@@ -31,8 +31,8 @@
 	return &e
 }
 
-// BenchmarkChange takes over one answer of the store with ten changed rows and makes the
-// answer for a follower.
+// BenchmarkChange measures applying an answer of the store with ten changed rows and making the
+// response for a follower.
 func BenchmarkChange(b *testing.B) {
 	e := benchEntries()
 	version := int64(1)
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkWhole makes the answer for a node that starts.
+// BenchmarkWhole measures making the response for a starting node.
 func BenchmarkWhole(b *testing.B) {
 	e := benchEntries()
 	b.ReportAllocs()
@@ -57,7 +57,7 @@
 	}
 }
 
-// BenchmarkUnpack reads such an answer, and tells its size.
+// BenchmarkUnpack measures decoding such a response, and reports its packed size.
 func BenchmarkUnpack(b *testing.B) {
 	resp := &exchangev1.SnapshotResponse{}
 	node.Fill(benchEntries(), resp, 0)
@@ -70,7 +70,7 @@
 	b.ReportMetric(float64(len(resp.GetEndpointsPacked())), "bytes")
 }
 
-// BenchmarkReadEndpoint reads one entry.
+// BenchmarkReadEndpoint measures decoding one entry.
 func BenchmarkReadEndpoint(b *testing.B) {
 	row := benchRow(1, 1)
 	b.ReportAllocs()
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -8,7 +8,7 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// configurationListed takes the operator's table.
+// configurationListed applies a full listing of the operator's table.
 func (n *Node) configurationListed(l platform.Listing, seen knowledge.Seen) {
 	for _, row := range l.Rows {
 		if row.Key == platform.KeyConfiguration {
@@ -18,8 +18,8 @@
 	n.evacuationsListed(l)
 }
 
-// configurationChanged takes changes of the operator's table. Without one for the
-// configuration, the known version is confirmed.
+// configurationChanged applies changes of the operator's table. If none of them is a new
+// configuration, it confirms the known version.
 func (n *Node) configurationChanged(l platform.Listing, seen knowledge.Seen) {
 	found := false
 	for _, row := range l.Rows {
@@ -42,7 +42,7 @@
 	}
 	c, err := platform.DecodeConfiguration(data)
 	if err != nil {
-		n.log.Error("configuration not readable, the last one stays", zap.Int64("row", row), zap.Error(err))
+		n.log.Error("stored configuration not readable; keeping the previous one", zap.Int64("row", row), zap.Error(err))
 		return
 	}
 	if n.config.Apply(routing.NewTable(c), row, data, seen) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// warnOfRegions logs regions to which work is bound and that the settings do not name: such
-// work runs nowhere.
+// warnOfRegions logs each region that a route or workspace is bound to but that the settings do not
+// name. No endpoint can serve work bound to such a region.
 func (n *Node) warnOfRegions(c *routing.Configuration) {
 	known := make(map[string]bool)
 	for _, region := range n.settings.Regions {
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -13,20 +13,21 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// registry serializes listings of endpoints, which come from the store and from other nodes
-// in different goroutines.
+// registry serializes updates of the endpoints, which arrive from the store and from other nodes on
+// different goroutines.
 type registry struct {
 	mu sync.Mutex
-	// faulty holds the version of each entry that names no endpoint, so that it is logged
-	// once and not at each reading.
+	// faulty holds, by key, the version of each entry that does not describe an endpoint, so that
+	// it is logged once per version rather than on every read.
 	faulty map[string]int64
 }
 
-// maxFaulty bounds the remembered faulty entries; beyond, some are logged again.
+// maxFaulty bounds the number of faulty entries remembered. When it is reached the record is
+// cleared, so some entries are logged again.
 const maxFaulty = 1024
 
-// ownEndpoints takes answers of the store itself. What was known of the store through the
-// followed node no longer matters.
+// ownEndpoints returns a callback for answers that this node gets from the store itself. Such an
+// answer clears awayPeer, the state of the store as reported by the node followed before.
 func (n *Node) ownEndpoints(take func(platform.Listing, knowledge.Seen, uptimeSource)) func(platform.Listing, knowledge.Seen) {
 	return func(l platform.Listing, seen knowledge.Seen) {
 		n.awayPeer.Store(false)
@@ -34,11 +35,12 @@
 	}
 }
 
-// uptimeSource adds to the account of the store's uptime what an answer with entries proves, and
-// returns the length of the outage that it ends, 0 for none.
+// uptimeSource updates the store's uptime record with what an answer that carries entries shows. It
+// returns the length of the outage that the answer ends, or 0 if there was none.
 type uptimeSource func() time.Duration
 
-// served takes the proof of an answer whose entries are known.
+// served updates the uptime record after the entries of an answer have been stored, and logs the
+// end of an outage.
 func (n *Node) served(proof uptimeSource) {
 	if outage := proof(); outage > 0 {
 		known := n.uptime.Current()
@@ -83,8 +85,8 @@
 	n.news.tell()
 }
 
-// dropMissing gives up the endpoints whose entries would be back by now if an outage had taken
-// them.
+// dropMissing drops the endpoints whose entries are still missing although the store has been up
+// long enough since the last outage for live endpoints to have written their entries again.
 func (n *Node) dropMissing() {
 	if n.uptime.Doubt() > 0 {
 		return
@@ -106,7 +108,7 @@
 	}
 	in, ok := n.readEndpoint(row)
 	if !ok {
-		// As in a listing, where it would be missing.
+		// Treated as in a full listing, which would not contain this endpoint.
 		n.fleet.Remove(row.Key, false)
 		return
 	}
@@ -119,7 +121,8 @@
 		zap.Int64("version", row.Version), zap.Duration("age", boottime.Now()-seen.Answered))
 }
 
-// readEndpoint reads an entry; ok is false for one that names no endpoint.
+// readEndpoint decodes an entry. It returns false if the entry does not describe an endpoint. The
+// caller holds registry.mu.
 func (n *Node) readEndpoint(row platform.Row) (in fleet.Instance, ok bool) {
 	entry := platform.ReadEndpoint(row.Key, row.Value)
 	if entry.Fault == platform.FaultNone {
--- a/node/entries.go
+++ b/node/entries.go
@@ -9,37 +9,38 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// entries keeps the endpoints' rows for the nodes that follow this one. Rows come from the
-// store and from other nodes, at times from both at once, so that an answer may be behind
-// what is known: only rows that are newer than the known ones are taken.
+// entries is this node's copy of the endpoints' rows, kept for the nodes that follow it. Rows
+// arrive from the store and from other nodes, sometimes concurrently, so an answer may be older
+// than what is known: only rows newer than the known ones are accepted.
 type entries struct {
 	mu   sync.Mutex
 	rows map[string]platform.Row
-	// removed holds removals since the version floor, up to which nothing is news; a follower that
-	// knows less gets the whole table.
+	// removed holds the versions of removals later than floor. Rows at or below floor are never
+	// accepted, and a follower whose version is below floor gets the full table.
 	removed map[string]int64
 	floor   int64
-	// version is that of the last change.
+	// version is the version of the latest change.
 	version int64
-	// at is when the rows were last known to be current.
+	// at is the time at which the rows were last known to be current.
 	at time.Duration
-	// packed is the whole table as it was at packedVersion, for nodes that start.
+	// packed is the full table as of packedVersion, for starting nodes.
 	packed        []byte
 	packedVersion int64
-	// changes are those that followers were last told.
+	// changes caches the changes last packed for followers.
 	changes packedChanges
 }
 
-// packedChanges are the changes between two versions.
+// packedChanges holds the packed changes between two versions.
 type packedChanges struct {
 	since, version int64
 	data           []byte
 }
 
-// maxRemoved bounds the remembered removals: followers are a second behind at most.
+// maxRemoved bounds the number of removals remembered. Followers lag by one second at most.
 const maxRemoved = 256
 
-// replace takes a whole listing; it returns false for one that is behind what is known.
+// replace stores a full listing. It returns false, and stores nothing, if the listing is older than
+// the known version.
 func (e *entries) replace(l platform.Listing, at time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,7 +56,7 @@
 	return true
 }
 
-// update takes changed rows and returns those that are newer than the known ones.
+// update stores changed rows and returns those that are newer than the known ones.
 func (e *entries) update(l platform.Listing, at time.Duration) []platform.Row {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +90,7 @@
 	return fresh
 }
 
-// age is the time since the rows were known to be current.
+// age returns the time since the rows were last known to be current.
 func (e *entries) age() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,8 +103,8 @@
 	return e.version
 }
 
-// wholeSize is the size of the whole table, packed, for a follower that needs it, in bytes;
-// 0 for one that knows a version from which the changes are known.
+// wholeSize returns the size in bytes of the packed full table if a follower at the given version
+// needs the full table, or 0 if changes are enough for it.
 func (e *entries) wholeSize(known int64) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,7 +115,7 @@
 	return len(e.packed)
 }
 
-// fill adds what a follower that knows the given version lacks.
+// fill adds to the response what a follower at the given version lacks.
 func (e *entries) fill(resp *exchangev1.SnapshotResponse, known int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,11 +142,11 @@
 	resp.EndpointsPacked = e.changes.data
 }
 
-// packFrom is the number of changed rows from which they are packed, once for all followers:
-// rows are much alike, and packed they take a tenth of their bytes.
+// packFrom is the number of changed rows from which the rows are packed, once for all followers.
+// Rows are so similar that packing reduces them to a tenth of their size.
 const packFrom = 8
 
-// sinceLocked returns the rows that were changed or removed after a version.
+// sinceLocked returns the rows changed or removed after the given version. The caller holds e.mu.
 func (e *entries) sinceLocked(version int64) []*exchangev1.Row {
 	rows := e.presentLocked(version)
 	for key, removed := range e.removed {
@@ -156,7 +157,7 @@
 	return rows
 }
 
-// presentLocked returns the rows that were changed after a version and are there.
+// presentLocked returns the existing rows changed after the given version. The caller holds e.mu.
 func (e *entries) presentLocked(version int64) (rows []*exchangev1.Row) {
 	for _, row := range e.rows {
 		if row.Version > version {
@@ -166,11 +167,12 @@
 	return rows
 }
 
-// repackShare is the part of the rows that may have changed since the table was packed.
+// repackShare is the fraction of rows that may change before the packed table is rebuilt.
 const repackShare = 0.1
 
-// packLocked makes sure that there is a packed table from which the changes are known and
-// few, and returns its version. Hundreds of nodes that start at once ask for the same.
+// packLocked rebuilds the packed table if the changes since its version are not all known, or are
+// too many, and returns its version. The result is cached because hundreds of nodes may start at
+// once and request the same table. The caller holds e.mu.
 func (e *entries) packLocked() int64 {
 	changes := len(e.sinceLocked(e.packedVersion))
 	if e.packed != nil && e.packedVersion >= e.floor && float64(changes) <= repackShare*float64(len(e.rows)) {
--- a/node/entries_test.go
+++ b/node/entries_test.go
@@ -18,11 +18,10 @@
 	return platform.Row{Key: key, Version: version, Deleted: true}
 }
 
-var _ = Describe("the rows of the endpoints", func() {
-	// A node follows another one while an answer of the store to an earlier question is
-	// still on its way. Taken as it comes, it would bring back an endpoint that has left,
-	// and callers' work would be sent there.
-	It("take nothing that is older than what is known", func() {
+var _ = Describe("the table of endpoints", func() {
+	// Guards against sending requests to an endpoint that has left. Its row would come back if a
+	// late answer of the store were applied after newer data from another node.
+	It("ignores rows and listings that are older than the known ones", func() {
 		var e node.Entries
 		Expect(node.Replace(&e, platform.Listing{Version: 10, Rows: []platform.Row{row("a", 3), row("b", 9)}}, 1)).To(BeTrue())
 		Expect(node.Update(&e, platform.Listing{Version: 12, Rows: []platform.Row{removal("a", 12)}}, 2)).To(HaveLen(1))
@@ -31,9 +30,9 @@
 		Expect(node.Update(&e, platform.Listing{Version: 13, Rows: []platform.Row{row("a", 13)}}, 4)).To(HaveLen(1))
 	})
 
-	// Guards against endpoints that have left and come back to life: a node reads the whole table
-	// while another one's answer of before is on its way.
-	It("take nothing that a whole listing has superseded", func() {
+	// Guards against the return of removed endpoints: a node reads the full table while an older
+	// answer of another node is still in transit.
+	It("ignores rows that a full listing has superseded", func() {
 		var e node.Entries
 		Expect(node.Replace(&e, platform.Listing{Version: 90, Rows: []platform.Row{row("b", 9)}}, 1)).To(BeTrue())
 		Expect(node.Replace(&e, platform.Listing{Version: 100, Rows: []platform.Row{row("b", 9)}}, 2)).To(BeTrue())
@@ -42,8 +41,8 @@
 		Expect(node.Rows(&e)).To(Equal(map[string]int64{"b": 9}))
 	})
 
-	// Guards against the same once more removals than a node remembers have come since.
-	It("take nothing that is older than the removals which are no longer remembered", func() {
+	// Guards against the same after more removals than a node remembers.
+	It("ignores rows that are older than removals no longer remembered", func() {
 		var e node.Entries
 		node.Replace(&e, platform.Listing{Version: 1, Rows: []platform.Row{row("a", 1)}}, 1)
 		var removals []platform.Row
@@ -55,10 +54,10 @@
 		Expect(node.Rows(&e)).To(BeEmpty())
 	})
 
-	// A follower is told of changes only, a few as they are and many packed, and one that
-	// starts of the whole table, packed some changes ago. Whichever comes, it must know what
-	// the node knows that it follows, or it sends work to endpoints that have left.
-	It("reach a follower whole, packed or not", func() {
+	// Guards against followers that know less than their leader and send requests to endpoints that
+	// have left. Followers receive changes, unpacked or packed, or the full table packed some
+	// changes ago.
+	It("is replicated completely to a follower, packed or not", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 30 {
 			var leader, follower node.Entries
@@ -87,7 +86,7 @@
 	})
 })
 
-// tell gives a follower what it lacks.
+// tell brings a follower up to date.
 func tell(leader, follower *node.Entries) {
 	GinkgoHelper()
 	resp := &exchangev1.SnapshotResponse{}
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// evacuationsListed takes the evacuations of a whole listing of the operator's table.
+// evacuationsListed applies the evacuation orders of a full listing of the operator's table.
 func (n *Node) evacuationsListed(l platform.Listing) {
 	set := knowledge.EvacuationSet{Version: l.Version, Orders: make(map[string]int64)}
 	for _, order := range n.readEvacuations(l.Rows) {
@@ -22,15 +22,16 @@
 	}
 }
 
-// evacuationsChanged takes changes of the operator's table.
+// evacuationsChanged applies changes of the operator's table.
 func (n *Node) evacuationsChanged(rows []platform.Row) {
 	if len(n.evacuations.Apply(n.readEvacuations(rows))) > 0 {
 		n.evacuationsKnown("store")
 	}
 }
 
-// evacuationsFromPeer takes what another node knows. The configuration that it told in the
-// same answer has to be taken before: this node's own questions to the store go on from here.
+// evacuationsFromPeer applies the evacuations known to another node. The configuration of the same
+// answer must be applied first, because this node's own polls of the operator's table continue from
+// the version of the evacuations.
 func (n *Node) evacuationsFromPeer(told *exchangev1.Evacuations, address string) {
 	if told == nil {
 		return
@@ -44,7 +45,7 @@
 	}
 }
 
-// maxFaultLines bounds the lines about faulty rows of one answer of the store.
+// maxFaultLines bounds the number of faulty rows logged for one answer of the store.
 const maxFaultLines = 4
 
 func (n *Node) readEvacuations(rows []platform.Row) []knowledge.EvacuationOrder {
@@ -72,7 +73,7 @@
 		}
 	}
 	if faulty > maxFaultLines {
-		n.log.Warn("more evacuation rows are faulty", zap.Int("count", faulty-maxFaultLines))
+		n.log.Warn("further evacuation rows are faulty; not logged one by one", zap.Int("count", faulty-maxFaultLines))
 	}
 	return orders
 }
@@ -82,7 +83,7 @@
 	return known
 }
 
-// evacuationsKnown puts the known set in force and tells followers.
+// evacuationsKnown puts the known set of evacuations into force and wakes waiting followers.
 func (n *Node) evacuationsKnown(source string) {
 	n.evacuationsMu.Lock()
 	defer n.evacuationsMu.Unlock()
@@ -103,8 +104,8 @@
 	metrics.Gauge("data_centres_evacuated", int64(len(names)))
 }
 
-// evacuationsMessage is what is told to a node that knows the given version; nil if it is up
-// to date.
+// evacuationsMessage returns the evacuations for a node that knows the given version, or nil if
+// that node is up to date.
 func (n *Node) evacuationsMessage(known int64) *exchangev1.Evacuations {
 	set := n.evacuations.Current()
 	if set.Version <= known {
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -13,17 +13,18 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// exchangeServer answers nodes that follow this one.
+// exchangeServer answers the snapshot requests of nodes that follow this one.
 type exchangeServer struct{ n *Node }
 
-// Snapshot implements exchangev1.ExchangeHandler.
+// Snapshot implements exchangev1.ExchangeHandler. If the caller is up to date, it waits for the
+// next change or answer of the store, for at most the time that the caller allows.
 func (s exchangeServer) Snapshot(ctx context.Context, req *connect.Request[exchangev1.SnapshotRequest]) (*connect.Response[exchangev1.SnapshotResponse], error) {
 	n := s.n
 	n.heardUptime(readUptime(req.Msg.GetUptime()))
 	timer := time.NewTimer(time.Duration(req.Msg.GetWaitMs()) * time.Millisecond)
 	defer timer.Stop()
 	changed := n.news.wait()
-	// Taken before the configuration, which is then at least as new.
+	// Read before the configuration, so that the configuration is at least as new.
 	evacuations := n.evacuationsMessage(req.Msg.GetEvacuationsVersion())
 	known, ages := n.config.Current()
 	if evacuations == nil && known.Row <= req.Msg.GetConfigVersion() && n.entries.known() <= req.Msg.GetEndpointsVersion() {
@@ -54,20 +55,20 @@
 		resp.Config = &exchangev1.Row{Key: platform.KeyConfiguration, Version: known.Row}
 		resp.ConfigPacked = n.packedConfig.of(known)
 	}
-	// Taken before the endpoints, which are then at least as new.
+	// Read before the endpoints, so that the endpoints are at least as new.
 	resp.Uptime = uptimeMessage(n.uptime.Current())
 	n.entries.fill(resp, req.Msg.GetEndpointsVersion())
 	return connect.NewResponse(resp), nil
 }
 
-// news wakes those who wait for a change, or for the store's next answer: a follower knows
-// by it that nothing has changed.
+// news wakes waiting requests after a change and after each answer of the store. An answer without
+// changes confirms to followers that their data is current.
 type news struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
-// wait returns a channel that is closed at the next change.
+// wait returns a channel that is closed by the next call to tell.
 func (w *news) wait() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -12,10 +12,10 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// Feed gives tests a feed by itself.
+// Feed exports feed.
 type Feed = feed
 
-// NewFeed returns a feed that drops what it learns.
+// NewFeed returns a feed that discards what it receives.
 func NewFeed(store *platform.Store, direct func() bool) *Feed {
 	drop := func(platform.Listing, knowledge.Seen) {}
 	return &feed{
@@ -27,54 +27,54 @@
 	}
 }
 
-// NewFollowersFeed returns a feed of a node whose questions nobody waits for.
+// NewFollowersFeed returns the feed of a node on whose polls no other node depends.
 func NewFollowersFeed(store *platform.Store) *Feed {
 	f := NewFeed(store, func() bool { return true })
 	f.patience = func() patience { return patienceOf(false) }
 	return f
 }
 
-// NewListingFeed returns a feed that tells of each reading of the whole table.
+// NewListingFeed returns a feed that reports each listing of the full table.
 func NewListingFeed(store *platform.Store, listed func(platform.Listing)) *Feed {
 	f := NewFeed(store, func() bool { return true })
 	f.listed = func(l platform.Listing, _ knowledge.Seen) { listed(l) }
 	return f
 }
 
-// SetVersion sets the version from which the feed asks for changes.
+// SetVersion sets the version from which the feed requests changes.
 func SetVersion(f *Feed, version int64) { f.version = version }
 
-// Run follows the table; IsLost tells whether the store counts as lost.
+// Run polls the table; IsLost reports whether the store counts as lost.
 var (
 	Run    = (*feed).run
 	IsLost = (*feed).isLost
 )
 
-// Entries gives tests the record of the endpoints' rows.
+// Entries exports entries.
 type Entries = entries
 
-// Replace takes a whole listing, Update changed rows.
+// Replace stores a full listing; Update stores changed rows.
 var (
 	Replace = (*entries).replace
 	Update  = (*entries).update
 )
 
-// Absences gives tests the record of nodes that are not live.
+// Absences exports absences.
 type Absences = absences
 
 // Stale returns the rows that may be removed.
 var Stale = (*absences).stale
 
-// PruneAfter is the time without a sign of life after which a row is removed.
+// PruneAfter is how long a node must be absent before its row is removed.
 const PruneAfter = pruneAfter
 
-// Starter gives tests the start of one node. Lacking, informants, ask and shun are the node's.
+// Starter exports the starter of one node.
 type Starter struct{ s *starter }
 
-// StarterOptions are what surrounds a node that starts.
+// StarterOptions are the dependencies of a Starter.
 type StarterOptions struct {
 	Now func() time.Duration
-	// Draw is the random number by which the wait of a node that is no seed is drawn.
+	// Draw is the random number from which the wait of a node that is not a seed is derived.
 	Draw       float64
 	Seed       bool
 	Lacking    func() bool
@@ -84,7 +84,7 @@
 	Shun       func(gossip.Peer)
 }
 
-// NewStarter returns the start of a node that starts now.
+// NewStarter returns the starter of a node that starts now.
 func NewStarter(o StarterOptions) Starter {
 	wait := startWaitOf(o.Draw)
 	if o.Seed {
@@ -96,19 +96,19 @@
 	}}
 }
 
-// Learn asks another node; it returns false if the store is to be read.
+// Learn asks another node; it returns false if the node is not to wait for one.
 func (s Starter) Learn(ctx context.Context) bool { return s.s.learn(ctx) }
 
-// Waits tells whether the node leaves the store to others still.
+// Waits reports whether the node still leaves reading the store to others.
 func (s Starter) Waits() bool { return s.s.waits() }
 
-// Pacer gives tests the bound on whole tables, and ErrBusy the refusal beyond it.
+// Pacer exports the limit on sending full tables.
 type Pacer = pacer
 
-// Take tells whether one more table may be sent.
+// Take reports whether one more table may be sent, and counts it.
 var Take = (*pacer).take
 
-// ErrBusy is the refusal of a node that sends too many tables.
+// ErrBusy is the refusal of a node that has sent too many tables.
 var ErrBusy = errBusy
 
 // WholeBytes and WholesWindow bound the tables that a node sends.
@@ -117,19 +117,19 @@
 	WholesWindow = wholesWindow
 )
 
-// Fill adds what a follower lacks that knows the given version.
+// Fill adds to a response what a follower at the given version lacks.
 var Fill = (*entries).fill
 
-// WholeListing returns the table that an answer holds.
+// WholeListing returns the full table of a response.
 var WholeListing = wholeListing
 
-// ChangedRows returns the changes that an answer holds.
+// ChangedRows returns the changes that a response holds.
 var ChangedRows = changedRows
 
-// Known is the version of the last change; Rows returns the rows that are known.
+// Known returns the version of the latest change.
 var Known = (*entries).known
 
-// Rows returns the versions of the known rows.
+// Rows returns the versions of the known rows by key.
 func Rows(e *Entries) map[string]int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,7 +140,7 @@
 	return rows
 }
 
-// Population gives tests the record of how many nodes there are.
+// Population and Roster export the records of how many nodes there are, and which.
 type (
 	Population = population
 	Roster     = roster
@@ -152,11 +152,11 @@
 	RosterSee         = (*roster).see
 )
 
-// ChooseAddresses answers an address question at a node of the data centre own.
+// ChooseAddresses answers an address request at a node of the data centre own.
 func ChooseAddresses(nodes []gossip.Peer, regions map[string]string, bound []string, own string, farFresh bool, q platform.AddressQuestion) []string {
 	v := addressView{nodes: nodes, regions: regions, bound: bound, own: own, farFresh: farFresh}
 	return v.choose(q)
 }
 
-// RosterCurrent returns the list that is known; nil for none.
+// RosterCurrent returns the current list of nodes, or nil.
 func RosterCurrent(r *Roster) *fleet.Roster { return r.current.Load() }
--- a/node/feed.go
+++ b/node/feed.go
@@ -16,46 +16,45 @@
 )
 
 const (
-	// changesWait is how long the store holds a question for changes. Each answer
-	// confirms what is known, so this is also the usual age of the configuration: well
-	// under the time after which keys must not be served, at a cost of less than one
-	// call a second.
+	// changesWait is how long the store holds a poll open while nothing changes. Every answer
+	// confirms the known version, so this is also the usual age of the configuration. One second is
+	// well below the age at which keys must no longer be accepted, and costs less than one call per
+	// second.
 	changesWait = time.Second
-	// endpointsWait is as short: an answer that is missing is noticed after it, and the news
-	// that an endpoint leaves must be everywhere within two seconds.
+	// endpointsWait is equally short: a missing answer is detected only after this time, and the
+	// news that an endpoint is leaving must reach all nodes within two seconds.
 	endpointsWait = time.Second
-	// answerSlack is the time beyond the wait after which a question is given up: the
-	// store's slowest answers are some hundred times slower than its usual 4 ms.
+	// answerSlack is the time beyond the requested wait after which a poll is abandoned. The
+	// store's slowest answers take some hundred times its usual 4 ms.
 	answerSlack = 500 * time.Millisecond
-	// emptyPause is the pause before a store in which nothing was ever written is read again.
-	// Nodes may be there long before the operator's first configuration.
+	// emptyPause is the pause before reading again a store that has never been written to. Nodes
+	// may run long before the operator's first configuration.
 	emptyPause = 100 * time.Millisecond
-	// gather is the pause after a change before the next question: changes come in
-	// groups, as when several engines leave, and each call has its price.
+	// gather is the pause after a change before the next poll. Changes come in groups, as when
+	// several engines leave, and every call to the store has a cost.
 	gather = 40 * time.Millisecond
-	// directCheck is how often a feed that rests looks whether it is needed.
+	// directCheck is the interval at which a suspended feed checks whether it must poll again.
 	directCheck = 50 * time.Millisecond
-	// firstBackoff and longestBackoff bound the pause after a failed question. All
-	// nodes ask together after an outage, so the pause grows and has jitter.
+	// firstBackoff and longestBackoff bound the pause after a failed poll. After an outage all
+	// nodes poll at the same time, so the pause grows and is jittered.
 	firstBackoff   = 50 * time.Millisecond
 	longestBackoff = 500 * time.Millisecond
-	// lostRetry is the pause between two questions of a node that the store does not answer
-	// and that is neither a seed nor the first of its data centre.
+	// lostRetry is the pause between two polls of an unavailable store by a node that is neither a
+	// seed nor the first of its data centre, and by a node that follows another one meanwhile.
 	lostRetry = 2 * time.Second
-	// slowAnswer is the delay of an answer, beyond the time that the store was asked to
-	// wait, from which the store counts as slow: 25 times its usual one. Endpoints write
-	// their entries there too, and a store that is that slow tells of those that leave
-	// when they are gone.
+	// slowAnswer is the delay of an answer, beyond the requested wait, from which the store counts
+	// as slow: 25 times the usual delay. Endpoints write their entries to the same store, and at
+	// this delay the entry of a leaving endpoint becomes visible only when the endpoint is already
+	// gone.
 	slowAnswer = 100 * time.Millisecond
 )
 
-// patience is the least and the longest pause between two questions while the store does
-// not answer.
+// patience holds the bounds of the pause between two polls while the store does not answer.
 type patience struct{ least, most time.Duration }
 
-// patienceOf returns the patience of a node whose questions others wait for, or of any other
-// node. Hundreds of nodes may start while the store is away, and each call has its price: few
-// of them ask often, and the others hear from these within a datagram's time.
+// patienceOf returns the bounds for a node on whose polls others depend, or for any other node.
+// Hundreds of nodes may start while the store is unavailable, and every call has a cost: a few
+// nodes poll often, and the others learn from them within the time of one datagram.
 func patienceOf(leads bool) patience {
 	if leads {
 		return patience{least: firstBackoff, most: longestBackoff}
@@ -63,52 +62,56 @@
 	return patience{least: lostRetry, most: lostRetry}
 }
 
-// feed follows one table of the store.
+// feed polls one table of the store. Apart from version and relist, which only the goroutine of run
+// uses, its state is guarded by mu.
 type feed struct {
 	store *platform.Store
 	table string
 	wait  time.Duration
 	log   *zap.Logger
-	// direct tells whether this node follows the store at present.
+	// direct reports whether this node is to poll the store now.
 	direct func() bool
-	// listed takes a whole table and changed the rows that changed.
+	// listed is called with each full listing, changed with each list of changed rows.
 	listed  func(l platform.Listing, seen knowledge.Seen)
 	changed func(l platform.Listing, seen knowledge.Seen)
 
-	// linkChanged is called when the store was lost or has come back; it must not block.
+	// linkChanged is called when the store becomes unavailable or available again. It runs under mu
+	// and must not block.
 	linkChanged func()
-	// unanswered is called for each question that failed; nil for nobody. It must not block.
+	// unanswered is called for each failed poll, under mu; it may be nil and must not block.
 	unanswered func()
-	// longest bounds the time for which the store is to hold the next question; nil for no bound.
+	// longest returns an upper bound of the wait of the next poll; nil means no bound.
 	longest func() time.Duration
-	// learned returns the version up to which the table is known by other nodes' answers.
+	// learned returns the version of the table known from other nodes.
 	learned func() int64
-	// patience bounds the pause after a failed question.
+	// patience returns the bounds of the pause after a failed poll.
 	patience func() patience
 
-	// version is the store's version up to which changes are known; 0 if the table
-	// must be read as a whole.
+	// version is the store's version up to which changes are known; 0 means that the full table
+	// must be read.
 	version int64
-	// relist is set when the store no longer has the changes since then.
+	// relist is set when the store no longer has the changes since version.
 	relist bool
 
 	mu sync.Mutex
-	// lost is when a question failed, 0 once one was answered.
+	// lost is the time of the first failed poll since the last answer; 0 if the last poll was
+	// answered.
 	lost time.Duration
-	// retryAt is when a lost store is asked again while another node is followed.
+	// retryAt is when an unavailable store is polled again while another node is followed.
 	retryAt time.Duration
 	// answered is set once the store has answered.
 	answered bool
-	// rests is set while another node is followed: a loss then says nothing of what is known.
+	// rests is set while another node is followed. A loss of the store then says nothing about how
+	// current the data is.
 	rests bool
-	// asked is when the question under way was sent, 0 if there is none, and held how long the
-	// store was asked to hold it.
+	// asked is when the pending poll was sent, 0 if there is none; held is the wait requested from
+	// the store for it.
 	asked, held time.Duration
-	// delay is that of the last answer beyond the wait that was asked for.
+	// delay is the delay of the last answer beyond the requested wait.
 	delay time.Duration
 }
 
-// run follows the table until ctx ends.
+// run polls the table until ctx ends.
 func (f *feed) run(ctx context.Context) error {
 	backoff := firstBackoff
 	for ctx.Err() == nil {
@@ -127,7 +130,7 @@
 			return nil
 		}
 		if errors.Is(err, platform.ErrHistoryGone) {
-			f.log.Info("history gone, table is read again", zap.String("table", f.table))
+			f.log.Info("change history not available; reading the full table again", zap.String("table", f.table))
 			f.relist = true
 			continue
 		}
@@ -142,12 +145,12 @@
 func (f *feed) ask(ctx context.Context) error {
 	asked := f.begin()
 	defer f.done()
-	// What other nodes told meanwhile need not be read again.
+	// Versions learned from other nodes meanwhile need not be read again.
 	f.version = max(f.version, f.learned())
 	if f.version == 0 || f.relist {
-		// Each page has the time of one call. A bound on the whole would, with thousands of
-		// endpoints over a slow link, end every reading before its last page, and a node
-		// that starts would never come to serve.
+		// The timeout applies to each page, not to the whole listing. With thousands of endpoints
+		// over a slow link, a timeout for the whole would end every listing before its last page,
+		// and a starting node would never become ready.
 		listing, err := f.store.List(ctx, f.table)
 		if err != nil {
 			return err
@@ -155,7 +158,7 @@
 		f.listed(listing, knowledge.Seen{Certain: asked, Answered: boottime.Now()})
 		f.version, f.relist = listing.Version, false
 		if f.version == 0 {
-			// Nothing was ever written, and there is no version to wait from.
+			// Nothing was ever written, so there is no version from which to wait for changes.
 			pause(ctx, emptyPause)
 		}
 		return nil
@@ -179,8 +182,9 @@
 	return nil
 }
 
-// hold returns how long the store is to hold the next question, and records it. After a loss, or
-// while another node was followed, an answer at once tells how current the table is.
+// hold returns the wait to request from the store for the next poll, and records it. It is 0 before
+// the first answer, after a loss, and after another node was followed: an immediate answer then
+// shows how current the table is.
 func (f *feed) hold() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -193,7 +197,7 @@
 	return f.held
 }
 
-// begin records that a question is under way and returns the time.
+// begin records that a poll has started and returns the time.
 func (f *feed) begin() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -216,7 +220,7 @@
 	f.delay = by
 }
 
-// slow tells whether the store answers late: the last time, or now.
+// slow reports whether the last answer was late, or the pending one is.
 func (f *feed) slow() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -240,7 +244,7 @@
 	metrics.Count("store_call_failed")
 }
 
-// reached ends a loss of the store: it has answered.
+// reached records that the store has answered, and ends a loss.
 func (f *feed) reached() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,7 +257,7 @@
 	f.linkChanged()
 }
 
-// rest is called while another node is followed, which has the store.
+// rest suspends the feed while another node is followed, whose store access counts instead.
 func (f *feed) rest() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -261,7 +265,8 @@
 	f.delay = 0
 }
 
-// link is this node's own way to the store, as far as the table's questions tell.
+// link returns the state of this node's own access to the store, as seen by the polls of this
+// table.
 func (f *feed) link() exchangev1.StoreLink {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -275,15 +280,15 @@
 	}
 }
 
-// retryDue tells whether a store that was lost is to be asked again by a node that
-// follows another one meanwhile.
+// retryDue reports whether an unavailable store is to be polled again although another node is
+// followed meanwhile.
 func (f *feed) retryDue() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lost != 0 && boottime.Now() >= f.retryAt
 }
 
-// isLost tells whether the store doesn't answer this node, which asks it.
+// isLost reports whether this node polls the store and gets no answer.
 func (f *feed) isLost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/feed_test.go
+++ b/node/feed_test.go
@@ -18,7 +18,8 @@
 )
 
 var _ = Describe("a feed", func() {
-	// Guards against a reading of many pages that is given up before its last one, again and again.
+	// Guards against a listing of many pages that is abandoned before its last page, again and
+	// again.
 	It("reads a table of several pages from a slow store", func() {
 		const rows, pages = 1100, 3
 		server := httptest.NewServer(standin.New(standin.Options{Latency: 600 * time.Millisecond}).Handler())
@@ -40,8 +41,9 @@
 		Eventually(listed, (pages+2)*600*time.Millisecond).Should(Receive(Equal(rows)))
 	})
 
-	// Guards against hundreds of nodes that all ask a store which is away as often as the first few.
-	It("asks a store that is away rarely if nobody waits for its questions", func() {
+	// Guards against hundreds of nodes that all poll an unavailable store as often as the first
+	// few.
+	It("polls an unavailable store rarely if no other node depends on it", func() {
 		var calls atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 			calls.Add(1)
@@ -55,8 +57,8 @@
 		Expect(calls.Load()).To(BeNumerically("<=", 2))
 	})
 
-	// Guards against health checks of all engines for ever by a node that follows another one.
-	It("does not count as lost once another node is followed", func() {
+	// Guards against endless health checks of all engines by a node that follows another one.
+	It("does not report the store as lost once another node is followed", func() {
 		var direct atomic.Bool
 		direct.Store(true)
 		f := node.NewFeed(platform.NewStore("127.0.0.1:1", 200*time.Millisecond), direct.Load)
@@ -71,9 +73,9 @@
 		Eventually(done, 2*time.Second).Should(Receive(BeNil()))
 	})
 
-	// Guards against an outage that is taken for longer than it was: the end of a question that
-	// the store holds because nothing has changed would show its return up to a second late.
-	It("is answered at once by a store that has come back", func() {
+	// Guards against overestimating the length of an outage: a poll that the store holds open
+	// because nothing has changed would show the store's return up to a second late.
+	It("detects the return of the store without a held poll", func() {
 		var away atomic.Bool
 		away.Store(true)
 		inner := standin.New(standin.Options{}).Handler()
--- a/node/follow.go
+++ b/node/follow.go
@@ -15,45 +15,46 @@
 	"github.com/crocusreel/crocusreel/peer"
 )
 
-// One node, the reader, follows the store. The first node of each other data centre follows
-// the reader, and the other nodes follow each other in a tree below the first one of theirs.
-// The store's calls then hardly grow with the nodes, and no node answers many. Each node
-// tells the others whether the store answers it, so that nobody follows a node that was
-// turned away and learns from others, with a delay: whoever followed it would hear of a
-// leaving endpoint seconds late. Where all of a data centre have lost the store, they follow
-// any node that reads it.
+// One node, the reader, polls the store. The first node of each other data centre follows the
+// reader, and the remaining nodes of a data centre form a tree below its first node. The number of
+// calls to the store therefore hardly grows with the number of nodes, and no node has many
+// followers.
+//
+// Each node announces whether the store answers it. A node without access to the store gets its
+// data from others with a delay, and a follower of such a node would learn seconds late that an
+// endpoint is leaving; so nobody follows it. If all nodes of a data centre have lost the store,
+// they follow any node that still reads it.
 const (
-	// readerWait is how long a reader holds a follower's question. It answers sooner when
-	// the store has answered it, about once a second.
+	// readerWait is how long a reader holds a follower's request open. It answers earlier when the
+	// store has answered it, which is about once per second.
 	readerWait = 600 * time.Millisecond
-	// readerTimeout bounds the question: a reader that is frozen or cut off is passed over
-	// after it.
+	// readerTimeout bounds that request. A reader that is frozen or cut off is excluded after it.
 	readerTimeout = readerWait + 250*time.Millisecond
-	// staleAfter is the age of the list of endpoints from which the first node of a data
-	// centre asks the store itself, although the reader answers: the store did not answer the
-	// reader's question of a second. Those who follow that node stay with it: were all to
-	// look for another, sixty nodes would go through each other while the store hears
-	// nobody for a second, and half of them be behind for two seconds more.
+	// staleAfter is the age of the endpoint table from which the first node of a data centre polls
+	// the store itself although the reader answers: the store has not answered the reader's poll of
+	// one second. Followers of that first node keep following it. If all of them searched for
+	// another reader, sixty nodes would try each other in turn while the store answers nobody for
+	// one second, and half of them would lag for two more seconds.
 	staleAfter = endpointsWait + 250*time.Millisecond
-	// directFor is how long it then stays with the store.
+	// directFor is how long the first node then keeps polling the store.
 	directFor = 5 * time.Second
-	// shunFor is how long a reader that did not answer is passed over.
+	// shunFor is how long a reader that did not answer is excluded.
 	shunFor = 3 * time.Second
-	// endpointsStale is the age from which a list of endpoints tells nothing of those that
-	// leave.
+	// endpointsStale is the age from which the endpoint table no longer shows which endpoints are
+	// leaving.
 	endpointsStale = 3 * time.Second
-	// peersStale is the age from which a node that follows the store asks other nodes
-	// as well: the store does not answer it.
+	// peersStale is the time since the store's last answer from which a node that polls the store
+	// also requests snapshots from other nodes.
 	peersStale = changesWait + 600*time.Millisecond
-	// askEvery is the pause between two such questions, askTimeout bounds one.
+	// askEvery is the pause between two such requests; askTimeout bounds one of them.
 	askEvery   = 250 * time.Millisecond
 	askTimeout = 400 * time.Millisecond
 )
 
-// storePatience bounds the pause between two questions while the store does not answer.
+// storePatience returns the bounds of the pause between two polls while the store does not answer.
 func (n *Node) storePatience() patience { return patienceOf(n.seed() || n.firstInDataCentre()) }
 
-// follow learns from other nodes while this one does not follow the store, or while the
+// follow fetches snapshots from other nodes while this node does not poll the store, or while the
 // store does not answer it.
 func (n *Node) follow(ctx context.Context) error {
 	next := 0
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// ask learns from the reader, and looks for another source if that fails or is behind.
+// ask fetches a snapshot from the reader, and switches to another source if that fails or the
+// reader lags.
 func (n *Node) ask(ctx context.Context, reader gossip.Peer) {
 	err := n.askPeer(ctx, reader.PeerAddress, readerWait, readerTimeout)
 	age := n.entries.age()
@@ -103,24 +105,25 @@
 	n.follower.shun(reader.Address)
 }
 
-// leads tells whether this node, which follows the given one, is the first of its data
-// centre that has not lost the store.
+// leads reports whether this node, which follows the given one, is the first node of its data
+// centre with access to the store.
 func (n *Node) leads(reader gossip.Peer) bool {
 	return reader.DataCentre != n.settings.DataCentre && n.storeLink() != exchangev1.StoreLink_STORE_LINK_LOST
 }
 
-// reinstateEndpoints takes back what health checks said that no entry has confirmed. After an
-// outage the endpoints need as long to say so as to write their entries again.
+// reinstateEndpoints reverts leaving marks that stem from health checks alone and that no entry has
+// confirmed. It does nothing while entries may be missing after an outage: endpoints need as long
+// to announce in their entries that they leave as to write their entries again.
 func (n *Node) reinstateEndpoints() {
 	if n.storeAway() || n.uptime.Doubt() > 0 {
 		return
 	}
 	for _, id := range n.fleet.Reinstate(healthDoubt) {
-		n.log.Info("endpoint stays after all, its entry does not say that it leaves", zap.String("endpoint", id))
+		n.log.Info("endpoint stays after all: its entry does not announce that it leaves", zap.String("endpoint", id))
 	}
 }
 
-// askPeer takes over what another node knows.
+// askPeer fetches a snapshot from another node and applies it.
 func (n *Node) askPeer(ctx context.Context, address string, wait, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -139,8 +142,8 @@
 	if err != nil {
 		return err
 	}
-	// The peer's answer was made after the question was sent, so its age counts back
-	// from there; the way of the answer may have taken any time.
+	// The peer made its answer after the request was sent, so its ages count back from that moment:
+	// the time the answer spent in transit is unknown.
 	answered := boottime.Now()
 	seen := knowledge.Seen{
 		Certain:  asked - millis(resp.Msg.GetConfigAgeMs()),
--- a/node/health.go
+++ b/node/health.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// healthEvery is the time between two rounds of health checks while the store is away
-	// or slow. Engines are gone 1.5 s after their notice; a round costs one check for each
-	// busy engine, so there are none while the store tells who leaves.
+	// healthEvery is the interval of health checks while the store is unavailable or slow. Engines
+	// stop 1.5 s after their notice. A round costs one check per busy engine, so none are made
+	// while the store reports leaving endpoints.
 	healthEvery = 300 * time.Millisecond
-	// healthDoubt is the time after which a health check that said that an endpoint leaves
-	// is doubted, if the store is there and the endpoint's entry does not say so: longer
-	// than the notice of any endpoint and the way of its entry. Health answers may be false.
+	// healthDoubt is the time after which a health check that reported an endpoint as leaving is
+	// reverted if the store is available and the endpoint's entry does not confirm it. It is longer
+	// than any endpoint's notice plus the propagation of its entry. Health answers may be false.
 	healthDoubt = 4 * time.Second
-	// healthTimeout bounds a check, which takes milliseconds.
+	// healthTimeout bounds a check, which usually takes milliseconds.
 	healthTimeout = 250 * time.Millisecond
-	// maxHealthChecks is the most checks under way: an outage may have taken thousands of entries.
+	// maxHealthChecks bounds the number of concurrent checks: an outage may have expired thousands
+	// of entries.
 	maxHealthChecks = 32
 )
 
-// checkHealth asks endpoints of this data centre whether they go on while the store does not
-// tell: busy engines while it is away, and those whose entries are missing, which may have
-// been withdrawn. Of the nodes of a data centre, the first does it for all.
+// checkHealth checks endpoints of this data centre while the store does not report which ones
+// leave: busy engines while the store is unavailable, and endpoints whose entries are missing and
+// may have been withdrawn. The first node of a data centre does it for all of them.
 func (n *Node) checkHealth(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause(ctx, healthEvery)
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// doubtful returns the endpoints of a service in this data centre that are to be asked now.
+// doubtful returns the endpoints of a service in this data centre that are to be checked now.
 func (n *Node) doubtful(name string, service *routing.Service) []fleet.Instance {
 	doubtful := n.fleet.Unvouched(name, n.settings.DataCentre)
 	if service.Engine != nil && n.storeAway() {
@@ -58,8 +59,9 @@
 	return doubtful
 }
 
-// storeAway tells whether the store does not tell in time which endpoints leave: it cannot
-// be followed, or it is so slow that the endpoints' own writes come late.
+// storeAway reports whether the store fails to show in time which endpoints leave: it is
+// unavailable to this node or to the node followed, or so slow that the endpoints' own writes are
+// late.
 func (n *Node) storeAway() bool {
 	return n.configFeed.isLost() || n.endpointFeed.isLost() || n.entries.age() > endpointsStale ||
 		n.configFeed.slow() || n.endpointFeed.slow() || n.awayPeer.Load()
@@ -93,7 +95,7 @@
 	metrics.Count("health_checks")
 	answer, err := n.engines.Health(ctx, in.Address, path, in.ID)
 	if err != nil {
-		n.log.Debug("health check not answered", zap.String("endpoint", in.ID), zap.Error(err))
+		n.log.Debug("health check failed", zap.String("endpoint", in.ID), zap.Error(err))
 		return
 	}
 	if answer.ColdFault != nil {
@@ -112,7 +114,7 @@
 	}
 }
 
-// believed logs that an endpoint is left out or taken back.
+// believed logs that an endpoint is excluded or taken back into service.
 func (n *Node) believed(e fleet.Exclusion) {
 	fields := []zap.Field{
 		zap.String("endpoint", e.Instance.ID), zap.String("service", e.Instance.Service),
--- a/node/limits.go
+++ b/node/limits.go
@@ -9,16 +9,16 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Limits of callers' connections until a configuration names others.
+// Defaults for limits of callers' connections that the configuration does not set.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 15 * time.Second
 )
 
-// limits serves callers' connections under the limits in force. A server's limits
-// cannot change while it serves, so connections that come after a change are given to a
-// new server; earlier ones keep the limits that their callers know.
+// limits serves callers' connections under the limits in force. The limits of an http.Server cannot
+// change while it serves, so connections accepted after a change go to a new server; earlier ones
+// keep the limits that were in force when they were accepted.
 type limits struct {
 	handler  http.Handler
 	listener net.Listener
@@ -35,7 +35,7 @@
 	return l
 }
 
-// apply puts limits in force; zero values get defaults.
+// apply puts limits into force. Zero values select the defaults.
 func (l *limits) apply(r routing.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +43,7 @@
 		return
 	}
 	if l.conns != nil {
-		// Ends Serve; connections that were handed over are served on.
+		// Ends Serve. The server continues to serve the connections it has already accepted.
 		_ = l.conns.Close()
 	}
 	l.current = r
@@ -67,7 +67,7 @@
 	return value
 }
 
-// serve accepts connections until the listener is closed.
+// serve accepts connections until the listener is closed, and returns the error of Accept.
 func (l *limits) serve() error {
 	for {
 		conn, err := l.listener.Accept()
@@ -91,7 +91,7 @@
 	}
 }
 
-// close ends all connections.
+// close closes all servers and their connections.
 func (l *limits) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// handedListener is a net.Listener whose connections are handed to it.
+// handedListener is a net.Listener that accepts the connections sent to its channel.
 type handedListener struct {
 	addr  net.Addr
 	conns chan net.Conn
--- a/node/members.go
+++ b/node/members.go
@@ -12,43 +12,44 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// tableNodes is the store's table of this system's nodes, keyed by IP.
+// tableNodes is the store's table of the nodes, keyed by IP.
 const tableNodes = "nodes"
 
-// member is a node's row. Who lives is known from datagrams; the row lets a node that is
-// new, or was cut off for long, find the others.
+// member is the row of a node. Liveness is known from datagrams; the row lets a node that is new,
+// or was cut off for long, find the others.
 type member struct {
 	DataCentre string `json:"data_centre"`
 }
 
 const (
 	registerTimeout = time.Second
-	// registerBackoff is the pause after a failed registration.
+	// registerBackoff is the pause after a failed registration, before jitter.
 	registerBackoff = 300 * time.Millisecond
-	// settleTime is the time after the start before a node looks into the table.
+	// settleTime is the delay, before jitter, between the start of a node and its first read of the
+	// table.
 	settleTime = 2 * time.Second
-	// findableNodes is the number of nodes of a data centre that have a row: more than are
-	// lost at a time.
+	// findableNodes is the number of nodes per data centre that have a row: more than are lost at
+	// the same time.
 	findableNodes = 4
-	// membersEvery is how often a node looks whether all registered nodes are live. If
-	// not it reads the table again: after a cut that lasted longer than nodes are
-	// remembered, nobody would otherwise speak to it.
+	// membersEvery is the interval, before jitter, at which a node compares the number of rows with
+	// the number of live nodes. If they differ it reads the table again: after a partition that
+	// lasted longer than nodes are remembered, no other node would contact it.
 	membersEvery = 30 * time.Second
-	// pruneAfter is the time without a sign of life after which a row is removed. VMs are
-	// replaced daily, at new addresses, and their rows would pile up for ever. A node
-	// that was merely cut off that long registers again.
+	// pruneAfter is how long a node must be absent before its row is removed. VMs are replaced
+	// daily, at new addresses, and their rows would accumulate without bound. A node that was only
+	// cut off that long registers again.
 	pruneAfter = 5 * time.Minute
 )
 
-// join makes this node known and learns of the others, from the store and from the
-// seeds, either of which may be out of reach.
+// join registers this node and discovers the others, through the store and through the seeds,
+// either of which may be unreachable.
 func (n *Node) join(ctx context.Context) error {
 	for _, seed := range n.settings.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil {
 			n.gossip.Add(host)
 		}
 	}
-	// Those that started with this one have been heard of by then.
+	// Gossip will have discovered the nodes that started at the same time.
 	pause(ctx, jitter(settleTime))
 	registered := -1
 	var absent absences
@@ -60,7 +61,7 @@
 		}
 		rows, err := n.register(ctx)
 		if err != nil {
-			n.log.Debug("not registered yet", zap.Error(err))
+			n.log.Debug("node registration failed; retrying after a backoff", zap.Error(err))
 			pause(ctx, jitter(registerBackoff))
 			continue
 		}
@@ -71,9 +72,9 @@
 	return nil
 }
 
-// findable tells whether this node is one of those by which others are found: the first
-// few of its data centre. A row of each of hundreds would be read by all of them at each
-// start, and tell no more.
+// findable reports whether this node is one of the first few of its data centre, through which
+// others are found. With a row for each of hundreds of nodes, every node would read all of them at
+// its start and learn no more.
 func (n *Node) findable() bool {
 	before := 0
 	for _, p := range n.gossip.Live() {
@@ -84,7 +85,7 @@
 	return before < findableNodes
 }
 
-// liveAddresses are the nodes that are live, this one included.
+// liveAddresses returns the addresses of the live nodes, including this one.
 func (n *Node) liveAddresses() map[string]bool {
 	live := map[string]bool{n.settings.IP: true}
 	for _, p := range n.gossip.Live() {
@@ -93,7 +94,7 @@
 	return live
 }
 
-// register reads the rows of all nodes and adds this one's if it is not there.
+// register reads the rows of all nodes and adds this node's row if it is missing.
 func (n *Node) register(ctx context.Context) ([]platform.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
@@ -121,8 +122,9 @@
 	return append(listing.Rows, own), err
 }
 
-// prune removes rows of nodes that are gone. The live node with the lowest address does
-// it, so that not all try at once; where views differ, the condition lets one succeed.
+// prune removes the rows of lost nodes. Only the live node with the lowest address does so, to
+// avoid concurrent attempts; where nodes disagree about who is live, the condition on the row's
+// version lets one attempt succeed.
 func (n *Node) prune(ctx context.Context, stale []platform.Row, live map[string]bool) {
 	for address := range live {
 		if address < n.settings.IP {
@@ -136,14 +138,14 @@
 			Writes:     []platform.Write{{Table: tableNodes, Key: row.Key, Delete: true}},
 		})
 		cancel()
-		n.log.Info("row of a lost node removed", zap.String("node", row.Key), zap.Error(err))
+		n.log.Info("remove row of lost node", zap.String("node", row.Key), zap.Error(err))
 	}
 }
 
-// absences remembers since when registered nodes have not been live.
+// absences holds the time since which each registered node has not been live.
 type absences map[string]time.Duration
 
-// stale returns the rows of nodes that have been absent for pruneAfter.
+// stale returns the rows of nodes that have been absent for at least pruneAfter.
 func (a *absences) stale(now time.Duration, rows []platform.Row, live map[string]bool) []platform.Row {
 	since := make(absences)
 	var stale []platform.Row
--- a/node/members_test.go
+++ b/node/members_test.go
@@ -13,8 +13,8 @@
 var _ = Describe("rows of nodes", func() {
 	rows := []platform.Row{{Key: "10.0.0.1"}, {Key: "10.0.0.2"}}
 
-	// VMs are replaced every day at new addresses. The rows of those that are gone would
-	// pile up, and each new node would try to reach them all.
+	// Guards against rows that accumulate because VMs are replaced daily at new addresses. Every
+	// new node would try to contact all of them.
 	It("are removed once their node has been absent for long", func() {
 		var a node.Absences
 		live := map[string]bool{"10.0.0.1": true}
@@ -26,7 +26,8 @@
 		Expect(node.Stale(&a, now, rows, live)).To(ConsistOf(HaveField("Key", "10.0.0.2")))
 	})
 
-	// A node restarts, or a cut heals, before its row is removed: the time counts anew.
+	// Guards against removing the row of a node that was live in between, after a restart or a
+	// healed partition: its absence counts from the latest time it was live.
 	It("stay when their node is live again in between", func() {
 		var a node.Absences
 		now := time.Hour
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node is one process of the system on a VM of the platform: it serves callers,
-// tells them where to connect, and knows the configuration, the endpoints and the other
-// nodes.
+// Package node implements the node, the process that runs on each VM of the platform: it serves
+// callers, tells them which nodes to connect to, and tracks the configuration, the endpoints and
+// the other nodes.
 package node
 
 import (
@@ -33,27 +33,28 @@
 var errNoConfiguration = eris.New("no configuration yet")
 
 const (
-	// memoryShare is the part of the VM's memory at which the garbage collector works
-	// harder: what is received and not yet read counts as well, outside the heap.
+	// memoryShare is the fraction of the VM's memory at which the garbage collector starts to work
+	// harder. It leaves room for data received but not yet read, which counts as well, outside the
+	// heap.
 	memoryShare = 0.55
-	// bodiesShare is the part of the VM's memory that callers' bodies may take together;
-	// each is held twice while it is sent.
+	// bodiesShare is the fraction of the VM's memory that request bodies may use together. Each
+	// body is held twice while it is sent.
 	bodiesShare = 0.2
-	// freshnessShare is the part of the revocation limit up to which keys are served:
-	// the rest covers the way to the endpoint.
+	// freshnessShare is the fraction of the revocation limit up to which keys are accepted. The
+	// rest covers the time a request takes to reach the endpoint.
 	freshnessShare = 0.92
-	// lenientKeys is that limit where keys need not be revoked at nodes that are cut off:
-	// service goes on through any outage that operators would sit out.
+	// lenientKeys replaces the revocation limit where keys need not be revoked on nodes that are
+	// cut off. Service continues through any outage that operators would sit out.
 	lenientKeys = time.Hour
-	// storeTimeout bounds a call to the store, whose slowest answers take some hundred
-	// times its usual 4 ms.
+	// storeTimeout bounds a call to the store. The store's slowest answers take some hundred times
+	// its usual 4 ms.
 	storeTimeout = 1500 * time.Millisecond
-	// denialAge is the age of the configuration from which an unknown key or route is
-	// not denied: it may have been added since.
+	// denialAge is the age of the configuration from which an unknown key or route is not denied,
+	// because it may have been added since.
 	denialAge = changesWait + 800*time.Millisecond
 )
 
-// Node is one process.
+// Node is the state of one node process.
 type Node struct {
 	settings    *platform.NodeSettings
 	log         *zap.Logger
@@ -62,8 +63,8 @@
 
 	store  *platform.Store
 	config *knowledge.Configuration
-	// evacuations are the operator's, evacuated their names as they were last put in force
-	// under evacuationsMu.
+	// evacuations holds the operator's evacuation orders. evacuated holds the data centres last put
+	// into force, guarded by evacuationsMu.
 	evacuations   knowledge.Evacuations
 	evacuationsMu sync.Mutex
 	evacuated     []string
@@ -79,14 +80,15 @@
 	registry      registry
 	follower      follower
 	news          news
-	// uptime is the store's, by its own clock.
+	// uptime records when the store was up, by the store's own clock.
 	uptime *knowledge.UptimeRecord
-	// awayPeer is set while the store does not tell that node in time who leaves.
+	// awayPeer is set while the node that this one follows reports that the store does not show in
+	// time which endpoints leave.
 	awayPeer     atomic.Bool
 	endpointFeed *feed
 	configFeed   *feed
 	starter      *starter
-	// toldReady is the readiness that the other nodes were last told of at once.
+	// toldReady is the readiness last broadcast to the other nodes.
 	toldReady    atomic.Bool
 	packedConfig packedConfiguration
 	wholes       pacer
@@ -94,7 +96,7 @@
 	limits       *limits
 }
 
-// New builds the process from its settings, without some mechanisms.
+// New returns a node with the given settings. The mechanisms in without are disabled.
 func New(s *platform.NodeSettings, without fleet.Without, log *zap.Logger) *Node {
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
 	n := &Node{
@@ -188,7 +190,7 @@
 	return h
 }
 
-// keysLimit is the age of the configuration up to which keys are served.
+// keysLimit returns the age of the configuration up to which keys are accepted.
 func (n *Node) keysLimit() time.Duration {
 	if !n.settings.RevocationStrict {
 		return lenientKeys
@@ -196,11 +198,11 @@
 	return time.Duration(freshnessShare * float64(n.settings.RevocationLimit))
 }
 
-// Run serves until SIGTERM.
+// Run serves until SIGTERM or SIGINT, or until a server or task fails.
 func (n *Node) Run() error {
 	callers, err := net.Listen("tcp", n.settings.CallerAddress)
 	if err != nil {
-		return eris.Wrap(err, "listen for callers")
+		return eris.Wrap(err, "listen on the caller address")
 	}
 	n.limits = newLimits(n.callerHandler(), callers)
 	var group run.Group
@@ -225,7 +227,7 @@
 	}
 	peers, err := net.Listen("tcp", n.settings.PeerAddress)
 	if err != nil {
-		return eris.Wrap(err, "listen for peers")
+		return eris.Wrap(err, "listen on the peer address")
 	}
 	addServer(&group, peer.NewServer(n.peerHandler(), nil), peers)
 	for _, task := range []func(context.Context) error{
@@ -239,15 +241,15 @@
 	return group.Run()
 }
 
-// addServer serves a listener in the group until the group ends. Answers to questions
-// under way are cut off then: the process has drained before, and waiting for peers
-// would use up the rest of the grace time.
+// addServer adds a server to the group that serves the listener until the group ends. Requests in
+// flight are then cut off: the process has already drained, and waiting for peers would use up the
+// rest of the grace period.
 func addServer(g *run.Group, s *http.Server, l net.Listener) {
 	g.Add(func() error { return s.Serve(l) }, func(error) { _ = s.Close() })
 }
 
-// housekeepingEvery is how often connections that are too old are closed and work that
-// waits for time alone is looked at.
+// housekeepingEvery is the interval at which expired connections are closed and work that becomes
+// possible with time alone is dispatched.
 const housekeepingEvery = 250 * time.Millisecond
 
 func (n *Node) housekeeping(ctx context.Context) error {
--- a/node/notices.go
+++ b/node/notices.go
@@ -10,7 +10,7 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// noticed logs a change of what an endpoint says of itself.
+// noticed logs a change in what an endpoint reports about itself.
 func (n *Node) noticed(c fleet.NoticeChange) {
 	fields := []zap.Field{
 		zap.String("endpoint", c.Instance.ID), zap.Int64("born", c.Instance.Born), zap.String("service", c.Instance.Service),
@@ -44,7 +44,7 @@
 	n.log.Info("endpoint names a limit", append(fields, zap.Float64("requests_per_second", c.Notice.Limit))...)
 }
 
-// heardLimits takes what endpoints said of their limits to another node.
+// heardLimits applies the limits that endpoints have announced to another node.
 func (n *Node) heardLimits(s *exchangev1.NodeState) {
 	if len(s.GetLimits()) == 0 {
 		return
@@ -59,7 +59,8 @@
 	n.fleet.NoteRemote(s.GetAddress(), news)
 }
 
-// heardAnnounced takes which endpoints have said to another node that they are about to stop.
+// heardAnnounced applies which endpoints have announced to another node that they are about to
+// stop.
 func (n *Node) heardAnnounced(s *exchangev1.NodeState) {
 	if len(s.GetAnnouncedLeaving()) == 0 {
 		return
--- a/node/pack.go
+++ b/node/pack.go
@@ -16,30 +16,30 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// A node that starts needs the whole table of endpoints. Thousands of rows are half a
-// megabyte, and after a loss of power hundreds of nodes ask for them at once: the few that
-// have them first would send for twenty seconds over their links, each answer would come
-// later than its asker waits, and nobody would serve. So the table is packed, once for all
-// who ask, a node answers a few of them at a time, and those whom it turns away find others,
-// of which there are several times more with each round.
+// A starting node needs the full table of endpoints. Thousands of rows are half a megabyte, and
+// after a power failure hundreds of nodes request them at once: the few nodes that have the table
+// first would send for twenty seconds over their links, every answer would arrive after its
+// requester's timeout, and no node would become ready. Therefore the table is packed once for all
+// requesters, a node sends it to a few at a time, and rejected requesters turn to other nodes,
+// whose number multiplies with each round.
 
 const (
-	// wholeBytes is how much of whole tables a node sends within wholesWindow, of which the
-	// last may exceed it: less than half of what a small VM's link carries.
+	// wholeBytes is the number of bytes of full tables that a node sends per wholesWindow; the last
+	// table may exceed it. This is less than half the capacity of a small VM's link.
 	wholeBytes   = 128 << 10
 	wholesWindow = 150 * time.Millisecond
 )
 
 var errBusy = eris.New("other nodes are being told everything")
 
-// pacer bounds the whole tables that are sent.
+// pacer limits the rate at which full tables are sent.
 type pacer struct {
 	mu    sync.Mutex
 	began time.Duration
 	sent  int
 }
 
-// take tells whether one more of so many bytes may be sent.
+// take reports whether one more table of the given size in bytes may be sent, and counts it.
 func (p *pacer) take(now time.Duration, size int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,7 +53,7 @@
 	return true
 }
 
-// packedConfiguration is the configuration as it is sent to other nodes.
+// packedConfiguration caches the configuration as it is sent to other nodes.
 type packedConfiguration struct {
 	mu   sync.Mutex
 	row  int64
@@ -69,12 +69,12 @@
 	return p.data
 }
 
-// writers and readers are kept for the next message: each holds some hundred kilobytes.
+// writers and readers are pooled because each holds some hundred kilobytes.
 var (
 	writers = sync.Pool{New: func() any {
 		w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 		if err != nil {
-			panic(err) // the level is a constant
+			panic(err) // the level is a valid constant
 		}
 		return w
 	}}
@@ -86,12 +86,12 @@
 	w := writers.Get().(*flate.Writer)
 	defer writers.Put(w)
 	w.Reset(&packed)
-	_, _ = w.Write(data) // a buffer takes everything
+	_, _ = w.Write(data) // bytes.Buffer returns no errors
 	_ = w.Close()
 	return packed.Bytes()
 }
 
-// maxInflated bounds what a packed message may grow to, in bytes.
+// maxInflated bounds the size of a decompressed message, in bytes.
 const maxInflated = 8 * peer.MaxMessageBytes
 
 func inflate(packed []byte) ([]byte, error) {
@@ -107,7 +107,7 @@
 func packRows(rows []*exchangev1.Row) []byte {
 	data, err := proto.Marshal(&exchangev1.RowList{Rows: rows})
 	if err != nil {
-		panic(err) // rows are texts and bytes, which have an encoding
+		panic(err) // keys are valid UTF-8 and values are bytes, which always encode
 	}
 	return deflate(data)
 }
@@ -122,12 +122,12 @@
 	}
 	var list exchangev1.RowList
 	if err := proto.Unmarshal(data, &list); err != nil {
-		return nil, eris.Wrap(err, "decode rows")
+		return nil, eris.Wrap(err, "decode packed rows")
 	}
 	return list.GetRows(), nil
 }
 
-// wholeListing returns the table that an answer holds: the packed one, brought up to date.
+// wholeListing returns the full table of an answer: the packed rows, updated by the unpacked ones.
 func wholeListing(resp *exchangev1.SnapshotResponse) (platform.Listing, error) {
 	listing := platform.Listing{Version: resp.GetEndpointsVersion()}
 	rows, err := unpackRows(resp.GetEndpointsPacked())
--- a/node/peers.go
+++ b/node/peers.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/relay"
 )
 
-// state is what this node tells the others.
+// state returns the state of this node as announced to the others.
 func (n *Node) state() *exchangev1.NodeState {
 	s := &exchangev1.NodeState{
 		Address:       n.settings.IP,
@@ -64,7 +64,8 @@
 	return s
 }
 
-// tell makes the nodes of a data centre hear of this one's state at once, or all nodes.
+// tell sends this node's state at once to the nodes of a data centre, or to all nodes if dataCentre
+// is empty.
 func (n *Node) tell(dataCentre string) {
 	if dataCentre == "" {
 		n.gossip.TellAll()
@@ -73,10 +74,11 @@
 	n.gossip.Tell(dataCentre)
 }
 
-// vacatedTold is how long it is told that a run has left its engine: several datagrams.
+// vacatedTold is how long it is announced that a run has left its engine: the time of several
+// datagrams.
 const vacatedTold = 600 * time.Millisecond
 
-// heard takes the state of another node.
+// heard applies the state announced by another node.
 func (n *Node) heard(s *exchangev1.NodeState) {
 	loads := make([]fleet.Load, 0, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
@@ -121,7 +123,7 @@
 	n.relay.Claims.SetRemote(s.GetAddress(), claims)
 }
 
-// heardLeaving takes over which endpoints leave by their health check.
+// heardLeaving applies which endpoints leave according to another node's health checks.
 func (n *Node) heardLeaving(s *exchangev1.NodeState) {
 	for _, key := range s.GetLeavingEndpoints() {
 		if n.fleet.Unhealthy(fleet.EndpointKey(key)) {
@@ -131,7 +133,7 @@
 	}
 }
 
-// lost forgets the work of a node that is no longer heard.
+// lost discards the work announced by a node that is no longer live.
 func (n *Node) lost(address string) {
 	n.fleet.Forget(address)
 	n.relay.Claims.SetRemote(address, nil)
--- a/node/population.go
+++ b/node/population.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// populationMemory is how long nodes that are no longer heard are counted. They may be
-	// behind a cut, and go on sending to endpoints.
+	// populationMemory is how long nodes are counted after their last datagram. They may be on the
+	// other side of a partition and still send requests to endpoints.
 	populationMemory = 10 * time.Minute
-	// populationBuckets divide that time.
+	// populationBuckets is the number of buckets that populationMemory is divided into.
 	populationBuckets = 10
 )
 
-// population is the largest number of nodes, this one included, that was live at a time
-// within populationMemory. A node that takes the others for fewer than they are would send
-// a cold endpoint more than its part.
+// population tracks the largest number of nodes, including this one, that were live at the same
+// time within populationMemory. A node that underestimated the number of nodes would send a cold
+// endpoint more than its share.
 type population struct {
 	most   [populationBuckets]int
 	latest int64
-	// known is the count for readers; 0 before another node was heard where there should be
-	// others. heard tells whether at least half of them are live.
+	// known is the largest number; it is 0 until another node was heard from if the settings name
+	// others. heard is set if at least half of that number are live. Both are read by other
+	// goroutines.
 	known atomic.Int64
 	heard atomic.Bool
 }
 
-// see records how many nodes are live; one goroutine calls it.
+// see records the number of live nodes. It must be called from one goroutine only.
 func (p *population) see(now time.Duration, nodes int) {
 	const length = populationMemory / populationBuckets
 	for bucket := int64(now / length); p.latest < bucket; p.latest++ {
@@ -49,19 +50,20 @@
 	p.heard.Store(2*nodes >= most)
 }
 
-// current returns what is known.
+// current returns the tracked number of nodes. It may be called from any goroutine.
 func (p *population) current() fleet.Population {
 	return fleet.Population{Nodes: int(p.known.Load()), Heard: p.heard.Load()}
 }
 
-// roster is the nodes that were heard within populationMemory, this one included.
+// roster tracks the nodes heard from within populationMemory, including this one.
 type roster struct {
 	heard map[string]time.Duration
-	// current is the last list; nil before another node was heard where there should be others.
+	// current is the latest list; it is nil until another node was heard from if the settings name
+	// others.
 	current atomic.Pointer[fleet.Roster]
 }
 
-// see records which nodes are live; one goroutine calls it.
+// see records which nodes are live. It must be called from one goroutine only.
 func (r *roster) see(now time.Duration, live []string) {
 	if r.heard == nil {
 		r.heard = make(map[string]time.Duration)
@@ -83,8 +85,8 @@
 	}
 }
 
-// countNodes takes the live nodes into account. A node that has heard nobody, although its
-// settings name others, does not know how many there are.
+// countNodes records the live nodes. A node that has heard from no other, although its settings
+// name some, does not know how many there are.
 func (n *Node) countNodes() {
 	live := []string{n.settings.IP}
 	for _, p := range n.gossip.Live() {
@@ -98,8 +100,8 @@
 	n.roster.see(boottime.Now(), live)
 }
 
-// retryingNodes is how many nodes share the budget for retries. Those that are no longer heard
-// may be behind a cut, and retry there.
+// retryingNodes returns the number of nodes that share the retry budget. It includes nodes that are
+// no longer live: they may be on the other side of a partition and retry there.
 func (n *Node) retryingNodes() int {
 	return max(len(n.gossip.Live())+1, n.population.current().Nodes, len(n.settings.Seeds))
 }
--- a/node/population_test.go
+++ b/node/population_test.go
@@ -8,12 +8,12 @@
 	"github.com/crocusreel/crocusreel/node"
 )
 
-// Guards against a node that, behind a cut, takes the others for fewer than they are and sends
-// a cold endpoint more than its part.
+// Guards against a node behind a partition that underestimates the number of nodes and sends a cold
+// endpoint more than its share.
 func TestPopulationRemembersNodesThatAreNotHeard(t *testing.T) {
 	var p node.Population
 	if got := node.PopulationCurrent(&p); got.Nodes != 0 {
-		t.Errorf("%d nodes before any was heard", got.Nodes)
+		t.Errorf("%d nodes before any was recorded, want 0", got.Nodes)
 	}
 	now := 3 * time.Hour
 	see := func(after time.Duration, nodes, want int, heard bool) {
@@ -21,7 +21,7 @@
 		now += after
 		node.PopulationSee(&p, now, nodes)
 		if got := node.PopulationCurrent(&p); got != (fleet.Population{Nodes: want, Heard: heard}) {
-			t.Errorf("%+v, want %d nodes, heard %t", got, want, heard)
+			t.Errorf("population %+v, want %d nodes, heard %t", got, want, heard)
 		}
 	}
 	see(0, 75, 75, true)
@@ -34,12 +34,12 @@
 	see(time.Second, 0, 3, false)
 }
 
-// Guards against a node behind a cut that takes the others for gone and their part of a limit for
-// its own, and against names that stay for ever.
+// Guards against a node behind a partition that takes over the other nodes' shares of a limit, and
+// against names that are never forgotten.
 func TestRosterRemembersNodesThatAreNotHeard(t *testing.T) {
 	var r node.Roster
 	if node.RosterCurrent(&r) != nil {
-		t.Error("a roster before any node was heard")
+		t.Error("roster is not nil before any node was recorded")
 	}
 	now := 3 * time.Hour
 	see := func(after time.Duration, want int, live ...string) {
@@ -47,14 +47,14 @@
 		now += after
 		node.RosterSee(&r, now, live)
 		if got := node.RosterCurrent(&r).Names; len(got) != want {
-			t.Errorf("%d names, want %d: %v", len(got), want, got)
+			t.Errorf("roster has %d names, want %d: %v", len(got), want, got)
 		}
 	}
 	see(0, 3, "a", "b", "c")
 	before := node.RosterCurrent(&r)
 	see(time.Minute, 3, "a")
 	if node.RosterCurrent(&r) != before {
-		t.Error("a new list without a change")
+		t.Error("roster was replaced although its nodes have not changed")
 	}
 	see(time.Minute, 4, "a", "d")
 	see(9*time.Minute, 2, "a", "d")
--- a/node/serve.go
+++ b/node/serve.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	// MetricsPort and PathMetrics are where counters and histograms are served.
+	// MetricsPort and PathMetrics are the port and the path of the metrics.
 	MetricsPort = 9464
 	PathMetrics = "/debug/vars"
 
-	// addressTTL is how long callers may keep an answer: short, so that they leave a
-	// node soon that is about to stop, at the price of a question a caller and second.
+	// addressTTL is how long callers may cache an answer. It is short so that they soon leave a
+	// node that is about to stop, at the cost of about one request per caller and second.
 	addressTTL = 1500 * time.Millisecond
-	// youngTTL is used while the node is young: the first node that is up after a
-	// restart of all would otherwise keep every caller.
+	// youngTTL replaces addressTTL during the first youngFor of a node. The first node that is up
+	// after a restart of all nodes would otherwise keep every caller.
 	youngTTL = 400 * time.Millisecond
 	youngFor = 3 * time.Second
-	// enoughNearby is the number of ready nodes in the caller's data centre from which
-	// no others are named.
+	// enoughNearby is the number of ready nodes in the caller's data centre from which an answer
+	// names no others.
 	enoughNearby = 2
 	// maxAddresses bounds an answer; callers read no more.
 	maxAddresses = 64
 )
 
-// ready tells whether callers may be sent here.
+// ready reports whether callers may be sent to this node.
 func (n *Node) ready() bool {
 	known, ages := n.config.Current()
 	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Certain < n.keysLimit()
 }
 
-// tellReadiness has all nodes told at once when callers may be sent here, or no longer. Nodes
-// that start wait for the first one that is ready, and callers are sent to those that are;
-// the next regular round may be seconds away where there are hundreds of nodes.
+// tellReadiness broadcasts a change of this node's readiness at once. Starting nodes wait for the
+// first ready node, and callers are sent to ready nodes only; the next regular round may be seconds
+// away among hundreds of nodes.
 func (n *Node) tellReadiness() {
 	if now := n.ready(); n.toldReady.Swap(now) != now {
 		n.gossip.TellAll()
@@ -99,7 +99,7 @@
 	return min(ttl, n.settings.AddressTTLLimit)
 }
 
-// addresses lists ready nodes for a caller.
+// addresses returns the addresses of ready nodes for a caller.
 func (n *Node) addresses(q platform.AddressQuestion) []string {
 	nodes := n.gossip.Live()
 	if n.ready() {
@@ -116,25 +116,26 @@
 	return v.choose(q)
 }
 
-// addressFreshness is the time within which a node that is gone may still be named.
+// addressFreshness is how long a node that is gone may still be named in answers.
 const addressFreshness = 5 * time.Second
 
-// addressView is what address answers are made from.
+// addressView is the input from which address answers are made.
 type addressView struct {
 	nodes   []gossip.Peer
 	regions map[string]string
-	// bound are the regions to which the host's routes are bound; empty for none.
+	// bound holds the regions that the host's routes are bound to; it is empty if there are none.
 	bound []string
-	// own is this node's data centre; farFresh tells whether losses in others show within
-	// addressFreshness.
+	// own is this node's data centre. farFresh reports whether the loss of a node in another data
+	// centre is detected within addressFreshness.
 	own      string
 	farFresh bool
 }
 
-// choose lists nodes of the caller's data centre if there are enough, else those of its region;
-// else those of the regions to which the host's routes are bound, so that the caller's request
-// does not leave them needlessly; else all. Where losses elsewhere show late, a caller of
-// another data centre of the region is sent to this one.
+// choose returns the nodes of the caller's data centre if there are enough, else those of its
+// region, else those of its region and of the regions that the host's routes are bound to, so that
+// the request does not leave these needlessly, else all. One node is enough if the host's routes
+// are bound. If losses in other data centres are detected late, a caller from another data centre
+// of this node's region is sent to this node's data centre.
 func (v *addressView) choose(q platform.AddressQuestion) []string {
 	dataCentre := q.DataCentre
 	if !v.farFresh && v.regions[v.own] == q.Region {
@@ -172,7 +173,7 @@
 	return all[:min(len(all), maxAddresses)]
 }
 
-// hostRegions returns the regions to which routes of the host are bound.
+// hostRegions returns the regions that routes of the host are bound to.
 func (n *Node) hostRegions(host string) []string {
 	known, _ := n.config.Current()
 	if known.Table == nil {
@@ -182,18 +183,17 @@
 }
 
 const (
-	// leaveMargin is the time before the platform kills the process in which it ends
-	// by itself.
+	// leaveMargin is how long before the platform kills the process it ends by itself.
 	leaveMargin = 400 * time.Millisecond
-	// leaveServing is how long a leaving node goes on accepting: until the answers that
-	// name it have expired also at callers that keep them three times as long.
+	// leaveServing is how long a leaving node continues to accept requests: until the answers that
+	// name it have expired, even at callers that cache them three times as long.
 	leaveServing = 3*addressTTL + 200*time.Millisecond
-	// leaveCheck is the pause between two looks at what still runs.
+	// leaveCheck is the interval at which a leaving node checks for requests in flight.
 	leaveCheck = 20 * time.Millisecond
 )
 
-// awaitSignal ends the process after SIGTERM: callers are sent elsewhere at once, and
-// requests under way are finished within the grace time.
+// awaitSignal shuts the node down after SIGTERM or SIGINT: callers are sent elsewhere at once, and
+// requests in flight are completed within the grace period. SIGHUP reloads the settings.
 func (n *Node) awaitSignal(ctx context.Context) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -213,8 +213,8 @@
 	}
 }
 
-// reload reads the settings again. Addresses and bounds are fixed for the life of a
-// process, so only seeds are taken over.
+// reload reads the settings again and adds new seeds. Addresses and bounds are fixed for the
+// lifetime of the process.
 func (n *Node) reload() {
 	s, err := platform.LoadNodeSettings()
 	if err != nil {
--- a/node/source.go
+++ b/node/source.go
@@ -11,13 +11,13 @@
 	"github.com/crocusreel/crocusreel/internal/boottime"
 )
 
-// follower remembers readers that failed this node.
+// follower holds the reader that this node follows and the readers that failed it.
 type follower struct {
 	mu      sync.Mutex
 	shunned map[string]time.Duration
-	// directUntil is until when the store is asked although there is a reader.
+	// directUntil is the time until which the store is polled although a reader is available.
 	directUntil time.Duration
-	// reader is the address of the last one, for the log.
+	// reader is the address of the last reader, for the log.
 	reader string
 }
 
@@ -48,7 +48,7 @@
 	return boottime.Now() < f.shunned[address]
 }
 
-// follows records whom this node follows, empty for the store, and returns whether that
+// follows records the reader that this node follows, empty for the store, and reports whether it
 // has changed.
 func (f *follower) follows(address string) bool {
 	f.mu.Lock()
@@ -58,7 +58,8 @@
 	return changed
 }
 
-// storeLink is this node's own way to the store, for the others.
+// storeLink returns the state of this node's own access to the store, which it announces to the
+// others.
 func (n *Node) storeLink() exchangev1.StoreLink {
 	config, endpoints := n.configFeed.link(), n.endpointFeed.link()
 	lost := exchangev1.StoreLink_STORE_LINK_LOST
@@ -72,7 +73,8 @@
 	}
 }
 
-// reader returns the node to follow; ok is false if this node follows the store itself.
+// reader returns the node to follow. It returns false if there is none: this node then polls the
+// store itself, unless it is starting and waits for others.
 func (n *Node) reader() (reader gossip.Peer, ok bool) {
 	live := n.gossip.Live()
 	own := n.storeLink() != exchangev1.StoreLink_STORE_LINK_LOST
@@ -94,8 +96,8 @@
 	return n.first(live, own, func(gossip.Peer) bool { return true })
 }
 
-// first returns the node with the lowest address of those that fit and have not lost the
-// store, if that is not this one. Own tells whether this one has the store.
+// first returns the node with the lowest address among those that fit and may be followed; it
+// returns false if that is this node. Own reports whether this node has access to the store.
 func (n *Node) first(live []gossip.Peer, own bool, fits func(gossip.Peer) bool) (gossip.Peer, bool) {
 	for _, p := range live {
 		if own && n.settings.IP < p.Address {
@@ -108,17 +110,17 @@
 	return gossip.Peer{}, false
 }
 
-// near tells whether the node is of this data centre.
+// near reports whether the node is in this data centre.
 func (n *Node) near(p gossip.Peer) bool { return p.DataCentre == n.settings.DataCentre }
 
-// followers is the number of nodes of a data centre that follow the same one. With more,
-// the first of fifty would send fifty times what each of them gets.
+// followers is the number of nodes of a data centre that follow the same one. If all followed the
+// first, the first of fifty would send fifty times what each of them receives.
 const followers = 4
 
-// parent returns the node of its data centre that this one follows, in a tree: the first is
-// followed by the next four, each of those by four more. Whoever is followed has a lower
-// address, so that none waits for one that waits for it. A node that does not answer is left
-// out by those who followed it. There is no parent for the first.
+// parent returns the node of this data centre that this one follows. The nodes form a tree: four
+// nodes follow the first, four more follow each of these, and so on. A parent has a lower address
+// than its children, so no two nodes wait for each other. The children of a node that does not
+// answer leave it out. The first node has no parent.
 func (n *Node) parent(live []gossip.Peer) (gossip.Peer, bool) {
 	var before []gossip.Peer
 	for _, p := range live {
@@ -132,13 +134,13 @@
 	return before[(len(before)-1)/followers], true
 }
 
-// followable tells whether a node may be followed.
+// followable reports whether a node may be followed.
 func (n *Node) followable(p gossip.Peer) bool {
 	return !p.Leaving && p.Store != exchangev1.StoreLink_STORE_LINK_LOST && !n.follower.shuns(p.Address)
 }
 
-// anyReader returns a node that reads the store. Nodes choose by their own address, so that
-// not all go to the same one.
+// anyReader returns a node that reads the store. The choice depends on this node's address, so that
+// not all nodes choose the same one.
 func (n *Node) anyReader(live []gossip.Peer) (gossip.Peer, bool) {
 	var readers []gossip.Peer
 	for _, p := range live {
@@ -154,7 +156,7 @@
 	return readers[int(h.Sum32()%uint32(len(readers)))], true
 }
 
-// othersRead tells whether the store answers another node.
+// othersRead reports whether the store answers another node.
 func (n *Node) othersRead() bool {
 	for _, p := range n.gossip.Live() {
 		if p.Store == exchangev1.StoreLink_STORE_LINK_READS {
@@ -164,7 +166,7 @@
 	return false
 }
 
-// asksStore returns whether a feed is to ask the store.
+// asksStore reports whether a feed is to poll the store.
 func (n *Node) asksStore(f *feed) bool {
 	if n.fleet.Without[fleet.OneReader] {
 		return true
--- a/node/start.go
+++ b/node/start.go
@@ -16,52 +16,51 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// A node that starts learns the configuration and the endpoints from any node that is
-// ready. Where all start at once, the seeds read the store, and what they know spreads from
-// node to node. No node waits for one that itself waits: only those that are ready are
-// asked, and a node that finds none, or only busy ones, reads the store itself.
+// A starting node gets the configuration and the endpoints from any ready node. If all nodes start
+// at once, the seeds read the store, and the data spreads from node to node. Waiting cannot become
+// circular: only ready nodes are asked, and a node that finds none, or only busy ones, reads the
+// store itself.
 
 const (
-	// startWait is the least time for which a node that starts waits for the first other one
-	// that is ready, and startSpread the most that is added. Those that are named as seeds do
-	// not wait.
+	// startWait is the minimum time that a starting node waits for the first other node to become
+	// ready; up to startSpread is added. Seeds do not wait.
 	startWait   = 80 * time.Millisecond
 	startSpread = 300 * time.Millisecond
-	// startPatience is how long it goes on asking once some are ready, which may be busy with
-	// others that start, before it reads the store as well.
+	// startPatience is how long a starting node keeps asking ready nodes, which may be busy with
+	// other starting nodes, before it also reads the store.
 	startPatience = time.Second
-	// emptyPatience is how long it waits while another one reads a store that holds nothing
-	// yet, as before the operator's first configuration.
+	// emptyPatience is how long it waits for a ready node while the store answers another node, as
+	// when that store is still empty before the operator's first configuration.
 	emptyPatience = 5 * time.Second
-	// startCheck is how often it looks for one, and the pause after a refusal.
+	// startCheck is the interval at which it looks for a ready node, and the pause after a refusal.
 	startCheck = 10 * time.Millisecond
-	// startTimeout bounds a question of a node that starts.
+	// startTimeout bounds a request of a starting node.
 	startTimeout = 500 * time.Millisecond
 )
 
-// starter brings a node that starts to where it can serve.
+// starter gets a starting node ready to serve.
 type starter struct {
 	log *zap.Logger
-	// now reads the clock, and started is when the node started by it.
+	// now reads the clock; started is the time of that clock at which the node started.
 	now     func() time.Duration
 	started time.Duration
-	// wait is how long the node waits for the first other one that is ready, 0 for a seed.
+	// wait is how long the node waits for the first other node to become ready; 0 for a seed.
 	wait time.Duration
-	// lacking tells whether the node does not know yet what it needs to serve.
+	// lacking reports whether the node does not yet know what it needs to serve.
 	lacking func() bool
-	// informants returns the nodes that can tell it.
+	// informants returns the ready nodes that can be asked.
 	informants func() []gossip.Peer
-	// othersRead tells whether the store answers another node.
+	// othersRead reports whether the store answers another node.
 	othersRead func() bool
-	// ask takes over what a node knows; shun leaves a node out for a while.
+	// ask applies a snapshot of another node; shun excludes a node for a while.
 	ask  func(context.Context, gossip.Peer) error
 	shun func(gossip.Peer)
-	// readySince is when a node was first seen that is ready, in nanoseconds of the clock; 0
-	// before that.
+	// readySince is when a ready node was first seen, in nanoseconds of the clock; 0 before that.
 	readySince atomic.Int64
 }
 
-// learn asks a node that is ready; it returns false if there is none to wait for.
+// learn asks a ready node, or pauses if there is none yet. It returns false if the node is not to
+// wait for one.
 func (s *starter) learn(ctx context.Context) bool {
 	ready := s.informants()
 	if len(ready) == 0 {
@@ -73,11 +72,11 @@
 	}
 	p := ready[rand.IntN(len(ready))]
 	err := s.ask(ctx, p)
-	s.log.Debug("asked at the start", zap.String("node", p.Address), zap.Int("ready", len(ready)), zap.Error(err))
+	s.log.Debug("requested snapshot at start-up", zap.String("node", p.Address), zap.Int("ready", len(ready)), zap.Error(err))
 	switch {
 	case err == nil && !s.lacking():
 	case err == nil:
-		// It is ready and knows no endpoints yet.
+		// The peer is ready, but does not know the endpoints yet.
 		pause(ctx, startCheck)
 	case connect.CodeOf(err) == connect.CodeResourceExhausted:
 		metrics.Count("start_node_busy")
@@ -89,7 +88,7 @@
 	return true
 }
 
-// waits tells whether the node leaves the store to others still.
+// waits reports whether the node still leaves reading the store to others.
 func (s *starter) waits() bool {
 	age := s.now() - s.started
 	switch {
@@ -105,9 +104,9 @@
 	}
 }
 
-// startWaitOf draws the wait of a node that is no seed. Where the seeds are gone, hundreds of
-// nodes wait for each other: few of them draw a short wait, and the others learn from these
-// while they wait.
+// startWaitOf returns the wait of a node that is not a seed, from a random number in [0, 1). If the
+// seeds are gone, hundreds of nodes wait for each other; the cube root gives few of them a short
+// wait, and the others learn from these while they wait.
 func startWaitOf(draw float64) time.Duration {
 	return startWait + time.Duration(math.Cbrt(draw)*float64(startSpread))
 }
@@ -128,14 +127,14 @@
 	}
 }
 
-// starts tells whether this node does not know yet what it needs to serve.
+// starts reports whether this node does not yet know what it needs to serve.
 func (n *Node) starts() bool {
 	known, _ := n.config.Current()
 	return known.Table == nil || n.entries.known() == 0 || n.evacuations.Version() == 0
 }
 
-// informants are the nodes that can tell this one what it needs: those of its data centre
-// if there are any.
+// informants returns the ready nodes from which this one can get what it needs: those of its data
+// centre if there are any, else all.
 func (n *Node) informants() []gossip.Peer {
 	var near, all []gossip.Peer
 	for _, p := range n.gossip.Live() {
@@ -153,7 +152,7 @@
 	return all
 }
 
-// seed tells whether this node is one of those that every node knows at its start.
+// seed reports whether this node is one of the seeds in the settings.
 func (n *Node) seed() bool {
 	for _, seed := range n.settings.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil && host == n.settings.IP {
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -15,23 +15,22 @@
 	"github.com/crocusreel/crocusreel/node"
 )
 
-// All nodes lose power at once and come back together: none knows anything, and callers
-// wait. The nodes read the same table of thousands of endpoints, from the store or from
-// each other over small links. If all ask the few that have it first, each answer comes
-// later than its asker waits, and none serves for as long as the nodes go on asking.
+// Guards against a restart of all nodes in which none becomes ready: all request a table of
+// thousands of endpoints from the few nodes that have it, over small links, and every answer
+// arrives after its requester's timeout.
 func TestStartOfAllNodesAtOnce(t *testing.T) {
 	const (
-		// aim is the time in which all are to serve once the store answers.
+		// aim is the time within which all nodes must serve once the store answers.
 		aim = 2 * time.Second
-		// readers is the part of the nodes that may read the store when it is well.
+		// readers is the fraction of the nodes that may read a healthy store.
 		readers = 0.125
 	)
 	cases := []struct {
 		name  string
 		world startOptions
-		// few is set where only that part may read it.
+		// few is set if no more than that fraction may read it.
 		few bool
-		// late is how long the store takes before it answers anybody.
+		// late is the time before the store answers any node.
 		late time.Duration
 	}{
 		{name: "8 nodes", world: startOptions{nodes: 8, seeds: 3}},
@@ -51,13 +50,13 @@
 					w := &startWorld{startOptions: c.world}
 					w.play(seed)
 					if took := w.lastServes - c.late; took > aim {
-						t.Errorf("the last node serves %v after the store", took)
+						t.Errorf("last node serves %v after the store answers, later than the limit", took)
 					}
 					if c.few && float64(w.storeReadings) > readers*float64(w.nodes) {
-						t.Errorf("%d nodes read the store", w.storeReadings)
+						t.Errorf("%d readings of the store, more than the permitted fraction of the nodes", w.storeReadings)
 					}
 					if most := (node.WholeBytes + tableBytes) * int(aim/node.WholesWindow+1); w.mostSent > most {
-						t.Errorf("a node sent %d bytes of tables", w.mostSent)
+						t.Errorf("a node sent %d bytes of tables, more than its limit", w.mostSent)
 					}
 				})
 			})
@@ -66,14 +65,14 @@
 }
 
 const (
-	// tableBytes is the size of a packed table of thousands of endpoints, tableTime the time
-	// that it takes on a small VM's link, and datagramTime the way of a datagram with a node's
+	// tableBytes is the size of a packed table of thousands of endpoints, tableTime the time to
+	// send it over a small VM's link, and datagramTime the latency of a datagram with a node's
 	// state.
 	tableBytes   = 60 << 10
 	tableTime    = 40 * time.Millisecond
 	datagramTime = 15 * time.Millisecond
-	// tablePages is the number of calls in which the store's table is read, pageTime that
-	// of one.
+	// tablePages is the number of calls needed to read the table from the store, pageTime the time
+	// of one call.
 	tablePages = 8
 	pageTime   = 8 * time.Millisecond
 	// storeBackoff is the pause after a failed call.
@@ -83,29 +82,29 @@
 // startOptions describe nodes that start at the same moment, and their store.
 type startOptions struct {
 	nodes, seeds int
-	// dead is the number of seeds that do not come back.
+	// dead is the number of seeds that do not start.
 	dead int
-	// page is the time of a call to the store; 0 for the usual one.
+	// page is the time of a call to the store; 0 selects pageTime.
 	page time.Duration
-	// away is the time for which the store answers nobody, and turnedAway, if it is not 0,
-	// means that every so many nodes one has no answer at all.
+	// away is the time during which the store answers no node. If turnedAway is not 0, the store
+	// never answers one in every turnedAway nodes.
 	away       time.Duration
 	turnedAway int
-	// empty is the time for which the store holds nothing.
+	// empty is the time during which the store holds nothing.
 	empty time.Duration
 }
 
-// startWorld is such nodes at their start.
+// startWorld simulates the start of such nodes.
 type startWorld struct {
 	startOptions
 	began time.Time
 	mu    sync.Mutex
-	// served is when each node began to serve, 0 while it has not.
+	// served is when each node began to serve; 0 if it has not.
 	served []time.Duration
 	pacers []node.Pacer
-	// storeAnswered is when the store first answered a node, 0 while it has not.
+	// storeAnswered is when the store first answered a node; 0 if it has not.
 	storeAnswered time.Duration
-	// linkFree is when each node's link has sent what it was given.
+	// linkFree is when each node's link will have sent all it was given.
 	linkFree []time.Duration
 	sent     []int
 
@@ -137,7 +136,7 @@
 	}
 }
 
-// start is the life of one node until it serves.
+// start runs one node until it serves.
 func (w *startWorld) start(i int, delay time.Duration, draw float64) {
 	time.Sleep(delay)
 	s := node.NewStarter(node.StarterOptions{
@@ -182,7 +181,7 @@
 	}
 }
 
-// ready are the nodes whose datagram has come by now that says that they serve.
+// ready returns the nodes whose datagram announcing that they serve has arrived.
 func (w *startWorld) ready() []gossip.Peer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -241,7 +240,7 @@
 	return !empty
 }
 
-// answered tells whether a datagram has come that says that the store answers.
+// answered reports whether a datagram announcing that the store answers has arrived.
 func (w *startWorld) answered() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/node/uptime.go
+++ b/node/uptime.go
@@ -13,8 +13,8 @@
 	return &exchangev1.Uptime{SinceMs: u.Since.Milliseconds(), UntilMs: u.Until.Milliseconds()}
 }
 
-// readUptime reads what another node tells of the store's uptime; a node that tells nothing has
-// an empty span.
+// readUptime decodes another node's record of the store's uptime. It is empty for a node that sends
+// none.
 func readUptime(m *exchangev1.Uptime) knowledge.Uptime {
 	return knowledge.Uptime{
 		Since: time.Duration(m.GetSinceMs()) * time.Millisecond,
@@ -22,8 +22,8 @@
 	}
 }
 
-// settlingWait is how long the store is to hold the next question: while entries are missing, no
-// longer than until its answer tells which endpoints are gone.
+// settlingWait returns the maximum wait of the next poll of the endpoints. While entries are
+// missing, it ends when the store's answer can show which endpoints are gone.
 func (n *Node) settlingWait() time.Duration {
 	if doubt := n.uptime.Doubt(); doubt > 0 && n.fleet.Missing() > 0 {
 		return min(doubt+time.Millisecond, endpointsWait)
@@ -31,8 +31,8 @@
 	return endpointsWait
 }
 
-// heardUptime takes what a follower knows of the store's uptime. It may know of answers during a
-// time in which the store did not answer this node.
+// heardUptime merges a follower's record of the store's uptime. The store may have answered the
+// follower while it did not answer this node.
 func (n *Node) heardUptime(told knowledge.Uptime) {
 	if !n.uptime.Heard(told) {
 		return
