--- a/node/benchmark_test.go
+++ b/node/benchmark_test.go
@@ -20,13 +20,13 @@
 	}
 }
 
-func benchEntries() *node.Entries {
+func benchEntries() *node.EndpointTable {
 	var l platform.Listing
 	for i := range benchEndpoints {
 		l.Rows = append(l.Rows, benchRow(i, 1))
 	}
 	l.Version = 1
-	var e node.Entries
+	var e node.EndpointTable
 	node.Replace(&e, l, 1)
 	return &e
 }
@@ -44,7 +44,7 @@
 			l.Rows = append(l.Rows, benchRow(int(version)*10%benchEndpoints+i, version))
 		}
 		node.Update(e, l, 1)
-		node.Fill(e, &exchangev1.SnapshotResponse{}, version-1)
+		node.FillResponse(e, &exchangev1.SnapshotResponse{}, version-1)
 	}
 }
 
@@ -53,17 +53,17 @@
 	e := benchEntries()
 	b.ReportAllocs()
 	for b.Loop() {
-		node.Fill(e, &exchangev1.SnapshotResponse{}, 0)
+		node.FillResponse(e, &exchangev1.SnapshotResponse{}, 0)
 	}
 }
 
 // BenchmarkUnpack measures decoding such a response, and reports its packed size.
 func BenchmarkUnpack(b *testing.B) {
 	resp := &exchangev1.SnapshotResponse{}
-	node.Fill(benchEntries(), resp, 0)
+	node.FillResponse(benchEntries(), resp, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		if l, err := node.WholeListing(resp); err != nil || len(l.Rows) != benchEndpoints {
+		if l, err := node.FullListing(resp); err != nil || len(l.Rows) != benchEndpoints {
 			b.Fatal(len(l.Rows), err)
 		}
 	}
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -8,19 +8,19 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// configurationListed applies a full listing of the operator's table.
-func (n *Node) configurationListed(l platform.Listing, seen knowledge.Seen) {
+// applyConfigurationListing applies a full listing of the operator's table.
+func (n *Node) applyConfigurationListing(l platform.Listing, seen knowledge.Seen) {
 	for _, row := range l.Rows {
 		if row.Key == platform.KeyConfiguration {
 			n.applyConfiguration(row.Value, row.Version, seen)
 		}
 	}
-	n.evacuationsListed(l)
+	n.applyEvacuationListing(l)
 }
 
-// configurationChanged applies changes of the operator's table. If none of them is a new
+// applyConfigurationChanges applies changes of the operator's table. If none of them is a new
 // configuration, it confirms the known version.
-func (n *Node) configurationChanged(l platform.Listing, seen knowledge.Seen) {
+func (n *Node) applyConfigurationChanges(l platform.Listing, seen knowledge.Seen) {
 	found := false
 	for _, row := range l.Rows {
 		if row.Key == platform.KeyConfiguration && !row.Deleted {
@@ -32,7 +32,7 @@
 		known, _ := n.config.Current()
 		n.config.Confirm(known.Row, seen)
 	}
-	n.evacuationsChanged(l.Rows)
+	n.applyEvacuationChanges(l.Rows)
 }
 
 func (n *Node) applyConfiguration(data []byte, row int64, seen knowledge.Seen) {
@@ -48,16 +48,16 @@
 	if n.config.Apply(routing.NewTable(c), row, data, seen) {
 		n.log.Info("configuration applied", zap.Int64("config_version", c.Version), zap.Int64("row", row),
 			zap.Int("routes", len(c.Routes)), zap.Int("workspaces_keys", len(c.Keys)))
-		n.warnOfRegions(c)
-		n.limits.apply(c.Limits)
-		n.tellReadiness()
-		n.news.tell()
+		n.warnUnknownRegions(c)
+		n.callerServer.apply(c.Limits)
+		n.announceReadiness()
+		n.changes.notify()
 	}
 }
 
-// warnOfRegions logs each region that a route or workspace is bound to but that the settings do not
-// name. No endpoint can serve work bound to such a region.
-func (n *Node) warnOfRegions(c *routing.Configuration) {
+// warnUnknownRegions logs each region that a route or workspace is bound to but that the settings
+// do not name. Work bound only to such regions cannot run.
+func (n *Node) warnUnknownRegions(c *routing.Configuration) {
 	known := make(map[string]bool)
 	for _, region := range n.settings.Regions {
 		known[region] = true
@@ -73,10 +73,10 @@
 	for i := range c.Routes {
 		warn("route", c.Routes[i].Name, c.Routes[i].Regions)
 	}
-	told := make(map[*routing.Workspace]bool)
+	warned := make(map[*routing.Workspace]bool)
 	for _, ws := range c.Keys {
-		if !told[ws] {
-			told[ws] = true
+		if !warned[ws] {
+			warned[ws] = true
 			warn("workspace", ws.Name, ws.Regions)
 		}
 	}
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -13,9 +13,9 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// registry serializes updates of the endpoints, which arrive from the store and from other nodes on
-// different goroutines.
-type registry struct {
+// endpointUpdates serializes updates of the endpoints, which arrive from the store and from other
+// nodes on different goroutines.
+type endpointUpdates struct {
 	mu sync.Mutex
 	// faulty holds, by key, the version of each entry that does not describe an endpoint, so that
 	// it is logged once per version rather than on every read.
@@ -26,23 +26,23 @@
 // cleared, so some entries are logged again.
 const maxFaulty = 1024
 
-// ownEndpoints returns a callback for answers that this node gets from the store itself. Such an
-// answer clears awayPeer, the state of the store as reported by the node followed before.
-func (n *Node) ownEndpoints(take func(platform.Listing, knowledge.Seen, uptimeSource)) func(platform.Listing, knowledge.Seen) {
+// fromStore returns a callback for answers that this node gets from the store itself. Such an
+// answer clears peerStoreAway, the state of the store as reported by the node followed before.
+func (n *Node) fromStore(apply func(platform.Listing, knowledge.Seen, uptimeUpdate)) func(platform.Listing, knowledge.Seen) {
 	return func(l platform.Listing, seen knowledge.Seen) {
-		n.awayPeer.Store(false)
-		take(l, seen, func() time.Duration { return n.uptime.Answered(l.At) })
+		n.peerStoreAway.Store(false)
+		apply(l, seen, func() time.Duration { return n.uptime.Answered(l.At) })
 	}
 }
 
-// uptimeSource updates the store's uptime record with what an answer that carries entries shows. It
+// uptimeUpdate updates the store's uptime record with what an answer that carries entries shows. It
 // returns the length of the outage that the answer ends, or 0 if there was none.
-type uptimeSource func() time.Duration
+type uptimeUpdate func() time.Duration
 
-// served updates the uptime record after the entries of an answer have been stored, and logs the
-// end of an outage.
-func (n *Node) served(proof uptimeSource) {
-	if outage := proof(); outage > 0 {
+// recordUptime updates the uptime record after the entries of an answer have been stored, and logs
+// the end of an outage.
+func (n *Node) recordUptime(updateUptime uptimeUpdate) {
+	if outage := updateUptime(); outage > 0 {
 		known := n.uptime.Current()
 		metrics.Count("store_outages")
 		n.log.Info("outage of the store is over", zap.Duration("length", outage), zap.Duration("store_time", known.Since),
@@ -50,14 +50,14 @@
 	}
 }
 
-func (n *Node) endpointsListed(l platform.Listing, seen knowledge.Seen, proof uptimeSource) {
-	n.registry.mu.Lock()
-	defer n.registry.mu.Unlock()
-	if !n.entries.replace(l, seen.Answered) {
+func (n *Node) applyEndpointListing(l platform.Listing, seen knowledge.Seen, updateUptime uptimeUpdate) {
+	n.endpointUpdates.mu.Lock()
+	defer n.endpointUpdates.mu.Unlock()
+	if !n.endpointTable.replace(l, seen.Answered) {
 		metrics.Count("endpoints_outdated")
 		return
 	}
-	n.served(proof)
+	n.recordUptime(updateUptime)
 	instances := make([]fleet.Instance, 0, len(l.Rows))
 	for _, row := range l.Rows {
 		if in, ok := n.readEndpoint(row); ok {
@@ -70,19 +70,19 @@
 		zap.Strings("removed", removed), zap.Bool("tentative", doubt > 0), zap.Duration("doubt", doubt),
 		zap.Int64("version", l.Version))
 	n.dropMissing()
-	n.news.tell()
+	n.changes.notify()
 }
 
-func (n *Node) endpointsChanged(l platform.Listing, seen knowledge.Seen, proof uptimeSource) {
-	n.registry.mu.Lock()
-	defer n.registry.mu.Unlock()
-	fresh := n.entries.update(l, seen.Answered)
-	n.served(proof)
+func (n *Node) applyEndpointChanges(l platform.Listing, seen knowledge.Seen, updateUptime uptimeUpdate) {
+	n.endpointUpdates.mu.Lock()
+	defer n.endpointUpdates.mu.Unlock()
+	fresh := n.endpointTable.update(l, seen.Answered)
+	n.recordUptime(updateUptime)
 	for _, row := range fresh {
-		n.endpointChanged(row, seen)
+		n.applyEndpointRow(row, seen)
 	}
 	n.dropMissing()
-	n.news.tell()
+	n.changes.notify()
 }
 
 // dropMissing drops the endpoints whose entries are still missing although the store has been up
@@ -98,7 +98,7 @@
 	}
 }
 
-func (n *Node) endpointChanged(row platform.Row, seen knowledge.Seen) {
+func (n *Node) applyEndpointRow(row platform.Row, seen knowledge.Seen) {
 	if row.Deleted {
 		doubt := n.uptime.Doubt()
 		n.fleet.Remove(row.Key, doubt > 0)
@@ -122,14 +122,14 @@
 }
 
 // readEndpoint decodes an entry. It returns false if the entry does not describe an endpoint. The
-// caller holds registry.mu.
+// caller holds endpointUpdates.mu.
 func (n *Node) readEndpoint(row platform.Row) (in fleet.Instance, ok bool) {
 	entry := platform.ReadEndpoint(row.Key, row.Value)
 	if entry.Fault == platform.FaultNone {
 		return entry.Instance, true
 	}
-	r := &n.registry
-	if version, told := r.faulty[row.Key]; told && version == row.Version {
+	r := &n.endpointUpdates
+	if version, logged := r.faulty[row.Key]; logged && version == row.Version {
 		return in, false
 	}
 	if r.faulty == nil || len(r.faulty) >= maxFaulty {
--- a/node/entries.go
+++ b/node/entries.go
@@ -9,10 +9,10 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// entries is this node's copy of the endpoints' rows, kept for the nodes that follow it. Rows
+// endpointTable is this node's copy of the endpoints' rows, kept for the nodes that follow it. Rows
 // arrive from the store and from other nodes, sometimes concurrently, so an answer may be older
 // than what is known: only rows newer than the known ones are accepted.
-type entries struct {
+type endpointTable struct {
 	mu   sync.Mutex
 	rows map[string]platform.Row
 	// removed holds the versions of removals later than floor. Rows at or below floor are never
@@ -21,8 +21,8 @@
 	floor   int64
 	// version is the version of the latest change.
 	version int64
-	// at is the time at which the rows were last known to be current.
-	at time.Duration
+	// currentAt is the time at which the rows were last known to be current.
+	currentAt time.Duration
 	// packed is the full table as of packedVersion, for starting nodes.
 	packed        []byte
 	packedVersion int64
@@ -41,7 +41,7 @@
 
 // replace stores a full listing. It returns false, and stores nothing, if the listing is older than
 // the known version.
-func (e *entries) replace(l platform.Listing, at time.Duration) bool {
+func (e *endpointTable) replace(l platform.Listing, at time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if l.Version < e.version {
@@ -52,16 +52,16 @@
 		e.rows[row.Key] = row
 	}
 	e.removed = make(map[string]int64)
-	e.version, e.floor, e.at = l.Version, l.Version, max(e.at, at)
+	e.version, e.floor, e.currentAt = l.Version, l.Version, max(e.currentAt, at)
 	return true
 }
 
 // update stores changed rows and returns those that are newer than the known ones.
-func (e *entries) update(l platform.Listing, at time.Duration) []platform.Row {
+func (e *endpointTable) update(l platform.Listing, at time.Duration) []platform.Row {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if l.Version >= e.version {
-		e.at = max(e.at, at)
+		e.currentAt = max(e.currentAt, at)
 	}
 	if len(l.Rows) == 0 {
 		return nil
@@ -91,21 +91,21 @@
 }
 
 // age returns the time since the rows were last known to be current.
-func (e *entries) age() time.Duration {
+func (e *endpointTable) age() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return boottime.Now() - e.at
+	return boottime.Now() - e.currentAt
 }
 
-func (e *entries) known() int64 {
+func (e *endpointTable) knownVersion() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.version
 }
 
-// wholeSize returns the size in bytes of the packed full table if a follower at the given version
+// fullSize returns the size in bytes of the packed full table if a follower at the given version
 // needs the full table, or 0 if changes are enough for it.
-func (e *entries) wholeSize(known int64) int {
+func (e *endpointTable) fullSize(known int64) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if known >= e.floor {
@@ -115,12 +115,12 @@
 	return len(e.packed)
 }
 
-// fill adds to the response what a follower at the given version lacks.
-func (e *entries) fill(resp *exchangev1.SnapshotResponse, known int64) {
+// fillResponse adds to the response what a follower at the given version lacks.
+func (e *endpointTable) fillResponse(resp *exchangev1.SnapshotResponse, known int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	resp.EndpointsVersion = e.version
-	resp.EndpointsAgeMs = uint64((boottime.Now() - e.at).Milliseconds()) + 1
+	resp.EndpointsAgeMs = uint64((boottime.Now() - e.currentAt).Milliseconds()) + 1
 	if e.version <= known {
 		return
 	}
@@ -134,7 +134,7 @@
 		return
 	}
 	rows := e.sinceLocked(known)
-	if len(rows) < packFrom {
+	if len(rows) < minPackedRows {
 		resp.Endpoints = rows
 		return
 	}
@@ -142,13 +142,13 @@
 	resp.EndpointsPacked = e.changes.data
 }
 
-// packFrom is the number of changed rows from which the rows are packed, once for all followers.
-// Rows are so similar that packing reduces them to a tenth of their size.
-const packFrom = 8
+// minPackedRows is the number of changed rows from which the rows are packed, once for all
+// followers. Rows are so similar that packing reduces them to a tenth of their size.
+const minPackedRows = 8
 
 // sinceLocked returns the rows changed or removed after the given version. The caller holds e.mu.
-func (e *entries) sinceLocked(version int64) []*exchangev1.Row {
-	rows := e.presentLocked(version)
+func (e *endpointTable) sinceLocked(version int64) []*exchangev1.Row {
+	rows := e.existingSinceLocked(version)
 	for key, removed := range e.removed {
 		if removed > version {
 			rows = append(rows, &exchangev1.Row{Key: key, Version: removed, Deleted: true})
@@ -157,8 +157,9 @@
 	return rows
 }
 
-// presentLocked returns the existing rows changed after the given version. The caller holds e.mu.
-func (e *entries) presentLocked(version int64) (rows []*exchangev1.Row) {
+// existingSinceLocked returns the existing rows changed after the given version. The caller holds
+// e.mu.
+func (e *endpointTable) existingSinceLocked(version int64) (rows []*exchangev1.Row) {
 	for _, row := range e.rows {
 		if row.Version > version {
 			rows = append(rows, &exchangev1.Row{Key: row.Key, Data: row.Value, Version: row.Version})
@@ -173,11 +174,11 @@
 // packLocked rebuilds the packed table if the changes since its version are not all known, or are
 // too many, and returns its version. The result is cached because hundreds of nodes may start at
 // once and request the same table. The caller holds e.mu.
-func (e *entries) packLocked() int64 {
+func (e *endpointTable) packLocked() int64 {
 	changes := len(e.sinceLocked(e.packedVersion))
 	if e.packed != nil && e.packedVersion >= e.floor && float64(changes) <= repackShare*float64(len(e.rows)) {
 		return e.packedVersion
 	}
-	e.packed, e.packedVersion = packRows(e.presentLocked(0)), e.version
+	e.packed, e.packedVersion = packRows(e.existingSinceLocked(0)), e.version
 	return e.packedVersion
 }
--- a/node/entries_test.go
+++ b/node/entries_test.go
@@ -22,7 +22,7 @@
 	// Guards against sending requests to an endpoint that has left. Its row would come back if a
 	// late answer of the store were applied after newer data from another node.
 	It("ignores rows and listings that are older than the known ones", func() {
-		var e node.Entries
+		var e node.EndpointTable
 		Expect(node.Replace(&e, platform.Listing{Version: 10, Rows: []platform.Row{row("a", 3), row("b", 9)}}, 1)).To(BeTrue())
 		Expect(node.Update(&e, platform.Listing{Version: 12, Rows: []platform.Row{removal("a", 12)}}, 2)).To(HaveLen(1))
 		Expect(node.Update(&e, platform.Listing{Version: 11, Rows: []platform.Row{row("a", 11), row("b", 9)}}, 3)).To(BeEmpty())
@@ -33,7 +33,7 @@
 	// Guards against the return of removed endpoints: a node reads the full table while an older
 	// answer of another node is still in transit.
 	It("ignores rows that a full listing has superseded", func() {
-		var e node.Entries
+		var e node.EndpointTable
 		Expect(node.Replace(&e, platform.Listing{Version: 90, Rows: []platform.Row{row("b", 9)}}, 1)).To(BeTrue())
 		Expect(node.Replace(&e, platform.Listing{Version: 100, Rows: []platform.Row{row("b", 9)}}, 2)).To(BeTrue())
 		late := platform.Listing{Version: 96, Rows: []platform.Row{row("a", 95)}}
@@ -43,7 +43,7 @@
 
 	// Guards against the same after more removals than a node remembers.
 	It("ignores rows that are older than removals no longer remembered", func() {
-		var e node.Entries
+		var e node.EndpointTable
 		node.Replace(&e, platform.Listing{Version: 1, Rows: []platform.Row{row("a", 1)}}, 1)
 		var removals []platform.Row
 		for i := range int64(300) {
@@ -60,7 +60,7 @@
 	It("is replicated completely to a follower, packed or not", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 30 {
-			var leader, follower node.Entries
+			var leader, follower node.EndpointTable
 			version := int64(1)
 			node.Replace(&leader, platform.Listing{Version: version, Rows: []platform.Row{row("e0", 1)}}, 1)
 			for range 60 {
@@ -74,25 +74,25 @@
 				changed.Version = version
 				node.Update(&leader, changed, 1)
 				if random.IntN(3) > 0 {
-					tell(&leader, &follower)
+					synchronize(&leader, &follower)
 				}
 				if random.IntN(20) == 0 {
-					follower = node.Entries{}
+					follower = node.EndpointTable{}
 				}
 			}
-			tell(&leader, &follower)
+			synchronize(&leader, &follower)
 			Expect(node.Rows(&follower)).To(Equal(node.Rows(&leader)))
 		}
 	})
 })
 
-// tell brings a follower up to date.
-func tell(leader, follower *node.Entries) {
+// synchronize brings a follower up to date.
+func synchronize(leader, follower *node.EndpointTable) {
 	GinkgoHelper()
 	resp := &exchangev1.SnapshotResponse{}
-	node.Fill(leader, resp, node.Known(follower))
+	node.FillResponse(leader, resp, node.KnownVersion(follower))
 	if resp.GetEndpointsWhole() {
-		l, err := node.WholeListing(resp)
+		l, err := node.FullListing(resp)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(node.Replace(follower, l, 1)).To(BeTrue())
 		return
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -11,42 +11,42 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// evacuationsListed applies the evacuation orders of a full listing of the operator's table.
-func (n *Node) evacuationsListed(l platform.Listing) {
+// applyEvacuationListing applies the evacuation orders of a full listing of the operator's table.
+func (n *Node) applyEvacuationListing(l platform.Listing) {
 	set := knowledge.EvacuationSet{Version: l.Version, Orders: make(map[string]int64)}
 	for _, order := range n.readEvacuations(l.Rows) {
 		set.Orders[order.DataCentre] = order.Version
 	}
 	if n.evacuations.Replace(set) {
-		n.evacuationsKnown("store")
+		n.enforceEvacuations("store")
 	}
 }
 
-// evacuationsChanged applies changes of the operator's table.
-func (n *Node) evacuationsChanged(rows []platform.Row) {
+// applyEvacuationChanges applies changes of the operator's table.
+func (n *Node) applyEvacuationChanges(rows []platform.Row) {
 	if len(n.evacuations.Apply(n.readEvacuations(rows))) > 0 {
-		n.evacuationsKnown("store")
+		n.enforceEvacuations("store")
 	}
 }
 
-// evacuationsFromPeer applies the evacuations known to another node. The configuration of the same
+// applyPeerEvacuations applies the evacuations known to another node. The configuration of the same
 // answer must be applied first, because this node's own polls of the operator's table continue from
 // the version of the evacuations.
-func (n *Node) evacuationsFromPeer(told *exchangev1.Evacuations, address string) {
-	if told == nil {
+func (n *Node) applyPeerEvacuations(received *exchangev1.Evacuations, address string) {
+	if received == nil {
 		return
 	}
-	set := knowledge.EvacuationSet{Version: told.GetVersion(), Orders: make(map[string]int64, len(told.GetOrders()))}
-	for _, order := range told.GetOrders() {
+	set := knowledge.EvacuationSet{Version: received.GetVersion(), Orders: make(map[string]int64, len(received.GetOrders()))}
+	for _, order := range received.GetOrders() {
 		set.Orders[order.GetDataCentre()] = order.GetVersion()
 	}
 	if n.evacuations.Replace(set) {
-		n.evacuationsKnown(address)
+		n.enforceEvacuations(address)
 	}
 }
 
-// maxFaultLines bounds the number of faulty rows logged for one answer of the store.
-const maxFaultLines = 4
+// maxFaultyRowsLogged bounds the number of faulty rows logged for one answer of the store.
+const maxFaultyRowsLogged = 4
 
 func (n *Node) readEvacuations(rows []platform.Row) []knowledge.EvacuationOrder {
 	var orders []knowledge.EvacuationOrder
@@ -61,7 +61,7 @@
 		}
 		if read.Fault != "" {
 			metrics.Count("evacuation_row_faulty")
-			if faulty++; faulty <= maxFaultLines {
+			if faulty++; faulty <= maxFaultyRowsLogged {
 				n.log.Warn("evacuation row is faulty", zap.String("key", row.Key), zap.Int64("version", row.Version),
 					zap.String("fault", read.Fault), zap.Bool("taken", read.DataCentre != ""))
 			}
@@ -72,8 +72,8 @@
 			})
 		}
 	}
-	if faulty > maxFaultLines {
-		n.log.Warn("further evacuation rows are faulty; not logged one by one", zap.Int("count", faulty-maxFaultLines))
+	if faulty > maxFaultyRowsLogged {
+		n.log.Warn("further evacuation rows are faulty; not logged one by one", zap.Int("count", faulty-maxFaultyRowsLogged))
 	}
 	return orders
 }
@@ -83,18 +83,18 @@
 	return known
 }
 
-// evacuationsKnown puts the known set of evacuations into force and wakes waiting followers.
-func (n *Node) evacuationsKnown(source string) {
+// enforceEvacuations puts the known set of evacuations into force and wakes waiting followers.
+func (n *Node) enforceEvacuations(source string) {
 	n.evacuationsMu.Lock()
 	defer n.evacuationsMu.Unlock()
 	set := n.evacuations.Current()
 	names := set.DataCentres()
 	n.fleet.Evacuate(names)
-	n.news.tell()
-	if slices.Equal(names, n.evacuated) && n.evacuated != nil {
+	n.changes.notify()
+	if slices.Equal(names, n.evacuatedNames) && n.evacuatedNames != nil {
 		return
 	}
-	n.evacuated = names
+	n.evacuatedNames = names
 	running := 0
 	for _, e := range n.fleet.Evacuations() {
 		running += e.Running
@@ -111,9 +111,9 @@
 	if set.Version <= known {
 		return nil
 	}
-	told := &exchangev1.Evacuations{Version: set.Version}
+	message := &exchangev1.Evacuations{Version: set.Version}
 	for _, name := range set.DataCentres() {
-		told.Orders = append(told.Orders, &exchangev1.EvacuationOrder{DataCentre: name, Version: set.Orders[name]})
+		message.Orders = append(message.Orders, &exchangev1.EvacuationOrder{DataCentre: name, Version: set.Orders[name]})
 	}
-	return told
+	return message
 }
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -20,14 +20,14 @@
 // next change or answer of the store, for at most the time that the caller allows.
 func (s exchangeServer) Snapshot(ctx context.Context, req *connect.Request[exchangev1.SnapshotRequest]) (*connect.Response[exchangev1.SnapshotResponse], error) {
 	n := s.n
-	n.heardUptime(readUptime(req.Msg.GetUptime()))
+	n.mergePeerUptime(readUptime(req.Msg.GetUptime()))
 	timer := time.NewTimer(time.Duration(req.Msg.GetWaitMs()) * time.Millisecond)
 	defer timer.Stop()
-	changed := n.news.wait()
+	changed := n.changes.wait()
 	// Read before the configuration, so that the configuration is at least as new.
 	evacuations := n.evacuationsMessage(req.Msg.GetEvacuationsVersion())
 	known, ages := n.config.Current()
-	if evacuations == nil && known.Row <= req.Msg.GetConfigVersion() && n.entries.known() <= req.Msg.GetEndpointsVersion() {
+	if evacuations == nil && known.Row <= req.Msg.GetConfigVersion() && n.endpointTable.knownVersion() <= req.Msg.GetEndpointsVersion() {
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -40,7 +40,7 @@
 	if known.Table == nil {
 		return nil, connect.NewError(connect.CodeUnavailable, errNoConfiguration)
 	}
-	if size := n.entries.wholeSize(req.Msg.GetEndpointsVersion()); size > 0 && !n.wholes.take(boottime.Now(), size) {
+	if size := n.endpointTable.fullSize(req.Msg.GetEndpointsVersion()); size > 0 && !n.tableLimiter.allow(boottime.Now(), size) {
 		metrics.Count("snapshot_whole_refused")
 		return nil, connect.NewError(connect.CodeResourceExhausted, errBusy)
 	}
@@ -53,23 +53,23 @@
 	}
 	if known.Row > req.Msg.GetConfigVersion() {
 		resp.Config = &exchangev1.Row{Key: platform.KeyConfiguration, Version: known.Row}
-		resp.ConfigPacked = n.packedConfig.of(known)
+		resp.ConfigPacked = n.packedConfig.get(known)
 	}
 	// Read before the endpoints, so that the endpoints are at least as new.
 	resp.Uptime = uptimeMessage(n.uptime.Current())
-	n.entries.fill(resp, req.Msg.GetEndpointsVersion())
+	n.endpointTable.fillResponse(resp, req.Msg.GetEndpointsVersion())
 	return connect.NewResponse(resp), nil
 }
 
-// news wakes waiting requests after a change and after each answer of the store. An answer without
-// changes confirms to followers that their data is current.
-type news struct {
+// changeNotifier wakes waiting requests after a change and after each answer of the store. An
+// answer without changes confirms to followers that their data is current.
+type changeNotifier struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
-// wait returns a channel that is closed by the next call to tell.
-func (w *news) wait() <-chan struct{} {
+// wait returns a channel that is closed by the next call to notify.
+func (w *changeNotifier) wait() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ch == nil {
@@ -78,7 +78,7 @@
 	return w.ch
 }
 
-func (w *news) tell() {
+func (w *changeNotifier) notify() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ch != nil {
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -16,28 +16,28 @@
 type Feed = feed
 
 // NewFeed returns a feed that discards what it receives.
-func NewFeed(store *platform.Store, direct func() bool) *Feed {
+func NewFeed(store *platform.Store, enabled func() bool) *Feed {
 	drop := func(platform.Listing, knowledge.Seen) {}
 	return &feed{
-		store: store, table: "t", wait: time.Second, log: zap.NewNop(), direct: direct, listed: drop, changed: drop,
-		learned:  func() int64 { return 0 },
-		patience: func() patience { return patienceOf(true) },
+		store: store, table: "t", wait: time.Second, log: zap.NewNop(), enabled: enabled, onListing: drop, onChanges: drop,
+		peerVersion:   func() int64 { return 0 },
+		backoffBounds: func() backoffBounds { return backoffBoundsFor(true) },
 
-		linkChanged: func() {},
+		onLinkChange: func() {},
 	}
 }
 
-// NewFollowersFeed returns the feed of a node on whose polls no other node depends.
-func NewFollowersFeed(store *platform.Store) *Feed {
+// NewFollowerFeed returns the feed of a node on whose polls no other node depends.
+func NewFollowerFeed(store *platform.Store) *Feed {
 	f := NewFeed(store, func() bool { return true })
-	f.patience = func() patience { return patienceOf(false) }
+	f.backoffBounds = func() backoffBounds { return backoffBoundsFor(false) }
 	return f
 }
 
 // NewListingFeed returns a feed that reports each listing of the full table.
 func NewListingFeed(store *platform.Store, listed func(platform.Listing)) *Feed {
 	f := NewFeed(store, func() bool { return true })
-	f.listed = func(l platform.Listing, _ knowledge.Seen) { listed(l) }
+	f.onListing = func(l platform.Listing, _ knowledge.Seen) { listed(l) }
 	return f
 }
 
@@ -50,13 +50,13 @@
 	IsLost = (*feed).isLost
 )
 
-// Entries exports entries.
-type Entries = entries
+// EndpointTable exports endpointTable.
+type EndpointTable = endpointTable
 
 // Replace stores a full listing; Update stores changed rows.
 var (
-	Replace = (*entries).replace
-	Update  = (*entries).update
+	Replace = (*endpointTable).replace
+	Update  = (*endpointTable).update
 )
 
 // Absences exports absences.
@@ -75,62 +75,62 @@
 type StarterOptions struct {
 	Now func() time.Duration
 	// Draw is the random number from which the wait of a node that is not a seed is derived.
-	Draw       float64
-	Seed       bool
-	Lacking    func() bool
-	Informants func() []gossip.Peer
-	OthersRead func() bool
-	Ask        func(context.Context, gossip.Peer) error
-	Shun       func(gossip.Peer)
+	Draw            float64
+	Seed            bool
+	Incomplete      func() bool
+	ReadyPeers      func() []gossip.Peer
+	OthersReadStore func() bool
+	Fetch           func(context.Context, gossip.Peer) error
+	Exclude         func(gossip.Peer)
 }
 
 // NewStarter returns the starter of a node that starts now.
 func NewStarter(o StarterOptions) Starter {
-	wait := startWaitOf(o.Draw)
+	wait := startWaitFor(o.Draw)
 	if o.Seed {
 		wait = 0
 	}
 	return Starter{&starter{
 		log: zap.NewNop(), now: o.Now, started: o.Now(), wait: wait,
-		lacking: o.Lacking, informants: o.Informants, othersRead: o.OthersRead, ask: o.Ask, shun: o.Shun,
+		incomplete: o.Incomplete, readyPeers: o.ReadyPeers, othersReadStore: o.OthersReadStore, fetch: o.Fetch, exclude: o.Exclude,
 	}}
 }
 
-// Learn asks another node; it returns false if the node is not to wait for one.
-func (s Starter) Learn(ctx context.Context) bool { return s.s.learn(ctx) }
+// FetchFromPeer asks another node; it returns false if the node is not to wait for one.
+func (s Starter) FetchFromPeer(ctx context.Context) bool { return s.s.fetchFromPeer(ctx) }
 
-// Waits reports whether the node still leaves reading the store to others.
-func (s Starter) Waits() bool { return s.s.waits() }
+// WaitsForPeers reports whether the node still leaves reading the store to others.
+func (s Starter) WaitsForPeers() bool { return s.s.waitsForPeers() }
 
-// Pacer exports the limit on sending full tables.
-type Pacer = pacer
+// TableLimiter exports the limit on sending full tables.
+type TableLimiter = tableLimiter
 
-// Take reports whether one more table may be sent, and counts it.
-var Take = (*pacer).take
+// Allow reports whether one more table may be sent, and counts it.
+var Allow = (*tableLimiter).allow
 
 // ErrBusy is the refusal of a node that has sent too many tables.
 var ErrBusy = errBusy
 
-// WholeBytes and WholesWindow bound the tables that a node sends.
+// TableBytesPerWindow and TableWindow bound the tables that a node sends.
 const (
-	WholeBytes   = wholeBytes
-	WholesWindow = wholesWindow
+	TableBytesPerWindow = tableBytesPerWindow
+	TableWindow         = tableWindow
 )
 
-// Fill adds to a response what a follower at the given version lacks.
-var Fill = (*entries).fill
+// FillResponse adds to a response what a follower at the given version lacks.
+var FillResponse = (*endpointTable).fillResponse
 
-// WholeListing returns the full table of a response.
-var WholeListing = wholeListing
+// FullListing returns the full table of a response.
+var FullListing = fullListing
 
 // ChangedRows returns the changes that a response holds.
 var ChangedRows = changedRows
 
-// Known returns the version of the latest change.
-var Known = (*entries).known
+// KnownVersion returns the version of the latest change.
+var KnownVersion = (*endpointTable).knownVersion
 
 // Rows returns the versions of the known rows by key.
-func Rows(e *Entries) map[string]int64 {
+func Rows(e *EndpointTable) map[string]int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	rows := make(map[string]int64)
@@ -140,21 +140,21 @@
 	return rows
 }
 
-// Population and Roster export the records of how many nodes there are, and which.
+// Population and Roster export population and roster.
 type (
 	Population = population
 	Roster     = roster
 )
 
 var (
-	PopulationSee     = (*population).see
+	PopulationRecord  = (*population).record
 	PopulationCurrent = (*population).current
-	RosterSee         = (*roster).see
+	RosterRecord      = (*roster).record
 )
 
-// ChooseAddresses answers an address request at a node of the data centre own.
-func ChooseAddresses(nodes []gossip.Peer, regions map[string]string, bound []string, own string, farFresh bool, q platform.AddressQuestion) []string {
-	v := addressView{nodes: nodes, regions: regions, bound: bound, own: own, farFresh: farFresh}
+// ChooseAddresses answers an address request at a node of the data centre ownDataCentre.
+func ChooseAddresses(nodes []gossip.Peer, regions map[string]string, boundRegions []string, ownDataCentre string, farFresh bool, q platform.AddressQuestion) []string {
+	v := addressView{nodes: nodes, regions: regions, boundRegions: boundRegions, ownDataCentre: ownDataCentre, farFresh: farFresh}
 	return v.choose(q)
 }
 
--- a/node/feed.go
+++ b/node/feed.go
@@ -30,36 +30,38 @@
 	// emptyPause is the pause before reading again a store that has never been written to. Nodes
 	// may run long before the operator's first configuration.
 	emptyPause = 100 * time.Millisecond
-	// gather is the pause after a change before the next poll. Changes come in groups, as when
-	// several engines leave, and every call to the store has a cost.
-	gather = 40 * time.Millisecond
-	// directCheck is the interval at which a suspended feed checks whether it must poll again.
-	directCheck = 50 * time.Millisecond
-	// firstBackoff and longestBackoff bound the pause after a failed poll. After an outage all
+	// coalescePause is the pause after a change before the next poll. Changes come in groups, as
+	// when several engines leave, and every call to the store has a cost.
+	coalescePause = 40 * time.Millisecond
+	// enabledCheckInterval is the interval at which a suspended feed checks whether it must poll
+	// again.
+	enabledCheckInterval = 50 * time.Millisecond
+	// minBackoff and maxBackoff bound the pause after a failed poll. After an outage all
 	// nodes poll at the same time, so the pause grows and is jittered.
-	firstBackoff   = 50 * time.Millisecond
-	longestBackoff = 500 * time.Millisecond
-	// lostRetry is the pause between two polls of an unavailable store by a node that is neither a
-	// seed nor the first of its data centre, and by a node that follows another one meanwhile.
-	lostRetry = 2 * time.Second
-	// slowAnswer is the delay of an answer, beyond the requested wait, from which the store counts
-	// as slow: 25 times the usual delay. Endpoints write their entries to the same store, and at
-	// this delay the entry of a leaving endpoint becomes visible only when the endpoint is already
-	// gone.
-	slowAnswer = 100 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
+	// lostRetryInterval is the pause between two polls of an unavailable store by a node that is
+	// neither a seed nor the first of its data centre, and by a node that follows another one
+	// meanwhile.
+	lostRetryInterval = 2 * time.Second
+	// slowAnswerDelay is the delay of an answer, beyond the requested wait, from which the store
+	// counts as slow: 25 times the usual delay. Endpoints write their entries to the same store,
+	// and at this delay the entry of a leaving endpoint becomes visible only when the endpoint is
+	// already gone.
+	slowAnswerDelay = 100 * time.Millisecond
 )
 
-// patience holds the bounds of the pause between two polls while the store does not answer.
-type patience struct{ least, most time.Duration }
+// backoffBounds holds the bounds of the pause between two polls while the store does not answer.
+type backoffBounds struct{ min, max time.Duration }
 
-// patienceOf returns the bounds for a node on whose polls others depend, or for any other node.
-// Hundreds of nodes may start while the store is unavailable, and every call has a cost: a few
-// nodes poll often, and the others learn from them within the time of one datagram.
-func patienceOf(leads bool) patience {
+// backoffBoundsFor returns the bounds for a node on whose polls others depend, or for any other
+// node. Hundreds of nodes may start while the store is unavailable, and every call has a cost: a
+// few nodes poll often, and the others learn from them within the time of one datagram.
+func backoffBoundsFor(leads bool) backoffBounds {
 	if leads {
-		return patience{least: firstBackoff, most: longestBackoff}
+		return backoffBounds{min: minBackoff, max: maxBackoff}
 	}
-	return patience{least: lostRetry, most: lostRetry}
+	return backoffBounds{min: lostRetryInterval, max: lostRetryInterval}
 }
 
 // feed polls one table of the store. Apart from version and relist, which only the goroutine of run
@@ -69,23 +71,23 @@
 	table string
 	wait  time.Duration
 	log   *zap.Logger
-	// direct reports whether this node is to poll the store now.
-	direct func() bool
-	// listed is called with each full listing, changed with each list of changed rows.
-	listed  func(l platform.Listing, seen knowledge.Seen)
-	changed func(l platform.Listing, seen knowledge.Seen)
+	// enabled reports whether this node is to poll the store now.
+	enabled func() bool
+	// onListing is called with each full listing, onChanges with each list of changed rows.
+	onListing func(l platform.Listing, seen knowledge.Seen)
+	onChanges func(l platform.Listing, seen knowledge.Seen)
 
-	// linkChanged is called when the store becomes unavailable or available again. It runs under mu
-	// and must not block.
-	linkChanged func()
-	// unanswered is called for each failed poll, under mu; it may be nil and must not block.
-	unanswered func()
-	// longest returns an upper bound of the wait of the next poll; nil means no bound.
-	longest func() time.Duration
-	// learned returns the version of the table known from other nodes.
-	learned func() int64
-	// patience returns the bounds of the pause after a failed poll.
-	patience func() patience
+	// onLinkChange is called when the store becomes unavailable or available again. It runs under
+	// mu and must not block.
+	onLinkChange func()
+	// onFailure is called for each failed poll, under mu; it may be nil and must not block.
+	onFailure func()
+	// maxWait returns an upper bound of the wait of the next poll; nil means no bound.
+	maxWait func() time.Duration
+	// peerVersion returns the version of the table known from other nodes.
+	peerVersion func() int64
+	// backoffBounds returns the bounds of the pause after a failed poll.
+	backoffBounds func() backoffBounds
 
 	// version is the store's version up to which changes are known; 0 means that the full table
 	// must be read.
@@ -94,36 +96,36 @@
 	relist bool
 
 	mu sync.Mutex
-	// lost is the time of the first failed poll since the last answer; 0 if the last poll was
+	// lostAt is the time of the first failed poll since the last answer; 0 if the last poll was
 	// answered.
-	lost time.Duration
+	lostAt time.Duration
 	// retryAt is when an unavailable store is polled again while another node is followed.
 	retryAt time.Duration
 	// answered is set once the store has answered.
 	answered bool
-	// rests is set while another node is followed. A loss of the store then says nothing about how
-	// current the data is.
-	rests bool
-	// asked is when the pending poll was sent, 0 if there is none; held is the wait requested from
-	// the store for it.
-	asked, held time.Duration
+	// suspended is set while another node is followed. A loss of the store then says nothing about
+	// how current the data is.
+	suspended bool
+	// sentAt is when the pending poll was sent, 0 if there is none; requestedWait is the wait
+	// requested from the store for it.
+	sentAt, requestedWait time.Duration
 	// delay is the delay of the last answer beyond the requested wait.
 	delay time.Duration
 }
 
 // run polls the table until ctx ends.
 func (f *feed) run(ctx context.Context) error {
-	backoff := firstBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		if !f.direct() {
-			f.rest()
-			pause(ctx, directCheck)
+		if !f.enabled() {
+			f.suspend()
+			pause(ctx, enabledCheckInterval)
 			continue
 		}
-		err := f.ask(ctx)
+		err := f.poll(ctx)
 		if err == nil {
-			f.reached()
-			backoff = firstBackoff
+			f.recordAnswer()
+			backoff = minBackoff
 			continue
 		}
 		if ctx.Err() != nil {
@@ -134,19 +136,19 @@
 			f.relist = true
 			continue
 		}
-		f.failed(err)
-		bounds := f.patience()
-		pause(ctx, jitter(max(backoff, bounds.least)))
-		backoff = min(2*backoff, bounds.most)
+		f.recordFailure(err)
+		bounds := f.backoffBounds()
+		pause(ctx, jitter(max(backoff, bounds.min)))
+		backoff = min(2*backoff, bounds.max)
 	}
 	return nil
 }
 
-func (f *feed) ask(ctx context.Context) error {
-	asked := f.begin()
-	defer f.done()
+func (f *feed) poll(ctx context.Context) error {
+	sentAt := f.begin()
+	defer f.end()
 	// Versions learned from other nodes meanwhile need not be read again.
-	f.version = max(f.version, f.learned())
+	f.version = max(f.version, f.peerVersion())
 	if f.version == 0 || f.relist {
 		// The timeout applies to each page, not to the whole listing. With thousands of endpoints
 		// over a slow link, a timeout for the whole would end every listing before its last page,
@@ -155,7 +157,7 @@
 		if err != nil {
 			return err
 		}
-		f.listed(listing, knowledge.Seen{Certain: asked, Answered: boottime.Now()})
+		f.onListing(listing, knowledge.Seen{Certain: sentAt, Answered: boottime.Now()})
 		f.version, f.relist = listing.Version, false
 		if f.version == 0 {
 			// Nothing was ever written, so there is no version from which to wait for changes.
@@ -163,7 +165,7 @@
 		}
 		return nil
 	}
-	wait := f.hold()
+	wait := f.nextWait()
 	ctx, cancel := context.WithTimeout(ctx, wait+answerSlack)
 	defer cancel()
 	listing, err := f.store.Changes(ctx, f.table, f.version, wait)
@@ -172,96 +174,96 @@
 	}
 	answered := boottime.Now()
 	if len(listing.Rows) == 0 {
-		f.delayed(answered - asked - wait)
+		f.recordDelay(answered - sentAt - wait)
 	}
-	f.changed(listing, knowledge.Seen{Certain: asked, Answered: answered})
+	f.onChanges(listing, knowledge.Seen{Certain: sentAt, Answered: answered})
 	f.version = max(f.version, listing.Version)
 	if len(listing.Rows) > 0 {
-		pause(ctx, gather)
+		pause(ctx, coalescePause)
 	}
 	return nil
 }
 
-// hold returns the wait to request from the store for the next poll, and records it. It is 0 before
-// the first answer, after a loss, and after another node was followed: an immediate answer then
-// shows how current the table is.
-func (f *feed) hold() time.Duration {
+// nextWait returns the wait to request from the store for the next poll, and records it. It is 0
+// before the first answer, after a loss, and after another node was followed: an immediate answer
+// then shows how current the table is.
+func (f *feed) nextWait() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = f.wait
-	if f.lost != 0 || f.rests || !f.answered {
-		f.held = 0
-	} else if f.longest != nil {
-		f.held = min(f.held, f.longest())
+	f.requestedWait = f.wait
+	if f.lostAt != 0 || f.suspended || !f.answered {
+		f.requestedWait = 0
+	} else if f.maxWait != nil {
+		f.requestedWait = min(f.requestedWait, f.maxWait())
 	}
-	return f.held
+	return f.requestedWait
 }
 
 // begin records that a poll has started and returns the time.
 func (f *feed) begin() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked, f.held = boottime.Now(), f.wait
-	return f.asked
+	f.sentAt, f.requestedWait = boottime.Now(), f.wait
+	return f.sentAt
 }
 
-func (f *feed) done() {
+func (f *feed) end() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = 0
+	f.sentAt = 0
 }
 
-func (f *feed) delayed(by time.Duration) {
+func (f *feed) recordDelay(by time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if (by >= slowAnswer) != (f.delay >= slowAnswer) {
+	if (by >= slowAnswerDelay) != (f.delay >= slowAnswerDelay) {
 		f.log.Info("store's pace changed", zap.String("table", f.table), zap.Duration("delay", by), zap.Duration("before", f.delay))
 	}
 	f.delay = by
 }
 
-// slow reports whether the last answer was late, or the pending one is.
-func (f *feed) slow() bool {
+// isSlow reports whether the last answer was late, or the pending one is.
+func (f *feed) isSlow() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	late := f.asked != 0 && boottime.Now()-f.asked-f.held >= slowAnswer
-	return !f.rests && (late || f.delay >= slowAnswer)
+	late := f.sentAt != 0 && boottime.Now()-f.sentAt-f.requestedWait >= slowAnswerDelay
+	return !f.suspended && (late || f.delay >= slowAnswerDelay)
 }
 
-func (f *feed) failed(err error) {
+func (f *feed) recordFailure(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rests = false
-	f.retryAt = boottime.Now() + jitter(lostRetry)
-	if f.lost == 0 {
-		f.lost = boottime.Now()
+	f.suspended = false
+	f.retryAt = boottime.Now() + jitter(lostRetryInterval)
+	if f.lostAt == 0 {
+		f.lostAt = boottime.Now()
 		f.log.Warn("store lost", zap.String("table", f.table), zap.Error(err))
-		f.linkChanged()
+		f.onLinkChange()
 	}
-	if f.unanswered != nil {
-		f.unanswered()
+	if f.onFailure != nil {
+		f.onFailure()
 	}
 	metrics.Count("store_call_failed")
 }
 
-// reached records that the store has answered, and ends a loss.
-func (f *feed) reached() {
+// recordAnswer records that the store has answered, and ends a loss.
+func (f *feed) recordAnswer() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rests, f.answered = false, true
-	if f.lost == 0 {
+	f.suspended, f.answered = false, true
+	if f.lostAt == 0 {
 		return
 	}
-	f.log.Info("store regained", zap.String("table", f.table), zap.Duration("after", boottime.Now()-f.lost))
-	f.lost = 0
-	f.linkChanged()
+	f.log.Info("store regained", zap.String("table", f.table), zap.Duration("after", boottime.Now()-f.lostAt))
+	f.lostAt = 0
+	f.onLinkChange()
 }
 
-// rest suspends the feed while another node is followed, whose store access counts instead.
-func (f *feed) rest() {
+// suspend suspends the feed while another node is followed, whose store access counts instead.
+func (f *feed) suspend() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rests = true
+	f.suspended = true
 	f.delay = 0
 }
 
@@ -271,9 +273,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.lost != 0:
+	case f.lostAt != 0:
 		return exchangev1.StoreLink_STORE_LINK_LOST
-	case f.rests || !f.answered:
+	case f.suspended || !f.answered:
 		return exchangev1.StoreLink_STORE_LINK_UNSPECIFIED
 	default:
 		return exchangev1.StoreLink_STORE_LINK_READS
@@ -285,12 +287,12 @@
 func (f *feed) retryDue() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost != 0 && boottime.Now() >= f.retryAt
+	return f.lostAt != 0 && boottime.Now() >= f.retryAt
 }
 
 // isLost reports whether this node polls the store and gets no answer.
 func (f *feed) isLost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost != 0 && !f.rests
+	return f.lostAt != 0 && !f.suspended
 }
--- a/node/feed_test.go
+++ b/node/feed_test.go
@@ -53,7 +53,7 @@
 		store := platform.NewStore(strings.TrimPrefix(server.URL, "http://"), time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), 1900*time.Millisecond)
 		DeferCleanup(cancel)
-		Expect(node.Run(node.NewFollowersFeed(store), ctx)).To(Succeed())
+		Expect(node.Run(node.NewFollowerFeed(store), ctx)).To(Succeed())
 		Expect(calls.Load()).To(BeNumerically("<=", 2))
 	})
 
--- a/node/follow.go
+++ b/node/follow.go
@@ -30,29 +30,32 @@
 	readerWait = 600 * time.Millisecond
 	// readerTimeout bounds that request. A reader that is frozen or cut off is excluded after it.
 	readerTimeout = readerWait + 250*time.Millisecond
-	// staleAfter is the age of the endpoint table from which the first node of a data centre polls
-	// the store itself although the reader answers: the store has not answered the reader's poll of
-	// one second. Followers of that first node keep following it. If all of them searched for
-	// another reader, sixty nodes would try each other in turn while the store answers nobody for
-	// one second, and half of them would lag for two more seconds.
-	staleAfter = endpointsWait + 250*time.Millisecond
-	// directFor is how long the first node then keeps polling the store.
-	directFor = 5 * time.Second
-	// shunFor is how long a reader that did not answer is excluded.
-	shunFor = 3 * time.Second
-	// endpointsStale is the age from which the endpoint table no longer shows which endpoints are
-	// leaving.
-	endpointsStale = 3 * time.Second
-	// peersStale is the time since the store's last answer from which a node that polls the store
-	// also requests snapshots from other nodes.
-	peersStale = changesWait + 600*time.Millisecond
-	// askEvery is the pause between two such requests; askTimeout bounds one of them.
-	askEvery   = 250 * time.Millisecond
-	askTimeout = 400 * time.Millisecond
+	// readerStaleAfter is the age of the endpoint table from which the first node of a data centre
+	// polls the store itself although the reader answers: the store has not answered the reader's
+	// poll of one second. Followers of that first node keep following it. If all of them searched
+	// for another reader, sixty nodes would try each other in turn while the store answers nobody
+	// for one second, and half of them would lag for two more seconds.
+	readerStaleAfter = endpointsWait + 250*time.Millisecond
+	// directStorePeriod is how long the first node then keeps polling the store.
+	directStorePeriod = 5 * time.Second
+	// readerExclusion is how long a reader that did not answer is excluded.
+	readerExclusion = 3 * time.Second
+	// endpointsStaleAfter is the age from which the endpoint table no longer shows which endpoints
+	// are leaving.
+	endpointsStaleAfter = 3 * time.Second
+	// askPeersAfter is the time since the store's last answer from which a node that polls the
+	// store also requests snapshots from other nodes.
+	askPeersAfter = changesWait + 600*time.Millisecond
+	// askInterval is the pause between two such requests; askTimeout bounds one of them.
+	askInterval = 250 * time.Millisecond
+	askTimeout  = 400 * time.Millisecond
 )
 
-// storePatience returns the bounds of the pause between two polls while the store does not answer.
-func (n *Node) storePatience() patience { return patienceOf(n.seed() || n.firstInDataCentre()) }
+// storeBackoffBounds returns the bounds of the pause between two polls while the store does not
+// answer.
+func (n *Node) storeBackoffBounds() backoffBounds {
+	return backoffBoundsFor(n.isSeed() || n.firstInDataCentre())
+}
 
 // follow fetches snapshots from other nodes while this node does not poll the store, or while the
 // store does not answer it.
@@ -60,26 +63,26 @@
 	next := 0
 	for ctx.Err() == nil {
 		n.reinstateEndpoints()
-		if n.starts() && n.starter.learn(ctx) {
+		if n.incomplete() && n.starter.fetchFromPeer(ctx) {
 			continue
 		}
 		p, ok := n.reader()
-		if n.follower.follows(p.Address) {
+		if n.follower.setReader(p.Address) {
 			n.log.Info("follows", zap.String("reader", p.Address), zap.Bool("store", !ok),
-				zap.Duration("endpoints_age", n.entries.age()), zap.Stringer("own_link", n.storeLink()))
+				zap.Duration("endpoints_age", n.endpointTable.age()), zap.Stringer("own_link", n.storeLink()))
 		}
 		if ok {
-			n.ask(ctx, p)
+			n.fetchFromReader(ctx, p)
 			continue
 		}
-		pause(ctx, askEvery)
-		if _, ages := n.config.Current(); ages.Answered < peersStale {
+		pause(ctx, askInterval)
+		if _, ages := n.config.Current(); ages.Answered < askPeersAfter {
 			continue
 		}
 		if live := n.gossip.Live(); len(live) > 0 {
 			next++
 			address := live[next%len(live)].PeerAddress
-			if err := n.askPeer(ctx, address, 0, askTimeout); err != nil {
+			if err := n.fetchSnapshot(ctx, address, 0, askTimeout); err != nil {
 				metrics.Count("peer_not_reached")
 			}
 		}
@@ -87,27 +90,27 @@
 	return nil
 }
 
-// ask fetches a snapshot from the reader, and switches to another source if that fails or the
-// reader lags.
-func (n *Node) ask(ctx context.Context, reader gossip.Peer) {
-	err := n.askPeer(ctx, reader.PeerAddress, readerWait, readerTimeout)
-	age := n.entries.age()
-	behind := age >= staleAfter && n.leads(reader)
+// fetchFromReader fetches a snapshot from the reader, and switches to another source if that fails
+// or the reader lags.
+func (n *Node) fetchFromReader(ctx context.Context, reader gossip.Peer) {
+	err := n.fetchSnapshot(ctx, reader.PeerAddress, readerWait, readerTimeout)
+	age := n.endpointTable.age()
+	behind := age >= readerStaleAfter && n.leadsDataCentre(reader)
 	if ctx.Err() != nil || (err == nil && !behind) {
 		return
 	}
 	metrics.Count("reader_passed_over")
 	n.log.Info("reader passed over", zap.String("reader", reader.Address), zap.Duration("endpoints_age", age), zap.Error(err))
-	if n.leads(reader) {
-		n.follower.goDirect()
+	if n.leadsDataCentre(reader) {
+		n.follower.useStore()
 		return
 	}
-	n.follower.shun(reader.Address)
+	n.follower.exclude(reader.Address)
 }
 
-// leads reports whether this node, which follows the given one, is the first node of its data
-// centre with access to the store.
-func (n *Node) leads(reader gossip.Peer) bool {
+// leadsDataCentre reports whether this node, which follows the given one, is the first node of its
+// data centre with access to the store.
+func (n *Node) leadsDataCentre(reader gossip.Peer) bool {
 	return reader.DataCentre != n.settings.DataCentre && n.storeLink() != exchangev1.StoreLink_STORE_LINK_LOST
 }
 
@@ -118,17 +121,17 @@
 	if n.storeAway() || n.uptime.Doubt() > 0 {
 		return
 	}
-	for _, id := range n.fleet.Reinstate(healthDoubt) {
+	for _, id := range n.fleet.Reinstate(reinstateAfter) {
 		n.log.Info("endpoint stays after all: its entry does not announce that it leaves", zap.String("endpoint", id))
 	}
 }
 
-// askPeer fetches a snapshot from another node and applies it.
-func (n *Node) askPeer(ctx context.Context, address string, wait, timeout time.Duration) error {
+// fetchSnapshot fetches a snapshot from another node and applies it.
+func (n *Node) fetchSnapshot(ctx context.Context, address string, wait, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	known, _ := n.config.Current()
-	endpoints := n.entries.known()
+	endpoints := n.endpointTable.knownVersion()
 	asked := boottime.Now()
 	client := exchangev1.NewExchangeClient(n.peerClient, peer.BaseURL(address, nil))
 	resp, err := client.Snapshot(ctx, connect.NewRequest(&exchangev1.SnapshotRequest{
@@ -157,22 +160,22 @@
 		n.applyConfiguration(data, c.GetVersion(), seen)
 	}
 	n.config.Confirm(resp.Msg.GetConfigVersion(), seen)
-	n.evacuationsFromPeer(resp.Msg.GetEvacuations(), address)
+	n.applyPeerEvacuations(resp.Msg.GetEvacuations(), address)
 	age := millis(resp.Msg.GetEndpointsAgeMs())
-	return n.endpointsFromPeer(resp.Msg, endpoints, knowledge.Seen{Certain: asked - age, Answered: answered - age})
+	return n.applyPeerEndpoints(resp.Msg, endpoints, knowledge.Seen{Certain: asked - age, Answered: answered - age})
 }
 
 func millis(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func (n *Node) endpointsFromPeer(resp *exchangev1.SnapshotResponse, known int64, seen knowledge.Seen) error {
-	n.awayPeer.Store(resp.GetAway())
-	proof := func() time.Duration { return n.uptime.Told(readUptime(resp.GetUptime())) }
+func (n *Node) applyPeerEndpoints(resp *exchangev1.SnapshotResponse, known int64, seen knowledge.Seen) error {
+	n.peerStoreAway.Store(resp.GetAway())
+	updateUptime := func() time.Duration { return n.uptime.Told(readUptime(resp.GetUptime())) }
 	if resp.GetEndpointsWhole() {
-		listing, err := wholeListing(resp)
+		listing, err := fullListing(resp)
 		if err != nil {
 			return err
 		}
-		n.endpointsListed(listing, seen, proof)
+		n.applyEndpointListing(listing, seen, updateUptime)
 		return nil
 	}
 	listing, err := changedRows(resp)
@@ -180,7 +183,7 @@
 		return err
 	}
 	if resp.GetEndpointsVersion() >= known {
-		n.endpointsChanged(listing, seen, proof)
+		n.applyEndpointChanges(listing, seen, updateUptime)
 	}
 	return nil
 }
--- a/node/health.go
+++ b/node/health.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// healthEvery is the interval of health checks while the store is unavailable or slow. Engines
-	// stop 1.5 s after their notice. A round costs one check per busy engine, so none are made
-	// while the store reports leaving endpoints.
-	healthEvery = 300 * time.Millisecond
-	// healthDoubt is the time after which a health check that reported an endpoint as leaving is
+	// healthInterval is the interval of health checks while the store is unavailable or slow.
+	// Engines stop 1.5 s after their notice. A round costs one check per busy engine, so none are
+	// made while the store reports leaving endpoints.
+	healthInterval = 300 * time.Millisecond
+	// reinstateAfter is the time after which a health check that reported an endpoint as leaving is
 	// reverted if the store is available and the endpoint's entry does not confirm it. It is longer
 	// than any endpoint's notice plus the propagation of its entry. Health answers may be false.
-	healthDoubt = 4 * time.Second
+	reinstateAfter = 4 * time.Second
 	// healthTimeout bounds a check, which usually takes milliseconds.
 	healthTimeout = 250 * time.Millisecond
 	// maxHealthChecks bounds the number of concurrent checks: an outage may have expired thousands
@@ -33,7 +33,7 @@
 // may have been withdrawn. The first node of a data centre does it for all of them.
 func (n *Node) checkHealth(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause(ctx, healthEvery)
+		pause(ctx, healthInterval)
 		if !n.firstInDataCentre() || n.fleet.Without[fleet.HealthChecks] {
 			continue
 		}
@@ -43,15 +43,16 @@
 		}
 		for name, service := range known.Table.Services {
 			if service.HealthPath != "" {
-				n.checkAll(ctx, n.doubtful(name, service), service.HealthPath)
+				n.checkAll(ctx, n.endpointsToCheck(name, service), service.HealthPath)
 			}
 		}
 	}
 	return nil
 }
 
-// doubtful returns the endpoints of a service in this data centre that are to be checked now.
-func (n *Node) doubtful(name string, service *routing.Service) []fleet.Instance {
+// endpointsToCheck returns the endpoints of a service in this data centre that are to be checked
+// now.
+func (n *Node) endpointsToCheck(name string, service *routing.Service) []fleet.Instance {
 	doubtful := n.fleet.Unvouched(name, n.settings.DataCentre)
 	if service.Engine != nil && n.storeAway() {
 		doubtful = append(doubtful, n.fleet.Busy(name, n.settings.DataCentre)...)
@@ -63,8 +64,8 @@
 // unavailable to this node or to the node followed, or so slow that the endpoints' own writes are
 // late.
 func (n *Node) storeAway() bool {
-	return n.configFeed.isLost() || n.endpointFeed.isLost() || n.entries.age() > endpointsStale ||
-		n.configFeed.slow() || n.endpointFeed.slow() || n.awayPeer.Load()
+	return n.configFeed.isLost() || n.endpointFeed.isLost() || n.endpointTable.age() > endpointsStaleAfter ||
+		n.configFeed.isSlow() || n.endpointFeed.isSlow() || n.peerStoreAway.Load()
 }
 
 func (n *Node) firstInDataCentre() bool {
@@ -77,16 +78,16 @@
 }
 
 func (n *Node) checkAll(ctx context.Context, endpoints []fleet.Instance, path string) {
-	var running sync.WaitGroup
-	places := make(chan struct{}, maxHealthChecks)
+	var checks sync.WaitGroup
+	slots := make(chan struct{}, maxHealthChecks)
 	for _, in := range endpoints {
-		places <- struct{}{}
-		running.Go(func() {
-			defer func() { <-places }()
+		slots <- struct{}{}
+		checks.Go(func() {
+			defer func() { <-slots }()
 			n.check(ctx, in, path)
 		})
 	}
-	running.Wait()
+	checks.Wait()
 }
 
 func (n *Node) check(ctx context.Context, in fleet.Instance, path string) {
@@ -114,8 +115,8 @@
 	}
 }
 
-// believed logs that an endpoint is excluded or taken back into service.
-func (n *Node) believed(e fleet.Exclusion) {
+// logExclusion logs that an endpoint is excluded or taken back into service.
+func (n *Node) logExclusion(e fleet.Exclusion) {
 	fields := []zap.Field{
 		zap.String("endpoint", e.Instance.ID), zap.String("service", e.Instance.Service),
 		zap.String("address", e.Instance.Address), zap.Stringer("cause", e.Cause),
--- a/node/limits.go
+++ b/node/limits.go
@@ -16,27 +16,27 @@
 	defaultIdleTimeout   = 15 * time.Second
 )
 
-// limits serves callers' connections under the limits in force. The limits of an http.Server cannot
-// change while it serves, so connections accepted after a change go to a new server; earlier ones
-// keep the limits that were in force when they were accepted.
-type limits struct {
+// callerServer serves callers' connections under the limits in force. The limits of an
+// http.Server cannot change while it serves, so connections accepted after a change go to a new
+// server; earlier ones keep the limits that were in force when they were accepted.
+type callerServer struct {
 	handler  http.Handler
 	listener net.Listener
 
 	mu      sync.Mutex
 	current routing.Limits
-	conns   *handedListener
+	conns   *connListener
 	servers []*http.Server
 }
 
-func newLimits(handler http.Handler, listener net.Listener) *limits {
-	l := &limits{handler: handler, listener: listener}
+func newCallerServer(handler http.Handler, listener net.Listener) *callerServer {
+	l := &callerServer{handler: handler, listener: listener}
 	l.apply(routing.Limits{})
 	return l
 }
 
 // apply puts limits into force. Zero values select the defaults.
-func (l *limits) apply(r routing.Limits) {
+func (l *callerServer) apply(r routing.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conns != nil && r == l.current {
@@ -47,7 +47,7 @@
 		_ = l.conns.Close()
 	}
 	l.current = r
-	l.conns = &handedListener{addr: l.listener.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
+	l.conns = &connListener{addr: l.listener.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
 	server := &http.Server{
 		Handler:           l.handler,
 		MaxHeaderBytes:    orDefault(r.MaxHeaderBytes, defaultHeaderBytes),
@@ -68,17 +68,17 @@
 }
 
 // serve accepts connections until the listener is closed, and returns the error of Accept.
-func (l *limits) serve() error {
+func (l *callerServer) serve() error {
 	for {
 		conn, err := l.listener.Accept()
 		if err != nil {
 			return err
 		}
-		l.hand(conn)
+		l.dispatch(conn)
 	}
 }
 
-func (l *limits) hand(conn net.Conn) {
+func (l *callerServer) dispatch(conn net.Conn) {
 	for {
 		l.mu.Lock()
 		conns := l.conns
@@ -92,7 +92,7 @@
 }
 
 // close closes all servers and their connections.
-func (l *limits) close() {
+func (l *callerServer) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.servers {
@@ -100,8 +100,8 @@
 	}
 }
 
-// handedListener is a net.Listener that accepts the connections sent to its channel.
-type handedListener struct {
+// connListener is a net.Listener that accepts the connections sent to its channel.
+type connListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	once  sync.Once
@@ -109,7 +109,7 @@
 }
 
 // Accept implements net.Listener.
-func (h *handedListener) Accept() (net.Conn, error) {
+func (h *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.conns:
 		return c, nil
@@ -119,10 +119,10 @@
 }
 
 // Close implements net.Listener.
-func (h *handedListener) Close() error {
+func (h *connListener) Close() error {
 	h.once.Do(func() { close(h.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handedListener) Addr() net.Addr { return h.addr }
+func (h *connListener) Addr() net.Addr { return h.addr }
--- a/node/members.go
+++ b/node/members.go
@@ -25,16 +25,16 @@
 	registerTimeout = time.Second
 	// registerBackoff is the pause after a failed registration, before jitter.
 	registerBackoff = 300 * time.Millisecond
-	// settleTime is the delay, before jitter, between the start of a node and its first read of the
-	// table.
-	settleTime = 2 * time.Second
-	// findableNodes is the number of nodes per data centre that have a row: more than are lost at
-	// the same time.
-	findableNodes = 4
-	// membersEvery is the interval, before jitter, at which a node compares the number of rows with
-	// the number of live nodes. If they differ it reads the table again: after a partition that
-	// lasted longer than nodes are remembered, no other node would contact it.
-	membersEvery = 30 * time.Second
+	// registrationDelay is the delay, before jitter, between the start of a node and its first read
+	// of the table.
+	registrationDelay = 2 * time.Second
+	// registeredPerDataCentre is the number of nodes per data centre that have a row: more than are
+	// lost at the same time.
+	registeredPerDataCentre = 4
+	// membersInterval is the interval, before jitter, at which a node compares the number of rows
+	// with the number of live nodes. If they differ it reads the table again: after a partition
+	// that lasted longer than nodes are remembered, no other node would contact it.
+	membersInterval = 30 * time.Second
 	// pruneAfter is how long a node must be absent before its row is removed. VMs are replaced
 	// daily, at new addresses, and their rows would accumulate without bound. A node that was only
 	// cut off that long registers again.
@@ -50,13 +50,13 @@
 		}
 	}
 	// Gossip will have discovered the nodes that started at the same time.
-	pause(ctx, jitter(settleTime))
+	pause(ctx, jitter(registrationDelay))
 	registered := -1
 	var absent absences
 	for ctx.Err() == nil {
 		live := n.liveAddresses()
-		if registered == len(live) || !n.findable() {
-			pause(ctx, jitter(membersEvery))
+		if registered == len(live) || !n.shouldRegister() {
+			pause(ctx, jitter(membersInterval))
 			continue
 		}
 		rows, err := n.register(ctx)
@@ -67,22 +67,22 @@
 		}
 		registered = len(rows)
 		n.prune(ctx, absent.stale(boottime.Now(), rows, live), live)
-		pause(ctx, jitter(membersEvery))
+		pause(ctx, jitter(membersInterval))
 	}
 	return nil
 }
 
-// findable reports whether this node is one of the first few of its data centre, through which
-// others are found. With a row for each of hundreds of nodes, every node would read all of them at
-// its start and learn no more.
-func (n *Node) findable() bool {
+// shouldRegister reports whether this node is one of the first few of its data centre, through
+// which others are found. With a row for each of hundreds of nodes, every node would read all of
+// them at its start and learn no more.
+func (n *Node) shouldRegister() bool {
 	before := 0
 	for _, p := range n.gossip.Live() {
 		if p.DataCentre == n.settings.DataCentre && p.Address < n.settings.IP {
 			before++
 		}
 	}
-	return before < findableNodes
+	return before < registeredPerDataCentre
 }
 
 // liveAddresses returns the addresses of the live nodes, including this one.
--- a/node/node.go
+++ b/node/node.go
@@ -37,15 +37,15 @@
 	// harder. It leaves room for data received but not yet read, which counts as well, outside the
 	// heap.
 	memoryShare = 0.55
-	// bodiesShare is the fraction of the VM's memory that request bodies may use together. Each
-	// body is held twice while it is sent.
-	bodiesShare = 0.2
+	// requestBodiesShare is the fraction of the VM's memory that request bodies may use together.
+	// Each body is held twice while it is sent.
+	requestBodiesShare = 0.2
 	// freshnessShare is the fraction of the revocation limit up to which keys are accepted. The
 	// rest covers the time a request takes to reach the endpoint.
 	freshnessShare = 0.92
-	// lenientKeys replaces the revocation limit where keys need not be revoked on nodes that are
-	// cut off. Service continues through any outage that operators would sit out.
-	lenientKeys = time.Hour
+	// lenientKeysLimit replaces the revocation limit where keys need not be revoked on nodes that
+	// are cut off. Service continues through any outage that operators would sit out.
+	lenientKeysLimit = time.Hour
 	// storeTimeout bounds a call to the store. The store's slowest answers take some hundred times
 	// its usual 4 ms.
 	storeTimeout = 1500 * time.Millisecond
@@ -63,37 +63,37 @@
 
 	store  *platform.Store
 	config *knowledge.Configuration
-	// evacuations holds the operator's evacuation orders. evacuated holds the data centres last put
-	// into force, guarded by evacuationsMu.
-	evacuations   knowledge.Evacuations
-	evacuationsMu sync.Mutex
-	evacuated     []string
-	population    population
-	roster        roster
-	fleet         *fleet.Fleet
-	gossip        *gossip.Gossip
-	relay         *relay.Relay
-	client        *h1.Client
-	engines       *platform.Engines
-	gate          *entry.Gate
-	entries       entries
-	registry      registry
-	follower      follower
-	news          news
+	// evacuations holds the operator's evacuation orders. evacuatedNames holds the data centres
+	// last put into force, guarded by evacuationsMu.
+	evacuations     knowledge.Evacuations
+	evacuationsMu   sync.Mutex
+	evacuatedNames  []string
+	population      population
+	roster          roster
+	fleet           *fleet.Fleet
+	gossip          *gossip.Gossip
+	relay           *relay.Relay
+	client          *h1.Client
+	engines         *platform.Engines
+	gate            *entry.Gate
+	endpointTable   endpointTable
+	endpointUpdates endpointUpdates
+	follower        follower
+	changes         changeNotifier
 	// uptime records when the store was up, by the store's own clock.
 	uptime *knowledge.UptimeRecord
-	// awayPeer is set while the node that this one follows reports that the store does not show in
-	// time which endpoints leave.
-	awayPeer     atomic.Bool
-	endpointFeed *feed
-	configFeed   *feed
-	starter      *starter
-	// toldReady is the readiness last broadcast to the other nodes.
-	toldReady    atomic.Bool
-	packedConfig packedConfiguration
-	wholes       pacer
-	peerClient   *http.Client
-	limits       *limits
+	// peerStoreAway is set while the node that this one follows reports that the store does not
+	// show in time which endpoints leave.
+	peerStoreAway atomic.Bool
+	endpointFeed  *feed
+	configFeed    *feed
+	starter       *starter
+	// announcedReady is the readiness last broadcast to the other nodes.
+	announcedReady atomic.Bool
+	packedConfig   packedConfiguration
+	tableLimiter   tableLimiter
+	peerClient     *http.Client
+	callerServer   *callerServer
 }
 
 // New returns a node with the given settings. The mechanisms in without are disabled.
@@ -121,8 +121,8 @@
 		TellAllUpTo: gossip.TellAllUpTo,
 		Now:         boottime.Now,
 		State:       n.state,
-		Heard:       n.heard,
-		Lost:        n.lost,
+		Heard:       n.applyPeerState,
+		Lost:        n.forgetPeer,
 		Log:         log,
 	})
 	n.fleet.Name, n.fleet.Without = s.IP, without
@@ -131,9 +131,9 @@
 	n.fleet.Regions = s.Regions
 	n.fleet.Population = n.population.current
 	n.fleet.Roster = n.roster.current.Load
-	n.fleet.Changed = n.tell
-	n.fleet.Believed = n.believed
-	n.fleet.Noticed = n.noticed
+	n.fleet.Changed = n.announce
+	n.fleet.Believed = n.logExclusion
+	n.fleet.Noticed = n.logNoticeChange
 	n.engines.Noticed = n.fleet.NoteAt
 	n.fleet.Wake = func(after time.Duration) { time.AfterFunc(after, n.fleet.Tick) }
 	n.relay = &relay.Relay{
@@ -159,18 +159,18 @@
 	n.starter = n.newStarter()
 	n.configFeed = &feed{
 		store: n.store, table: platform.TableOperator, wait: changesWait, log: log,
-		listed: n.configurationListed, changed: n.configurationChanged,
-		learned:  n.evacuations.Version,
-		patience: n.storePatience, linkChanged: n.gossip.TellAll,
+		onListing: n.applyConfigurationListing, onChanges: n.applyConfigurationChanges,
+		peerVersion:   n.evacuations.Version,
+		backoffBounds: n.storeBackoffBounds, onLinkChange: n.gossip.TellAll,
 	}
-	n.configFeed.direct = func() bool { return n.asksStore(n.configFeed) }
+	n.configFeed.enabled = func() bool { return n.shouldPollStore(n.configFeed) }
 	n.endpointFeed = &feed{
 		store: n.store, table: platform.TableEndpoints, wait: endpointsWait, log: log,
-		listed: n.ownEndpoints(n.endpointsListed), changed: n.ownEndpoints(n.endpointsChanged),
-		learned: n.entries.known, patience: n.storePatience, linkChanged: n.gossip.TellAll, longest: n.settlingWait,
-		unanswered: n.uptime.Failed,
+		onListing: n.fromStore(n.applyEndpointListing), onChanges: n.fromStore(n.applyEndpointChanges),
+		peerVersion: n.endpointTable.knownVersion, backoffBounds: n.storeBackoffBounds, onLinkChange: n.gossip.TellAll, maxWait: n.endpointsMaxWait,
+		onFailure: n.uptime.Failed,
 	}
-	n.endpointFeed.direct = func() bool { return n.asksStore(n.endpointFeed) }
+	n.endpointFeed.enabled = func() bool { return n.shouldPollStore(n.endpointFeed) }
 	return n
 }
 
@@ -179,7 +179,7 @@
 		Config: n.config,
 		Relay:  n.relay,
 		Gate:   n.gate,
-		Bodies: entry.NewBodies(int64(bodiesShare * float64(n.settings.MemoryMB) * (1 << 20))),
+		Bodies: entry.NewBodies(int64(requestBodiesShare * float64(n.settings.MemoryMB) * (1 << 20))),
 		Freshness: entry.Freshness{
 			Keys:    n.keysLimit(),
 			Denials: denialAge,
@@ -193,7 +193,7 @@
 // keysLimit returns the age of the configuration up to which keys are accepted.
 func (n *Node) keysLimit() time.Duration {
 	if !n.settings.RevocationStrict {
-		return lenientKeys
+		return lenientKeysLimit
 	}
 	return time.Duration(freshnessShare * float64(n.settings.RevocationLimit))
 }
@@ -204,11 +204,11 @@
 	if err != nil {
 		return eris.Wrap(err, "listen on the caller address")
 	}
-	n.limits = newLimits(n.callerHandler(), callers)
+	n.callerServer = newCallerServer(n.callerHandler(), callers)
 	var group run.Group
-	group.Add(n.limits.serve, func(error) {
+	group.Add(n.callerServer.serve, func(error) {
 		_ = callers.Close()
-		n.limits.close()
+		n.callerServer.close()
 	})
 	servers := []struct {
 		address string
@@ -248,16 +248,16 @@
 	g.Add(func() error { return s.Serve(l) }, func(error) { _ = s.Close() })
 }
 
-// housekeepingEvery is the interval at which expired connections are closed and work that becomes
-// possible with time alone is dispatched.
-const housekeepingEvery = 250 * time.Millisecond
+// housekeepingInterval is the interval at which expired connections are closed and work that
+// becomes possible with time alone is dispatched.
+const housekeepingInterval = 250 * time.Millisecond
 
 func (n *Node) housekeeping(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause(ctx, housekeepingEvery)
+		pause(ctx, housekeepingInterval)
 		n.client.Prune()
-		n.countNodes()
-		n.tellReadiness()
+		n.recordLiveNodes()
+		n.announceReadiness()
 		n.fleet.Tick()
 	}
 	return nil
--- a/node/notices.go
+++ b/node/notices.go
@@ -10,8 +10,8 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// noticed logs a change in what an endpoint reports about itself.
-func (n *Node) noticed(c fleet.NoticeChange) {
+// logNoticeChange logs a change in what an endpoint reports about itself.
+func (n *Node) logNoticeChange(c fleet.NoticeChange) {
 	fields := []zap.Field{
 		zap.String("endpoint", c.Instance.ID), zap.Int64("born", c.Instance.Born), zap.String("service", c.Instance.Service),
 		zap.String("address", c.Instance.Address), zap.String("request", c.Request),
@@ -30,11 +30,11 @@
 		n.log.Info("endpoint asks for a pause", append(fields, zap.Duration("for", c.Notice.Pause))...)
 	}
 	if c.Notice.LimitFault == nil && (c.Notice.Limited != c.Before.Limited || c.Notice.Limit != c.Before.Limit) {
-		n.limitChanged(c, fields)
+		n.logLimitChange(c, fields)
 	}
 }
 
-func (n *Node) limitChanged(c fleet.NoticeChange, fields []zap.Field) {
+func (n *Node) logLimitChange(c fleet.NoticeChange, fields []zap.Field) {
 	if !c.Notice.Limited {
 		metrics.Count("endpoint_limits_lifted")
 		n.log.Info("endpoint names no limit any more", append(fields, zap.Float64("before", c.Before.Limit))...)
@@ -44,8 +44,8 @@
 	n.log.Info("endpoint names a limit", append(fields, zap.Float64("requests_per_second", c.Notice.Limit))...)
 }
 
-// heardLimits applies the limits that endpoints have announced to another node.
-func (n *Node) heardLimits(s *exchangev1.NodeState) {
+// applyPeerLimits applies the limits that endpoints have announced to another node.
+func (n *Node) applyPeerLimits(s *exchangev1.NodeState) {
 	if len(s.GetLimits()) == 0 {
 		return
 	}
@@ -59,9 +59,9 @@
 	n.fleet.NoteRemote(s.GetAddress(), news)
 }
 
-// heardAnnounced applies which endpoints have announced to another node that they are about to
+// applyPeerLeaving applies which endpoints have announced to another node that they are about to
 // stop.
-func (n *Node) heardAnnounced(s *exchangev1.NodeState) {
+func (n *Node) applyPeerLeaving(s *exchangev1.NodeState) {
 	if len(s.GetAnnouncedLeaving()) == 0 {
 		return
 	}
--- a/node/pack.go
+++ b/node/pack.go
@@ -24,32 +24,32 @@
 // whose number multiplies with each round.
 
 const (
-	// wholeBytes is the number of bytes of full tables that a node sends per wholesWindow; the last
-	// table may exceed it. This is less than half the capacity of a small VM's link.
-	wholeBytes   = 128 << 10
-	wholesWindow = 150 * time.Millisecond
+	// tableBytesPerWindow is the number of bytes of full tables that a node sends per tableWindow;
+	// the last table may exceed it. This is less than half the capacity of a small VM's link.
+	tableBytesPerWindow = 128 << 10
+	tableWindow         = 150 * time.Millisecond
 )
 
 var errBusy = eris.New("other nodes are being told everything")
 
-// pacer limits the rate at which full tables are sent.
-type pacer struct {
-	mu    sync.Mutex
-	began time.Duration
-	sent  int
+// tableLimiter limits the rate at which full tables are sent.
+type tableLimiter struct {
+	mu          sync.Mutex
+	windowStart time.Duration
+	sentBytes   int
 }
 
-// take reports whether one more table of the given size in bytes may be sent, and counts it.
-func (p *pacer) take(now time.Duration, size int) bool {
+// allow reports whether one more table of the given size in bytes may be sent, and counts it.
+func (p *tableLimiter) allow(now time.Duration, size int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now-p.began >= wholesWindow {
-		p.began, p.sent = now, 0
+	if now-p.windowStart >= tableWindow {
+		p.windowStart, p.sentBytes = now, 0
 	}
-	if p.sent >= wholeBytes {
+	if p.sentBytes >= tableBytesPerWindow {
 		return false
 	}
-	p.sent += size
+	p.sentBytes += size
 	return true
 }
 
@@ -60,7 +60,7 @@
 	data []byte
 }
 
-func (p *packedConfiguration) of(known knowledge.Snapshot) []byte {
+func (p *packedConfiguration) get(known knowledge.Snapshot) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.row != known.Row {
@@ -69,38 +69,38 @@
 	return p.data
 }
 
-// writers and readers are pooled because each holds some hundred kilobytes.
+// deflaters and inflaters are pooled because each holds some hundred kilobytes.
 var (
-	writers = sync.Pool{New: func() any {
+	deflaters = sync.Pool{New: func() any {
 		w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 		if err != nil {
 			panic(err) // the level is a valid constant
 		}
 		return w
 	}}
-	readers = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
+	inflaters = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 )
 
 func deflate(data []byte) []byte {
 	var packed bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := deflaters.Get().(*flate.Writer)
+	defer deflaters.Put(w)
 	w.Reset(&packed)
 	_, _ = w.Write(data) // bytes.Buffer returns no errors
 	_ = w.Close()
 	return packed.Bytes()
 }
 
-// maxInflated bounds the size of a decompressed message, in bytes.
-const maxInflated = 8 * peer.MaxMessageBytes
+// maxInflatedBytes bounds the size of a decompressed message, in bytes.
+const maxInflatedBytes = 8 * peer.MaxMessageBytes
 
 func inflate(packed []byte) ([]byte, error) {
-	r := readers.Get().(io.ReadCloser)
-	defer readers.Put(r)
+	r := inflaters.Get().(io.ReadCloser)
+	defer inflaters.Put(r)
 	if err := r.(flate.Resetter).Reset(bytes.NewReader(packed), nil); err != nil {
 		return nil, eris.Wrap(err, "inflate")
 	}
-	data, err := io.ReadAll(io.LimitReader(r, maxInflated))
+	data, err := io.ReadAll(io.LimitReader(r, maxInflatedBytes))
 	return data, eris.Wrap(err, "inflate")
 }
 
@@ -127,8 +127,8 @@
 	return list.GetRows(), nil
 }
 
-// wholeListing returns the full table of an answer: the packed rows, updated by the unpacked ones.
-func wholeListing(resp *exchangev1.SnapshotResponse) (platform.Listing, error) {
+// fullListing returns the full table of an answer: the packed rows, updated by the unpacked ones.
+func fullListing(resp *exchangev1.SnapshotResponse) (platform.Listing, error) {
 	listing := platform.Listing{Version: resp.GetEndpointsVersion()}
 	rows, err := unpackRows(resp.GetEndpointsPacked())
 	if err != nil {
--- a/node/peers.go
+++ b/node/peers.go
@@ -58,15 +58,15 @@
 	for _, c := range n.relay.Claims.Own() {
 		s.Claims = append(s.Claims, &exchangev1.Claim{Work: uint64(c.Work), Id: c.ID, Running: c.Running})
 	}
-	for _, run := range n.relay.Vacated.Fresh(vacatedTold) {
+	for _, run := range n.relay.Vacated.Fresh(vacatedAnnouncePeriod) {
 		s.Vacated = append(s.Vacated, uint32(run))
 	}
 	return s
 }
 
-// tell sends this node's state at once to the nodes of a data centre, or to all nodes if dataCentre
-// is empty.
-func (n *Node) tell(dataCentre string) {
+// announce sends this node's state at once to the nodes of a data centre, or to all nodes if
+// dataCentre is empty.
+func (n *Node) announce(dataCentre string) {
 	if dataCentre == "" {
 		n.gossip.TellAll()
 		return
@@ -74,12 +74,12 @@
 	n.gossip.Tell(dataCentre)
 }
 
-// vacatedTold is how long it is announced that a run has left its engine: the time of several
-// datagrams.
-const vacatedTold = 600 * time.Millisecond
+// vacatedAnnouncePeriod is how long it is announced that a run has left its engine: the time of
+// several datagrams.
+const vacatedAnnouncePeriod = 600 * time.Millisecond
 
-// heard applies the state announced by another node.
-func (n *Node) heard(s *exchangev1.NodeState) {
+// applyPeerState applies the state announced by another node.
+func (n *Node) applyPeerState(s *exchangev1.NodeState) {
 	loads := make([]fleet.Load, 0, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
 		loads = append(loads, fleet.Load{
@@ -103,9 +103,9 @@
 	if s.GetStore() == exchangev1.StoreLink_STORE_LINK_LOST {
 		n.uptime.Failed()
 	}
-	n.heardLeaving(s)
-	n.heardAnnounced(s)
-	n.heardLimits(s)
+	n.applyPeerUnhealthy(s)
+	n.applyPeerLeaving(s)
+	n.applyPeerLimits(s)
 	if len(s.GetVacated()) > 0 {
 		runs := make([]relay.RunKey, 0, len(s.GetVacated()))
 		for _, run := range s.GetVacated() {
@@ -123,8 +123,8 @@
 	n.relay.Claims.SetRemote(s.GetAddress(), claims)
 }
 
-// heardLeaving applies which endpoints leave according to another node's health checks.
-func (n *Node) heardLeaving(s *exchangev1.NodeState) {
+// applyPeerUnhealthy applies which endpoints leave according to another node's health checks.
+func (n *Node) applyPeerUnhealthy(s *exchangev1.NodeState) {
 	for _, key := range s.GetLeavingEndpoints() {
 		if n.fleet.Unhealthy(fleet.EndpointKey(key)) {
 			n.log.Info("endpoint leaves by another node's health check", zap.Uint32("endpoint_key", key),
@@ -133,8 +133,8 @@
 	}
 }
 
-// lost discards the work announced by a node that is no longer live.
-func (n *Node) lost(address string) {
+// forgetPeer discards the work announced by a node that is no longer live.
+func (n *Node) forgetPeer(address string) {
 	n.fleet.Forget(address)
 	n.relay.Claims.SetRemote(address, nil)
 }
--- a/node/population.go
+++ b/node/population.go
@@ -11,93 +11,93 @@
 )
 
 const (
-	// populationMemory is how long nodes are counted after their last datagram. They may be on the
+	// populationWindow is how long nodes are counted after their last datagram. They may be on the
 	// other side of a partition and still send requests to endpoints.
-	populationMemory = 10 * time.Minute
-	// populationBuckets is the number of buckets that populationMemory is divided into.
+	populationWindow = 10 * time.Minute
+	// populationBuckets is the number of buckets that populationWindow is divided into.
 	populationBuckets = 10
 )
 
 // population tracks the largest number of nodes, including this one, that were live at the same
-// time within populationMemory. A node that underestimated the number of nodes would send a cold
+// time within populationWindow. A node that underestimated the number of nodes would send a cold
 // endpoint more than its share.
 type population struct {
-	most   [populationBuckets]int
-	latest int64
-	// known is the largest number; it is 0 until another node was heard from if the settings name
-	// others. heard is set if at least half of that number are live. Both are read by other
-	// goroutines.
-	known atomic.Int64
-	heard atomic.Bool
+	bucketMax    [populationBuckets]int
+	latestBucket int64
+	// maxNodes is the largest number; it is 0 until another node was heard from if the settings
+	// name others. majorityLive is set if at least half of that number are live. Both are read by
+	// other goroutines.
+	maxNodes     atomic.Int64
+	majorityLive atomic.Bool
 }
 
-// see records the number of live nodes. It must be called from one goroutine only.
-func (p *population) see(now time.Duration, nodes int) {
-	const length = populationMemory / populationBuckets
-	for bucket := int64(now / length); p.latest < bucket; p.latest++ {
-		if bucket-p.latest > populationBuckets {
-			p.latest = bucket - populationBuckets
+// record records the number of live nodes. It must be called from one goroutine only.
+func (p *population) record(now time.Duration, nodes int) {
+	const length = populationWindow / populationBuckets
+	for bucket := int64(now / length); p.latestBucket < bucket; p.latestBucket++ {
+		if bucket-p.latestBucket > populationBuckets {
+			p.latestBucket = bucket - populationBuckets
 		}
-		p.most[(p.latest+1)%populationBuckets] = 0
+		p.bucketMax[(p.latestBucket+1)%populationBuckets] = 0
 	}
-	at := &p.most[p.latest%populationBuckets]
-	*at = max(*at, nodes)
+	maximum := &p.bucketMax[p.latestBucket%populationBuckets]
+	*maximum = max(*maximum, nodes)
 	most := 0
-	for _, n := range p.most {
+	for _, n := range p.bucketMax {
 		most = max(most, n)
 	}
-	p.known.Store(int64(most))
-	p.heard.Store(2*nodes >= most)
+	p.maxNodes.Store(int64(most))
+	p.majorityLive.Store(2*nodes >= most)
 }
 
 // current returns the tracked number of nodes. It may be called from any goroutine.
 func (p *population) current() fleet.Population {
-	return fleet.Population{Nodes: int(p.known.Load()), Heard: p.heard.Load()}
+	return fleet.Population{Nodes: int(p.maxNodes.Load()), Heard: p.majorityLive.Load()}
 }
 
-// roster tracks the nodes heard from within populationMemory, including this one.
+// roster tracks the nodes heard from within populationWindow, including this one.
 type roster struct {
-	heard map[string]time.Duration
+	lastHeard map[string]time.Duration
 	// current is the latest list; it is nil until another node was heard from if the settings name
 	// others.
 	current atomic.Pointer[fleet.Roster]
 }
 
-// see records which nodes are live. It must be called from one goroutine only.
-func (r *roster) see(now time.Duration, live []string) {
-	if r.heard == nil {
-		r.heard = make(map[string]time.Duration)
+// record records which nodes are live. It must be called from one goroutine only.
+func (r *roster) record(now time.Duration, live []string) {
+	if r.lastHeard == nil {
+		r.lastHeard = make(map[string]time.Duration)
 	}
-	before := len(r.heard)
-	for name, at := range r.heard {
-		if now-at > populationMemory {
-			delete(r.heard, name)
+	before := len(r.lastHeard)
+	for name, at := range r.lastHeard {
+		if now-at > populationWindow {
+			delete(r.lastHeard, name)
 		}
 	}
-	changed := len(r.heard) != before
+	changed := len(r.lastHeard) != before
 	for _, name := range live {
-		_, known := r.heard[name]
+		_, known := r.lastHeard[name]
 		changed = changed || !known
-		r.heard[name] = now
+		r.lastHeard[name] = now
 	}
 	if changed {
-		r.current.Store(&fleet.Roster{Names: slices.Sorted(maps.Keys(r.heard))})
+		r.current.Store(&fleet.Roster{Names: slices.Sorted(maps.Keys(r.lastHeard))})
 	}
 }
 
-// countNodes records the live nodes. A node that has heard from no other, although its settings
-// name some, does not know how many there are.
-func (n *Node) countNodes() {
+// recordLiveNodes records the live nodes. A node that has heard from no other, although its
+// settings name some, does not know how many there are.
+func (n *Node) recordLiveNodes() {
 	live := []string{n.settings.IP}
 	for _, p := range n.gossip.Live() {
 		live = append(live, p.Address)
 	}
 	nodes := len(live)
-	if nodes == 1 && n.population.known.Load() == 0 && n.hasOtherSeeds() {
+	if nodes == 1 && n.population.maxNodes.Load() == 0 && n.hasOtherSeeds() {
 		return
 	}
-	n.population.see(boottime.Now(), nodes)
-	n.roster.see(boottime.Now(), live)
+	n.population.record(boottime.Now(), nodes)
+	n.roster.record(boottime.Now(), live)
 }
 
 // retryingNodes returns the number of nodes that share the retry budget. It includes nodes that are
@@ -107,5 +107,5 @@
 }
 
 func (n *Node) hasOtherSeeds() bool {
-	return len(n.settings.Seeds) > 1 || (len(n.settings.Seeds) == 1 && !n.seed())
+	return len(n.settings.Seeds) > 1 || (len(n.settings.Seeds) == 1 && !n.isSeed())
 }
--- a/node/population_test.go
+++ b/node/population_test.go
@@ -19,7 +19,7 @@
 	see := func(after time.Duration, nodes, want int, heard bool) {
 		t.Helper()
 		now += after
-		node.PopulationSee(&p, now, nodes)
+		node.PopulationRecord(&p, now, nodes)
 		if got := node.PopulationCurrent(&p); got != (fleet.Population{Nodes: want, Heard: heard}) {
 			t.Errorf("population %+v, want %d nodes, heard %t", got, want, heard)
 		}
@@ -45,7 +45,7 @@
 	see := func(after time.Duration, want int, live ...string) {
 		t.Helper()
 		now += after
-		node.RosterSee(&r, now, live)
+		node.RosterRecord(&r, now, live)
 		if got := node.RosterCurrent(&r).Names; len(got) != want {
 			t.Errorf("roster has %d names, want %d: %v", len(got), want, got)
 		}
--- a/node/serve.go
+++ b/node/serve.go
@@ -28,13 +28,13 @@
 	// addressTTL is how long callers may cache an answer. It is short so that they soon leave a
 	// node that is about to stop, at the cost of about one request per caller and second.
 	addressTTL = 1500 * time.Millisecond
-	// youngTTL replaces addressTTL during the first youngFor of a node. The first node that is up
-	// after a restart of all nodes would otherwise keep every caller.
-	youngTTL = 400 * time.Millisecond
-	youngFor = 3 * time.Second
-	// enoughNearby is the number of ready nodes in the caller's data centre from which an answer
+	// startupTTL replaces addressTTL during the first startupPeriod of a node. The first node that
+	// is up after a restart of all nodes would otherwise keep every caller.
+	startupTTL    = 400 * time.Millisecond
+	startupPeriod = 3 * time.Second
+	// minNearbyNodes is the number of ready nodes in the caller's data centre from which an answer
 	// names no others.
-	enoughNearby = 2
+	minNearbyNodes = 2
 	// maxAddresses bounds an answer; callers read no more.
 	maxAddresses = 64
 )
@@ -45,11 +45,11 @@
 	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Certain < n.keysLimit()
 }
 
-// tellReadiness broadcasts a change of this node's readiness at once. Starting nodes wait for the
-// first ready node, and callers are sent to ready nodes only; the next regular round may be seconds
-// away among hundreds of nodes.
-func (n *Node) tellReadiness() {
-	if now := n.ready(); n.toldReady.Swap(now) != now {
+// announceReadiness broadcasts a change of this node's readiness at once. Starting nodes wait for
+// the first ready node, and callers are sent to ready nodes only; the next regular round may be
+// seconds away among hundreds of nodes.
+func (n *Node) announceReadiness() {
+	if now := n.ready(); n.announcedReady.Swap(now) != now {
 		n.gossip.TellAll()
 	}
 }
@@ -93,8 +93,8 @@
 
 func (n *Node) addressTTL() time.Duration {
 	ttl := addressTTL
-	if boottime.Now()-n.started < youngFor {
-		ttl = youngTTL
+	if boottime.Now()-n.started < startupPeriod {
+		ttl = startupTTL
 	}
 	return min(ttl, n.settings.AddressTTLLimit)
 }
@@ -110,8 +110,8 @@
 		})
 	}
 	v := addressView{
-		nodes: nodes, regions: n.settings.Regions, bound: n.hostRegions(q.Host),
-		own: n.settings.DataCentre, farFresh: n.gossip.FarLiveTime() <= addressFreshness,
+		nodes: nodes, regions: n.settings.Regions, boundRegions: n.hostRegions(q.Host),
+		ownDataCentre: n.settings.DataCentre, farFresh: n.gossip.FarLiveTime() <= addressFreshness,
 	}
 	return v.choose(q)
 }
@@ -123,12 +123,13 @@
 type addressView struct {
 	nodes   []gossip.Peer
 	regions map[string]string
-	// bound holds the regions that the host's routes are bound to; it is empty if there are none.
-	bound []string
-	// own is this node's data centre. farFresh reports whether the loss of a node in another data
-	// centre is detected within addressFreshness.
-	own      string
-	farFresh bool
+	// boundRegions holds the regions that the host's routes are bound to; it is empty if there are
+	// none.
+	boundRegions []string
+	// ownDataCentre is this node's data centre. farFresh reports whether the loss of a node in
+	// another data centre is detected within addressFreshness.
+	ownDataCentre string
+	farFresh      bool
 }
 
 // choose returns the nodes of the caller's data centre if there are enough, else those of its
@@ -138,10 +139,10 @@
 // of this node's region is sent to this node's data centre.
 func (v *addressView) choose(q platform.AddressQuestion) []string {
 	dataCentre := q.DataCentre
-	if !v.farFresh && v.regions[v.own] == q.Region {
-		dataCentre = v.own
+	if !v.farFresh && v.regions[v.ownDataCentre] == q.Region {
+		dataCentre = v.ownDataCentre
 	}
-	var near, regional, home, all []string
+	var sameDataCentre, regional, eligible, all []string
 	for _, p := range v.nodes {
 		if !p.Ready || p.Leaving {
 			continue
@@ -149,26 +150,26 @@
 		all = append(all, p.CallerAddress)
 		region := v.regions[p.DataCentre]
 		if p.DataCentre == dataCentre {
-			near = append(near, p.CallerAddress)
+			sameDataCentre = append(sameDataCentre, p.CallerAddress)
 		}
 		if region == q.Region {
 			regional = append(regional, p.CallerAddress)
 		}
-		if region == q.Region || slices.Contains(v.bound, region) {
-			home = append(home, p.CallerAddress)
+		if region == q.Region || slices.Contains(v.boundRegions, region) {
+			eligible = append(eligible, p.CallerAddress)
 		}
 	}
-	enough := enoughNearby
-	if len(v.bound) > 0 {
+	enough := minNearbyNodes
+	if len(v.boundRegions) > 0 {
 		enough = 1
 	}
-	for _, list := range [][]string{near, regional} {
+	for _, list := range [][]string{sameDataCentre, regional} {
 		if len(list) >= enough {
 			return list[:min(len(list), maxAddresses)]
 		}
 	}
-	if len(v.bound) > 0 && len(home) > 0 {
-		all = home
+	if len(v.boundRegions) > 0 && len(eligible) > 0 {
+		all = eligible
 	}
 	return all[:min(len(all), maxAddresses)]
 }
@@ -183,13 +184,13 @@
 }
 
 const (
-	// leaveMargin is how long before the platform kills the process it ends by itself.
-	leaveMargin = 400 * time.Millisecond
-	// leaveServing is how long a leaving node continues to accept requests: until the answers that
-	// name it have expired, even at callers that cache them three times as long.
-	leaveServing = 3*addressTTL + 200*time.Millisecond
-	// leaveCheck is the interval at which a leaving node checks for requests in flight.
-	leaveCheck = 20 * time.Millisecond
+	// shutdownMargin is how long before the platform kills the process it ends by itself.
+	shutdownMargin = 400 * time.Millisecond
+	// leaveAcceptPeriod is how long a leaving node continues to accept requests: until the answers
+	// that name it have expired, even at callers that cache them three times as long.
+	leaveAcceptPeriod = 3*addressTTL + 200*time.Millisecond
+	// leaveCheckInterval is the interval at which a leaving node checks for requests in flight.
+	leaveCheckInterval = 20 * time.Millisecond
 )
 
 // awaitSignal shuts the node down after SIGTERM or SIGINT: callers are sent elsewhere at once, and
@@ -230,13 +231,13 @@
 }
 
 func (n *Node) leave(ctx context.Context, s os.Signal) {
-	stopsAt := time.Now().Add(n.settings.ShutdownGrace - leaveMargin)
+	stopsAt := time.Now().Add(n.settings.ShutdownGrace - shutdownMargin)
 	n.gate.Leave(stopsAt)
-	n.tellReadiness()
+	n.announceReadiness()
 	n.log.Info("node leaving", zap.String("signal", s.String()), zap.Int("requests", n.gate.Inside()))
-	pause(ctx, min(leaveServing, time.Until(stopsAt)))
+	pause(ctx, min(leaveAcceptPeriod, time.Until(stopsAt)))
 	for time.Now().Before(stopsAt) && !n.gate.Close() {
-		pause(ctx, leaveCheck)
+		pause(ctx, leaveCheckInterval)
 	}
 	n.log.Info("node stopped", zap.Int("requests", n.gate.Inside()))
 }
--- a/node/source.go
+++ b/node/source.go
@@ -13,44 +13,44 @@
 
 // follower holds the reader that this node follows and the readers that failed it.
 type follower struct {
-	mu      sync.Mutex
-	shunned map[string]time.Duration
-	// directUntil is the time until which the store is polled although a reader is available.
-	directUntil time.Duration
+	mu            sync.Mutex
+	excludedUntil map[string]time.Duration
+	// useStoreUntil is the time until which the store is polled although a reader is available.
+	useStoreUntil time.Duration
 	// reader is the address of the last reader, for the log.
 	reader string
 }
 
-func (f *follower) goDirect() {
+func (f *follower) useStore() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.directUntil = boottime.Now() + directFor
+	f.useStoreUntil = boottime.Now() + directStorePeriod
 }
 
-func (f *follower) direct() bool {
+func (f *follower) usesStore() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return boottime.Now() < f.directUntil
+	return boottime.Now() < f.useStoreUntil
 }
 
-func (f *follower) shun(address string) {
+func (f *follower) exclude(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.shunned == nil {
-		f.shunned = make(map[string]time.Duration)
+	if f.excludedUntil == nil {
+		f.excludedUntil = make(map[string]time.Duration)
 	}
-	f.shunned[address] = boottime.Now() + shunFor
+	f.excludedUntil[address] = boottime.Now() + readerExclusion
 }
 
-func (f *follower) shuns(address string) bool {
+func (f *follower) excludes(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return boottime.Now() < f.shunned[address]
+	return boottime.Now() < f.excludedUntil[address]
 }
 
-// follows records the reader that this node follows, empty for the store, and reports whether it
+// setReader records the reader that this node follows, empty for the store, and reports whether it
 // has changed.
-func (f *follower) follows(address string) bool {
+func (f *follower) setReader(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	changed := f.reader != address
@@ -77,12 +77,12 @@
 // store itself, unless it is starting and waits for others.
 func (n *Node) reader() (reader gossip.Peer, ok bool) {
 	live := n.gossip.Live()
-	own := n.storeLink() != exchangev1.StoreLink_STORE_LINK_LOST
-	if n.starts() {
+	hasStore := n.storeLink() != exchangev1.StoreLink_STORE_LINK_LOST
+	if n.incomplete() {
 		return reader, false
 	}
-	if !own {
-		if p, found := n.first(live, own, n.near); found {
+	if !hasStore {
+		if p, found := n.firstFollowable(live, hasStore, n.sameDataCentre); found {
 			return p, true
 		}
 		return n.anyReader(live)
@@ -90,32 +90,33 @@
 	if p, found := n.parent(live); found {
 		return p, true
 	}
-	if n.follower.direct() {
+	if n.follower.usesStore() {
 		return reader, false
 	}
-	return n.first(live, own, func(gossip.Peer) bool { return true })
+	return n.firstFollowable(live, hasStore, func(gossip.Peer) bool { return true })
 }
 
-// first returns the node with the lowest address among those that fit and may be followed; it
-// returns false if that is this node. Own reports whether this node has access to the store.
-func (n *Node) first(live []gossip.Peer, own bool, fits func(gossip.Peer) bool) (gossip.Peer, bool) {
+// firstFollowable returns the node with the lowest address among those that match and may be
+// followed; it returns false if that is this node. hasStore reports whether this node has access to
+// the store.
+func (n *Node) firstFollowable(live []gossip.Peer, hasStore bool, matches func(gossip.Peer) bool) (gossip.Peer, bool) {
 	for _, p := range live {
-		if own && n.settings.IP < p.Address {
+		if hasStore && n.settings.IP < p.Address {
 			break
 		}
-		if fits(p) && n.followable(p) {
+		if matches(p) && n.followable(p) {
 			return p, true
 		}
 	}
 	return gossip.Peer{}, false
 }
 
-// near reports whether the node is in this data centre.
-func (n *Node) near(p gossip.Peer) bool { return p.DataCentre == n.settings.DataCentre }
+// sameDataCentre reports whether the node is in this data centre.
+func (n *Node) sameDataCentre(p gossip.Peer) bool { return p.DataCentre == n.settings.DataCentre }
 
-// followers is the number of nodes of a data centre that follow the same one. If all followed the
+// maxChildren is the number of nodes of a data centre that follow the same one. If all followed the
 // first, the first of fifty would send fifty times what each of them receives.
-const followers = 4
+const maxChildren = 4
 
 // parent returns the node of this data centre that this one follows. The nodes form a tree: four
 // nodes follow the first, four more follow each of these, and so on. A parent has a lower address
@@ -124,19 +125,19 @@
 func (n *Node) parent(live []gossip.Peer) (gossip.Peer, bool) {
 	var before []gossip.Peer
 	for _, p := range live {
-		if p.Address < n.settings.IP && n.near(p) && n.followable(p) {
+		if p.Address < n.settings.IP && n.sameDataCentre(p) && n.followable(p) {
 			before = append(before, p)
 		}
 	}
 	if len(before) == 0 {
 		return gossip.Peer{}, false
 	}
-	return before[(len(before)-1)/followers], true
+	return before[(len(before)-1)/maxChildren], true
 }
 
 // followable reports whether a node may be followed.
 func (n *Node) followable(p gossip.Peer) bool {
-	return !p.Leaving && p.Store != exchangev1.StoreLink_STORE_LINK_LOST && !n.follower.shuns(p.Address)
+	return !p.Leaving && p.Store != exchangev1.StoreLink_STORE_LINK_LOST && !n.follower.excludes(p.Address)
 }
 
 // anyReader returns a node that reads the store. The choice depends on this node's address, so that
@@ -144,7 +145,7 @@
 func (n *Node) anyReader(live []gossip.Peer) (gossip.Peer, bool) {
 	var readers []gossip.Peer
 	for _, p := range live {
-		if p.Store == exchangev1.StoreLink_STORE_LINK_READS && !p.Leaving && !n.follower.shuns(p.Address) {
+		if p.Store == exchangev1.StoreLink_STORE_LINK_READS && !p.Leaving && !n.follower.excludes(p.Address) {
 			readers = append(readers, p)
 		}
 	}
@@ -156,8 +157,8 @@
 	return readers[int(h.Sum32()%uint32(len(readers)))], true
 }
 
-// othersRead reports whether the store answers another node.
-func (n *Node) othersRead() bool {
+// othersReadStore reports whether the store answers another node.
+func (n *Node) othersReadStore() bool {
 	for _, p := range n.gossip.Live() {
 		if p.Store == exchangev1.StoreLink_STORE_LINK_READS {
 			return true
@@ -166,11 +167,11 @@
 	return false
 }
 
-// asksStore reports whether a feed is to poll the store.
-func (n *Node) asksStore(f *feed) bool {
+// shouldPollStore reports whether a feed is to poll the store.
+func (n *Node) shouldPollStore(f *feed) bool {
 	if n.fleet.Without[fleet.OneReader] {
 		return true
 	}
-	_, follows := n.reader()
-	return (!follows && !n.starter.waits()) || f.retryDue()
+	_, followsReader := n.reader()
+	return (!followsReader && !n.starter.waitsForPeers()) || f.retryDue()
 }
--- a/node/uptime.go
+++ b/node/uptime.go
@@ -22,23 +22,23 @@
 	}
 }
 
-// settlingWait returns the maximum wait of the next poll of the endpoints. While entries are
+// endpointsMaxWait returns the maximum wait of the next poll of the endpoints. While entries are
 // missing, it ends when the store's answer can show which endpoints are gone.
-func (n *Node) settlingWait() time.Duration {
+func (n *Node) endpointsMaxWait() time.Duration {
 	if doubt := n.uptime.Doubt(); doubt > 0 && n.fleet.Missing() > 0 {
 		return min(doubt+time.Millisecond, endpointsWait)
 	}
 	return endpointsWait
 }
 
-// heardUptime merges a follower's record of the store's uptime. The store may have answered the
+// mergePeerUptime merges a follower's record of the store's uptime. The store may have answered the
 // follower while it did not answer this node.
-func (n *Node) heardUptime(told knowledge.Uptime) {
-	if !n.uptime.Heard(told) {
+func (n *Node) mergePeerUptime(reported knowledge.Uptime) {
+	if !n.uptime.Heard(reported) {
 		return
 	}
-	n.registry.mu.Lock()
-	defer n.registry.mu.Unlock()
-	n.log.Info("store answered others meanwhile", zap.Duration("since", told.Since), zap.Duration("doubt", n.uptime.Doubt()))
+	n.endpointUpdates.mu.Lock()
+	defer n.endpointUpdates.mu.Unlock()
+	n.log.Info("store answered others meanwhile", zap.Duration("since", reported.Since), zap.Duration("doubt", n.uptime.Doubt()))
 	n.dropMissing()
 }
