--- a/node/feed.go
+++ b/node/feed.go
@@ -54,8 +54,8 @@
 // backoffBounds holds the bounds of the pause between two polls while the store does not answer.
 type backoffBounds struct{ min, max time.Duration }
 
-// backoffBoundsFor returns the bounds for a node on whose polls others depend, or for any other
-// node. Hundreds of nodes may start while the store is unavailable, and every call has a cost: a
+// backoffBoundsFor returns the bounds for a node; leads reports whether others depend on its polls.
+// Hundreds of nodes may start while the store is unavailable, and every call has a cost: a
 // few nodes poll often, and the others learn from them within the time of one datagram.
 func backoffBoundsFor(leads bool) backoffBounds {
 	if leads {
--- a/node/health.go
+++ b/node/health.go
@@ -53,11 +53,11 @@
 // endpointsToCheck returns the endpoints of a service in this data centre that are to be checked
 // now.
 func (n *Node) endpointsToCheck(name string, service *routing.Service) []fleet.Instance {
-	doubtful := n.fleet.Unvouched(name, n.settings.DataCentre)
+	endpoints := n.fleet.Unvouched(name, n.settings.DataCentre)
 	if service.Engine != nil && n.storeAway() {
-		doubtful = append(doubtful, n.fleet.Busy(name, n.settings.DataCentre)...)
+		endpoints = append(endpoints, n.fleet.Busy(name, n.settings.DataCentre)...)
 	}
-	return doubtful
+	return endpoints
 }
 
 // storeAway reports whether the store fails to show in time which endpoints leave: it is
--- a/node/members.go
+++ b/node/members.go
@@ -16,7 +16,7 @@
 const tableNodes = "nodes"
 
 // member is the row of a node. Liveness is known from datagrams; the row lets a node that is new,
-// or was cut off for long, find the others.
+// or was cut off for a long time, find the others.
 type member struct {
 	DataCentre string `json:"data_centre"`
 }
