--- a/node/benchmark_test.go
+++ b/node/benchmark_test.go
@@ -9,7 +9,7 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// benchEndpoints is the number of endpoints that a node knows here.
+// benchEndpoints is the number of endpoints in the benchmarked table.
 const benchEndpoints = 3000
 
 func benchRow(i int, version int64) platform.Row {
@@ -20,19 +20,19 @@
 	}
 }
 
-func benchEntries() *node.Entries {
+func benchEntries() *node.EndpointTable {
 	var l platform.Listing
 	for i := range benchEndpoints {
 		l.Rows = append(l.Rows, benchRow(i, 1))
 	}
 	l.Version = 1
-	var e node.Entries
+	var e node.EndpointTable
 	node.Replace(&e, l, 1)
 	return &e
 }
 
-// BenchmarkChange takes over one answer of the store with ten changed rows and makes the
-// answer for a follower.
+// BenchmarkChange measures applying an answer of the store with ten changed rows and making the
+// response for a follower.
 func BenchmarkChange(b *testing.B) {
 	e := benchEntries()
 	version := int64(1)
@@ -44,33 +44,33 @@
 			l.Rows = append(l.Rows, benchRow(int(version)*10%benchEndpoints+i, version))
 		}
 		node.Update(e, l, 1)
-		node.Fill(e, &exchangev1.SnapshotResponse{}, version-1)
+		node.FillResponse(e, &exchangev1.SnapshotResponse{}, version-1)
 	}
 }
 
-// BenchmarkWhole makes the answer for a node that starts.
+// BenchmarkWhole measures making the response for a starting node.
 func BenchmarkWhole(b *testing.B) {
 	e := benchEntries()
 	b.ReportAllocs()
 	for b.Loop() {
-		node.Fill(e, &exchangev1.SnapshotResponse{}, 0)
+		node.FillResponse(e, &exchangev1.SnapshotResponse{}, 0)
 	}
 }
 
-// BenchmarkUnpack reads such an answer, and tells its size.
+// BenchmarkUnpack measures decoding such a response, and reports its packed size.
 func BenchmarkUnpack(b *testing.B) {
 	resp := &exchangev1.SnapshotResponse{}
-	node.Fill(benchEntries(), resp, 0)
+	node.FillResponse(benchEntries(), resp, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		if l, err := node.WholeListing(resp); err != nil || len(l.Rows) != benchEndpoints {
+		if l, err := node.FullListing(resp); err != nil || len(l.Rows) != benchEndpoints {
 			b.Fatal(len(l.Rows), err)
 		}
 	}
 	b.ReportMetric(float64(len(resp.GetEndpointsPacked())), "bytes")
 }
 
-// BenchmarkReadEndpoint reads one entry.
+// BenchmarkReadEndpoint measures decoding one entry.
 func BenchmarkReadEndpoint(b *testing.B) {
 	row := benchRow(1, 1)
 	b.ReportAllocs()
--- a/node/limits.go
+++ b/node/limits.go
@@ -9,45 +9,45 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Limits of callers' connections until a configuration names others.
+// Defaults for limits of callers' connections that the configuration does not set.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 15 * time.Second
 )
 
-// limits serves callers' connections under the limits in force. A server's limits
-// cannot change while it serves, so connections that come after a change are given to a
-// new server; earlier ones keep the limits that their callers know.
-type limits struct {
+// callerServer serves callers' connections under the limits in force. The limits of an
+// http.Server cannot change while it serves, so connections accepted after a change go to a new
+// server; earlier ones keep the limits that were in force when they were accepted.
+type callerServer struct {
 	handler  http.Handler
 	listener net.Listener
 
 	mu      sync.Mutex
 	current routing.Limits
-	conns   *handedListener
+	conns   *connListener
 	servers []*http.Server
 }
 
-func newLimits(handler http.Handler, listener net.Listener) *limits {
-	l := &limits{handler: handler, listener: listener}
+func newCallerServer(handler http.Handler, listener net.Listener) *callerServer {
+	l := &callerServer{handler: handler, listener: listener}
 	l.apply(routing.Limits{})
 	return l
 }
 
-// apply puts limits in force; zero values get defaults.
-func (l *limits) apply(r routing.Limits) {
+// apply puts limits into force. Zero values select the defaults.
+func (l *callerServer) apply(r routing.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conns != nil && r == l.current {
 		return
 	}
 	if l.conns != nil {
-		// Ends Serve; connections that were handed over are served on.
+		// Ends Serve. The server continues to serve the connections it has already accepted.
 		_ = l.conns.Close()
 	}
 	l.current = r
-	l.conns = &handedListener{addr: l.listener.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
+	l.conns = &connListener{addr: l.listener.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
 	server := &http.Server{
 		Handler:           l.handler,
 		MaxHeaderBytes:    orDefault(r.MaxHeaderBytes, defaultHeaderBytes),
@@ -67,18 +67,18 @@
 	return value
 }
 
-// serve accepts connections until the listener is closed.
-func (l *limits) serve() error {
+// serve accepts connections until the listener is closed, and returns the error of Accept.
+func (l *callerServer) serve() error {
 	for {
 		conn, err := l.listener.Accept()
 		if err != nil {
 			return err
 		}
-		l.hand(conn)
+		l.dispatch(conn)
 	}
 }
 
-func (l *limits) hand(conn net.Conn) {
+func (l *callerServer) dispatch(conn net.Conn) {
 	for {
 		l.mu.Lock()
 		conns := l.conns
@@ -91,8 +91,8 @@
 	}
 }
 
-// close ends all connections.
-func (l *limits) close() {
+// close closes all servers and their connections.
+func (l *callerServer) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.servers {
@@ -100,8 +100,8 @@
 	}
 }
 
-// handedListener is a net.Listener whose connections are handed to it.
-type handedListener struct {
+// connListener is a net.Listener that accepts the connections sent to its channel.
+type connListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	once  sync.Once
@@ -109,7 +109,7 @@
 }
 
 // Accept implements net.Listener.
-func (h *handedListener) Accept() (net.Conn, error) {
+func (h *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.conns:
 		return c, nil
@@ -119,10 +119,10 @@
 }
 
 // Close implements net.Listener.
-func (h *handedListener) Close() error {
+func (h *connListener) Close() error {
 	h.once.Do(func() { close(h.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handedListener) Addr() net.Addr { return h.addr }
+func (h *connListener) Addr() net.Addr { return h.addr }
--- a/node/serve.go
+++ b/node/serve.go
@@ -21,35 +21,35 @@
 )
 
 const (
-	// MetricsPort and PathMetrics are where counters and histograms are served.
+	// MetricsPort and PathMetrics are the port and the path of the metrics.
 	MetricsPort = 9464
 	PathMetrics = "/debug/vars"
 
-	// addressTTL is how long callers may keep an answer: short, so that they leave a
-	// node soon that is about to stop, at the price of a question a caller and second.
+	// addressTTL is how long callers may cache an answer. It is short so that they soon leave a
+	// node that is about to stop, at the cost of about one request per caller and second.
 	addressTTL = 1500 * time.Millisecond
-	// youngTTL is used while the node is young: the first node that is up after a
-	// restart of all would otherwise keep every caller.
-	youngTTL = 400 * time.Millisecond
-	youngFor = 3 * time.Second
-	// enoughNearby is the number of ready nodes in the caller's data centre from which
-	// no others are named.
-	enoughNearby = 2
+	// startupTTL replaces addressTTL during the first startupPeriod of a node. The first node that
+	// is up after a restart of all nodes would otherwise keep every caller.
+	startupTTL    = 400 * time.Millisecond
+	startupPeriod = 3 * time.Second
+	// minNearbyNodes is the number of ready nodes in the caller's data centre from which an answer
+	// names no others.
+	minNearbyNodes = 2
 	// maxAddresses bounds an answer; callers read no more.
 	maxAddresses = 64
 )
 
-// ready tells whether callers may be sent here.
+// ready reports whether callers may be sent to this node.
 func (n *Node) ready() bool {
 	known, ages := n.config.Current()
 	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Certain < n.keysLimit()
 }
 
-// tellReadiness has all nodes told at once when callers may be sent here, or no longer. Nodes
-// that start wait for the first one that is ready, and callers are sent to those that are;
-// the next regular round may be seconds away where there are hundreds of nodes.
-func (n *Node) tellReadiness() {
-	if now := n.ready(); n.toldReady.Swap(now) != now {
+// announceReadiness broadcasts a change of this node's readiness at once. Starting nodes wait for
+// the first ready node, and callers are sent to ready nodes only; the next regular round may be
+// seconds away among hundreds of nodes.
+func (n *Node) announceReadiness() {
+	if now := n.ready(); n.announcedReady.Swap(now) != now {
 		n.gossip.TellAll()
 	}
 }
@@ -93,13 +93,13 @@
 
 func (n *Node) addressTTL() time.Duration {
 	ttl := addressTTL
-	if boottime.Now()-n.started < youngFor {
-		ttl = youngTTL
+	if boottime.Now()-n.started < startupPeriod {
+		ttl = startupTTL
 	}
 	return min(ttl, n.settings.AddressTTLLimit)
 }
 
-// addresses lists ready nodes for a caller.
+// addresses returns the addresses of ready nodes for a caller.
 func (n *Node) addresses(q platform.AddressQuestion) []string {
 	nodes := n.gossip.Live()
 	if n.ready() {
@@ -110,37 +110,39 @@
 		})
 	}
 	v := addressView{
-		nodes: nodes, regions: n.settings.Regions, bound: n.hostRegions(q.Host),
-		own: n.settings.DataCentre, farFresh: n.gossip.FarLiveTime() <= addressFreshness,
+		nodes: nodes, regions: n.settings.Regions, boundRegions: n.hostRegions(q.Host),
+		ownDataCentre: n.settings.DataCentre, farFresh: n.gossip.FarLiveTime() <= addressFreshness,
 	}
 	return v.choose(q)
 }
 
-// addressFreshness is the time within which a node that is gone may still be named.
+// addressFreshness is how long a node that is gone may still be named in answers.
 const addressFreshness = 5 * time.Second
 
-// addressView is what address answers are made from.
+// addressView is the input from which address answers are made.
 type addressView struct {
 	nodes   []gossip.Peer
 	regions map[string]string
-	// bound are the regions to which the host's routes are bound; empty for none.
-	bound []string
-	// own is this node's data centre; farFresh tells whether losses in others show within
-	// addressFreshness.
-	own      string
-	farFresh bool
+	// boundRegions holds the regions that the host's routes are bound to; it is empty if there are
+	// none.
+	boundRegions []string
+	// ownDataCentre is this node's data centre. farFresh reports whether the loss of a node in
+	// another data centre is detected within addressFreshness.
+	ownDataCentre string
+	farFresh      bool
 }
 
-// choose lists nodes of the caller's data centre if there are enough, else those of its region;
-// else those of the regions to which the host's routes are bound, so that the caller's request
-// does not leave them needlessly; else all. Where losses elsewhere show late, a caller of
-// another data centre of the region is sent to this one.
+// choose returns the nodes of the caller's data centre if there are enough, else those of its
+// region, else those of its region and of the regions that the host's routes are bound to, so that
+// the request does not leave these needlessly, else all. One node is enough if the host's routes
+// are bound. If losses in other data centres are detected late, a caller from another data centre
+// of this node's region is sent to this node's data centre.
 func (v *addressView) choose(q platform.AddressQuestion) []string {
 	dataCentre := q.DataCentre
-	if !v.farFresh && v.regions[v.own] == q.Region {
-		dataCentre = v.own
+	if !v.farFresh && v.regions[v.ownDataCentre] == q.Region {
+		dataCentre = v.ownDataCentre
 	}
-	var near, regional, home, all []string
+	var sameDataCentre, regional, eligible, all []string
 	for _, p := range v.nodes {
 		if !p.Ready || p.Leaving {
 			continue
@@ -148,31 +150,31 @@
 		all = append(all, p.CallerAddress)
 		region := v.regions[p.DataCentre]
 		if p.DataCentre == dataCentre {
-			near = append(near, p.CallerAddress)
+			sameDataCentre = append(sameDataCentre, p.CallerAddress)
 		}
 		if region == q.Region {
 			regional = append(regional, p.CallerAddress)
 		}
-		if region == q.Region || slices.Contains(v.bound, region) {
-			home = append(home, p.CallerAddress)
+		if region == q.Region || slices.Contains(v.boundRegions, region) {
+			eligible = append(eligible, p.CallerAddress)
 		}
 	}
-	enough := enoughNearby
-	if len(v.bound) > 0 {
+	enough := minNearbyNodes
+	if len(v.boundRegions) > 0 {
 		enough = 1
 	}
-	for _, list := range [][]string{near, regional} {
+	for _, list := range [][]string{sameDataCentre, regional} {
 		if len(list) >= enough {
 			return list[:min(len(list), maxAddresses)]
 		}
 	}
-	if len(v.bound) > 0 && len(home) > 0 {
-		all = home
+	if len(v.boundRegions) > 0 && len(eligible) > 0 {
+		all = eligible
 	}
 	return all[:min(len(all), maxAddresses)]
 }
 
-// hostRegions returns the regions to which routes of the host are bound.
+// hostRegions returns the regions that routes of the host are bound to.
 func (n *Node) hostRegions(host string) []string {
 	known, _ := n.config.Current()
 	if known.Table == nil {
@@ -182,18 +184,17 @@
 }
 
 const (
-	// leaveMargin is the time before the platform kills the process in which it ends
-	// by itself.
-	leaveMargin = 400 * time.Millisecond
-	// leaveServing is how long a leaving node goes on accepting: until the answers that
-	// name it have expired also at callers that keep them three times as long.
-	leaveServing = 3*addressTTL + 200*time.Millisecond
-	// leaveCheck is the pause between two looks at what still runs.
-	leaveCheck = 20 * time.Millisecond
+	// shutdownMargin is how long before the platform kills the process it ends by itself.
+	shutdownMargin = 400 * time.Millisecond
+	// leaveAcceptPeriod is how long a leaving node continues to accept requests: until the answers
+	// that name it have expired, even at callers that cache them three times as long.
+	leaveAcceptPeriod = 3*addressTTL + 200*time.Millisecond
+	// leaveCheckInterval is the interval at which a leaving node checks for requests in flight.
+	leaveCheckInterval = 20 * time.Millisecond
 )
 
-// awaitSignal ends the process after SIGTERM: callers are sent elsewhere at once, and
-// requests under way are finished within the grace time.
+// awaitSignal shuts the node down after SIGTERM or SIGINT: callers are sent elsewhere at once, and
+// requests in flight are completed within the grace period. SIGHUP reloads the settings.
 func (n *Node) awaitSignal(ctx context.Context) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -213,8 +214,8 @@
 	}
 }
 
-// reload reads the settings again. Addresses and bounds are fixed for the life of a
-// process, so only seeds are taken over.
+// reload reads the settings again and adds new seeds. Addresses and bounds are fixed for the
+// lifetime of the process.
 func (n *Node) reload() {
 	s, err := platform.LoadNodeSettings()
 	if err != nil {
@@ -230,13 +231,13 @@
 }
 
 func (n *Node) leave(ctx context.Context, s os.Signal) {
-	stopsAt := time.Now().Add(n.settings.ShutdownGrace - leaveMargin)
+	stopsAt := time.Now().Add(n.settings.ShutdownGrace - shutdownMargin)
 	n.gate.Leave(stopsAt)
-	n.tellReadiness()
+	n.announceReadiness()
 	n.log.Info("node leaving", zap.String("signal", s.String()), zap.Int("requests", n.gate.Inside()))
-	pause(ctx, min(leaveServing, time.Until(stopsAt)))
+	pause(ctx, min(leaveAcceptPeriod, time.Until(stopsAt)))
 	for time.Now().Before(stopsAt) && !n.gate.Close() {
-		pause(ctx, leaveCheck)
+		pause(ctx, leaveCheckInterval)
 	}
 	n.log.Info("node stopped", zap.Int("requests", n.gate.Inside()))
 }
