--- a/fleet/doubt.go
+++ b/fleet/doubt.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// While the store is away, no entry tells that an endpoint is about to leave. Its health
-// check does, and what one node learns by it the others are told. An entry that is
-// written later goes before it.
+// While the store is unavailable, an entry cannot announce that its endpoint is about to leave.
+// Health checks are used instead, and what one node learns from a check is broadcast to the others.
+// An entry that is written later takes precedence over the health check.
 
-// Busy returns the endpoints of a service in a data centre on which anything runs and
-// that are not known to leave, for a health check now.
+// Busy returns the endpoints of a service in a data centre that run work of any node and are not
+// known to be leaving. The caller sends each of them a health check now: it is already counted
+// against the endpoint's request limit.
 func (f *Fleet) Busy(service, dataCentre string) []Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -24,8 +25,8 @@
 	return busy
 }
 
-// takesCheckLocked tells whether an endpoint is to be sent a health check now, and counts the
-// check against its limit: it is a request, too.
+// takesCheckLocked reports whether a health check may be sent to the endpoint now, and counts the
+// check against the endpoint's request limit, because a check is a request too.
 func (f *Fleet) takesCheckLocked(e *Endpoint, now time.Duration) bool {
 	if e.isLeaving || f.pausedLocked(e) || !f.takesLimitedLocked(e, now) {
 		return false
@@ -34,9 +35,9 @@
 	return true
 }
 
-// Reinstate takes back that endpoints leave which said so at their health check longer ago
-// than the given time, and returns their IDs. Their entries are there and do not say that they
-// leave.
+// Reinstate returns endpoints to service that reported at a health check at least the given time
+// ago that they are leaving, and returns their IDs. It applies only to endpoints whose entries
+// exist and do not say that they are leaving.
 func (f *Fleet) Reinstate(after time.Duration) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +52,8 @@
 	return stayed
 }
 
-// Unhealthy records that an endpoint said at its health check that it leaves.
+// Unhealthy records that an endpoint reported at its health check that it is leaving. It returns
+// false if the endpoint is unknown or already counts as leaving.
 func (f *Fleet) Unhealthy(key EndpointKey) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +67,8 @@
 	return true
 }
 
-// UnhealthyKeys returns the endpoints that count as leaving by their health check alone.
+// UnhealthyKeys returns the keys of the endpoints that count as leaving by their health check
+// alone, in ascending order.
 func (f *Fleet) UnhealthyKeys() []EndpointKey {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -8,22 +8,23 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// Evacuation is a data centre to whose endpoints nothing is sent.
+// Evacuation is a data centre whose endpoints get no requests.
 type Evacuation struct {
 	DataCentre string `json:"data_centre"`
-	// Since is the time for which this node has known of it.
+	// Since is how long this node has known of the evacuation.
 	Since time.Duration `json:"since_ns"`
-	// Endpoints are in service there, and Running is what this node still runs on them.
+	// Endpoints is the number of endpoints in service there, and Running the number of requests
+	// that this node still runs on them.
 	Endpoints int `json:"endpoints"`
 	Running   int `json:"running"`
 }
 
-// evacuatedRetry is when callers may come back whose service has endpoints in evacuated data
-// centres only. The operator does not announce the end of an evacuation.
+// evacuatedRetry is the time after which callers may retry if all endpoints of their service are in
+// evacuated data centres. The end of an evacuation is not known in advance.
 const evacuatedRetry = 2 * time.Second
 
-// Evacuate replaces the set of data centres to whose endpoints nothing is sent: no new work, no
-// retry, no copy of a run and no run that goes on. What runs there goes on to its end.
+// Evacuate replaces the set of evacuated data centres. Their endpoints get no new work, retries,
+// copies of runs or resumed runs. Work that already runs there continues to its end.
 func (f *Fleet) Evacuate(dataCentres []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,14 +55,14 @@
 		e.markUnusable()
 		return
 	}
-	// It had nothing to do and may have become cold, which its entry tells with a delay.
+	// The endpoint was idle and may have become cold; its entry reports that only with a delay.
 	e.returnedAt = now
 	if !e.isLeaving {
 		e.unusable = make(chan struct{})
 	}
 }
 
-// Evacuations returns the data centres that are evacuated, in order of their names.
+// Evacuations returns the evacuated data centres, sorted by name.
 func (f *Fleet) Evacuations() []Evacuation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,8 +84,8 @@
 	return all
 }
 
-// unservableLocked returns the refusal of work that no endpoint may run: those in its regions
-// are all in evacuated data centres, or there is none; nil for other work.
+// unservableLocked returns a refusal if no endpoint may run the work: all endpoints in its regions
+// are in evacuated data centres, or there are none. Otherwise it returns nil.
 func (f *Fleet) unservableLocked(w *Want) *crocusreel.Refusal {
 	if len(f.evacuated) == 0 && !w.Bound {
 		return nil
@@ -109,7 +110,8 @@
 	}
 }
 
-// refuseUnservableLocked ends the wait of work that no endpoint may run any more.
+// refuseUnservableLocked refuses waiting work that no endpoint may run any more, or whose wait
+// would end before a limited or paused endpoint accepts it.
 func (f *Fleet) refuseUnservableLocked() {
 	now := f.now()
 	for _, q := range f.queues {
--- a/fleet/evacuation_test.go
+++ b/fleet/evacuation_test.go
@@ -20,8 +20,9 @@
 		w.engine("far", "dc2")
 	})
 
-	// Guards against new work, also for lack of any other room, at endpoints that are to be emptied.
-	It("gets no work, however full the others are", func() {
+	// Guards against new work on endpoints that are being emptied, even if no other endpoint has
+	// room.
+	It("gets no new work, however full the other data centres are", func() {
 		w.Evacuate([]string{"dc1"})
 		for range 8 {
 			Expect(w.running(generation(3000, 500)).Instance().ID).To(Equal("far"))
@@ -29,8 +30,8 @@
 		Expect(w.refused(generation(30_000, 500)).Reason).To(Equal(crocusreel.ReasonQueueFull))
 	})
 
-	// Guards against a copy, a backup or a resumed run, which is a request too.
-	It("gets neither copies nor backups, and no run goes on there", func() {
+	// Guards against copies, backups and resumed runs, which are requests too.
+	It("gets neither copies nor backups, and no run resumes there", func() {
 		backed := *pool
 		engine := *pool.Engine
 		engine.CanBackUp = true
@@ -56,8 +57,8 @@
 		Expect(held.Take(10)).NotTo(BeNil())
 	})
 
-	// Guards against callers who wait for room that cannot come.
-	It("ends the wait of work that could run nowhere else at once", func() {
+	// Guards against callers that wait for capacity that cannot become available.
+	It("refuses waiting work at once if it cannot run elsewhere", func() {
 		w.place(generation(33_000, 500))
 		w.place(generation(33_000, 500))
 		refusals := make(chan *crocusreel.Refusal, 1)
@@ -79,7 +80,7 @@
 		Expect(w.refused(generation(3000, 500)).Reason).To(Equal(crocusreel.ReasonEvacuated))
 	})
 
-	It("includes endpoints that register while it is evacuated, and is told with what runs there", func() {
+	It("includes endpoints that register during the evacuation, and is reported with the work that runs there", func() {
 		running := w.place(generation(3000, 500))
 		w.Evacuate([]string{"dc1", "dc3"})
 		w.now += 2 * time.Second
@@ -110,8 +111,8 @@
 		w.engine("elsewhere", "unknown")
 	})
 
-	// Guards against data that leaves the regions to which its owner has bound it.
-	It("runs there only, however full they are", func() {
+	// Guards against data that leaves the regions to which its owner has restricted it.
+	It("runs only there, however full they are", func() {
 		for range 8 {
 			Expect(w.running(bound("south")).Instance().ID).To(Equal("e2"))
 		}
@@ -120,13 +121,13 @@
 		Expect(w.refused(large).Reason).To(Equal(crocusreel.ReasonQueueFull))
 	})
 
-	It("has no copy or backup outside of them", func() {
+	It("is not copied to other regions", func() {
 		p := w.running(bound("north"))
 		Expect(w.Target(p, bound("north"))).To(BeNil())
 		Expect(w.Target(p, bound("north", "south")).Instance().ID).To(Equal("e2"))
 	})
 
-	It("is refused where no region is left, is known or is in service", func() {
+	It("is refused if its regions are empty, unknown or without endpoints in service", func() {
 		for _, regions := range [][]string{nil, {"west"}} {
 			refusal := w.refused(bound(regions...))
 			Expect(refusal.Reason).To(Equal(crocusreel.ReasonNoEndpoint))
@@ -136,7 +137,7 @@
 		Expect(w.refused(bound("south")).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 	})
 
-	// Guards against work that goes to another region because its own is evacuated.
+	// Guards against work that is sent to another region because its own is evacuated.
 	It("is refused at once while its regions are evacuated", func() {
 		w.Evacuate([]string{"dc2"})
 		Expect(w.refused(bound("south")).Reason).To(Equal(crocusreel.ReasonEvacuated))
--- a/fleet/health.go
+++ b/fleet/health.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// health remembers failures of an endpoint whose health check may be good.
+// health tracks the recent failures of an endpoint. Its health check may pass all the while.
 type health struct {
-	// failures and successes decay with healthMemory.
+	// failures and successes decay over healthMemory.
 	failures, successes float64
 	updated             time.Duration
-	// ejectedUntil keeps new work away.
+	// ejectedUntil is the time until which the endpoint gets no new work while others are in
+	// service.
 	ejectedUntil time.Duration
 	ejections    int
-	// told is set from when the exclusion was told of until the endpoint is good again.
+	// told is set from when the ejection was reported until the endpoint has recovered.
 	told bool
 }
 
 const (
-	// healthMemory is the time constant at which past results are forgotten: a few
-	// seconds, the length of a usual impairment of one endpoint.
+	// healthMemory is the time over which past results decay: a few seconds, the usual length of an
+	// impairment of one endpoint.
 	healthMemory = 4 * time.Second
-	// ejectAfter is the number of recent failures, and ejectShare their share among
-	// recent results, from which an endpoint is ejected. Single failures are usual:
-	// applications answer some requests with a failure of their own.
+	// ejectAfter is the number of recent failures, and ejectShare their share among recent results,
+	// from which an endpoint is ejected. Single failures are normal: applications answer some
+	// requests with a failure of their own.
 	ejectAfter = 2.5
 	ejectShare = 0.3
-	// ejectFirst is the first time of ejection; each further one doubles it up to
+	// ejectFirst is the duration of the first ejection. Each further one doubles it, up to
 	// ejectLongest, so that an endpoint that has recovered is soon tried again.
 	ejectFirst   = 1500 * time.Millisecond
 	ejectLongest = 6 * time.Second
-	// unreachableFor keeps work away from an endpoint that refused a connection.
+	// unreachableFor is how long an endpoint that refused a connection gets no new work.
 	unreachableFor = 500 * time.Millisecond
-	// silentFor keeps work away from an endpoint that has taken work and answered nothing
-	// for long: its queue is longer than is known here, or it hangs.
+	// silentFor is how long an endpoint gets no new work after it accepted work and did not answer
+	// in time: its queue is longer than this node knows, or it hangs.
 	silentFor = time.Second
 )
 
@@ -53,7 +54,8 @@
 	}
 }
 
-// failed records a failure of the given weight; enough of them eject.
+// failed records a failure with the given weight, and ejects the endpoint once its recent failures
+// reach ejectAfter and ejectShare.
 func (h *health) failed(now time.Duration, weight float64) {
 	h.decay(now)
 	h.failures += weight
@@ -62,7 +64,7 @@
 	}
 }
 
-// avoid keeps new work away for some time.
+// avoid keeps new work away from the endpoint for at least the given time.
 func (h *health) avoid(now, wait time.Duration) {
 	h.ejectedUntil = max(h.ejectedUntil, now+wait)
 }
@@ -74,7 +76,8 @@
 	h.failures = 0
 }
 
-// penalty is the share of recent failures, 0 to 1, smoothed by two good results.
+// penalty returns the share of failures in recent results, from 0 to 1, smoothed by two assumed
+// successes.
 func (h *health) penalty(now time.Duration) float64 {
 	h.decay(now)
 	const goodPrior = 2
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -11,16 +11,16 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// start is the entry of an engine that says when it started.
+// start returns the entry of an engine that reports its start time.
 func start(born int64) fleet.Instance {
 	return fleet.Instance{ID: "e1", Born: born, Service: "pool", Address: "10.0.0.1:80", DataCentre: "dc1", Slots: 24}
 }
 
 var _ = Describe("an endpoint that starts again under its ID", func() {
-	// An engine crashes and is back within its heartbeat: no removal comes in between. What
-	// ran there is lost. Callers would wait for it until the connection times out, and the
-	// new engine would count as full, or as failing, for what the old one did.
-	It("ends what ran there and begins with nothing", func() {
+	// Guards against an engine that crashes and restarts within its heartbeat, so that its entry is
+	// never removed: callers would wait for the lost runs until the connection times out, and the
+	// new engine would inherit the load and the failures of the old one.
+	It("ends the runs of the previous incarnation and starts without load or failures", func() {
 		w := newWorld()
 		Expect(w.Update(start(1000))).To(Equal(fleet.Added))
 		p := w.running(generation(20_000, 8000))
@@ -37,7 +37,7 @@
 		Expect(w.OwnLoads()).To(HaveLen(1))
 	})
 
-	It("is not ended by what its earlier start still has to say", func() {
+	It("is not affected by late entries of an earlier incarnation", func() {
 		w := newWorld()
 		w.Update(start(2000))
 		p := w.running(generation(1000, 100))
@@ -50,9 +50,9 @@
 		Expect(w.Update(start(2000))).To(Equal(fleet.Known))
 	})
 
-	// A node tells of its work on the new start before the entry has come here. It counts
-	// for that start, and what was told of the one before does not.
-	It("takes the load that other nodes told of that start alone", func() {
+	// Guards against wrong loads when another node reports its work on the new incarnation before
+	// the entry arrives here: only loads of that incarnation count.
+	It("takes only the load that other nodes reported for the new incarnation", func() {
 		w := newWorld()
 		w.Update(start(1000))
 		w.SetRemote("node2", []fleet.Load{{Key: start(1000).Incarnation().Key(), Count: 20, Tokens: 30_000}}, nil)
@@ -62,7 +62,7 @@
 		w.refused(generation(10_000, 1000))
 	})
 
-	It("may come with another address, and leaves no place at the old one", func() {
+	It("may have a new address, and gets no work at the old one", func() {
 		w := newWorld()
 		w.Update(start(1000))
 		moved := start(2000)
@@ -73,8 +73,8 @@
 		}
 	})
 
-	// The store is away, entries expire, and the endpoint's entry comes back as that of a
-	// new start.
+	// Guards against dropping a live endpoint: entries expire during an outage of the store, and
+	// the entry that returns is that of a new incarnation.
 	It("is no longer missing", func() {
 		w := newWorld()
 		w.Update(start(1000))
@@ -86,10 +86,10 @@
 	})
 })
 
-var _ = Describe("an endpoint that leaves by its health check", func() {
-	// A health check says that an engine leaves, and its entry never does: the answer was
-	// false. The engine would get no work again for as long as it lives.
-	It("is taken back after a while, unless its entry says so too", func() {
+var _ = Describe("an endpoint that is leaving according to its health check", func() {
+	// Guards against an engine that never gets work again because one health check wrongly reported
+	// that it is leaving, which its entry never confirms.
+	It("is reinstated after a while, unless its entry says that it is leaving too", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		w.engine("e2", "dc1")
@@ -106,11 +106,11 @@
 	})
 })
 
-var _ = Describe("the line of short answers", func() {
-	// A caller expects ten tokens and may get two thousand. Taken for a short answer, its
-	// stream would use the room that is kept for short ones, and nobody would keep a backup
-	// of it: it would be lost with its engine.
-	It("is for answers that must be short, not for those that a caller expects to be", func() {
+var _ = Describe("the queue for short answers", func() {
+	// Guards against a caller that expects 10 tokens and may get 2000. If that counted as a short
+	// answer, its stream would use the memory reserved for short ones, and would be lost with its
+	// engine because it has no backup.
+	It("takes answers whose maximum length is short, not answers that a caller expects to be short", func() {
 		want := generation(1000, 10)
 		Expect(want.Short()).To(BeTrue())
 		want.Longest = 2000
@@ -120,8 +120,8 @@
 	})
 })
 
-var _ = Describe("mechanisms that are left out", func() {
-	It("are named as they are listed, and nothing else is", func() {
+var _ = Describe("disabled mechanisms", func() {
+	It("are accepted by their listed names only", func() {
 		w, err := fleet.ParseWithout([]string{"backups", "turns"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(w[fleet.Backups]).To(BeTrue())
@@ -130,7 +130,7 @@
 		Expect(err).To(MatchError(ContainSubstring("short-line")))
 	})
 
-	It("keep no backups without backups, and the line of short answers is one with the others", func() {
+	It("include backups: without that mechanism, no backup is held", func() {
 		backed := *pool.Engine
 		backed.CanBackUp = true
 		want := fleet.Want{Service: &routing.Service{Name: "pool", Engine: &backed}, Demand: fleet.Demand{Prompt: 1000, Output: 500}}
@@ -149,9 +149,9 @@
 	backed.CanBackUp = true
 	want := fleet.Want{Service: &routing.Service{Name: "pool", Engine: &backed}, Demand: fleet.Demand{Prompt: 3000, Output: 2000}}
 
-	// Many long answers run, and each has a backup. What is kept for the case that an engine
-	// dies must not keep new answers waiting.
-	It("is given while an engine has three tenths of its memory to spare, and counts for what comes", func() {
+	// Guards against backups, of which each long answer has one, that keep new answers waiting for
+	// memory.
+	It("is granted while 30% of an engine's memory stays free, and counts against new work", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		w.engine("e2", "dc2")
@@ -172,7 +172,7 @@
 		Expect(w.Hold(p, want)).NotTo(BeNil())
 	})
 
-	It("becomes the place of the run when its engine is gone", func() {
+	It("becomes the placement of the run when its engine is gone", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		p := w.place(want)
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// leaver is a fleet with one endpoint that has said in an answer that it leaves.
+// leaver is a fleet with one endpoint that has announced in an answer that it is leaving.
 type leaver struct {
 	*fleet.Fleet
 	now     time.Duration
@@ -34,7 +34,7 @@
 	return l
 }
 
-// takes tells whether new work goes to the endpoint.
+// takes reports whether the endpoint gets new work.
 func (l *leaver) takes() bool {
 	p, _ := l.Acquire(context.Background(), fleet.Want{Service: l.service}, 0)
 	if p != nil {
@@ -43,21 +43,21 @@
 	return p != nil
 }
 
-// Guards against new work for an endpoint whose answer said that it leaves, whatever its entry
-// or a health check says before or after.
+// Guards against new work for an endpoint that announced in an answer that it is leaving, whatever
+// its entry, a health check or a later answer says.
 func TestEndpointThatSaidThatItLeavesGetsNothing(t *testing.T) {
 	for name, after := range map[string]func(*leaver){
-		"nothing more":           func(*leaver) {},
-		"an answer without it":   func(l *leaver) { l.Note(l.in, notice.Notice{}, "r1") },
-		"its entry as before":    func(l *leaver) { l.Update(l.in) },
-		"a whole listing":        func(l *leaver) { l.Replace([]fleet.Instance{l.in}, true) },
-		"its entry gone and new": func(l *leaver) { l.Remove(l.in.ID, false); l.Update(l.in) },
-		"its entry missing": func(l *leaver) {
+		"no further event":                  func(*leaver) {},
+		"an answer without a notice":        func(l *leaver) { l.Note(l.in, notice.Notice{}, "r1") },
+		"its unchanged entry":               func(l *leaver) { l.Update(l.in) },
+		"a full listing":                    func(l *leaver) { l.Replace([]fleet.Instance{l.in}, true) },
+		"its entry removed and added again": func(l *leaver) { l.Remove(l.in.ID, false); l.Update(l.in) },
+		"its entry missing for a second": func(l *leaver) {
 			l.Remove(l.in.ID, true)
 			l.now += time.Second
 			l.Update(l.in)
 		},
-		"a health check that is doubted": func(l *leaver) {
+		"a health check that its entry does not confirm": func(l *leaver) {
 			l.Unhealthy(l.in.Incarnation().Key())
 			l.now += time.Minute
 			l.Reinstate(4 * time.Second)
@@ -68,13 +68,14 @@
 			l := newLeaver()
 			after(l)
 			if l.takes() {
-				t.Error("it got new work")
+				t.Error("the leaving endpoint got new work")
 			}
 		})
 	}
 }
 
-// Guards against a health check that was doubted and hides what the endpoint itself said since.
+// Guards against reinstating an endpoint after an unconfirmed health check although it has
+// announced in an answer since then that it is leaving.
 func TestEndpointThatSaidThatItLeavesIsNotReinstated(t *testing.T) {
 	l := newLeaver()
 	reborn := l.in
@@ -84,63 +85,65 @@
 	l.Note(reborn, notice.Notice{Leaving: true}, "r1")
 	l.now += time.Minute
 	if stayed := l.Reinstate(4 * time.Second); len(stayed) > 0 || l.takes() {
-		t.Errorf("taken back: %v", stayed)
+		t.Errorf("leaving endpoint was reinstated or got new work; reinstated: %v", stayed)
 	}
 }
 
-// Guards against an endpoint that has started again and is bound by what it said before.
+// Guards against a restarted endpoint that gets no work because of a notice of its previous
+// incarnation.
 func TestNextIncarnationIsNotLeaving(t *testing.T) {
 	l := newLeaver()
 	reborn := l.in
 	reborn.Born = 2
 	l.Update(reborn)
 	if !l.takes() {
-		t.Error("it got no work")
+		t.Error("the restarted endpoint got no work")
 	}
 }
 
-// Guards against one figure that cannot be read and hides what else an answer says.
+// Guards against an invalid limit that hides the rest of the notice in the same answer.
 func TestUnreadableLimitHidesNothingElse(t *testing.T) {
 	l := newLeaver()
 	reborn := l.in
 	reborn.Born = 2
 	l.Update(reborn)
-	l.Note(reborn, notice.Notice{Leaving: true, LimitFault: errors.New("no number")}, "r1")
+	l.Note(reborn, notice.Notice{Leaving: true, LimitFault: errors.New("not a number")}, "r1")
 	if l.takes() {
-		t.Error("it got new work")
+		t.Error("the leaving endpoint got new work")
 	}
 }
 
-// Guards against datagrams that carry for long what other nodes know by entries, or need not know.
+// Guards against datagrams that keep carrying notices which the other nodes know from entries or do
+// not need.
 func TestOnlyNewsIsToldToOtherNodes(t *testing.T) {
 	l := newLeaver()
 	if told := l.OwnLeaving(); len(told) != 1 {
-		t.Errorf("%d endpoints are told, want the one whose entry does not say so", len(told))
+		t.Errorf("%d leaving endpoints to broadcast, want 1: the one whose entry does not say that it is leaving", len(told))
 	}
 	if told := l.OwnLimits(); len(told) != 0 {
-		t.Errorf("limits of endpoints that have named none: %v", told)
+		t.Errorf("limits to broadcast of endpoints that have reported none: %v", told)
 	}
 	l.now += time.Minute
 	if told := l.OwnLeaving(); len(told) != 1 {
-		t.Errorf("%d endpoints are told after a minute, want the one whose entry does not say so", len(told))
+		t.Errorf("%d leaving endpoints to broadcast after a minute, want 1: the one whose entry does not say that it is leaving", len(told))
 	}
 	entry := l.in
 	entry.Leaving = true
 	l.Update(entry)
 	if told := l.OwnLeaving(); len(told) != 0 {
-		t.Errorf("told although the entry says so: %v", told)
+		t.Errorf("leaving endpoints to broadcast although the entry says that they are leaving: %v", told)
 	}
 	second := fleet.Instance{ID: "i2", Service: "app", DataCentre: "dc1", Slots: 10, Leaving: true}
 	l.Update(second)
-	l.Changed = func(string) { t.Error("the others are told at once of what the entry has said") }
+	l.Changed = func(string) { t.Error("a notice that the entry already contains was broadcast at once") }
 	l.Note(second, notice.Notice{Leaving: true}, "r1")
 	l.Note(second, notice.Notice{Pause: time.Second}, "r2")
 	if told := append(l.OwnLeaving(), fleet.EndpointKey(len(l.OwnLimits()))); len(told) != 1 || told[0] != 0 {
-		t.Errorf("told: %v", told)
+		t.Errorf("leaving endpoints and number of limits to broadcast: %v, want no endpoints and 0 limits", told)
 	}
 }
 
-// Guards against health checks that are sent to an endpoint beyond its limit, or within its pause.
+// Guards against health checks that exceed an endpoint's limit or are sent during its pause.
 func TestHealthChecksKeepLimitsAndPauses(t *testing.T) {
 	l := newLeaver()
 	service := &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Memory: 30_000}}
@@ -156,10 +159,10 @@
 		checks += len(l.Busy("pool", "dc1"))
 	}
 	if checks == 0 || checks > limitAllows(perSecond) {
-		t.Errorf("%d checks in %v", checks, limitWindow)
+		t.Errorf("%d health checks in %v, want at least 1 and no more than the limit allows", checks, limitWindow)
 	}
 	l.Note(engine, notice.Notice{Pause: testPause}, "r2")
 	if busy := l.Busy("pool", "dc1"); len(busy) != 0 {
-		t.Errorf("a check within the pause: %v", busy)
+		t.Errorf("health checks during the pause: %v", busy)
 	}
 }
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -10,18 +10,19 @@
 	"github.com/crocusreel/crocusreel/pace"
 )
 
-// An endpoint in need names the number of requests a second that it takes from all nodes together.
-// Each node sends it requests in slots of its own only (package pace): first sendings, repeats,
-// waiting work and runs that go on there alike. What one node is told the others hear by
-// datagrams; a node that hears nobody goes by the nodes that it knew lately.
+// An overloaded endpoint reports the number of requests per second that it accepts from all nodes
+// together. Each node sends to it only within its own time slots (package pace); this applies to
+// new requests, retries, queued work and resumed runs alike. A limit reported to one node is
+// broadcast to the others by datagram. A node that receives no datagrams uses the list of nodes
+// that it knew most recently.
 
-// Roster is the nodes that share a rate. It does not change.
+// Roster lists the nodes that share a rate. It is immutable.
 type Roster struct {
-	// Names are those of all nodes, this one included, as they are known to each other.
+	// Names are the names of all nodes, including this one, as the nodes know each other.
 	Names []string
 }
 
-// limit is what an endpoint last said of the requests that it takes.
+// limit is the request limit that an endpoint last reported. If named is not set, it has none.
 type limit struct {
 	named     bool
 	perSecond float64
@@ -29,11 +30,11 @@
 
 func (l limit) notice() notice.Notice { return notice.Notice{Limited: l.named, Limit: l.perSecond} }
 
-// rate is the number of requests a second that all nodes together send.
+// rate returns the number of requests per second that all nodes together send.
 func (l limit) rate() float64 { return pace.LimitRate(l.perSecond) }
 
-// setLimitLocked takes a limit, or its end, that an endpoint named at the given time, unless a later
-// answer is known.
+// setLimitLocked records the limit, or the end of the limit, that an endpoint reported at the given
+// time. It returns false, and changes nothing, if a later report is known.
 func (f *Fleet) setLimitLocked(key EndpointKey, n *noticed, said limit, at time.Duration) bool {
 	if at < n.limitAt {
 		return false
@@ -53,12 +54,12 @@
 	return true
 }
 
-// limited tells whether the endpoint has named a limit that holds.
+// limited reports whether the endpoint has a request limit in force.
 func (e *Endpoint) limited() bool { return e.noticed != nil && e.noticed.limit.named }
 
-// limitTurnLocked returns when this node may send the next request to an endpoint that has named
-// a limit: now while its slot lasts. Known is false if it may not send any, as it does not know
-// who else does.
+// limitTurnLocked returns when this node may send the next request to an endpoint with a limit:
+// now, while the current slot of this node lasts. Known is false if the node may not send any
+// request because it does not know which other nodes share the limit.
 func (f *Fleet) limitTurnLocked(e *Endpoint, now time.Duration) (at time.Duration, known bool) {
 	roster := f.Roster()
 	if roster == nil {
@@ -72,8 +73,9 @@
 	return now + slots.Until(f.Wall(), now, n.turnUsedAt), true
 }
 
-// takesLimitedLocked tells whether this node may send a request to the endpoint now, as far as
-// its limit allows. If not, it has waiting work looked at again when that changes.
+// takesLimitedLocked reports whether the endpoint's limit allows this node to send it a request
+// now. If it has to wait for its next slot, it schedules another dispatch of waiting work for that
+// time.
 func (f *Fleet) takesLimitedLocked(e *Endpoint, now time.Duration) bool {
 	if !e.limited() {
 		return true
@@ -85,7 +87,7 @@
 	return known && at <= now
 }
 
-// useTurnLocked records that a request goes to the endpoint.
+// useTurnLocked records that a request is sent to the endpoint, which uses up the current slot.
 func (f *Fleet) useTurnLocked(e *Endpoint, now time.Duration) {
 	if !e.limited() {
 		return
@@ -94,8 +96,10 @@
 	metrics.Count("limit_turns_used")
 }
 
-// opensLocked returns when the endpoint takes a request of this node, and how many it takes a second
-// from then on: without end if it has named no limit.
+// opensLocked returns when the endpoint next accepts a request from this node, and how many
+// requests per second it accepts from then on; the rate is infinite if the endpoint has no limit.
+// If this node does not know which nodes share the limit, it returns limitUnknownRetry from now and
+// leastLimit.
 func (f *Fleet) opensLocked(e *Endpoint, now time.Duration) (at time.Duration, perSecond float64) {
 	if e.noticed == nil {
 		return now, math.Inf(1)
@@ -111,14 +115,16 @@
 	return turn, e.noticed.limit.rate() / float64(len(f.Roster().Names))
 }
 
-// limitUnknownRetry is when callers may come back to a node that does not know how many others
-// there are: it hears of them within a second.
+// limitUnknownRetry is the time after which callers may retry at a node that does not know how many
+// nodes share a limit. The node learns that from the others within a second.
 const limitUnknownRetry = time.Second
 
-// longestBeyond bounds what callers are told: other endpoints may register meanwhile.
+// longestBeyond is the maximum retry delay that callers are given: other endpoints may register
+// meanwhile.
 const longestBeyond = 10 * time.Second
 
-// leastLimit is the rate, in requests a second, that is taken for a node that sends none yet.
+// leastLimit is the rate, in requests per second, that is assumed for a node that may not send any
+// requests yet.
 const leastLimit = 0.25
 
 func refuseBeyond(w *Want, retry time.Duration) *crocusreel.Refusal {
@@ -126,9 +132,9 @@
 		"no endpoint of service %q takes a request of this node for %v", w.Service.Name, retry.Round(time.Millisecond))
 }
 
-// beyondLocked returns the refusal of work that can only go to endpoints that have named a limit or
-// asked for a pause, and whose turn comes after its patience, behind so many others; nil for other
-// work.
+// beyondLocked returns a refusal if the work can go only to endpoints that have a limit or are
+// paused, and would have to wait for longer than patience behind the given number of requests.
+// Otherwise it returns nil.
 func (f *Fleet) beyondLocked(w *Want, ahead int, patience time.Duration) *crocusreel.Refusal {
 	now := f.now()
 	rate, found := 0.0, false
--- a/fleet/limit_test.go
+++ b/fleet/limit_test.go
@@ -13,7 +13,8 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Figures of the users' bound on an endpoint that names a limit.
+// The bound that the users set for an endpoint with a limit: at most limitFactor times the limit
+// plus limitSlack requests in any limitWindow.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
@@ -23,12 +24,12 @@
 	limitSeeds  = 4
 )
 
-// limitAllows is how many requests the endpoint may get within limitWindow.
+// limitAllows returns the maximum number of requests to the endpoint within limitWindow.
 func limitAllows(perSecond float64) int {
 	return int(limitFactor*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// limitedNode is a node before one endpoint that has named a limit to it.
+// limitedNode is a node with one endpoint that has reported a limit to it.
 type limitedNode struct {
 	f       *fleet.Fleet
 	now     time.Duration
@@ -39,7 +40,7 @@
 // dayStart is the time of day at which simulated time begins.
 var dayStart = time.Unix(1_800_000_000, 0)
 
-// namesOf returns the names of so many nodes.
+// namesOf returns the names of the given number of nodes.
 func namesOf(random *rand.Rand, nodes int) []string {
 	var names []string
 	for i := range nodes {
@@ -48,8 +49,8 @@
 	return names
 }
 
-// newLimitedNode returns the first of the named nodes; without names it knows no others. Its own
-// clock is ahead of the simulated time by the offset.
+// newLimitedNode returns the node with the first of the given names; without names, it does not
+// know which nodes share the limit. Its monotonic clock is ahead of the simulated time by offset.
 func newLimitedNode(names []string, perSecond float64, offset time.Duration) *limitedNode {
 	n := &limitedNode{
 		service: &routing.Service{Name: "app"},
@@ -72,7 +73,7 @@
 	return p != nil
 }
 
-// sendsOf returns how many of so many requests at one moment are sent.
+// sendsOf returns how many of the given number of simultaneous requests are sent.
 func (n *limitedNode) sendsOf(requests int) int {
 	sent := 0
 	for range requests {
@@ -83,7 +84,7 @@
 	return sent
 }
 
-// mostWithin returns the most of the times that lie within one span of the given length.
+// mostWithin returns the maximum number of the given times within any interval of the given length.
 func mostWithin(sent []time.Duration, length time.Duration) int {
 	slices.Sort(sent)
 	most, from := 0, 0
@@ -96,8 +97,8 @@
 	return most
 }
 
-// Guards against nodes that together send more than an endpoint takes from all of them, each of
-// them with work for it at every moment and no message between them.
+// Guards against nodes that together exceed the limit of an endpoint, although each has work for it
+// all the time and they do not communicate.
 func TestLimitedEndpointIsNotOverrun(t *testing.T) {
 	for _, nodes := range []int{1, 7, 75, 300, 410} {
 		for _, perSecond := range []float64{0, 0.5, 2.2, 30} {
@@ -122,7 +123,7 @@
 						}
 					}
 					if most := mostWithin(sent, limitWindow); most > limitAllows(perSecond) {
-						t.Errorf("seed %d: %d requests in %v, %d are allowed", seed, most, limitWindow, limitAllows(perSecond))
+						t.Errorf("seed %d: %d requests in %v, want at most %d", seed, most, limitWindow, limitAllows(perSecond))
 					}
 				}
 			})
@@ -130,34 +131,34 @@
 	}
 }
 
-// Guards against a node that hears nobody and takes the whole limit for its own.
+// Guards against a node that receives nothing from other nodes and uses the whole limit alone.
 func TestNodeThatKnowsNoOthersSendsNothingToALimitedEndpoint(t *testing.T) {
 	n := newLimitedNode(nil, 4, 0)
 	for now := time.Hour; now < time.Hour+limitWindow; now += limitStep {
 		if n.sends(now) {
-			t.Fatalf("a request at %v", now)
+			t.Fatalf("a request was sent at %v", now)
 		}
 	}
 }
 
-// Guards against a bound that goes on after the endpoint has ended it, or is kept for another
-// incarnation.
+// Guards against a limit that stays in force after the endpoint has ended it, or that is applied to
+// another incarnation.
 func TestLimitEndsWhenTheEndpointNamesNone(t *testing.T) {
 	n := newLimitedNode(namesOf(rand.New(rand.NewPCG(1, 1)), 100), 0.5, 0)
 	n.f.Note(n.in, notice.Notice{}, "r1")
 	if n.sendsOf(2) != 2 {
-		t.Error("no request after the limit was taken back")
+		t.Error("requests were held back after the endpoint ended its limit")
 	}
 	n.f.Note(n.in, notice.Notice{Limited: true, Limit: 0.5}, "r2")
 	reborn := n.in
 	reborn.Born = 1
 	n.f.Update(reborn)
 	if n.sendsOf(2) != 2 {
-		t.Error("no request to an incarnation that has named no limit")
+		t.Error("requests to a new incarnation without a limit were held back")
 	}
 }
 
-// Guards against a limit that is forgotten while the endpoint's entry is gone for a moment.
+// Guards against a limit that is lost when the endpoint's entry is removed and added again.
 func TestLimitOutlivesTheEntry(t *testing.T) {
 	n := newLimitedNode([]string{"10.0.0.1"}, 0.5, 0)
 	n.f.Remove(n.in.ID, false)
@@ -169,6 +170,6 @@
 		}
 	}
 	if sent > limitAllows(0.5) {
-		t.Errorf("%d requests in %v, %d are allowed", sent, limitWindow, limitAllows(0.5))
+		t.Errorf("%d requests in %v, want at most %d", sent, limitWindow, limitAllows(0.5))
 	}
 }
--- a/fleet/missing.go
+++ b/fleet/missing.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// An entry may be missing although its endpoint lives, as after an outage of the store. Such an
-// endpoint stays in use, behind the others, until its entry is back, until it is known to be
-// gone, or until it says at a health check that it leaves.
+// The entry of a live endpoint may be missing, for example after an outage of the store. Such an
+// endpoint stays in use, with lower preference than the others, until its entry is back, until it
+// is known to be gone, or until it reports at a health check that it is leaving.
 
-// Gone is an endpoint that was dropped.
+// Gone describes an endpoint that DropMissing has removed.
 type Gone struct {
 	ID string
-	// Missing is the time for which its entry was missing.
+	// Missing is how long its entry had been missing.
 	Missing time.Duration
 }
 
-// DropMissing drops the endpoints whose entries are missing.
+// DropMissing removes the endpoints whose entries are missing, and returns them.
 func (f *Fleet) DropMissing() []Gone {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,7 +28,7 @@
 	return gone
 }
 
-// Missing returns how many endpoints in use have no entry.
+// Missing returns the number of endpoints in use whose entries are missing.
 func (f *Fleet) Missing() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,8 +41,9 @@
 	return missing
 }
 
-// Unvouched returns the endpoints of a service in a data centre whose entries are missing and
-// that have not said since at a health check whether they go on, for a check now.
+// Unvouched returns the endpoints of a service in a data centre whose entries are missing and that
+// have not confirmed since then, at a health check, that they remain in service. The caller sends
+// each of them a health check now: it is already counted against the endpoint's request limit.
 func (f *Fleet) Unvouched(service, dataCentre string) []Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,7 +58,7 @@
 	return unvouched
 }
 
-// Vouch records that an endpoint said at its health check that it goes on.
+// Vouch records that an endpoint reported at its health check that it remains in service.
 func (f *Fleet) Vouch(key EndpointKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/missing_test.go
+++ b/fleet/missing_test.go
@@ -27,8 +27,8 @@
 	}
 	BeforeEach(func() { w = newWorld() })
 
-	// Guards against health checks without end of all endpoints whose entries an outage took.
-	It("is asked for its health until it has said once that it goes on", func() {
+	// Guards against endless health checks of all endpoints whose entries were lost in an outage.
+	It("gets health checks until one has confirmed that it remains in service", func() {
 		in := missing("dc1")
 		Expect(ids(w.Unvouched(service, "dc1"))).To(Equal([]string{"e1"}))
 		Expect(ids(w.Unvouched(service, "dc1"))).To(Equal([]string{"e1"}))
@@ -39,8 +39,9 @@
 		Expect(ids(w.Unvouched(service, "dc1"))).To(Equal([]string{"e1"}), "missing again")
 	})
 
-	// Guards against checks by the nodes of all data centres, and of endpoints whose entries are there.
-	It("is asked in its own data centre and for its own service only", func() {
+	// Guards against health checks by the nodes of all data centres, and of endpoints whose entries
+	// exist.
+	It("gets health checks only in its own data centre and for its own service", func() {
 		in := missing("dc2")
 		Expect(w.Unvouched(service, "dc1")).To(BeEmpty())
 		Expect(w.Unvouched("other", "dc2")).To(BeEmpty())
@@ -48,15 +49,15 @@
 		Expect(w.Unvouched(service, "dc2")).To(BeEmpty())
 	})
 
-	// Guards against checks that break the pause which the endpoint asked for.
-	It("is not asked while it wants a pause", func() {
+	// Guards against health checks during a pause that the endpoint requested.
+	It("gets no health check during its pause", func() {
 		in := missing("dc1")
 		w.Note(in, notice.Notice{Pause: time.Minute}, "r")
 		Expect(w.Unvouched(service, "dc1")).To(BeEmpty())
 	})
 
-	// Guards against an endpoint that is taken back although it has withdrawn.
-	It("gets nothing once it says that it leaves, and is dropped with the others", func() {
+	// Guards against reinstating an endpoint that has withdrawn.
+	It("is not reinstated once it reports that it is leaving, and is dropped with the other missing endpoints", func() {
 		in := missing("dc1")
 		Expect(w.Unhealthy(in.Incarnation().Key())).To(BeTrue())
 		w.now += time.Minute
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -8,64 +8,72 @@
 	"github.com/crocusreel/crocusreel/notice"
 )
 
-// NoticeChange is a change of what this node believes an endpoint to say of itself.
+// NoticeChange is a change in what an endpoint reports about itself, as known to this node: its
+// limit, its shutdown, a new pause, or values that can no longer be parsed.
 type NoticeChange struct {
 	Instance Instance
 	Notice   notice.Notice
 	Before   notice.Notice
-	// Request is the ID of the request whose answer said so; empty if another node told.
+	// Request is the ID of the request whose answer carried the notice; empty if another node
+	// reported it, or if it came with the answer to an order or a health check.
 	Request string
-	// Node is the node that told, and Age the time since the endpoint said so to it.
+	// Node is the node that reported the notice, and Age the time since that node received it.
 	Node string
 	Age  time.Duration
 }
 
 const (
-	// noticeMemory is how long a notice is remembered of an incarnation that is not in
-	// service. Its entry may vanish and come back, and it is bound by what it said before.
+	// noticeMemory is how long a notice is kept for an incarnation that is not in service. Its
+	// entry may disappear and return, and the earlier notice then still applies.
 	noticeMemory = 10 * time.Minute
-	// limitTold is how long other nodes are told of an endpoint's limit, or its end,
-	// after the answer. It is longer than the time between two answers of an endpoint with a very low limit.
+	// limitTold is how long after the answer an endpoint's limit, or the end of its limit, is
+	// broadcast to other nodes. It exceeds the interval between two answers of an endpoint with a
+	// very low limit.
 	limitTold = 15 * time.Second
-	// maxLimitsTold bounds the limits in a datagram, the newest first. Each takes 16 B.
+	// maxLimitsTold is the maximum number of limits in a datagram; the newest are sent. Each takes
+	// 16 bytes.
 	maxLimitsTold = 24
-	// leavingTold is how long other nodes are told at least of an endpoint that is about to stop
-	// and of which no entry had said so. maxLeavingTold bounds them; each takes 4 B.
+	// leavingTold is the minimum time for which other nodes are informed that an endpoint is about
+	// to stop, if its entry had not said so before. maxLeavingTold is the maximum number of such
+	// endpoints in a datagram; each takes 4 bytes.
 	leavingTold    = 3 * time.Second
 	maxLeavingTold = 64
 )
 
-// noticed is what an incarnation has said of itself.
+// noticed is what is known of an incarnation from its notices. It is guarded by the Fleet's lock.
 type noticed struct {
-	// madeAt is when it first said anything.
+	// madeAt is when the record was created, for the first notice that came to this node from the
+	// incarnation or from another node.
 	madeAt time.Duration
-	// limit is the latest that it has named to any node, as far as it is known here, at the
-	// time limitAt; everLimited is set once it has named one.
+	// limit is the latest limit that it has reported to any node, as far as this node knows.
+	// limitAt is the time of the answer that set or ended the limit, or of the latest answer while
+	// it has not reported one. everLimited is set once it has reported a limit.
 	limit       limit
 	limitAt     time.Duration
 	everLimited bool
-	// own is the latest limit in an answer to this node, at the time ownAt; ownSaid is set
-	// once there is one.
+	// own is the latest limit, or end of a limit, in an answer to this node, and ownAt the time of
+	// that answer. ownSaid is set once there is such an answer.
 	own     limit
 	ownAt   time.Duration
 	ownSaid bool
-	// pausedUntil is until when it wants nothing from this node.
+	// pausedUntil is when the pause that it requested from this node ends.
 	pausedUntil time.Duration
-	// leftAt is when it said to this node that it is about to stop, heardAt when another node
-	// told so. Both are 0 if its entry had said so before.
+	// leftAt is when it announced to this node that it is about to stop, and heardAt when another
+	// node reported that. Both are 0 if its entry had announced it before.
 	leftAt, heardAt time.Duration
-	// turnUsedAt is when this node last sent it a request.
+	// turnUsedAt is when this node last sent it a request while its limit applied; 0 if never.
 	turnUsedAt time.Duration
-	// rank is this node's place among those of the roster.
+	// rank is the rank of this node among the nodes of roster, for this endpoint.
 	rank   int
 	roster *Roster
-	// leaving is set once it has said that it is about to stop.
+	// leaving is set once it has announced that it is about to stop. It is never reset.
 	leaving bool
-	// unreadable is set while it names figures that cannot be read.
+	// unreadable is set while its answers carry values that cannot be parsed.
 	unreadable bool
 }
 
-// noticedLocked returns what is known of an incarnation; make adds a record where there is none.
+// noticedLocked returns the record of an incarnation, or nil if there is none. With make set, it
+// creates a missing record.
 func (f *Fleet) noticedLocked(key EndpointKey, make bool) *noticed {
 	known := f.notices[key]
 	if known == nil && make {
@@ -78,15 +86,16 @@
 	return known
 }
 
-// Note takes what an incarnation says of itself in an answer that has just come. Request is the
-// ID of the request that was answered.
+// Note records the notice in an answer that an incarnation has just given. Request is the ID of the
+// request that was answered; it is empty for an order or a health check.
 func (f *Fleet) Note(in Instance, n notice.Notice, request string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := in.Incarnation().Key()
 	known := f.noticedLocked(key, !n.Empty())
 	if known == nil {
-		// Older news of other nodes must not bind an endpoint that says nothing any more.
+		// Record the time, so that an older limit reported by another node is not applied to an
+		// endpoint that no longer reports one.
 		if e := f.byKey[key]; e != nil {
 			e.answeredAt = f.now()
 		}
@@ -98,7 +107,7 @@
 		known.leftAt = f.now()
 	}
 	if n.LimitFault == nil {
-		// A limit that cannot be read leaves the one before in force.
+		// If the limit cannot be parsed, the previous one stays in force.
 		changed = f.setOwnLimitLocked(key, known, n) || changed
 	}
 	faulty := n.Fault() != nil
@@ -113,8 +122,8 @@
 	}
 }
 
-// setOwnLimitLocked takes the limit in an answer to this node, or its end, and returns whether that
-// changes what is known.
+// setOwnLimitLocked records the limit, or the end of the limit, in an answer to this node, and
+// reports whether that changes the known limit.
 func (f *Fleet) setOwnLimitLocked(key EndpointKey, known *noticed, n notice.Notice) bool {
 	before := known.limit
 	if !n.Limited && !known.everLimited {
@@ -127,9 +136,9 @@
 	return before != known.own
 }
 
-// setLeavingLocked records that an incarnation has said that it is about to stop, and returns
-// whether that is news: its entry tells the other nodes as well. Nothing takes it back, as its
-// entry and its health check may be late.
+// setLeavingLocked records that an incarnation has announced that it is about to stop, and reports
+// whether this is new to the fleet: the other nodes also learn it from the endpoint's entry. The
+// record is permanent, because the entry and the health check may be out of date.
 func (f *Fleet) setLeavingLocked(key EndpointKey, n *noticed) bool {
 	if n.leaving {
 		return false
@@ -143,14 +152,15 @@
 	return true
 }
 
-// announceLeaving marks an endpoint that has said in an answer that it is about to stop.
+// announceLeaving marks an endpoint as leaving because it announced in an answer that it is about
+// to stop.
 func (e *Endpoint) announceLeaving(now time.Duration) {
 	e.byHealth = false
 	e.markLeaving(now)
 }
 
-// OwnLeaving returns the endpoints that have said in an answer to this node that they are about
-// to stop, for the others.
+// OwnLeaving returns the keys of the endpoints that have announced in an answer to this node that
+// they are about to stop, for broadcast to the other nodes.
 func (f *Fleet) OwnLeaving() []EndpointKey {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,7 +177,8 @@
 	return keys[:min(len(keys), maxLeavingTold)]
 }
 
-// NoteRemoteLeaving takes which endpoints have said to another node that they are about to stop.
+// NoteRemoteLeaving records the endpoints that have announced to another node that they are about
+// to stop.
 func (f *Fleet) NoteRemoteLeaving(node string, keys []EndpointKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,8 +192,9 @@
 	}
 }
 
-// NoteAt takes what the endpoint at an address says of itself in an answer to an order or a check.
-// An answer that says nothing ends no limit: it may come from whatever has the address now.
+// NoteAt records the notice in an answer to an order or a health check, which is known only by the
+// endpoint's address. The notice is ignored if the address does not belong to exactly one endpoint.
+// An empty notice does not end a limit, because another process may have the address now.
 func (f *Fleet) NoteAt(address string, n notice.Notice) {
 	if n.Empty() {
 		return
@@ -200,18 +212,19 @@
 	}
 }
 
-// LimitNews is the latest limit, or its end, in an endpoint's answers to one node.
+// LimitNews is the latest limit of an endpoint, or the end of its limit, in the endpoint's answers
+// to one node.
 type LimitNews struct {
 	Key     EndpointKey
 	Limited bool
 	Limit   float64
-	// Age is the time since the answer that said so.
+	// Age is the time since that answer.
 	Age time.Duration
 }
 
-// OwnLimits returns what endpoints lately said of their limits to this node, for the others.
-// What others told is not told onwards: its age would be wrong by the time on the way, and grow
-// less true with each node.
+// OwnLimits returns the limits that endpoints have recently reported to this node, for broadcast to
+// the other nodes, newest first. Limits reported by other nodes are not forwarded: their age lacks
+// the transit time, and the error would grow with each hop.
 func (f *Fleet) OwnLimits() []LimitNews {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +241,7 @@
 	return news[:min(len(news), maxLimitsTold)]
 }
 
-// NoteRemote takes what endpoints said of their limits to another node.
+// NoteRemote records the limits that endpoints have reported to another node.
 func (f *Fleet) NoteRemote(node string, news []LimitNews) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -248,7 +261,8 @@
 	}
 }
 
-// pruneNoticesLocked forgets incarnations that are no longer in service.
+// pruneNoticesLocked deletes the records of incarnations that have been out of service for longer
+// than noticeMemory.
 func (f *Fleet) pruneNoticesLocked() {
 	now := f.now()
 	for key, n := range f.notices {
--- a/fleet/notice_model_test.go
+++ b/fleet/notice_model_test.go
@@ -14,30 +14,31 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// modelNodes is the number of nodes on the roster of the model.
+// modelNodes is the number of nodes that share a limit in the model.
 const modelNodes = 3
 
-// said is what an incarnation has said, as far as any node knows.
+// said is what an incarnation has reported, as far as any node knows.
 type said struct {
 	leaving     bool
 	pausedUntil time.Duration
 	limited     bool
 	limit       float64
 	limitAt     time.Duration
-	// sentAt is when the last request went there under the limit in force; 0 for none.
+	// sentAt is when the last request was sent to it under the limit in force; 0 for none.
 	sentAt time.Duration
-	// spoke is set once it has said anything. Before, that it said nothing is known only as
-	// long as the fleet has not dropped it.
+	// spoke is set once it has reported anything. Until then, an answer without a notice is
+	// remembered only while the fleet has not dropped the endpoint.
 	spoke bool
 }
 
-// noticeModel is a fleet before three engines, and what these have said.
+// noticeModel is a fleet with three engines, and the model of what these have reported.
 type noticeModel struct {
 	*fleet.Fleet
 	now     time.Duration
 	service *routing.Service
 	engines []fleet.Instance
-	// present are the engines whose entries are there, known those that the fleet has not dropped.
+	// present holds the engines whose entries exist, and known those that the fleet has not
+	// dropped.
 	present, known map[string]bool
 	said           map[fleet.EndpointKey]*said
 	running        []*fleet.Placement
@@ -77,7 +78,7 @@
 	return m.said[key]
 }
 
-// take records a limit or its end, unless a later one is known.
+// take records a limit, or the end of one, unless a later report is known.
 func (s *said) take(limited bool, limit float64, at time.Duration) {
 	if at < s.limitAt {
 		return
@@ -88,7 +89,7 @@
 	s.limited, s.limit, s.limitAt = limited, limit, at
 }
 
-// speaks returns what an incarnation has said, once it says something.
+// speaks returns the model of an incarnation that reports something.
 func (m *noticeModel) speaks(in fleet.Instance) *said {
 	s := m.of(in)
 	s.spoke = true
@@ -99,11 +100,11 @@
 	return fleet.Want{Service: m.service, Demand: fleet.Demand{Prompt: 100, Output: 400}, Longest: 400}
 }
 
-// sent checks a request that the fleet has placed.
+// sent checks a request that the fleet has placed against the reports of its endpoint.
 func (m *noticeModel) sent(t *rapid.T, way string, in fleet.Instance) {
 	s := m.of(in)
 	if s.leaving {
-		t.Fatalf("%s: a request to %s, which has said that it leaves", way, in.ID)
+		t.Fatalf("%s: a request to %s, which has announced that it is leaving", way, in.ID)
 	}
 	if m.now < s.pausedUntil {
 		t.Fatalf("%s: a request to %s %v before the end of its pause", way, in.ID, s.pausedUntil-m.now)
@@ -111,15 +112,15 @@
 	if !s.limited {
 		return
 	}
-	// Each slot may be used once, for pace.SlotLength from its beginning.
+	// Each slot may be used once, within pace.SlotLength of its beginning.
 	period := time.Duration(modelNodes / pace.LimitRate(s.limit) * float64(time.Second))
 	if gap := m.now - s.sentAt; s.sentAt != 0 && gap < max(period-pace.SlotLength, period/2) {
-		t.Fatalf("%s: a request to %s %v after the one before, slots are %v apart", way, in.ID, gap, period)
+		t.Fatalf("%s: a request to %s %v after the previous one, but slots are %v apart", way, in.ID, gap, period)
 	}
 	s.sentAt = m.now
 }
 
-// free tells whether an engine is there that has said nothing that keeps work away.
+// free reports whether an engine is present that has reported nothing that keeps work away.
 func (m *noticeModel) free() bool {
 	for _, in := range m.engines {
 		s := m.of(in)
@@ -130,7 +131,7 @@
 	return false
 }
 
-// modelRuns bounds the runs at a time, so that no engine is full.
+// modelRuns is the maximum number of concurrent runs, so that no engine is full.
 const modelRuns = 20
 
 func (m *noticeModel) acquire(t *rapid.T) {
@@ -140,7 +141,7 @@
 	p, refusal := m.Acquire(context.Background(), m.want(), 0)
 	if refusal != nil {
 		if m.free() {
-			t.Fatalf("refused (%v) although an engine is free", refusal)
+			t.Fatalf("request refused (%v) although an engine is free", refusal)
 		}
 		return
 	}
@@ -190,15 +191,15 @@
 	m.running = nil
 }
 
-// Guards against any way to an endpoint that goes round what it has said: new work, moves, resumed
-// runs, after entries and listings of before, restarts, news of other nodes and pauses in any order.
+// Guards against new work, moves or resumed runs that ignore an endpoint's notices, after any order
+// of outdated entries and listings, restarts, reports of other nodes and pauses.
 func TestWhatEndpointsSayBindsAllWays(t *testing.T) {
 	for range modelRounds {
 		rapid.Check(t, playNotices)
 	}
 }
 
-// modelRounds is the number of checks of a hundred histories each.
+// modelRounds is the number of rapid checks, of 100 histories each.
 const modelRounds = 40
 
 func playNotices(t *rapid.T) {
@@ -215,12 +216,12 @@
 		"time": func(t *rapid.T) {
 			m.now += time.Duration(rapid.IntRange(1, 800).Draw(t, "ms")) * time.Millisecond
 		},
-		"says a limit": func(t *rapid.T) {
+		"reports a limit": func(t *rapid.T) {
 			in, n := pick(), notice.Notice{Limited: true, Limit: rate.Draw(t, "rate")}
 			m.Note(*in, n, "r")
 			m.speaks(*in).take(true, n.Limit, m.now)
 		},
-		"says nothing": func(*rapid.T) {
+		"reports nothing": func(*rapid.T) {
 			in := pick()
 			m.Note(*in, notice.Notice{}, "r")
 			if s := m.of(*in); s.spoke || m.known[in.ID] {
@@ -235,7 +236,7 @@
 			s.pausedUntil = max(s.pausedUntil, m.now+pause)
 			s.take(false, 0, m.now)
 		},
-		"says that it leaves": func(t *rapid.T) {
+		"announces that it is leaving": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "seldom") > 0 {
 				return
 			}
@@ -245,7 +246,7 @@
 			s.leaving = true
 			s.take(false, 0, m.now)
 		},
-		"another node tells of a limit": func(t *rapid.T) {
+		"another node reports a limit": func(t *rapid.T) {
 			in := pick()
 			age := time.Duration(rapid.IntRange(0, 2000).Draw(t, "age")) * time.Millisecond
 			limited := rapid.Bool().Draw(t, "limited")
@@ -256,7 +257,7 @@
 			m.NoteRemote("10.0.0.2", []fleet.LimitNews{news})
 			m.speaks(*in).take(news.Limited, news.Limit, m.now-age)
 		},
-		"another node tells of one that leaves": func(t *rapid.T) {
+		"another node reports a leaving engine": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "seldom") > 0 {
 				return
 			}
@@ -264,14 +265,14 @@
 			m.NoteRemoteLeaving("10.0.0.2", []fleet.EndpointKey{in.Incarnation().Key()})
 			m.speaks(*in).leaving = true
 		},
-		"its entry again": func(*rapid.T) { m.enter(*pick()) },
-		"a listing": func(*rapid.T) {
+		"its entry is updated": func(*rapid.T) { m.enter(*pick()) },
+		"a full listing": func(*rapid.T) {
 			m.Replace(m.engines, false)
 			for _, in := range m.engines {
 				m.present[in.ID], m.known[in.ID] = true, true
 			}
 		},
-		"its entry gone": func(t *rapid.T) {
+		"its entry is removed": func(t *rapid.T) {
 			in := pick()
 			tentative := rapid.Bool().Draw(t, "tentative")
 			m.Remove(in.ID, tentative)
@@ -284,7 +285,7 @@
 				s.limitAt = 0
 			}
 		},
-		"it starts again": func(*rapid.T) {
+		"it restarts": func(*rapid.T) {
 			in := pick()
 			in.Born++
 			m.enter(*in)
--- a/fleet/pause.go
+++ b/fleet/pause.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// An endpoint that refuses a request may ask the node that sent it for a pause. It then gets nothing
-// from that node: no first sendings, repeats, waiting work, moves or runs that go on there. The
-// pause is that node's alone, and ends early for nothing but a new start of the endpoint.
+// An endpoint that refuses a request may ask the node that sent it for a pause. Until the pause
+// ends, that node sends it nothing: no new requests, retries, queued work, migrations or resumed
+// runs. The pause applies to that node only, and nothing but a restart of the endpoint ends it
+// early.
 
-// pauseLocked records that an incarnation wants nothing from this node for the given time, and
-// returns whether that is news: one pause is told once, however many requests it refuses.
+// pauseLocked records the pause that an incarnation requested from this node, and reports whether
+// it starts a new one: a pause is reported once, however many requests are refused during it.
 func (f *Fleet) pauseLocked(service string, n *noticed, pause time.Duration) bool {
 	if pause <= 0 {
 		return false
@@ -21,13 +22,13 @@
 	return news
 }
 
-// pausedLocked tells whether the endpoint has asked this node for a pause that goes on.
+// pausedLocked reports whether a pause that the endpoint requested from this node is in effect.
 func (f *Fleet) pausedLocked(e *Endpoint) bool {
 	return e.noticed != nil && f.now() < e.noticed.pausedUntil
 }
 
-// waitsForPauseLocked tells whether the endpoint's pause goes on, and if so has waiting work looked
-// at again at its end.
+// waitsForPauseLocked reports whether the endpoint's pause is in effect. If so, it schedules
+// another dispatch of waiting work for the end of the pause.
 func (f *Fleet) waitsForPauseLocked(e *Endpoint, now time.Duration) bool {
 	if !f.pausedLocked(e) {
 		return false
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -20,57 +20,59 @@
 	return l
 }
 
-// Guards against requests within a pause that an endpoint has asked this node for, whatever comes
-// in between, and against a pause without end.
+// Guards against requests during a pause that an endpoint requested from this node, whatever
+// happens meanwhile, and against a pause that does not end.
 func TestEndpointThatAsksForAPauseGetsIt(t *testing.T) {
 	for name, after := range map[string]func(*leaver){
-		"nothing more":           func(*leaver) {},
-		"a good answer":          func(l *leaver) { l.Note(l.in, notice.Notice{}, "r2") },
-		"a shorter pause":        func(l *leaver) { l.Note(l.in, notice.Notice{Pause: time.Second}, "r2") },
-		"its entry gone and new": func(l *leaver) { l.Remove(l.in.ID, false); l.Update(l.in) },
-		"a whole listing":        func(l *leaver) { l.Replace([]fleet.Instance{l.in}, false) },
+		"no further event":                  func(*leaver) {},
+		"an answer without a notice":        func(l *leaver) { l.Note(l.in, notice.Notice{}, "r2") },
+		"a shorter pause":                   func(l *leaver) { l.Note(l.in, notice.Notice{Pause: time.Second}, "r2") },
+		"its entry removed and added again": func(l *leaver) { l.Remove(l.in.ID, false); l.Update(l.in) },
+		"a full listing":                    func(l *leaver) { l.Replace([]fleet.Instance{l.in}, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newPausing()
 			after(l)
 			l.now += testPause - time.Millisecond
 			if l.takes() {
-				t.Error("it got a request within the pause")
+				t.Error("the endpoint got a request during its pause")
 			}
 			l.now += time.Millisecond
 			if !l.takes() {
-				t.Error("it got no request after the pause")
+				t.Error("the endpoint got no request after its pause")
 			}
 		})
 	}
 }
 
-// Guards against an endpoint that has started again and is kept from work by what it said before.
+// Guards against a restarted endpoint that gets no work because of a pause of its previous
+// incarnation.
 func TestNextIncarnationIsNotPaused(t *testing.T) {
 	l := newPausing()
 	reborn := l.in
 	reborn.Born = 3
 	l.Update(reborn)
 	if !l.takes() {
-		t.Error("it got no work")
+		t.Error("the restarted endpoint got no work")
 	}
 }
 
-// Guards against callers that are held until their patience ends though the pause is longer, and
-// against those that are told to come back before its end.
+// Guards against callers that wait until their time is over although the pause is longer, and
+// against retry delays that end before the pause does.
 func TestWorkBeyondAPauseIsRefusedAtOnce(t *testing.T) {
 	l := newPausing()
 	began := time.Now()
 	_, refusal := l.Acquire(context.Background(), fleet.Want{Service: l.service}, testPause/2)
 	if refusal == nil || refusal.Outcome != crocusreel.OutcomeNotRun || refusal.RetryAfter != testPause {
-		t.Errorf("refusal %+v", refusal)
+		t.Errorf("got refusal %+v, want outcome OutcomeNotRun and a retry delay equal to the pause", refusal)
 	}
 	if waited := time.Since(began); waited > testPause/4 {
-		t.Errorf("held for %v", waited)
+		t.Errorf("refused after %v, want at once", waited)
 	}
 }
 
-// Guards against work that waits on although the only endpoint has asked for a longer pause since.
+// Guards against work that keeps waiting although the only endpoint has requested a pause that
+// exceeds the wait.
 func TestPauseEndsTheWaitOfWorkThatCannotBeServed(t *testing.T) {
 	l := newPausing()
 	l.now += testPause
@@ -92,9 +94,9 @@
 	select {
 	case refusal := <-ended:
 		if refusal == nil || refusal.Outcome != crocusreel.OutcomeNotRun {
-			t.Errorf("refusal %+v", refusal)
+			t.Errorf("got refusal %+v, want one with outcome OutcomeNotRun", refusal)
 		}
 	case <-time.After(testPause / 4):
-		t.Error("still waiting")
+		t.Error("the work was not refused after the endpoint requested a longer pause")
 	}
 }
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -1,4 +1,4 @@
-// Package notice holds what endpoints say of themselves in their answers.
+// Package notice defines what endpoints report about themselves in the headers of their answers.
 package notice
 
 import (
@@ -11,49 +11,51 @@
 	"github.com/rotisserie/eris"
 )
 
-// Notice is what an endpoint says of itself in the head of an answer.
+// Notice is what an endpoint reports about itself in the headers of an answer.
 type Notice struct {
-	// Limited is set if the endpoint names a limit, and Limit is the number of requests a
-	// second that it takes from all VMs together.
+	// Limited is set if the endpoint reports a limit. Limit is the number of requests per second
+	// that it accepts from all VMs together.
 	Limited bool
 	Limit   float64
-	// LimitFault is what is wrong with a limit that could not be read; nil if nothing is.
+	// LimitFault is the error in parsing the limit; nil if there is none.
 	LimitFault error
-	// Leaving tells that the endpoint is about to stop.
+	// Leaving is set if the endpoint is about to stop.
 	Leaving bool
-	// Pause is the time for which a refusing endpoint wants nothing from this VM; 0 for none.
+	// Pause is how long an endpoint that refused a request wants no further requests from this VM;
+	// 0 for no pause.
 	Pause time.Duration
-	// PauseFault is what is wrong with a pause that could not be read; nil if nothing is.
+	// PauseFault is the error in parsing the pause; nil if there is none.
 	PauseFault error
 }
 
-// Empty tells whether the endpoint said nothing.
+// Empty reports whether the endpoint reported nothing.
 func (n Notice) Empty() bool { return n == Notice{} }
 
-// Fault is what is wrong with its figures; nil if nothing is.
+// Fault returns the errors in parsing the notice, joined; nil if there are none.
 func (n Notice) Fault() error { return errors.Join(n.LimitFault, n.PauseFault) }
 
-// ParseLimit reads a number of requests a second from the named header; limited is false if
-// there is none.
+// ParseLimit parses text, the value of the named header, as a number of requests per second.
+// Limited is false if text is empty or invalid.
 func ParseLimit(header, text string) (perSecond float64, limited bool, err error) {
 	if text == "" {
 		return 0, false, nil
 	}
 	perSecond, err = strconv.ParseFloat(text, 64)
 	if err != nil || !(perSecond >= 0 && perSecond <= math.MaxFloat64) {
-		return 0, false, eris.Errorf("%s: %.40q is no number of requests a second", header, text)
+		return 0, false, eris.Errorf("%s: invalid value %.40q, want a non-negative number of requests per second", header, text)
 	}
 	return perSecond, true, nil
 }
 
-// headerRetryAfter is the standard header, in seconds (RFC 9110, 10.2.3).
+// headerRetryAfter is the standard header for a retry delay in seconds (RFC 9110, 10.2.3).
 const headerRetryAfter = "Retry-After"
 
-// longestPause is the longest pause that is believed. What lies beyond it was not meant.
+// longestPause is the longest pause that is accepted. A longer one is taken for a mistake of the
+// endpoint.
 const longestPause = 24 * time.Hour
 
-// ParsePause reads for how long an endpoint that refuses a request wants no other from this VM.
-// Seconds may have a fraction.
+// ParsePause returns how long an endpoint that refused a request with status 429 or 503 wants no
+// further requests from this VM. The number of seconds may have a fraction.
 func ParsePause(status int, h http.Header) (time.Duration, error) {
 	text := h.Get(headerRetryAfter)
 	refuses := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
@@ -62,7 +64,7 @@
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds >= 0 && seconds <= longestPause.Seconds()) {
-		return 0, eris.Errorf("%s: %.40q is no time from 0 to %v", headerRetryAfter, text, longestPause)
+		return 0, eris.Errorf("%s: invalid value %.40q, want a number of seconds from 0 to %v", headerRetryAfter, text, longestPause)
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,6 +1,6 @@
-// Package pace shares a rate among nodes that do not talk to each other. Each has turns of its own
-// at times that a hash gives, or slots that are evenly spread by the order of the nodes' names and
-// the time of day.
+// Package pace divides a request rate among nodes without any communication between them. A node
+// sends either in turns, whose times follow from a hash of its name, or in slots, which are spread
+// evenly by the order of the nodes' names and the time of day.
 package pace
 
 import (
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// Length is how long a turn can be used. A turn that is not used is lost, so that nodes with
-// unused turns cannot all use them at the same moment.
+// Length is how long a turn can be used. An unused turn is lost, so that nodes with unused turns
+// cannot use them all at the same moment.
 const Length = 100 * time.Millisecond
 
 const (
-	// limitShare is the part of an endpoint's limit that is used. The rest is for requests whose
-	// sender did not know yet, and for slots that lie close together.
+	// limitShare is the share of an endpoint's limit that is used. The remainder covers requests
+	// from senders that did not know the limit yet, and slots that lie close together.
 	limitShare = 0.9
-	// leastLimit is the rate, in requests a second, for endpoints that name less: their answers
-	// alone tell when the limit ends.
+	// leastLimit is the rate, in requests per second, that is used for endpoints with a lower
+	// limit: only the answers to requests show when the limit ends.
 	leastLimit = 0.25
 )
 
-// LimitRate is the number of requests a second that are sent, by all together, to an endpoint
-// that takes perSecond.
+// LimitRate returns the number of requests per second that all nodes together send to an endpoint
+// whose limit is perSecond.
 func LimitRate(perSecond float64) float64 { return limitShare * max(perSecond, leastLimit) }
 
-// Turn returns when a node's last turn at an endpoint began and when its next one begins, where
-// that many nodes together have perSecond turns a second. Nodes with clocks of different origins
-// have different turns all the same.
+// Turn returns when a node's latest turn at an endpoint began and when its next one begins, if the
+// given number of nodes together have perSecond turns per second. The nodes' turns are spread even
+// if their monotonic clocks have different origins.
 func Turn(node string, endpoint uint32, nodes int, perSecond float64, now time.Duration) (began, next time.Duration) {
 	period := max(time.Duration(float64(nodes)/perSecond*float64(time.Second)), shortestSlot)
 	phase := time.Duration(float64(order(node, endpoint)) / math.MaxUint64 * float64(period))
@@ -37,7 +37,7 @@
 	return began, began + period
 }
 
-// order is a hash of a node's name for an endpoint.
+// order returns a hash of a node's name and an endpoint, which orders the nodes for the endpoint.
 func order(node string, endpoint uint32) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(binary.BigEndian.AppendUint32(nil, endpoint))
@@ -45,8 +45,8 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads a hash over all its bits (the finalizer of MurmurHash3): names that differ in the
-// last digit only would otherwise get turns close to each other.
+// mix spreads a hash over all its bits (the finalizer of MurmurHash3). Otherwise, names that differ
+// only in the last digit would get turns close to each other.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -56,7 +56,7 @@
 	return x
 }
 
-// Key is the number of an endpoint that is known by its name.
+// Key returns the number that identifies the endpoint with the given name in Rank and Turn.
 func Key(name string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -8,7 +8,7 @@
 	"github.com/crocusreel/crocusreel/pace"
 )
 
-// Guards against turns that come more or less often than the rate, or never.
+// Guards against turns that are more or less frequent than the rate, or never come.
 func TestTurnsOfAllNodesMakeTheRate(t *testing.T) {
 	const nodes, perSecond, length = 40, 8.0, 100 * time.Second
 	turns := 0
@@ -17,20 +17,20 @@
 		for now := time.Hour; now < time.Hour+length; {
 			began, next := pace.Turn(name, 7, nodes, perSecond, now)
 			if began > now || next <= now {
-				t.Fatalf("at %v the turn began at %v and the next one begins at %v", now, began, next)
+				t.Fatalf("at %v: the latest turn began at %v and the next one begins at %v", now, began, next)
 			}
 			turns++
 			now = next
 		}
 	}
-	// Each node may have one more within the span.
+	// Each node may have one more turn within the interval.
 	want := int(perSecond * length.Seconds())
 	if turns < want || turns > want+nodes {
 		t.Errorf("%d turns in %v, want %d to %d", turns, length, want, want+nodes)
 	}
 }
 
-// Guards against neighbours by name that have their turns together.
+// Guards against nodes with similar names that have their turns at the same time.
 func TestTurnsAreSpread(t *testing.T) {
 	const nodes, perSecond = 40, 8.0
 	begins := make(map[time.Duration]int)
--- a/pace/slot.go
+++ b/pace/slot.go
@@ -5,24 +5,27 @@
 const (
 	// SlotLength is how long a slot can be used.
 	SlotLength = 500 * time.Millisecond
-	// leastGap is the least time between two uses of a node's slots, in periods. It bounds what a
-	// node sends whose time of day jumps.
+	// leastGap is the minimum time between two uses of a node's slots, as a fraction of a period.
+	// It bounds the rate of a node whose time of day jumps.
 	leastGap = 0.5
-	// shortestSlot is the time between two slots for rates that no endpoint comes near.
+	// shortestSlot is the minimum time between two slots. It applies to rates that no endpoint
+	// comes near.
 	shortestSlot = time.Microsecond
 )
 
-// Slots are a node's, one in each period. Those of all nodes are evenly spread as long as their
-// times of day agree; where they do not, a node still uses its own once a period.
+// Slots are the time slots of one node, one in each period. The slots of all nodes are spread
+// evenly as long as their times of day agree; if they do not, a node still uses its slot at most
+// once per period.
 type Slots struct {
-	// Rank is the node's place among so many nodes.
+	// Rank is the rank of the node, from 0, and Nodes the number of nodes.
 	Rank, Nodes int
-	// PerSecond is the number of slots a second of all nodes together at most.
+	// PerSecond is the maximum number of slots per second of all nodes together.
 	PerSecond float64
 }
 
-// places is the number of slots in a period: a little more than the nodes. Nodes whose numbers differ
-// by one or two mostly have the same, and slots that fit each other.
+// places returns the number of slots in a period, which slightly exceeds the number of nodes. Nodes
+// whose counts of nodes differ by one or two mostly get the same number, so that their slots do not
+// overlap.
 func (s Slots) places() int {
 	n := 1
 	for n < s.Nodes {
@@ -31,8 +34,9 @@
 	return n
 }
 
-// Until returns the time until the node may send: 0 for now. Wall is the time of day, now a
-// monotonic clock, and used the time by that clock at which the node last sent; 0 for never.
+// Until returns the time until the node may send; 0 if it may send now. Wall is the time of day,
+// now the time of a monotonic clock, and used the time of that clock at which the node last sent; 0
+// if it never did.
 func (s Slots) Until(wall time.Time, now, used time.Duration) time.Duration {
 	each := max(time.Duration(float64(time.Second)/s.PerSecond), shortestSlot)
 	places := s.places()
@@ -49,8 +53,8 @@
 	return period - ago
 }
 
-// Rank returns a node's place among all for an endpoint, by a hash of the names: each endpoint has
-// an order of its own, and a name more or less moves the others by one place at most.
+// Rank returns the rank of a node among all nodes for an endpoint, by a hash of the names. Each
+// endpoint has its own order, and adding or removing a name moves the others by at most one rank.
 func Rank(node string, all []string, endpoint uint32) int {
 	own, rank := order(node, endpoint), 0
 	for _, name := range all {
--- a/pace/slot_test.go
+++ b/pace/slot_test.go
@@ -17,13 +17,15 @@
 	slotSeeds = 40
 )
 
-// allowed is how many requests an endpoint that takes perSecond may get within the window.
+// allowed returns the maximum number of requests within window for an endpoint with the limit
+// perSecond.
 func allowed(perSecond float64) int { return int(1.5*perSecond*window.Seconds() + 5) }
 
-// sender is a node that has work for the endpoint at some times.
+// sender is a node that sends requests to the endpoint in its slots.
 type sender struct {
 	slots pace.Slots
-	// skew is by how much its time of day is wrong, offset the origin of its monotonic clock.
+	// skew is the error of its time of day, offset the origin of its monotonic clock, and used the
+	// time of its last request by that clock.
 	skew, offset, used time.Duration
 }
 
@@ -36,7 +38,8 @@
 	return true
 }
 
-// crowd returns so many nodes of which each lacks some others, and whose times of day differ.
+// crowd returns the given number of nodes. Each of them does not know up to lacking others, and its
+// time of day differs by up to skew.
 func crowd(random *rand.Rand, nodes, lacking int, skew time.Duration, perSecond float64) []*sender {
 	var names []string
 	for range nodes {
@@ -60,8 +63,8 @@
 	return all
 }
 
-// Guards against slots of many nodes that lie close together: all have work for an endpoint with a
-// low limit at every moment, or all from one moment on.
+// Guards against slots of many nodes that lie close together, if all nodes have work for an
+// endpoint with a low limit all the time, or all start at the same moment.
 func TestSlotsOfManyNodesKeepEveryWindow(t *testing.T) {
 	for _, nodes := range []int{1, 7, 75, 300} {
 		for _, perSecond := range []float64{0.5, 1, 3, 10} {
@@ -86,10 +89,10 @@
 						most = max(most, to-from+1)
 					}
 					if most > allowed(perSecond) {
-						t.Errorf("seed %d: %d in %v, %d are allowed", seed, most, window, allowed(perSecond))
+						t.Errorf("seed %d: %d requests in %v, want at most %d", seed, most, window, allowed(perSecond))
 					}
 					if least := int(0.5 * perSecond * (slotFor - idle).Seconds()); perSecond >= 1 && len(sent) < least {
-						t.Errorf("seed %d: %d are sent, at least %d could be", seed, len(sent), least)
+						t.Errorf("seed %d: %d requests were sent, want at least %d", seed, len(sent), least)
 					}
 				}
 			})
@@ -97,7 +100,7 @@
 	}
 }
 
-// Guards against a node whose time of day jumps and that uses its slot again and again.
+// Guards against a node that uses its slot more than once per period because its time of day jumps.
 func TestJumpsOfTheTimeOfDayGiveNoMoreSlots(t *testing.T) {
 	const perSecond = 3.0
 	random := rand.New(rand.NewPCG(1, 6))
@@ -110,11 +113,11 @@
 		}
 	}
 	if most := int(2*pace.LimitRate(perSecond)/7*slotFor.Seconds()) + 1; sent > most {
-		t.Errorf("%d requests, at most twice the part of one of 7 nodes is allowed: %d", sent, most)
+		t.Errorf("%d requests, want at most twice the share of one of 7 nodes: %d", sent, most)
 	}
 }
 
-// Guards against orders that change as a whole when one node comes or goes.
+// Guards against a ranking that changes entirely when one node is added or removed.
 func TestRankMovesByOneWithOneNode(t *testing.T) {
 	var names []string
 	for i := range 50 {
@@ -125,20 +128,20 @@
 		with, without := pace.Rank(name, names, 9), pace.Rank(name, names[1:], 9)
 		ranks[with] = true
 		if name != names[0] && with-without != 0 && with-without != 1 {
-			t.Errorf("%s: place %d of all, %d without one", name, with, without)
+			t.Errorf("%s: rank %d among all nodes, %d without the first one", name, with, without)
 		}
 	}
 	if len(ranks) != len(names) {
-		t.Errorf("%d places for %d nodes", len(ranks), len(names))
+		t.Errorf("%d different ranks for %d nodes", len(ranks), len(names))
 	}
 }
 
-// Guards against a figure that ends the process: a limit so large that a slot has no length.
+// Guards against a crash from a limit so large that the period between slots becomes 0.
 func TestHugeLimitsHaveSlots(t *testing.T) {
 	for _, perSecond := range []float64{1e7, 1e12, 1e300, 1.7e308} {
 		slots := pace.Slots{Rank: 2, Nodes: 7, PerSecond: pace.LimitRate(perSecond)}
 		if wait := slots.Until(time.Unix(1_800_000_000, 0), time.Hour, 0); wait > time.Millisecond {
-			t.Errorf("%g a second: the next slot comes after %v", perSecond, wait)
+			t.Errorf("%g requests per second: the next slot begins in %v, want at most 1 ms", perSecond, wait)
 		}
 		pace.Turn("10.0.0.1", 7, 7, perSecond, time.Hour)
 	}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,5 +1,6 @@
-// Package retry bounds retries: a budget for each workspace and endpoint, and the
-// waits between attempts. It does no I/O and reads no clock.
+// Package retry limits retries with a budget per workspace and endpoint, and computes the delays
+// between attempts. It performs no I/O and, except for the timer of Sleep, uses no clock of its
+// own.
 package retry
 
 import (
@@ -8,10 +9,10 @@
 	"time"
 )
 
-// Budget is a token bucket that earns a share of a token for each first attempt
-// and pays one for each retry. After an outage every waiting request wants to
-// retry at once; without a budget the load on the surviving endpoints is the
-// attempt bound times the offered load, and they fail as well.
+// Budget is a token bucket that gains a fraction of a token for each first attempt and loses one
+// token for each retry. After an outage, all waiting requests are retried at once. Without a
+// budget, the load on the surviving endpoints would be the offered load times the maximum number of
+// attempts, and they would fail as well.
 type Budget struct {
 	mu      sync.Mutex
 	ratio   float64
@@ -19,8 +20,8 @@
 	tokens  float64
 }
 
-// NewBudget returns a full budget. Ratio is the number of retries earned by each
-// first attempt; burst is the most that can be saved.
+// NewBudget returns a full budget. Ratio is the number of retries gained per first attempt, and
+// burst the maximum number that can accumulate.
 func NewBudget(ratio, burst float64) *Budget {
 	return &Budget{ratio: ratio, highest: burst, tokens: burst}
 }
@@ -32,7 +33,7 @@
 	b.tokens = min(b.tokens+b.ratio, b.highest)
 }
 
-// Spend takes one retry; it returns false if none is left.
+// Spend takes one retry from the budget. It returns false if none is left.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,9 +44,9 @@
 	return true
 }
 
-// Backoff returns a wait with full jitter before the given attempt, counted from
-// 1: uniform between 0 and base*2^(attempt-1), at most limit. Full jitter spreads
-// those who were cut off together, so that they do not come back together.
+// Backoff returns a random delay before the given attempt, counted from 1: uniform between 0 and
+// base*2^(attempt-1), at most limit. This full jitter keeps callers that were disconnected together
+// from returning together.
 func Backoff(attempt int, base, limit time.Duration) time.Duration {
 	ceiling := limit
 	if shift := attempt - 1; shift < 20 && base<<shift < limit {
@@ -54,20 +55,21 @@
 	return time.Duration(rand.Int64N(int64(ceiling) + 1))
 }
 
-// Budgets keeps one budget for each name, such as a workspace or an endpoint.
+// Budgets holds one budget per name, such as a workspace or an endpoint.
 type Budgets struct {
 	mu    sync.Mutex
 	burst float64
 	all   map[string]*Budget
 }
 
-// NewBudgets returns an empty set whose budgets save at most burst retries.
+// NewBudgets returns an empty set whose budgets accumulate at most burst retries each.
 func NewBudgets(burst float64) *Budgets {
 	return &Budgets{burst: burst, all: make(map[string]*Budget)}
 }
 
-// Get returns the named budget; a new one earns with the given ratio. Names come
-// from the configuration, so their number is bounded.
+// Get returns the budget with the given name. If there is none yet, or its ratio differs, it
+// creates a full budget with the given ratio. Names come from the configuration, so their number is
+// bounded.
 func (s *Budgets) Get(name string, ratio float64) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// An endpoint dies and every request in flight wants to retry. Whatever the order
-// of attempts and retries, the retries stay under the burst plus the earned share.
+// Guards against more retries than the budget allows, when an endpoint dies and every request in
+// flight is retried. In any order of attempts and retries, the retries stay within the burst plus
+// the ratio times the first attempts.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, burst = 0.1, 10.0
--- a/retry/sleep.go
+++ b/retry/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d; it returns false if ctx ends first.
+// Sleep waits for d. It returns false if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Window bounds repeats to a share of the first sendings within a sliding time, with
-// a fixed slack. Endpoints allow their callers a bounded number of repeats in any
-// window of a given length; a token bucket that has been saving would exceed it.
+// Window limits retries to a share of the first attempts within a sliding window, plus a fixed
+// slack. Endpoints allow their callers a limited number of retries in any window of a given length;
+// a token bucket that has accumulated tokens would exceed it.
 type Window struct {
 	mu sync.Mutex
-	// Each slice counts one part of the window; the newest is at head.
+	// Each element counts one slice of the window; the newest is at head modulo windowSlices.
 	firsts, repeats [windowSlices]float64
 	head            int64
 	set             *Windows
 }
 
-// windowSlices is the number of parts of a window. A repeat is forgotten up to one
-// part too late, never too early.
+// windowSlices is the number of slices in a window. A retry is forgotten up to one slice too late,
+// never too early.
 const windowSlices = 10
 
-// Windows keeps one window for each name and the bounds that all share.
+// Windows holds one window per name, and the limits that all of them share.
 type Windows struct {
-	// Ratio is the number of repeats for each first sending and Slack a number that
-	// is always allowed, for all nodes together; Length is the time they hold for.
+	// Ratio is the number of retries allowed per first attempt, and Slack a number of retries that
+	// is always allowed, for all nodes together. Both apply to a window of the given Length.
 	Ratio  float64
 	Slack  float64
 	Length time.Duration
@@ -35,12 +35,12 @@
 	all map[string]*Window
 }
 
-// slackShare is the part of the slack that is used. The rest is for nodes that do not
-// know of each other yet.
+// slackShare is the share of the slack that is used. The remainder is for nodes that do not know of
+// each other yet.
 const slackShare = 0.7
 
-// Get returns the window of a name. Names come from the configuration, so their
-// number is bounded.
+// Get returns the window with the given name, creating it if needed. Names come from the
+// configuration, so their number is bounded.
 func (s *Windows) Get(name string) *Window {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,8 @@
 	return w
 }
 
-// advance moves the head to the present part. The caller holds the lock.
+// advance moves head to the current slice and clears the slices that have left the window. The
+// caller holds w.mu.
 func (w *Window) advance() {
 	slice := w.set.Length / windowSlices
 	now := int64(w.set.Now() / slice)
@@ -71,7 +72,7 @@
 	}
 }
 
-// Earn records a first sending.
+// Earn records a first attempt.
 func (w *Window) Earn() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,7 +80,7 @@
 	w.firsts[w.head%windowSlices]++
 }
 
-// Spend takes one repeat; it returns false if none is left in this window.
+// Spend records a retry and returns true, or returns false if no retry is left in the window.
 func (w *Window) Spend() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,11 +10,10 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// After an outage all requests want to be repeated at once. Whatever the pattern of
-// firsts and repeats, no window of the given length may hold more repeats than its
-// share: endpoints count over a sliding window, and a budget that saves up over quiet
-// minutes would spend it all in one second. The allowance for the firsts is taken over
-// the window and one slice before it.
+// Guards against more retries in a window than the ratio allows, when all requests are retried at
+// once after an outage. Endpoints count over a sliding window; a budget that accumulates over quiet
+// minutes would be spent within a second. First attempts are counted over the window and the slice
+// before it.
 func TestNoWindowHoldsMoreRepeatsThanItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
@@ -38,7 +37,7 @@
 			spent := within(repeats, end-length+time.Second, end)
 			earned := within(firsts, end-length-time.Second, end)
 			if float64(spent) > 0.2*float64(earned)+20/2 {
-				t.Fatalf("%d repeats for %d firsts in the window up to %s", spent, earned, end)
+				t.Fatalf("%d retries for %d first attempts in the window up to %s", spent, earned, end)
 			}
 		}
 	})
@@ -54,8 +53,7 @@
 	return n
 }
 
-// The slack is one for all nodes together. A node that used all of it would leave
-// nothing to the others, and together they would exceed it.
+// Guards against nodes that each use the whole slack, which is shared, and together exceed it.
 func TestSlackIsSharedByTheLiveNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	spent := func(nodes int) int {
--- a/routing/configuration.go
+++ b/routing/configuration.go
@@ -1,22 +1,22 @@
-// Package routing holds a configuration of the system as types of its own, and finds
-// the route and the workspace of a request. It does no I/O.
+// Package routing defines the configuration of the system in its own types, and finds the route and
+// the workspace of a request. It performs no I/O.
 package routing
 
 import "time"
 
-// Kind tells how often a request may run.
+// Kind determines how often a request may run.
 type Kind int
 
 const (
-	// NonIdempotent work runs at most once for each attempt of a caller.
+	// NonIdempotent requests run at most once per attempt of the caller.
 	NonIdempotent Kind = iota
-	// Idempotent work may run again after a failure.
+	// Idempotent requests may run again after a failure.
 	Idempotent
-	// Streaming work answers with events and runs at most once.
+	// Streaming requests are answered with events and run at most once.
 	Streaming
 )
 
-// Repeatable tells whether work that may have run may be sent again.
+// Repeatable reports whether a request that may have run may be sent again.
 func (k Kind) Repeatable() bool { return k == Idempotent }
 
 // Route maps a host and a path prefix to services.
@@ -25,23 +25,24 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request may take here.
+	// Timeout is the maximum time that a request may take in this system.
 	Timeout time.Duration
-	// TargetLatency is the time to the whole answer, or to the first event of a
-	// stream, within which an answer is of full use.
+	// TargetLatency is the time to the complete answer, or to the first event of a stream, up to
+	// which an answer has its full value to the caller.
 	TargetLatency time.Duration
-	// Priority ranks requests, 0 first.
+	// Priority orders requests; 0 is served first.
 	Priority int
-	// MaxAttempts bounds the endpoints that one attempt of a caller is sent to.
+	// MaxAttempts is the maximum number of times that a request may run for one attempt of a
+	// caller. Endpoints that certainly did not run it do not count.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public is set for a route that requires no key.
 	Public   bool
 	Backends []Backend
-	// Regions are those in which the route's requests may run; empty for all.
+	// Regions are the regions in which requests of the route may run; empty for all.
 	Regions []string
 }
 
-// Backend is a service that takes a share of a route's requests.
+// Backend is a service that receives a share of a route's requests, in proportion to its weight.
 type Backend struct {
 	Service string
 	Weight  int
@@ -52,21 +53,21 @@
 	Name string
 	// HealthPath is the path of an endpoint's health check.
 	HealthPath string
-	// MaxConnections bounds the connections that one endpoint accepts from all
-	// nodes together.
+	// MaxConnections is the maximum number of connections that one endpoint accepts from all nodes
+	// together.
 	MaxConnections int
-	// ColdStart is how long an endpoint stays cold after its start.
+	// ColdStart is how long an endpoint stays cold after it starts.
 	ColdStart time.Duration
-	// ColdPerSecond is how many requests a second a cold endpoint bears from all nodes
-	// together; 0 for no bound.
+	// ColdPerSecond is the number of requests per second that a cold endpoint can handle from all
+	// nodes together; 0 for no limit.
 	ColdPerSecond float64
-	// Engine describes model engines; nil for a plain service.
+	// Engine describes the model engines of the service; nil for a plain service.
 	Engine *EngineSpec
 }
 
 // EngineSpec describes the model engines of a service.
 type EngineSpec struct {
-	// Slots is the number of generations in one batch.
+	// Slots is the maximum number of generations in one batch.
 	Slots int
 	// Memory is the size of an engine's KV cache, in tokens.
 	Memory int
@@ -74,11 +75,11 @@
 	BytesPerToken float64
 	// LinkMbps is the bandwidth of an engine's link for moves, in Mbit/s.
 	LinkMbps float64
-	// CanMove tells that running generations can be moved between engines.
+	// CanMove is set if running generations can be moved between engines.
 	CanMove bool
-	// CanBackUp tells that an engine sends the memory of a run to another one as it grows.
+	// CanBackUp is set if an engine can send the KV cache of a run to another engine as it grows.
 	CanBackUp bool
-	// CopyLifetime is how long an engine keeps a copy that nobody uses.
+	// CopyLifetime is how long an engine keeps an unused copy of a KV cache.
 	CopyLifetime time.Duration
 	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
@@ -89,14 +90,15 @@
 	bitsPerMegabit = 1e6
 )
 
-// CopyTime is the time in which the memory of so many tokens passes an engine's link.
+// CopyTime returns the time to transfer the KV cache of the given number of tokens over an engine's
+// link.
 func (e *EngineSpec) CopyTime(tokens int) time.Duration {
 	bits := float64(tokens) * e.BytesPerToken * bitsPerByte
 	seconds := bits / (max(e.LinkMbps, 1) * bitsPerMegabit)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on requests of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -107,22 +109,22 @@
 // Workspace is the owner of caller keys.
 type Workspace struct {
 	Name string
-	// Priority goes before the priority of the route if Ranked is set.
+	// Priority takes precedence over the priority of the route if Ranked is set.
 	Priority int
 	Ranked   bool
-	// Regions are those in which the workspace's requests may run; empty for all.
+	// Regions are the regions in which requests of the workspace may run; empty for all.
 	Regions []string
 }
 
-// Configuration is one version of everything that operators wrote.
+// Configuration is one version of the complete configuration that operators have written.
 type Configuration struct {
 	Version  int64
 	Routes   []Route
 	Services map[string]*Service
 	Limits   Limits
-	// Keys maps caller keys to their workspace.
+	// Keys maps caller keys to their workspaces.
 	Keys map[string]*Workspace
-	// NeedsKeys tells that workspaces are configured, so that routes which are not
-	// public demand a key.
+	// NeedsKeys is set if workspaces are configured, in which case routes that are not public
+	// require a key.
 	NeedsKeys bool
 }
--- a/routing/table.go
+++ b/routing/table.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Table finds routes in one configuration. It is immutable.
+// Table looks up routes in one configuration. It is immutable.
 type Table struct {
 	*Configuration
 	hosts map[string][]*Route
 }
 
-// NewTable indexes the routes of a configuration.
+// NewTable returns a table with the routes of a configuration indexed by host.
 func NewTable(c *Configuration) *Table {
 	t := &Table{Configuration: c, hosts: make(map[string][]*Route)}
 	for i := range c.Routes {
@@ -27,8 +27,8 @@
 	return t
 }
 
-// Match returns the route of the host with the longest prefix that begins the path,
-// nil if there is none. Host may carry a port.
+// Match returns the route of the host with the longest prefix that matches the path, or nil if
+// there is none. Host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.hosts[hostname(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -45,9 +45,9 @@
 	return strings.ToLower(host)
 }
 
-// Choose returns the service for a request by the weights of the route. The same
-// request ID is always sent to the same service, so that a repeat after a lost
-// connection does not change sides. It returns nil if no service is configured.
+// Choose selects the service for a request by the weights of the route. The choice depends on the
+// request ID only, so that a retry after a lost connection goes to the same service. It returns nil
+// if the route has no service with a positive weight, or the chosen one is not configured.
 func (t *Table) Choose(r *Route, requestID string) *Service {
 	total := 0
 	for _, b := range r.Backends {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// Rank orders requests: lower ranks go first. The workspace's priority goes before
-// the route's.
+// Rank returns the rank of a request; lower ranks are served first. The priority of the workspace
+// takes precedence over that of the route.
 func Rank(r *Route, ws *Workspace) int {
 	const routePriorities = 100
 	rank := min(max(r.Priority, 0), routePriorities-1)
@@ -79,8 +79,9 @@
 	return rank
 }
 
-// Regions returns the regions in which a request may run; bound is false if it may run in
-// any. Where route and workspace both name regions, both bind: there may be none left.
+// Regions returns the regions in which a request may run. Bound is false if it may run in any
+// region. If both route and workspace name regions, only those named by both are returned; there
+// may be none.
 func Regions(r *Route, ws *Workspace) (regions []string, bound bool) {
 	if ws == nil || len(ws.Regions) == 0 {
 		return r.Regions, len(r.Regions) > 0
@@ -96,7 +97,8 @@
 	return regions, true
 }
 
-// HostRegions returns the regions to which routes of a host are bound, empty if none is.
+// HostRegions returns the regions to which the routes of a host are bound; empty if none is bound.
+// A region may occur more than once.
 func (t *Table) HostRegions(host string) []string {
 	var regions []string
 	for _, r := range t.hosts[hostname(host)] {
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -32,14 +32,14 @@
 			Expect(r).To(HaveField("Name", route))
 		},
 		Entry("longest", "a.example", "/x/y/z", "deep"),
-		Entry("the prefix ends with a slash, so that /x/yz is another path", "a.example", "/x/yz", "half"),
+		Entry("a prefix with a trailing slash does not match /x/yz", "a.example", "/x/yz", "half"),
 		Entry("root", "a.example", "/q", "all"),
-		Entry("host with a port, in other case", "A.example:8740", "/x/1", "half"),
+		Entry("host with a port and in mixed case", "A.example:8740", "/x/1", "half"),
 		Entry("no route of this host", "b.example", "/x/1", ""),
 		Entry("unknown host", "c.example", "/", ""),
 	)
 
-	It("splits requests by weight, each request always to the same side", func() {
+	It("splits requests by weight, and always sends a request to the same service", func() {
 		half := table.Match("a.example", "/x/1")
 		counts := map[string]int{}
 		for i := range 4000 {
@@ -55,7 +55,7 @@
 		Expect(table.Choose(&routing.Route{Backends: []routing.Backend{{Service: "s1"}}}, "r")).To(BeNil())
 	})
 
-	It("ranks workspaces before routes", func() {
+	It("ranks by the priority of the workspace first, then by that of the route", func() {
 		urgent, plain := &routing.Route{Priority: 0}, &routing.Route{Priority: 2}
 		first, second := &routing.Workspace{Ranked: true, Priority: 0}, &routing.Workspace{Ranked: true, Priority: 1}
 		Expect(routing.Rank(plain, first)).To(BeNumerically("<", routing.Rank(urgent, second)))
