--- a/fleet/doubt.go
+++ b/fleet/doubt.go
@@ -18,20 +18,20 @@
 	var busy []Instance
 	now := f.now()
 	for _, e := range f.services[service] {
-		if e.DataCentre == dataCentre && e.total().Count > 0 && f.takesCheckLocked(e, now) {
+		if e.DataCentre == dataCentre && e.total().Count > 0 && f.takeHealthCheckLocked(e, now) {
 			busy = append(busy, e.Instance)
 		}
 	}
 	return busy
 }
 
-// takesCheckLocked reports whether a health check may be sent to the endpoint now, and counts the
-// check against the endpoint's request limit, because a check is a request too.
-func (f *Fleet) takesCheckLocked(e *Endpoint, now time.Duration) bool {
-	if e.isLeaving || f.pausedLocked(e) || !f.takesLimitedLocked(e, now) {
+// takeHealthCheckLocked reports whether a health check may be sent to the endpoint now, and counts
+// the check against the endpoint's request limit, because a check is a request too.
+func (f *Fleet) takeHealthCheckLocked(e *Endpoint, now time.Duration) bool {
+	if e.isLeaving || f.pausedLocked(e) || !f.limitAllowsLocked(e, now) {
 		return false
 	}
-	f.useTurnLocked(e, now)
+	f.useSlotLocked(e, now)
 	return true
 }
 
@@ -41,15 +41,15 @@
 func (f *Fleet) Reinstate(after time.Duration) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var stayed []string
+	var reinstated []string
 	for e := range f.doubted {
 		if e.byHealth && e.missingAt == 0 && f.now()-e.left >= after {
 			e.stay()
-			stayed = append(stayed, e.ID)
+			reinstated = append(reinstated, e.ID)
 			f.dispatchLocked(e.Service)
 		}
 	}
-	return stayed
+	return reinstated
 }
 
 // Unhealthy records that an endpoint reported at its health check that it is leaving. It returns
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -93,7 +93,7 @@
 	// answeredAt is when it last answered this node and said nothing, before it ever said anything.
 	answeredAt time.Duration
 	// noticed is what it has said of itself; nil for nothing.
-	noticed *noticed
+	noticed *noticeRecord
 	// missingAt is when the entry vanished although the instance may be alive; 0 if
 	// it is there.
 	missingAt time.Duration
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -19,9 +19,9 @@
 	Running   int `json:"running"`
 }
 
-// evacuatedRetry is the time after which callers may retry if all endpoints of their service are in
-// evacuated data centres. The end of an evacuation is not known in advance.
-const evacuatedRetry = 2 * time.Second
+// evacuatedRetryDelay is the time after which callers may retry if all endpoints of their service
+// are in evacuated data centres. The end of an evacuation is not known in advance.
+const evacuatedRetryDelay = 2 * time.Second
 
 // Evacuate replaces the set of evacuated data centres. Their endpoints get no new work, retries,
 // copies of runs or resumed runs. Work that already runs there continues to its end.
@@ -32,26 +32,26 @@
 	before := f.evacuated
 	f.evacuated = make(map[string]time.Duration, len(dataCentres))
 	for _, name := range dataCentres {
-		since, already := before[name]
-		if !already {
+		since, known := before[name]
+		if !known {
 			since = now
 		}
 		f.evacuated[name] = since
 	}
 	for _, e := range f.byID {
-		_, is := f.evacuated[e.DataCentre]
-		f.setEvacuatedLocked(e, is, now)
+		_, evacuated := f.evacuated[e.DataCentre]
+		f.setEvacuatedLocked(e, evacuated, now)
 	}
 	f.dispatchAllLocked()
 	f.refuseUnservableLocked()
 }
 
-func (f *Fleet) setEvacuatedLocked(e *Endpoint, is bool, now time.Duration) {
-	if e.isEvacuated == is {
+func (f *Fleet) setEvacuatedLocked(e *Endpoint, evacuated bool, now time.Duration) {
+	if e.isEvacuated == evacuated {
 		return
 	}
-	e.isEvacuated = is
-	if is {
+	e.isEvacuated = evacuated
+	if evacuated {
 		e.markUnusable()
 		return
 	}
@@ -119,7 +119,7 @@
 		for _, w := range slices.Clone(q.waiting) {
 			refusal := f.unservableLocked(w.want)
 			if refusal == nil {
-				refusal = f.beyondLocked(w.want, ahead, w.until-now)
+				refusal = f.refuseLongWaitLocked(w.want, ahead, w.until-now)
 			}
 			if refusal == nil {
 				ahead++
@@ -132,7 +132,7 @@
 }
 
 func refuseEvacuated(w *Want) *crocusreel.Refusal {
-	return crocusreel.Refuse(crocusreel.ReasonEvacuated, crocusreel.OutcomeNotRun, evacuatedRetry,
+	return crocusreel.Refuse(crocusreel.ReasonEvacuated, crocusreel.OutcomeNotRun, evacuatedRetryDelay,
 		"all endpoints of service %q are in evacuated data centres", w.Service.Name)
 }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -27,7 +27,7 @@
 	queues  map[line]*queue
 	remote  map[string]remoteNode
 	// notices hold what endpoints say of themselves, by incarnation.
-	notices map[EndpointKey]*noticed
+	notices map[EndpointKey]*noticeRecord
 	// evacuated holds since when each evacuated data centre is known to be one.
 	evacuated map[string]time.Duration
 	// wakeAt is when Wake was last asked for a call.
@@ -67,7 +67,7 @@
 		services:   make(map[string][]*Endpoint),
 		queues:     make(map[line]*queue),
 		remote:     make(map[string]remoteNode),
-		notices:    make(map[EndpointKey]*noticed),
+		notices:    make(map[EndpointKey]*noticeRecord),
 		Changed:    func(string) {},
 		Believed:   func(Exclusion) {},
 		Noticed:    func(NoticeChange) {},
@@ -145,7 +145,7 @@
 		e = newEndpoint(in)
 		e.noticed = f.notices[e.key]
 		if e.noticed != nil && e.noticed.leaving {
-			e.announceLeaving(f.now())
+			e.markLeavingByAnswer(f.now())
 		}
 		if _, is := f.evacuated[in.DataCentre]; is {
 			e.isEvacuated = true
--- a/fleet/health.go
+++ b/fleet/health.go
@@ -4,35 +4,35 @@
 
 // health tracks the recent failures of an endpoint. Its health check may pass all the while.
 type health struct {
-	// failures and successes decay over healthMemory.
+	// failures and successes decay over healthDecayTime.
 	failures, successes float64
 	updated             time.Duration
 	// ejectedUntil is the time until which the endpoint gets no new work while others are in
 	// service.
 	ejectedUntil time.Duration
 	ejections    int
-	// told is set from when the ejection was reported until the endpoint has recovered.
-	told bool
+	// reported is set from when the ejection was reported until the endpoint has recovered.
+	reported bool
 }
 
 const (
-	// healthMemory is the time over which past results decay: a few seconds, the usual length of an
-	// impairment of one endpoint.
-	healthMemory = 4 * time.Second
-	// ejectAfter is the number of recent failures, and ejectShare their share among recent results,
-	// from which an endpoint is ejected. Single failures are normal: applications answer some
-	// requests with a failure of their own.
-	ejectAfter = 2.5
-	ejectShare = 0.3
-	// ejectFirst is the duration of the first ejection. Each further one doubles it, up to
-	// ejectLongest, so that an endpoint that has recovered is soon tried again.
-	ejectFirst   = 1500 * time.Millisecond
-	ejectLongest = 6 * time.Second
-	// unreachableFor is how long an endpoint that refused a connection gets no new work.
-	unreachableFor = 500 * time.Millisecond
-	// silentFor is how long an endpoint gets no new work after it accepted work and did not answer
-	// in time: its queue is longer than this node knows, or it hangs.
-	silentFor = time.Second
+	// healthDecayTime is the time over which past results decay: a few seconds, the usual length of
+	// an impairment of one endpoint.
+	healthDecayTime = 4 * time.Second
+	// minEjectFailures is the number of recent failures, and minEjectShare their share among recent
+	// results, from which an endpoint is ejected. Single failures are normal: applications answer
+	// some requests with a failure of their own.
+	minEjectFailures = 2.5
+	minEjectShare    = 0.3
+	// firstEjection is the duration of the first ejection. Each further one doubles it, up to
+	// maxEjection, so that an endpoint that has recovered is soon tried again.
+	firstEjection = 1500 * time.Millisecond
+	maxEjection   = 6 * time.Second
+	// unreachableSuspension is how long an endpoint that refused a connection gets no new work.
+	unreachableSuspension = 500 * time.Millisecond
+	// silentSuspension is how long an endpoint gets no new work after it accepted work and did not
+	// answer in time: its queue is longer than this node knows, or it hangs.
+	silentSuspension = time.Second
 )
 
 func (h *health) decay(now time.Duration) {
@@ -41,7 +41,7 @@
 	if elapsed <= 0 {
 		return
 	}
-	keep := 1 - float64(elapsed)/float64(healthMemory)
+	keep := 1 - float64(elapsed)/float64(healthDecayTime)
 	h.failures *= max(keep, 0)
 	h.successes *= max(keep, 0)
 }
@@ -55,11 +55,11 @@
 }
 
 // failed records a failure with the given weight, and ejects the endpoint once its recent failures
-// reach ejectAfter and ejectShare.
+// reach minEjectFailures and minEjectShare.
 func (h *health) failed(now time.Duration, weight float64) {
 	h.decay(now)
 	h.failures += weight
-	if h.failures >= ejectAfter && h.failures >= ejectShare*(h.failures+h.successes) {
+	if h.failures >= minEjectFailures && h.failures >= minEjectShare*(h.failures+h.successes) {
 		h.eject(now)
 	}
 }
@@ -70,16 +70,16 @@
 }
 
 func (h *health) eject(now time.Duration) {
-	wait := min(ejectFirst<<min(h.ejections, 4), ejectLongest)
+	wait := min(firstEjection<<min(h.ejections, 4), maxEjection)
 	h.ejections++
 	h.avoid(now, wait)
 	h.failures = 0
 }
 
-// penalty returns the share of failures in recent results, from 0 to 1, smoothed by two assumed
-// successes.
-func (h *health) penalty(now time.Duration) float64 {
+// failureShare returns the share of failures in recent results, from 0 to 1, smoothed by two
+// assumed successes.
+func (h *health) failureShare(now time.Duration) float64 {
 	h.decay(now)
-	const goodPrior = 2
-	return h.failures / (h.failures + h.successes + goodPrior)
+	const assumedSuccesses = 2
+	return h.failures / (h.failures + h.successes + assumedSuccesses)
 }
--- a/fleet/holding.go
+++ b/fleet/holding.go
@@ -104,7 +104,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if h.released || h.endpoint.isLeaving || h.endpoint.isEvacuated ||
-		f.pausedLocked(h.endpoint) || !f.takesLimitedLocked(h.endpoint, f.now()) {
+		f.pausedLocked(h.endpoint) || !f.limitAllowsLocked(h.endpoint, f.now()) {
 		return nil
 	}
 	h.releaseLocked()
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -24,29 +24,29 @@
 
 // limit is the request limit that an endpoint last reported. If named is not set, it has none.
 type limit struct {
-	named     bool
+	isSet     bool
 	perSecond float64
 }
 
-func (l limit) notice() notice.Notice { return notice.Notice{Limited: l.named, Limit: l.perSecond} }
+func (l limit) notice() notice.Notice { return notice.Notice{Limited: l.isSet, Limit: l.perSecond} }
 
 // rate returns the number of requests per second that all nodes together send.
 func (l limit) rate() float64 { return pace.LimitRate(l.perSecond) }
 
 // setLimitLocked records the limit, or the end of the limit, that an endpoint reported at the given
 // time. It returns false, and changes nothing, if a later report is known.
-func (f *Fleet) setLimitLocked(key EndpointKey, n *noticed, said limit, at time.Duration) bool {
+func (f *Fleet) setLimitLocked(key EndpointKey, n *noticeRecord, reported limit, at time.Duration) bool {
 	if at < n.limitAt {
 		return false
 	}
 	before := n.limit
-	n.limit, n.limitAt = said, at
-	n.everLimited = n.everLimited || said.named
+	n.limit, n.limitAt = reported, at
+	n.everLimited = n.everLimited || reported.isSet
 	e := f.byKey[key]
-	if e == nil || before == said {
+	if e == nil || before == reported {
 		return true
 	}
-	if said.named {
+	if reported.isSet {
 		f.refuseUnservableLocked()
 	} else {
 		f.dispatchLocked(e.Service)
@@ -55,12 +55,12 @@
 }
 
 // limited reports whether the endpoint has a request limit in force.
-func (e *Endpoint) limited() bool { return e.noticed != nil && e.noticed.limit.named }
+func (e *Endpoint) limited() bool { return e.noticed != nil && e.noticed.limit.isSet }
 
-// limitTurnLocked returns when this node may send the next request to an endpoint with a limit:
+// nextSlotLocked returns when this node may send the next request to an endpoint with a limit:
 // now, while the current slot of this node lasts. Known is false if the node may not send any
 // request because it does not know which other nodes share the limit.
-func (f *Fleet) limitTurnLocked(e *Endpoint, now time.Duration) (at time.Duration, known bool) {
+func (f *Fleet) nextSlotLocked(e *Endpoint, now time.Duration) (at time.Duration, known bool) {
 	roster := f.Roster()
 	if roster == nil {
 		return 0, false
@@ -70,37 +70,37 @@
 		n.rank, n.roster = pace.Rank(f.Name, roster.Names, uint32(e.key)), roster
 	}
 	slots := pace.Slots{Rank: n.rank, Nodes: len(roster.Names), PerSecond: n.limit.rate()}
-	return now + slots.Until(f.Wall(), now, n.turnUsedAt), true
+	return now + slots.Until(f.Wall(), now, n.lastSentAt), true
 }
 
-// takesLimitedLocked reports whether the endpoint's limit allows this node to send it a request
+// limitAllowsLocked reports whether the endpoint's limit allows this node to send it a request
 // now. If it has to wait for its next slot, it schedules another dispatch of waiting work for that
 // time.
-func (f *Fleet) takesLimitedLocked(e *Endpoint, now time.Duration) bool {
+func (f *Fleet) limitAllowsLocked(e *Endpoint, now time.Duration) bool {
 	if !e.limited() {
 		return true
 	}
-	at, known := f.limitTurnLocked(e, now)
+	at, known := f.nextSlotLocked(e, now)
 	if known && at > now {
 		f.wakeLocked(now, at-now)
 	}
 	return known && at <= now
 }
 
-// useTurnLocked records that a request is sent to the endpoint, which uses up the current slot.
-func (f *Fleet) useTurnLocked(e *Endpoint, now time.Duration) {
+// useSlotLocked records that a request is sent to the endpoint, which uses up the current slot.
+func (f *Fleet) useSlotLocked(e *Endpoint, now time.Duration) {
 	if !e.limited() {
 		return
 	}
-	e.noticed.turnUsedAt = now
+	e.noticed.lastSentAt = now
 	metrics.Count("limit_turns_used")
 }
 
-// opensLocked returns when the endpoint next accepts a request from this node, and how many
+// availableFromLocked returns when the endpoint next accepts a request from this node, and how many
 // requests per second it accepts from then on; the rate is infinite if the endpoint has no limit.
-// If this node does not know which nodes share the limit, it returns limitUnknownRetry from now and
-// leastLimit.
-func (f *Fleet) opensLocked(e *Endpoint, now time.Duration) (at time.Duration, perSecond float64) {
+// If this node does not know which nodes share the limit, it returns unknownRosterRetryDelay from
+// now and unknownShareRate.
+func (f *Fleet) availableFromLocked(e *Endpoint, now time.Duration) (at time.Duration, perSecond float64) {
 	if e.noticed == nil {
 		return now, math.Inf(1)
 	}
@@ -108,34 +108,34 @@
 	if !e.limited() {
 		return at, perSecond
 	}
-	turn, known := f.limitTurnLocked(e, at)
+	slot, known := f.nextSlotLocked(e, at)
 	if !known {
-		return now + limitUnknownRetry, leastLimit
+		return now + unknownRosterRetryDelay, unknownShareRate
 	}
-	return turn, e.noticed.limit.rate() / float64(len(f.Roster().Names))
+	return slot, e.noticed.limit.rate() / float64(len(f.Roster().Names))
 }
 
-// limitUnknownRetry is the time after which callers may retry at a node that does not know how many
-// nodes share a limit. The node learns that from the others within a second.
-const limitUnknownRetry = time.Second
+// unknownRosterRetryDelay is the time after which callers may retry at a node that does not know
+// how many nodes share a limit. The node learns that from the others within a second.
+const unknownRosterRetryDelay = time.Second
 
-// longestBeyond is the maximum retry delay that callers are given: other endpoints may register
-// meanwhile.
-const longestBeyond = 10 * time.Second
+// maxLimitRetryDelay is the maximum retry delay that callers are given: other endpoints may
+// register meanwhile.
+const maxLimitRetryDelay = 10 * time.Second
 
-// leastLimit is the rate, in requests per second, that is assumed for a node that may not send any
-// requests yet.
-const leastLimit = 0.25
+// unknownShareRate is the rate, in requests per second, that is assumed for a node that may not
+// send any requests yet.
+const unknownShareRate = 0.25
 
-func refuseBeyond(w *Want, retry time.Duration) *crocusreel.Refusal {
+func refuseLongWait(w *Want, retry time.Duration) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonEndpointLimit, crocusreel.OutcomeNotRun, retry,
 		"no endpoint of service %q takes a request of this node for %v", w.Service.Name, retry.Round(time.Millisecond))
 }
 
-// beyondLocked returns a refusal if the work can go only to endpoints that have a limit or are
-// paused, and would have to wait for longer than patience behind the given number of requests.
+// refuseLongWaitLocked returns a refusal if the work can go only to endpoints that have a limit or
+// are paused, and would have to wait for longer than maxWait behind the given number of requests.
 // Otherwise it returns nil.
-func (f *Fleet) beyondLocked(w *Want, ahead int, patience time.Duration) *crocusreel.Refusal {
+func (f *Fleet) refuseLongWaitLocked(w *Want, ahead int, maxWait time.Duration) *crocusreel.Refusal {
 	now := f.now()
 	rate, found := 0.0, false
 	var soonest time.Duration
@@ -143,7 +143,7 @@
 		if !f.mayServeLocked(e, w) {
 			continue
 		}
-		at, perSecond := f.opensLocked(e, now)
+		at, perSecond := f.availableFromLocked(e, now)
 		if at <= now && !e.limited() {
 			return nil
 		}
@@ -157,8 +157,8 @@
 		return nil
 	}
 	wait := soonest - now + time.Duration(float64(ahead)/rate*float64(time.Second))
-	if wait <= patience {
+	if wait <= maxWait {
 		return nil
 	}
-	return refuseBeyond(w, min(max(wait, shortestRetry), longestBeyond))
+	return refuseLongWait(w, min(max(wait, shortestRetry), maxLimitRetryDelay))
 }
--- a/fleet/missing.go
+++ b/fleet/missing.go
@@ -17,15 +17,15 @@
 func (f *Fleet) DropMissing() []Gone {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var gone []Gone
+	var dropped []Gone
 	now := f.now()
 	for e := range f.doubted {
 		if e.missingAt != 0 {
-			gone = append(gone, Gone{ID: e.ID, Missing: now - e.missingAt})
+			dropped = append(dropped, Gone{ID: e.ID, Missing: now - e.missingAt})
 			f.dropLocked(e)
 		}
 	}
-	return gone
+	return dropped
 }
 
 // Missing returns the number of endpoints in use whose entries are missing.
@@ -47,15 +47,15 @@
 func (f *Fleet) Unvouched(service, dataCentre string) []Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var unvouched []Instance
+	var unconfirmed []Instance
 	now := f.now()
 	for e := range f.doubted {
 		missing := e.missingAt != 0 && !e.vouched && e.Service == service && e.DataCentre == dataCentre
-		if missing && f.takesCheckLocked(e, now) {
-			unvouched = append(unvouched, e.Instance)
+		if missing && f.takeHealthCheckLocked(e, now) {
+			unconfirmed = append(unconfirmed, e.Instance)
 		}
 	}
-	return unvouched
+	return unconfirmed
 }
 
 // Vouch records that an endpoint reported at its health check that it remains in service.
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -23,46 +23,47 @@
 }
 
 const (
-	// noticeMemory is how long a notice is kept for an incarnation that is not in service. Its
+	// noticeRetention is how long a notice is kept for an incarnation that is not in service. Its
 	// entry may disappear and return, and the earlier notice then still applies.
-	noticeMemory = 10 * time.Minute
-	// limitTold is how long after the answer an endpoint's limit, or the end of its limit, is
-	// broadcast to other nodes. It exceeds the interval between two answers of an endpoint with a
-	// very low limit.
-	limitTold = 15 * time.Second
-	// maxLimitsTold is the maximum number of limits in a datagram; the newest are sent. Each takes
-	// 16 bytes.
-	maxLimitsTold = 24
-	// leavingTold is the minimum time for which other nodes are informed that an endpoint is about
-	// to stop, if its entry had not said so before. maxLeavingTold is the maximum number of such
-	// endpoints in a datagram; each takes 4 bytes.
-	leavingTold    = 3 * time.Second
-	maxLeavingTold = 64
+	noticeRetention = 10 * time.Minute
+	// limitBroadcastTime is how long after the answer an endpoint's limit, or the end of its limit,
+	// is broadcast to other nodes. It exceeds the interval between two answers of an endpoint with
+	// a very low limit.
+	limitBroadcastTime = 15 * time.Second
+	// maxBroadcastLimits is the maximum number of limits in a datagram; the newest are sent. Each
+	// takes 16 bytes.
+	maxBroadcastLimits = 24
+	// minLeavingBroadcastTime is the minimum time for which other nodes are informed that an
+	// endpoint is about to stop, if its entry had not said so before. maxBroadcastLeaving is the
+	// maximum number of such endpoints in a datagram; each takes 4 bytes.
+	minLeavingBroadcastTime = 3 * time.Second
+	maxBroadcastLeaving     = 64
 )
 
-// noticed is what is known of an incarnation from its notices. It is guarded by the Fleet's lock.
-type noticed struct {
-	// madeAt is when the record was created, for the first notice that came to this node from the
-	// incarnation or from another node.
-	madeAt time.Duration
+// noticeRecord is what is known of an incarnation from its notices. It is guarded by the Fleet's
+// lock.
+type noticeRecord struct {
+	// createdAt is when the record was created, for the first notice that came to this node from
+	// the incarnation or from another node.
+	createdAt time.Duration
 	// limit is the latest limit that it has reported to any node, as far as this node knows.
 	// limitAt is the time of the answer that set or ended the limit, or of the latest answer while
 	// it has not reported one. everLimited is set once it has reported a limit.
 	limit       limit
 	limitAt     time.Duration
 	everLimited bool
-	// own is the latest limit, or end of a limit, in an answer to this node, and ownAt the time of
-	// that answer. ownSaid is set once there is such an answer.
-	own     limit
-	ownAt   time.Duration
-	ownSaid bool
+	// ownLimit is the latest limit, or end of a limit, in an answer to this node, and ownLimitAt
+	// the time of that answer. ownReported is set once there is such an answer.
+	ownLimit    limit
+	ownLimitAt  time.Duration
+	ownReported bool
 	// pausedUntil is when the pause that it requested from this node ends.
 	pausedUntil time.Duration
-	// leftAt is when it announced to this node that it is about to stop, and heardAt when another
-	// node reported that. Both are 0 if its entry had announced it before.
-	leftAt, heardAt time.Duration
-	// turnUsedAt is when this node last sent it a request while its limit applied; 0 if never.
-	turnUsedAt time.Duration
+	// announcedAt is when it announced to this node that it is about to stop, and remoteAnnouncedAt
+	// when another node reported that. Both are 0 if its entry had announced it before.
+	announcedAt, remoteAnnouncedAt time.Duration
+	// lastSentAt is when this node last sent it a request while its limit applied; 0 if never.
+	lastSentAt time.Duration
 	// rank is the rank of this node among the nodes of roster, for this endpoint.
 	rank   int
 	roster *Roster
@@ -72,12 +73,12 @@
 	unreadable bool
 }
 
-// noticedLocked returns the record of an incarnation, or nil if there is none. With make set, it
-// creates a missing record.
-func (f *Fleet) noticedLocked(key EndpointKey, make bool) *noticed {
+// noticeRecordLocked returns the record of an incarnation, or nil if there is none. With make set,
+// it creates a missing record.
+func (f *Fleet) noticeRecordLocked(key EndpointKey, create bool) *noticeRecord {
 	known := f.notices[key]
-	if known == nil && make {
-		known = &noticed{madeAt: f.now()}
+	if known == nil && create {
+		known = &noticeRecord{createdAt: f.now()}
 		f.notices[key] = known
 		if e := f.byKey[key]; e != nil {
 			e.noticed, known.limitAt = known, e.answeredAt
@@ -92,7 +93,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := in.Incarnation().Key()
-	known := f.noticedLocked(key, !n.Empty())
+	known := f.noticeRecordLocked(key, !n.Empty())
 	if known == nil {
 		// Record the time, so that an older limit reported by another node is not applied to an
 		// endpoint that no longer reports one.
@@ -101,10 +102,10 @@
 		}
 		return
 	}
-	before := notice.Notice{Limited: known.limit.named, Limit: known.limit.perSecond, Leaving: known.leaving}
+	before := notice.Notice{Limited: known.limit.isSet, Limit: known.limit.perSecond, Leaving: known.leaving}
 	changed := n.Leaving && f.setLeavingLocked(key, known)
 	if changed {
-		known.leftAt = f.now()
+		known.announcedAt = f.now()
 	}
 	if n.LimitFault == nil {
 		// If the limit cannot be parsed, the previous one stays in force.
@@ -113,7 +114,7 @@
 	faulty := n.Fault() != nil
 	unread := faulty && !known.unreadable
 	known.unreadable = faulty
-	paused := f.pauseLocked(in.Service, known, n.Pause)
+	paused := f.startPauseLocked(in.Service, known, n.Pause)
 	if changed || unread || paused {
 		f.Noticed(NoticeChange{Instance: in, Notice: n, Before: before, Request: request})
 	}
@@ -124,22 +125,22 @@
 
 // setOwnLimitLocked records the limit, or the end of the limit, in an answer to this node, and
 // reports whether that changes the known limit.
-func (f *Fleet) setOwnLimitLocked(key EndpointKey, known *noticed, n notice.Notice) bool {
+func (f *Fleet) setOwnLimitLocked(key EndpointKey, known *noticeRecord, n notice.Notice) bool {
 	before := known.limit
 	if !n.Limited && !known.everLimited {
 		known.limitAt = f.now()
 		return false
 	}
-	known.ownSaid = true
-	known.own, known.ownAt = limit{named: n.Limited, perSecond: n.Limit}, f.now()
-	f.setLimitLocked(key, known, known.own, known.ownAt)
-	return before != known.own
+	known.ownReported = true
+	known.ownLimit, known.ownLimitAt = limit{isSet: n.Limited, perSecond: n.Limit}, f.now()
+	f.setLimitLocked(key, known, known.ownLimit, known.ownLimitAt)
+	return before != known.ownLimit
 }
 
 // setLeavingLocked records that an incarnation has announced that it is about to stop, and reports
 // whether this is new to the fleet: the other nodes also learn it from the endpoint's entry. The
 // record is permanent, because the entry and the health check may be out of date.
-func (f *Fleet) setLeavingLocked(key EndpointKey, n *noticed) bool {
+func (f *Fleet) setLeavingLocked(key EndpointKey, n *noticeRecord) bool {
 	if n.leaving {
 		return false
 	}
@@ -148,13 +149,13 @@
 	if e == nil || e.entryLeaving {
 		return false
 	}
-	e.announceLeaving(f.now())
+	e.markLeavingByAnswer(f.now())
 	return true
 }
 
-// announceLeaving marks an endpoint as leaving because it announced in an answer that it is about
-// to stop.
-func (e *Endpoint) announceLeaving(now time.Duration) {
+// markLeavingByAnswer marks an endpoint as leaving because it announced in an answer that it is
+// about to stop.
+func (e *Endpoint) markLeavingByAnswer(now time.Duration) {
 	e.byHealth = false
 	e.markLeaving(now)
 }
@@ -168,13 +169,13 @@
 	var keys []EndpointKey
 	for key, n := range f.notices {
 		e := f.byKey[key]
-		untold := e != nil && !e.entryLeaving
-		if n.leftAt != 0 && (untold || now-n.leftAt < leavingTold) {
+		unannounced := e != nil && !e.entryLeaving
+		if n.announcedAt != 0 && (unannounced || now-n.announcedAt < minLeavingBroadcastTime) {
 			keys = append(keys, key)
 		}
 	}
 	slices.Sort(keys)
-	return keys[:min(len(keys), maxLeavingTold)]
+	return keys[:min(len(keys), maxBroadcastLeaving)]
 }
 
 // NoteRemoteLeaving records the endpoints that have announced to another node that they are about
@@ -183,11 +184,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, key := range keys {
-		known := f.noticedLocked(key, true)
+		known := f.noticeRecordLocked(key, true)
 		if !f.setLeavingLocked(key, known) {
 			continue
 		}
-		known.heardAt = f.now()
+		known.remoteAnnouncedAt = f.now()
 		f.Noticed(NoticeChange{Instance: f.byKey[key].Instance, Notice: notice.Notice{Leaving: true}, Node: node})
 	}
 }
@@ -229,44 +230,44 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	var news []LimitNews
+	var reports []LimitNews
 	for key, n := range f.notices {
-		if age := now - n.ownAt; n.ownSaid && age < limitTold {
-			news = append(news, LimitNews{Key: key, Limited: n.own.named, Limit: n.own.perSecond, Age: age})
+		if age := now - n.ownLimitAt; n.ownReported && age < limitBroadcastTime {
+			reports = append(reports, LimitNews{Key: key, Limited: n.ownLimit.isSet, Limit: n.ownLimit.perSecond, Age: age})
 		}
 	}
-	slices.SortFunc(news, func(a, b LimitNews) int {
+	slices.SortFunc(reports, func(a, b LimitNews) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Key, b.Key))
 	})
-	return news[:min(len(news), maxLimitsTold)]
+	return reports[:min(len(reports), maxBroadcastLimits)]
 }
 
 // NoteRemote records the limits that endpoints have reported to another node.
-func (f *Fleet) NoteRemote(node string, news []LimitNews) {
+func (f *Fleet) NoteRemote(node string, reports []LimitNews) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	for _, l := range news {
-		known := f.noticedLocked(l.Key, true)
+	for _, l := range reports {
+		known := f.noticeRecordLocked(l.Key, true)
 		before := known.limit
-		said := limit{named: l.Limited, perSecond: l.Limit}
-		if !f.setLimitLocked(l.Key, known, said, now-l.Age) || before == said {
+		reported := limit{isSet: l.Limited, perSecond: l.Limit}
+		if !f.setLimitLocked(l.Key, known, reported, now-l.Age) || before == reported {
 			continue
 		}
 		if e := f.byKey[l.Key]; e != nil {
 			f.Noticed(NoticeChange{
-				Instance: e.Instance, Notice: said.notice(), Before: before.notice(), Node: node, Age: l.Age,
+				Instance: e.Instance, Notice: reported.notice(), Before: before.notice(), Node: node, Age: l.Age,
 			})
 		}
 	}
 }
 
 // pruneNoticesLocked deletes the records of incarnations that have been out of service for longer
-// than noticeMemory.
+// than noticeRetention.
 func (f *Fleet) pruneNoticesLocked() {
 	now := f.now()
 	for key, n := range f.notices {
-		if f.byKey[key] == nil && now-max(n.madeAt, n.ownAt, n.limitAt) > noticeMemory {
+		if f.byKey[key] == nil && now-max(n.createdAt, n.ownLimitAt, n.limitAt) > noticeRetention {
 			delete(f.notices, key)
 		}
 	}
--- a/fleet/pause.go
+++ b/fleet/pause.go
@@ -7,19 +7,20 @@
 // runs. The pause applies to that node only, and nothing but a restart of the endpoint ends it
 // early.
 
-// pauseLocked records the pause that an incarnation requested from this node, and reports whether
-// it starts a new one: a pause is reported once, however many requests are refused during it.
-func (f *Fleet) pauseLocked(service string, n *noticed, pause time.Duration) bool {
+// startPauseLocked records the pause that an incarnation requested from this node, and reports
+// whether it starts a new one: a pause is reported once, however many requests are refused during
+// it.
+func (f *Fleet) startPauseLocked(service string, n *noticeRecord, pause time.Duration) bool {
 	if pause <= 0 {
 		return false
 	}
 	now := f.now()
-	news := now >= n.pausedUntil
+	isNew := now >= n.pausedUntil
 	if now+pause > n.pausedUntil {
 		n.pausedUntil = now + pause
 		f.refuseUnservableLocked()
 	}
-	return news
+	return isNew
 }
 
 // pausedLocked reports whether a pause that the endpoint requested from this node is in effect.
@@ -27,9 +28,9 @@
 	return e.noticed != nil && f.now() < e.noticed.pausedUntil
 }
 
-// waitsForPauseLocked reports whether the endpoint's pause is in effect. If so, it schedules
+// deferForPauseLocked reports whether the endpoint's pause is in effect. If so, it schedules
 // another dispatch of waiting work for the end of the pause.
-func (f *Fleet) waitsForPauseLocked(e *Endpoint, now time.Duration) bool {
+func (f *Fleet) deferForPauseLocked(e *Endpoint, now time.Duration) bool {
 	if !f.pausedLocked(e) {
 		return false
 	}
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -100,14 +100,14 @@
 	now := f.now()
 	for _, ejectedToo := range []bool{false, true} {
 		for _, e := range endpoints {
-			if !f.mayServeLocked(e, w) || f.waitsForPauseLocked(e, now) {
+			if !f.mayServeLocked(e, w) || f.deferForPauseLocked(e, now) {
 				continue
 			}
 			if !ejectedToo && f.ejectedLocked(e, now) {
 				continue
 			}
 			load := e.total()
-			if !f.fitsLocked(e, w, &load) || !f.takesColdLocked(e, w.Service, &load, now) || !f.takesLimitedLocked(e, now) {
+			if !f.fitsLocked(e, w, &load) || !f.takesColdLocked(e, w.Service, &load, now) || !f.limitAllowsLocked(e, now) {
 				continue
 			}
 			if cost := f.costLocked(e, w, &load, now); best == nil || cost < bestCost {
@@ -169,7 +169,7 @@
 func (f *Fleet) costLocked(e *Endpoint, w *Want, load *Load, now time.Duration) float64 {
 	cost := f.distanceCostLocked(e, w)
 	if !f.Without[Ejection] {
-		cost += failureCost * e.health.penalty(now)
+		cost += failureCost * e.health.failureShare(now)
 	}
 	if now < e.warmUntil {
 		cost += warmingCost
--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -57,7 +57,7 @@
 	f.used[e] = struct{}{}
 	now := f.now()
 	e.coldUsedAt = now
-	f.useTurnLocked(e, now)
+	f.useSlotLocked(e, now)
 	e.own.Count++
 	e.own.Tokens += p.tokens()
 	e.own.Unread += p.unread()
@@ -172,10 +172,10 @@
 		h.failed(now, busyWeight)
 	case Silent:
 		h.failed(now, silentWeight)
-		h.avoid(now, silentFor)
+		h.avoid(now, silentSuspension)
 	case Unreachable:
 		h.failed(now, 1)
-		h.avoid(now, unreachableFor)
+		h.avoid(now, unreachableSuspension)
 	case Neutral:
 	}
 	f.tellOfHealthLocked(e, r, now)
@@ -200,8 +200,8 @@
 	h := &e.health
 	excluded := now < h.ejectedUntil
 	back := r == Good && !excluded
-	if (excluded && !h.told) || (back && h.told) {
-		h.told = excluded
+	if (excluded && !h.reported) || (back && h.reported) {
+		h.reported = excluded
 		f.Believed(Exclusion{
 			Instance: e.Instance, Excluded: excluded, Cause: r, For: max(h.ejectedUntil-now, 0), Failures: h.failures,
 		})
--- a/fleet/queue.go
+++ b/fleet/queue.go
@@ -92,7 +92,7 @@
 		defer f.mu.Unlock()
 		return nil, f.refuseLocked(&w)
 	}
-	if refusal := f.beyondLocked(&w, f.waitingInLineLocked(&w), patience); refusal != nil {
+	if refusal := f.refuseLongWaitLocked(&w, f.waitingInLineLocked(&w), patience); refusal != nil {
 		defer f.mu.Unlock()
 		return nil, refusal
 	}
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -36,13 +36,13 @@
 
 // ParseLimit parses text, the value of the named header, as a number of requests per second.
 // Limited is false if text is empty or invalid.
-func ParseLimit(header, text string) (perSecond float64, limited bool, err error) {
-	if text == "" {
+func ParseLimit(header, value string) (perSecond float64, limited bool, err error) {
+	if value == "" {
 		return 0, false, nil
 	}
-	perSecond, err = strconv.ParseFloat(text, 64)
+	perSecond, err = strconv.ParseFloat(value, 64)
 	if err != nil || !(perSecond >= 0 && perSecond <= math.MaxFloat64) {
-		return 0, false, eris.Errorf("%s: invalid value %.40q, want a non-negative number of requests per second", header, text)
+		return 0, false, eris.Errorf("%s: invalid value %.40q, want a non-negative number of requests per second", header, value)
 	}
 	return perSecond, true, nil
 }
@@ -50,21 +50,21 @@
 // headerRetryAfter is the standard header for a retry delay in seconds (RFC 9110, 10.2.3).
 const headerRetryAfter = "Retry-After"
 
-// longestPause is the longest pause that is accepted. A longer one is taken for a mistake of the
+// maxPause is the longest pause that is accepted. A longer one is taken for a mistake of the
 // endpoint.
-const longestPause = 24 * time.Hour
+const maxPause = 24 * time.Hour
 
 // ParsePause returns how long an endpoint that refused a request with status 429 or 503 wants no
 // further requests from this VM. The number of seconds may have a fraction.
 func ParsePause(status int, h http.Header) (time.Duration, error) {
-	text := h.Get(headerRetryAfter)
-	refuses := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-	if text == "" || !refuses {
+	value := h.Get(headerRetryAfter)
+	refused := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+	if value == "" || !refused {
 		return 0, nil
 	}
-	seconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(seconds >= 0 && seconds <= longestPause.Seconds()) {
-		return 0, eris.Errorf("%s: invalid value %.40q, want a number of seconds from 0 to %v", headerRetryAfter, text, longestPause)
+	seconds, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(seconds >= 0 && seconds <= maxPause.Seconds()) {
+		return 0, eris.Errorf("%s: invalid value %.40q, want a number of seconds from 0 to %v", headerRetryAfter, value, maxPause)
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -18,27 +18,28 @@
 	// limitShare is the share of an endpoint's limit that is used. The remainder covers requests
 	// from senders that did not know the limit yet, and slots that lie close together.
 	limitShare = 0.9
-	// leastLimit is the rate, in requests per second, that is used for endpoints with a lower
-	// limit: only the answers to requests show when the limit ends.
-	leastLimit = 0.25
+	// minLimitPerSecond is the rate, in requests per second, that is used for endpoints with a
+	// lower limit: only the answers to requests show when the limit ends.
+	minLimitPerSecond = 0.25
 )
 
 // LimitRate returns the number of requests per second that all nodes together send to an endpoint
 // whose limit is perSecond.
-func LimitRate(perSecond float64) float64 { return limitShare * max(perSecond, leastLimit) }
+func LimitRate(perSecond float64) float64 { return limitShare * max(perSecond, minLimitPerSecond) }
 
 // Turn returns when a node's latest turn at an endpoint began and when its next one begins, if the
 // given number of nodes together have perSecond turns per second. The nodes' turns are spread even
 // if their monotonic clocks have different origins.
 func Turn(node string, endpoint uint32, nodes int, perSecond float64, now time.Duration) (began, next time.Duration) {
-	period := max(time.Duration(float64(nodes)/perSecond*float64(time.Second)), shortestSlot)
-	phase := time.Duration(float64(order(node, endpoint)) / math.MaxUint64 * float64(period))
+	period := max(time.Duration(float64(nodes)/perSecond*float64(time.Second)), minSlotSpacing)
+	phase := time.Duration(float64(rankHash(node, endpoint)) / math.MaxUint64 * float64(period))
 	began = now - (now+period-phase)%period
 	return began, began + period
 }
 
-// order returns a hash of a node's name and an endpoint, which orders the nodes for the endpoint.
-func order(node string, endpoint uint32) uint64 {
+// rankHash returns a hash of a node's name and an endpoint, which orders the nodes for the
+// endpoint.
+func rankHash(node string, endpoint uint32) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(binary.BigEndian.AppendUint32(nil, endpoint))
 	_, _ = h.Write([]byte(node))
--- a/pace/slot.go
+++ b/pace/slot.go
@@ -5,12 +5,12 @@
 const (
 	// SlotLength is how long a slot can be used.
 	SlotLength = 500 * time.Millisecond
-	// leastGap is the minimum time between two uses of a node's slots, as a fraction of a period.
-	// It bounds the rate of a node whose time of day jumps.
-	leastGap = 0.5
-	// shortestSlot is the minimum time between two slots. It applies to rates that no endpoint
+	// minGapPeriods is the minimum time between two uses of a node's slots, as a fraction of a
+	// period. It bounds the rate of a node whose time of day jumps.
+	minGapPeriods = 0.5
+	// minSlotSpacing is the minimum time between two slots. It applies to rates that no endpoint
 	// comes near.
-	shortestSlot = time.Microsecond
+	minSlotSpacing = time.Microsecond
 )
 
 // Slots are the time slots of one node, one in each period. The slots of all nodes are spread
@@ -23,10 +23,10 @@
 	PerSecond float64
 }
 
-// places returns the number of slots in a period, which slightly exceeds the number of nodes. Nodes
-// whose counts of nodes differ by one or two mostly get the same number, so that their slots do not
-// overlap.
-func (s Slots) places() int {
+// slotsPerPeriod returns the number of slots in a period, which slightly exceeds the number of
+// nodes. Nodes whose counts of nodes differ by one or two mostly get the same number, so that their
+// slots do not overlap.
+func (s Slots) slotsPerPeriod() int {
 	n := 1
 	for n < s.Nodes {
 		n = max(n+1, n+n/4)
@@ -37,28 +37,28 @@
 // Until returns the time until the node may send; 0 if it may send now. Wall is the time of day,
 // now the time of a monotonic clock, and used the time of that clock at which the node last sent; 0
 // if it never did.
-func (s Slots) Until(wall time.Time, now, used time.Duration) time.Duration {
-	each := max(time.Duration(float64(time.Second)/s.PerSecond), shortestSlot)
-	places := s.places()
-	period, begin := time.Duration(places)*each, time.Duration(s.Rank*places/s.Nodes)*each
-	ago := (time.Duration(wall.UnixNano()%int64(period)) + period - begin) % period
-	if used != 0 {
-		if gap := time.Duration(leastGap * float64(period)); now-used < gap {
-			return max(gap-(now-used), time.Nanosecond)
+func (s Slots) Until(wall time.Time, now, lastSent time.Duration) time.Duration {
+	spacing := max(time.Duration(float64(time.Second)/s.PerSecond), minSlotSpacing)
+	slotCount := s.slotsPerPeriod()
+	period, offset := time.Duration(slotCount)*spacing, time.Duration(s.Rank*slotCount/s.Nodes)*spacing
+	sinceBegin := (time.Duration(wall.UnixNano()%int64(period)) + period - offset) % period
+	if lastSent != 0 {
+		if gap := time.Duration(minGapPeriods * float64(period)); now-lastSent < gap {
+			return max(gap-(now-lastSent), time.Nanosecond)
 		}
 	}
-	if ago < SlotLength && (used == 0 || used < now-ago) {
+	if sinceBegin < SlotLength && (lastSent == 0 || lastSent < now-sinceBegin) {
 		return 0
 	}
-	return period - ago
+	return period - sinceBegin
 }
 
 // Rank returns the rank of a node among all nodes for an endpoint, by a hash of the names. Each
 // endpoint has its own order, and adding or removing a name moves the others by at most one rank.
 func Rank(node string, all []string, endpoint uint32) int {
-	own, rank := order(node, endpoint), 0
+	own, rank := rankHash(node, endpoint), 0
 	for _, name := range all {
-		if h := order(name, endpoint); h < own || (h == own && name < node) {
+		if h := rankHash(name, endpoint); h < own || (h == own && name < node) {
 			rank++
 		}
 	}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -14,23 +14,23 @@
 // budget, the load on the surviving endpoints would be the offered load times the maximum number of
 // attempts, and they would fail as well.
 type Budget struct {
-	mu      sync.Mutex
-	ratio   float64
-	highest float64
-	tokens  float64
+	mu     sync.Mutex
+	ratio  float64
+	burst  float64
+	tokens float64
 }
 
 // NewBudget returns a full budget. Ratio is the number of retries gained per first attempt, and
 // burst the maximum number that can accumulate.
 func NewBudget(ratio, burst float64) *Budget {
-	return &Budget{ratio: ratio, highest: burst, tokens: burst}
+	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
 // Earn records a first attempt.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.ratio, b.highest)
+	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
 // Spend takes one retry from the budget. It returns false if none is left.
@@ -57,14 +57,14 @@
 
 // Budgets holds one budget per name, such as a workspace or an endpoint.
 type Budgets struct {
-	mu    sync.Mutex
-	burst float64
-	all   map[string]*Budget
+	mu      sync.Mutex
+	burst   float64
+	budgets map[string]*Budget
 }
 
 // NewBudgets returns an empty set whose budgets accumulate at most burst retries each.
 func NewBudgets(burst float64) *Budgets {
-	return &Budgets{burst: burst, all: make(map[string]*Budget)}
+	return &Budgets{burst: burst, budgets: make(map[string]*Budget)}
 }
 
 // Get returns the budget with the given name. If there is none yet, or its ratio differs, it
@@ -73,10 +73,10 @@
 func (s *Budgets) Get(name string, ratio float64) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b, ok := s.all[name]
+	b, ok := s.budgets[name]
 	if !ok || b.ratio != ratio {
 		b = NewBudget(ratio, s.burst)
-		s.all[name] = b
+		s.budgets[name] = b
 	}
 	return b
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -11,9 +11,9 @@
 type Window struct {
 	mu sync.Mutex
 	// Each element counts one slice of the window; the newest is at head modulo windowSlices.
-	firsts, repeats [windowSlices]float64
-	head            int64
-	set             *Windows
+	attempts, retries [windowSlices]float64
+	head              int64
+	set               *Windows
 }
 
 // windowSlices is the number of slices in a window. A retry is forgotten up to one slice too late,
@@ -31,8 +31,8 @@
 	// Nodes returns the number of nodes that share the slack.
 	Nodes func() int
 
-	mu  sync.Mutex
-	all map[string]*Window
+	mu      sync.Mutex
+	windows map[string]*Window
 }
 
 // slackShare is the share of the slack that is used. The remainder is for nodes that do not know of
@@ -44,13 +44,13 @@
 func (s *Windows) Get(name string) *Window {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.all == nil {
-		s.all = make(map[string]*Window)
+	if s.windows == nil {
+		s.windows = make(map[string]*Window)
 	}
-	w, ok := s.all[name]
+	w, ok := s.windows[name]
 	if !ok {
 		w = &Window{set: s}
-		s.all[name] = w
+		s.windows[name] = w
 	}
 	return w
 }
@@ -61,14 +61,14 @@
 	slice := w.set.Length / windowSlices
 	now := int64(w.set.Now() / slice)
 	if now-w.head >= windowSlices {
-		w.firsts, w.repeats = [windowSlices]float64{}, [windowSlices]float64{}
+		w.attempts, w.retries = [windowSlices]float64{}, [windowSlices]float64{}
 		w.head = now
 		return
 	}
 	for w.head < now {
 		w.head++
-		w.firsts[w.head%windowSlices] = 0
-		w.repeats[w.head%windowSlices] = 0
+		w.attempts[w.head%windowSlices] = 0
+		w.retries[w.head%windowSlices] = 0
 	}
 }
 
@@ -77,7 +77,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	w.firsts[w.head%windowSlices]++
+	w.attempts[w.head%windowSlices]++
 }
 
 // Spend records a retry and returns true, or returns false if no retry is left in the window.
@@ -85,15 +85,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	firsts, repeats := 0.0, 0.0
+	attempts, retries := 0.0, 0.0
 	for i := range windowSlices {
-		firsts += w.firsts[i]
-		repeats += w.repeats[i]
+		attempts += w.attempts[i]
+		retries += w.retries[i]
 	}
 	nodes := float64(max(w.set.Nodes(), 1))
-	if repeats+1 > w.set.Ratio*firsts+slackShare*w.set.Slack/nodes {
+	if retries+1 > w.set.Ratio*attempts+slackShare*w.set.Slack/nodes {
 		return false
 	}
-	w.repeats[w.head%windowSlices]++
+	w.retries[w.head%windowSlices]++
 	return true
 }
