--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -11,8 +11,8 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// start returns the entry of an engine that reports its start time.
-func start(born int64) fleet.Instance {
+// incarnationEntry returns the entry of an engine that reports its start time.
+func incarnationEntry(born int64) fleet.Instance {
 	return fleet.Instance{ID: "e1", Born: born, Service: "pool", Address: "10.0.0.1:80", DataCentre: "dc1", Slots: 24}
 }
 
@@ -22,12 +22,12 @@
 	// new engine would inherit the load and the failures of the old one.
 	It("ends the runs of the previous incarnation and starts without load or failures", func() {
 		w := newWorld()
-		Expect(w.Update(start(1000))).To(Equal(fleet.Added))
+		Expect(w.Update(incarnationEntry(1000))).To(Equal(fleet.Added))
 		p := w.running(generation(20_000, 8000))
 		p.Report(fleet.Failed)
 		p.Report(fleet.Failed)
 		p.Report(fleet.Failed)
-		Expect(w.Update(start(2000))).To(Equal(fleet.Restarted))
+		Expect(w.Update(incarnationEntry(2000))).To(Equal(fleet.Restarted))
 		Expect(context.Cause(p.Life())).To(MatchError(fleet.ErrRestarted))
 		Expect(p.Leaving()).To(BeClosed())
 		fresh := w.place(generation(20_000, 8000))
@@ -39,33 +39,33 @@
 
 	It("is not affected by late entries of an earlier incarnation", func() {
 		w := newWorld()
-		w.Update(start(2000))
+		w.Update(incarnationEntry(2000))
 		p := w.running(generation(1000, 100))
-		late := start(1000)
+		late := incarnationEntry(1000)
 		late.Leaving = true
 		Expect(w.Update(late)).To(Equal(fleet.Outdated))
-		Expect(w.Update(start(0))).To(Equal(fleet.Outdated))
+		Expect(w.Update(incarnationEntry(0))).To(Equal(fleet.Outdated))
 		Expect(p.Life().Err()).NotTo(HaveOccurred())
 		Expect(p.Leaving()).NotTo(BeClosed())
-		Expect(w.Update(start(2000))).To(Equal(fleet.Known))
+		Expect(w.Update(incarnationEntry(2000))).To(Equal(fleet.Known))
 	})
 
 	// Guards against wrong loads when another node reports its work on the new incarnation before
 	// the entry arrives here: only loads of that incarnation count.
 	It("takes only the load that other nodes reported for the new incarnation", func() {
 		w := newWorld()
-		w.Update(start(1000))
-		w.SetRemote("node2", []fleet.Load{{Key: start(1000).Incarnation().Key(), Count: 20, Tokens: 30_000}}, nil)
-		w.SetRemote("node3", []fleet.Load{{Key: start(2000).Incarnation().Key(), Count: 1, Tokens: 10_000}}, nil)
-		w.Update(start(2000))
+		w.Update(incarnationEntry(1000))
+		w.SetRemote("node2", []fleet.Load{{Key: incarnationEntry(1000).Incarnation().Key(), Count: 20, Tokens: 30_000}}, nil)
+		w.SetRemote("node3", []fleet.Load{{Key: incarnationEntry(2000).Incarnation().Key(), Count: 1, Tokens: 10_000}}, nil)
+		w.Update(incarnationEntry(2000))
 		w.place(generation(15_000, 5000)).Produced(1)
 		w.refused(generation(10_000, 1000))
 	})
 
 	It("may have a new address, and gets no work at the old one", func() {
 		w := newWorld()
-		w.Update(start(1000))
-		moved := start(2000)
+		w.Update(incarnationEntry(1000))
+		moved := incarnationEntry(2000)
 		moved.Address = "10.0.0.2:80"
 		w.Update(moved)
 		for range 5 {
@@ -77,10 +77,10 @@
 	// the entry that returns is that of a new incarnation.
 	It("is no longer missing", func() {
 		w := newWorld()
-		w.Update(start(1000))
+		w.Update(incarnationEntry(1000))
 		w.Remove("e1", true)
 		w.now += time.Second
-		Expect(w.Update(start(2000))).To(Equal(fleet.Restarted))
+		Expect(w.Update(incarnationEntry(2000))).To(Equal(fleet.Restarted))
 		w.now += time.Minute
 		Expect(w.DropMissing()).To(BeEmpty())
 	})
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -11,16 +11,16 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// leaver is a fleet with one endpoint that has announced in an answer that it is leaving.
-type leaver struct {
+// leavingEndpoint is a fleet with one endpoint that has announced in an answer that it is leaving.
+type leavingEndpoint struct {
 	*fleet.Fleet
 	now     time.Duration
 	in      fleet.Instance
 	service *routing.Service
 }
 
-func newLeaver() *leaver {
-	l := &leaver{
+func newLeavingEndpoint() *leavingEndpoint {
+	l := &leavingEndpoint{
 		now:     time.Hour,
 		service: &routing.Service{Name: "app"},
 		in:      fleet.Instance{ID: "i1", Born: 1, Service: "app", DataCentre: "dc1", Slots: 10},
@@ -34,8 +34,8 @@
 	return l
 }
 
-// takes reports whether the endpoint gets new work.
-func (l *leaver) takes() bool {
+// getsWork reports whether the endpoint gets new work.
+func (l *leavingEndpoint) getsWork() bool {
 	p, _ := l.Acquire(context.Background(), fleet.Want{Service: l.service}, 0)
 	if p != nil {
 		p.Release(fleet.Good)
@@ -45,19 +45,19 @@
 
 // Guards against new work for an endpoint that announced in an answer that it is leaving, whatever
 // its entry, a health check or a later answer says.
-func TestEndpointThatSaidThatItLeavesGetsNothing(t *testing.T) {
-	for name, after := range map[string]func(*leaver){
-		"no further event":                  func(*leaver) {},
-		"an answer without a notice":        func(l *leaver) { l.Note(l.in, notice.Notice{}, "r1") },
-		"its unchanged entry":               func(l *leaver) { l.Update(l.in) },
-		"a full listing":                    func(l *leaver) { l.Replace([]fleet.Instance{l.in}, true) },
-		"its entry removed and added again": func(l *leaver) { l.Remove(l.in.ID, false); l.Update(l.in) },
-		"its entry missing for a second": func(l *leaver) {
+func TestLeavingEndpointGetsNoWork(t *testing.T) {
+	for name, after := range map[string]func(*leavingEndpoint){
+		"no further event":                  func(*leavingEndpoint) {},
+		"an answer without a notice":        func(l *leavingEndpoint) { l.Note(l.in, notice.Notice{}, "r1") },
+		"its unchanged entry":               func(l *leavingEndpoint) { l.Update(l.in) },
+		"a full listing":                    func(l *leavingEndpoint) { l.Replace([]fleet.Instance{l.in}, true) },
+		"its entry removed and added again": func(l *leavingEndpoint) { l.Remove(l.in.ID, false); l.Update(l.in) },
+		"its entry missing for a second": func(l *leavingEndpoint) {
 			l.Remove(l.in.ID, true)
 			l.now += time.Second
 			l.Update(l.in)
 		},
-		"a health check that its entry does not confirm": func(l *leaver) {
+		"a health check that its entry does not confirm": func(l *leavingEndpoint) {
 			l.Unhealthy(l.in.Incarnation().Key())
 			l.now += time.Minute
 			l.Reinstate(4 * time.Second)
@@ -65,9 +65,9 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newLeaver()
+			l := newLeavingEndpoint()
 			after(l)
-			if l.takes() {
+			if l.getsWork() {
 				t.Error("the leaving endpoint got new work")
 			}
 		})
@@ -76,76 +76,76 @@
 
 // Guards against reinstating an endpoint after an unconfirmed health check although it has
 // announced in an answer since then that it is leaving.
-func TestEndpointThatSaidThatItLeavesIsNotReinstated(t *testing.T) {
-	l := newLeaver()
-	reborn := l.in
-	reborn.Born = 2
-	l.Update(reborn)
-	l.Unhealthy(reborn.Incarnation().Key())
-	l.Note(reborn, notice.Notice{Leaving: true}, "r1")
+func TestLeavingEndpointIsNotReinstated(t *testing.T) {
+	l := newLeavingEndpoint()
+	restarted := l.in
+	restarted.Born = 2
+	l.Update(restarted)
+	l.Unhealthy(restarted.Incarnation().Key())
+	l.Note(restarted, notice.Notice{Leaving: true}, "r1")
 	l.now += time.Minute
-	if stayed := l.Reinstate(4 * time.Second); len(stayed) > 0 || l.takes() {
-		t.Errorf("leaving endpoint was reinstated or got new work; reinstated: %v", stayed)
+	if reinstated := l.Reinstate(4 * time.Second); len(reinstated) > 0 || l.getsWork() {
+		t.Errorf("leaving endpoint was reinstated or got new work; reinstated: %v", reinstated)
 	}
 }
 
 // Guards against a restarted endpoint that gets no work because of a notice of its previous
 // incarnation.
 func TestNextIncarnationIsNotLeaving(t *testing.T) {
-	l := newLeaver()
-	reborn := l.in
-	reborn.Born = 2
-	l.Update(reborn)
-	if !l.takes() {
+	l := newLeavingEndpoint()
+	restarted := l.in
+	restarted.Born = 2
+	l.Update(restarted)
+	if !l.getsWork() {
 		t.Error("the restarted endpoint got no work")
 	}
 }
 
 // Guards against an invalid limit that hides the rest of the notice in the same answer.
-func TestUnreadableLimitHidesNothingElse(t *testing.T) {
-	l := newLeaver()
-	reborn := l.in
-	reborn.Born = 2
-	l.Update(reborn)
-	l.Note(reborn, notice.Notice{Leaving: true, LimitFault: errors.New("not a number")}, "r1")
-	if l.takes() {
+func TestInvalidLimitDoesNotHideLeaving(t *testing.T) {
+	l := newLeavingEndpoint()
+	restarted := l.in
+	restarted.Born = 2
+	l.Update(restarted)
+	l.Note(restarted, notice.Notice{Leaving: true, LimitFault: errors.New("not a number")}, "r1")
+	if l.getsWork() {
 		t.Error("the leaving endpoint got new work")
 	}
 }
 
 // Guards against datagrams that keep carrying notices which the other nodes know from entries or do
 // not need.
-func TestOnlyNewsIsToldToOtherNodes(t *testing.T) {
-	l := newLeaver()
-	if told := l.OwnLeaving(); len(told) != 1 {
-		t.Errorf("%d leaving endpoints to broadcast, want 1: the one whose entry does not say that it is leaving", len(told))
+func TestOnlyNewNoticesAreBroadcast(t *testing.T) {
+	l := newLeavingEndpoint()
+	if leaving := l.OwnLeaving(); len(leaving) != 1 {
+		t.Errorf("%d leaving endpoints to broadcast, want 1: the one whose entry does not say that it is leaving", len(leaving))
 	}
-	if told := l.OwnLimits(); len(told) != 0 {
-		t.Errorf("limits to broadcast of endpoints that have reported none: %v", told)
+	if limits := l.OwnLimits(); len(limits) != 0 {
+		t.Errorf("limits to broadcast of endpoints that have reported none: %v", limits)
 	}
 	l.now += time.Minute
-	if told := l.OwnLeaving(); len(told) != 1 {
-		t.Errorf("%d leaving endpoints to broadcast after a minute, want 1: the one whose entry does not say that it is leaving", len(told))
+	if leaving := l.OwnLeaving(); len(leaving) != 1 {
+		t.Errorf("%d leaving endpoints to broadcast after a minute, want 1: the one whose entry does not say that it is leaving", len(leaving))
 	}
 	entry := l.in
 	entry.Leaving = true
 	l.Update(entry)
-	if told := l.OwnLeaving(); len(told) != 0 {
-		t.Errorf("leaving endpoints to broadcast although the entry says that they are leaving: %v", told)
+	if leaving := l.OwnLeaving(); len(leaving) != 0 {
+		t.Errorf("leaving endpoints to broadcast although the entry says that they are leaving: %v", leaving)
 	}
 	second := fleet.Instance{ID: "i2", Service: "app", DataCentre: "dc1", Slots: 10, Leaving: true}
 	l.Update(second)
 	l.Changed = func(string) { t.Error("a notice that the entry already contains was broadcast at once") }
 	l.Note(second, notice.Notice{Leaving: true}, "r1")
 	l.Note(second, notice.Notice{Pause: time.Second}, "r2")
-	if told := append(l.OwnLeaving(), fleet.EndpointKey(len(l.OwnLimits()))); len(told) != 1 || told[0] != 0 {
-		t.Errorf("leaving endpoints and number of limits to broadcast: %v, want no endpoints and 0 limits", told)
+	if broadcast := append(l.OwnLeaving(), fleet.EndpointKey(len(l.OwnLimits()))); len(broadcast) != 1 || broadcast[0] != 0 {
+		t.Errorf("leaving endpoints and number of limits to broadcast: %v, want no endpoints and 0 limits", broadcast)
 	}
 }
 
 // Guards against health checks that exceed an endpoint's limit or are sent during its pause.
-func TestHealthChecksKeepLimitsAndPauses(t *testing.T) {
-	l := newLeaver()
+func TestHealthChecksRespectLimitsAndPauses(t *testing.T) {
+	l := newLeavingEndpoint()
 	service := &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Memory: 30_000}}
 	engine := fleet.Instance{ID: "e1", Service: "pool", DataCentre: "dc1", Slots: 10}
 	l.Update(engine)
--- a/fleet/limit_test.go
+++ b/fleet/limit_test.go
@@ -16,12 +16,12 @@
 // The bound that the users set for an endpoint with a limit: at most limitFactor times the limit
 // plus limitSlack requests in any limitWindow.
 const (
-	limitWindow = 4 * time.Second
-	limitFactor = 1.5
-	limitSlack  = 5
-	limitStep   = 20 * time.Millisecond
-	limitFor    = 12 * time.Second
-	limitSeeds  = 4
+	limitWindow   = 4 * time.Second
+	limitFactor   = 1.5
+	limitSlack    = 5
+	limitStep     = 20 * time.Millisecond
+	limitDuration = 12 * time.Second
+	limitSeeds    = 4
 )
 
 // limitAllows returns the maximum number of requests to the endpoint within limitWindow.
@@ -40,8 +40,8 @@
 // dayStart is the time of day at which simulated time begins.
 var dayStart = time.Unix(1_800_000_000, 0)
 
-// namesOf returns the names of the given number of nodes.
-func namesOf(random *rand.Rand, nodes int) []string {
+// randomNames returns the names of the given number of nodes.
+func randomNames(random *rand.Rand, nodes int) []string {
 	var names []string
 	for i := range nodes {
 		names = append(names, fmt.Sprintf("10.0.%d.%d-%d", i/250, i%250, random.Uint32()))
@@ -73,8 +73,8 @@
 	return p != nil
 }
 
-// sendsOf returns how many of the given number of simultaneous requests are sent.
-func (n *limitedNode) sendsOf(requests int) int {
+// countSent returns how many of the given number of simultaneous requests are sent.
+func (n *limitedNode) countSent(requests int) int {
 	sent := 0
 	for range requests {
 		if n.sends(time.Hour) {
@@ -84,8 +84,8 @@
 	return sent
 }
 
-// mostWithin returns the maximum number of the given times within any interval of the given length.
-func mostWithin(sent []time.Duration, length time.Duration) int {
+// maxWithin returns the maximum number of the given times within any interval of the given length.
+func maxWithin(sent []time.Duration, length time.Duration) int {
 	slices.Sort(sent)
 	most, from := 0, 0
 	for to := range sent {
@@ -99,13 +99,13 @@
 
 // Guards against nodes that together exceed the limit of an endpoint, although each has work for it
 // all the time and they do not communicate.
-func TestLimitedEndpointIsNotOverrun(t *testing.T) {
+func TestLimitIsNotExceeded(t *testing.T) {
 	for _, nodes := range []int{1, 7, 75, 300, 410} {
 		for _, perSecond := range []float64{0, 0.5, 2.2, 30} {
 			t.Run(fmt.Sprintf("%d nodes, %g a second", nodes, perSecond), func(t *testing.T) {
 				for seed := range uint64(limitSeeds) {
 					random := rand.New(rand.NewPCG(seed, 1))
-					names := namesOf(random, nodes)
+					names := randomNames(random, nodes)
 					var all []*limitedNode
 					var offsets []time.Duration
 					for i := range nodes {
@@ -115,14 +115,14 @@
 						offsets = append(offsets, offset)
 					}
 					var sent []time.Duration
-					for now := time.Duration(0); now < limitFor; now += limitStep {
+					for now := time.Duration(0); now < limitDuration; now += limitStep {
 						for i, n := range all {
 							if n.sends(offsets[i] + now) {
 								sent = append(sent, now)
 							}
 						}
 					}
-					if most := mostWithin(sent, limitWindow); most > limitAllows(perSecond) {
+					if most := maxWithin(sent, limitWindow); most > limitAllows(perSecond) {
 						t.Errorf("seed %d: %d requests in %v, want at most %d", seed, most, limitWindow, limitAllows(perSecond))
 					}
 				}
@@ -132,7 +132,7 @@
 }
 
 // Guards against a node that receives nothing from other nodes and uses the whole limit alone.
-func TestNodeThatKnowsNoOthersSendsNothingToALimitedEndpoint(t *testing.T) {
+func TestNodeWithoutRosterSendsNothingToALimitedEndpoint(t *testing.T) {
 	n := newLimitedNode(nil, 4, 0)
 	for now := time.Hour; now < time.Hour+limitWindow; now += limitStep {
 		if n.sends(now) {
@@ -144,22 +144,22 @@
 // Guards against a limit that stays in force after the endpoint has ended it, or that is applied to
 // another incarnation.
 func TestLimitEndsWhenTheEndpointNamesNone(t *testing.T) {
-	n := newLimitedNode(namesOf(rand.New(rand.NewPCG(1, 1)), 100), 0.5, 0)
+	n := newLimitedNode(randomNames(rand.New(rand.NewPCG(1, 1)), 100), 0.5, 0)
 	n.f.Note(n.in, notice.Notice{}, "r1")
-	if n.sendsOf(2) != 2 {
+	if n.countSent(2) != 2 {
 		t.Error("requests were held back after the endpoint ended its limit")
 	}
 	n.f.Note(n.in, notice.Notice{Limited: true, Limit: 0.5}, "r2")
-	reborn := n.in
-	reborn.Born = 1
-	n.f.Update(reborn)
-	if n.sendsOf(2) != 2 {
+	restarted := n.in
+	restarted.Born = 1
+	n.f.Update(restarted)
+	if n.countSent(2) != 2 {
 		t.Error("requests to a new incarnation without a limit were held back")
 	}
 }
 
 // Guards against a limit that is lost when the endpoint's entry is removed and added again.
-func TestLimitOutlivesTheEntry(t *testing.T) {
+func TestLimitSurvivesRemovalOfTheEntry(t *testing.T) {
 	n := newLimitedNode([]string{"10.0.0.1"}, 0.5, 0)
 	n.f.Remove(n.in.ID, false)
 	n.f.Update(n.in)
--- a/fleet/notice_model_test.go
+++ b/fleet/notice_model_test.go
@@ -17,8 +17,8 @@
 // modelNodes is the number of nodes that share a limit in the model.
 const modelNodes = 3
 
-// said is what an incarnation has reported, as far as any node knows.
-type said struct {
+// reportModel is what an incarnation has reported, as far as any node knows.
+type reportModel struct {
 	leaving     bool
 	pausedUntil time.Duration
 	limited     bool
@@ -26,9 +26,9 @@
 	limitAt     time.Duration
 	// sentAt is when the last request was sent to it under the limit in force; 0 for none.
 	sentAt time.Duration
-	// spoke is set once it has reported anything. Until then, an answer without a notice is
+	// hasReported is set once it has reported anything. Until then, an answer without a notice is
 	// remembered only while the fleet has not dropped the endpoint.
-	spoke bool
+	hasReported bool
 }
 
 // noticeModel is a fleet with three engines, and the model of what these have reported.
@@ -40,14 +40,14 @@
 	// present holds the engines whose entries exist, and known those that the fleet has not
 	// dropped.
 	present, known map[string]bool
-	said           map[fleet.EndpointKey]*said
+	reports        map[fleet.EndpointKey]*reportModel
 	running        []*fleet.Placement
 	held           []*fleet.Holding
 }
 
 func newNoticeModel() *noticeModel {
 	m := &noticeModel{
-		now: time.Hour, present: make(map[string]bool), known: make(map[string]bool), said: make(map[fleet.EndpointKey]*said),
+		now: time.Hour, present: make(map[string]bool), known: make(map[string]bool), reports: make(map[fleet.EndpointKey]*reportModel),
 		service: &routing.Service{Name: "pool", Engine: &routing.EngineSpec{
 			Slots: 24, Memory: 100_000, BytesPerToken: 18_432, LinkMbps: 2700, CanMove: true, CanBackUp: true, TokensPerEvent: 4,
 		}},
@@ -60,26 +60,26 @@
 	for i := range 3 {
 		in := fleet.Instance{ID: fmt.Sprint("e", i), Born: 1, Service: "pool", Address: fmt.Sprint(i), DataCentre: "dc1", Slots: 24}
 		m.engines = append(m.engines, in)
-		m.enter(in)
+		m.addEntry(in)
 	}
 	return m
 }
 
-func (m *noticeModel) enter(in fleet.Instance) {
+func (m *noticeModel) addEntry(in fleet.Instance) {
 	m.Update(in)
 	m.present[in.ID], m.known[in.ID] = true, true
 }
 
-func (m *noticeModel) of(in fleet.Instance) *said {
+func (m *noticeModel) reportsOf(in fleet.Instance) *reportModel {
 	key := in.Incarnation().Key()
-	if m.said[key] == nil {
-		m.said[key] = &said{}
+	if m.reports[key] == nil {
+		m.reports[key] = &reportModel{}
 	}
-	return m.said[key]
+	return m.reports[key]
 }
 
-// take records a limit, or the end of one, unless a later report is known.
-func (s *said) take(limited bool, limit float64, at time.Duration) {
+// setLimit records a limit, or the end of one, unless a later report is known.
+func (s *reportModel) setLimit(limited bool, limit float64, at time.Duration) {
 	if at < s.limitAt {
 		return
 	}
@@ -89,10 +89,10 @@
 	s.limited, s.limit, s.limitAt = limited, limit, at
 }
 
-// speaks returns the model of an incarnation that reports something.
-func (m *noticeModel) speaks(in fleet.Instance) *said {
-	s := m.of(in)
-	s.spoke = true
+// recordReport marks an incarnation as having reported something, and returns its model.
+func (m *noticeModel) recordReport(in fleet.Instance) *reportModel {
+	s := m.reportsOf(in)
+	s.hasReported = true
 	return s
 }
 
@@ -100,9 +100,9 @@
 	return fleet.Want{Service: m.service, Demand: fleet.Demand{Prompt: 100, Output: 400}, Longest: 400}
 }
 
-// sent checks a request that the fleet has placed against the reports of its endpoint.
-func (m *noticeModel) sent(t *rapid.T, way string, in fleet.Instance) {
-	s := m.of(in)
+// checkRequest checks a request that the fleet has placed against the reports of its endpoint.
+func (m *noticeModel) checkRequest(t *rapid.T, way string, in fleet.Instance) {
+	s := m.reportsOf(in)
 	if s.leaving {
 		t.Fatalf("%s: a request to %s, which has announced that it is leaving", way, in.ID)
 	}
@@ -120,10 +120,11 @@
 	s.sentAt = m.now
 }
 
-// free reports whether an engine is present that has reported nothing that keeps work away.
-func (m *noticeModel) free() bool {
+// hasFreeEngine reports whether an engine is present that has reported nothing that keeps work
+// away.
+func (m *noticeModel) hasFreeEngine() bool {
 	for _, in := range m.engines {
-		s := m.of(in)
+		s := m.reportsOf(in)
 		if m.present[in.ID] && !s.leaving && !s.limited && m.now >= s.pausedUntil {
 			return true
 		}
@@ -140,12 +141,12 @@
 	}
 	p, refusal := m.Acquire(context.Background(), m.want(), 0)
 	if refusal != nil {
-		if m.free() {
+		if m.hasFreeEngine() {
 			t.Fatalf("request refused (%v) although an engine is free", refusal)
 		}
 		return
 	}
-	m.sent(t, "new work", p.Instance())
+	m.checkRequest(t, "new work", p.Instance())
 	p.Produced(1)
 	m.running = append(m.running, p)
 }
@@ -155,7 +156,7 @@
 		return
 	}
 	if target := m.Target(m.running[0], m.want()); target != nil {
-		m.sent(t, "a move", target.Instance())
+		m.checkRequest(t, "a move", target.Instance())
 		target.Arrived()
 		m.running = append(m.running, target)
 	}
@@ -177,7 +178,7 @@
 	h := m.held[0]
 	m.held = m.held[1:]
 	if p := h.Take(10); p != nil {
-		m.sent(t, "a resumed run", p.Instance())
+		m.checkRequest(t, "a resumed run", p.Instance())
 		m.running = append(m.running, p)
 		return
 	}
@@ -193,16 +194,16 @@
 
 // Guards against new work, moves or resumed runs that ignore an endpoint's notices, after any order
 // of outdated entries and listings, restarts, reports of other nodes and pauses.
-func TestWhatEndpointsSayBindsAllWays(t *testing.T) {
+func TestNoticesApplyToAllRequests(t *testing.T) {
 	for range modelRounds {
-		rapid.Check(t, playNotices)
+		rapid.Check(t, checkNotices)
 	}
 }
 
 // modelRounds is the number of rapid checks, of 100 histories each.
 const modelRounds = 40
 
-func playNotices(t *rapid.T) {
+func checkNotices(t *rapid.T) {
 	m := newNoticeModel()
 	number := rapid.IntRange(0, 2)
 	rate := rapid.SampledFrom([]float64{0, 0.5, 3, 20})
@@ -219,22 +220,22 @@
 		"reports a limit": func(t *rapid.T) {
 			in, n := pick(), notice.Notice{Limited: true, Limit: rate.Draw(t, "rate")}
 			m.Note(*in, n, "r")
-			m.speaks(*in).take(true, n.Limit, m.now)
+			m.recordReport(*in).setLimit(true, n.Limit, m.now)
 		},
 		"reports nothing": func(*rapid.T) {
 			in := pick()
 			m.Note(*in, notice.Notice{}, "r")
-			if s := m.of(*in); s.spoke || m.known[in.ID] {
-				s.take(false, 0, m.now)
+			if s := m.reportsOf(*in); s.hasReported || m.known[in.ID] {
+				s.setLimit(false, 0, m.now)
 			}
 		},
 		"asks for a pause": func(t *rapid.T) {
 			in := pick()
 			pause := time.Duration(rapid.IntRange(1, 3000).Draw(t, "pause")) * time.Millisecond
 			m.Note(*in, notice.Notice{Pause: pause}, "r")
-			s := m.speaks(*in)
+			s := m.recordReport(*in)
 			s.pausedUntil = max(s.pausedUntil, m.now+pause)
-			s.take(false, 0, m.now)
+			s.setLimit(false, 0, m.now)
 		},
 		"announces that it is leaving": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "seldom") > 0 {
@@ -242,9 +243,9 @@
 			}
 			in := pick()
 			m.Note(*in, notice.Notice{Leaving: true}, "r")
-			s := m.speaks(*in)
+			s := m.recordReport(*in)
 			s.leaving = true
-			s.take(false, 0, m.now)
+			s.setLimit(false, 0, m.now)
 		},
 		"another node reports a limit": func(t *rapid.T) {
 			in := pick()
@@ -255,7 +256,7 @@
 				news.Limit = rate.Draw(t, "rate")
 			}
 			m.NoteRemote("10.0.0.2", []fleet.LimitNews{news})
-			m.speaks(*in).take(news.Limited, news.Limit, m.now-age)
+			m.recordReport(*in).setLimit(news.Limited, news.Limit, m.now-age)
 		},
 		"another node reports a leaving engine": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "seldom") > 0 {
@@ -263,9 +264,9 @@
 			}
 			in := pick()
 			m.NoteRemoteLeaving("10.0.0.2", []fleet.EndpointKey{in.Incarnation().Key()})
-			m.speaks(*in).leaving = true
+			m.recordReport(*in).leaving = true
 		},
-		"its entry is updated": func(*rapid.T) { m.enter(*pick()) },
+		"its entry is updated": func(*rapid.T) { m.addEntry(*pick()) },
 		"a full listing": func(*rapid.T) {
 			m.Replace(m.engines, false)
 			for _, in := range m.engines {
@@ -281,14 +282,14 @@
 				return
 			}
 			m.known[in.ID] = false
-			if s := m.of(*in); !s.spoke {
+			if s := m.reportsOf(*in); !s.hasReported {
 				s.limitAt = 0
 			}
 		},
 		"it restarts": func(*rapid.T) {
 			in := pick()
 			in.Born++
-			m.enter(*in)
+			m.addEntry(*in)
 		},
 		"tick": func(*rapid.T) { m.Tick() },
 	})
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -12,8 +12,8 @@
 
 const testPause = 3 * time.Second
 
-func newPausing() *leaver {
-	l := newLeaver()
+func newPausedEndpoint() *leavingEndpoint {
+	l := newLeavingEndpoint()
 	l.in.Born = 2
 	l.Update(l.in)
 	l.Note(l.in, notice.Notice{Pause: testPause}, "r1")
@@ -22,23 +22,23 @@
 
 // Guards against requests during a pause that an endpoint requested from this node, whatever
 // happens meanwhile, and against a pause that does not end.
-func TestEndpointThatAsksForAPauseGetsIt(t *testing.T) {
-	for name, after := range map[string]func(*leaver){
-		"no further event":                  func(*leaver) {},
-		"an answer without a notice":        func(l *leaver) { l.Note(l.in, notice.Notice{}, "r2") },
-		"a shorter pause":                   func(l *leaver) { l.Note(l.in, notice.Notice{Pause: time.Second}, "r2") },
-		"its entry removed and added again": func(l *leaver) { l.Remove(l.in.ID, false); l.Update(l.in) },
-		"a full listing":                    func(l *leaver) { l.Replace([]fleet.Instance{l.in}, false) },
+func TestPausedEndpointGetsNoRequests(t *testing.T) {
+	for name, after := range map[string]func(*leavingEndpoint){
+		"no further event":                  func(*leavingEndpoint) {},
+		"an answer without a notice":        func(l *leavingEndpoint) { l.Note(l.in, notice.Notice{}, "r2") },
+		"a shorter pause":                   func(l *leavingEndpoint) { l.Note(l.in, notice.Notice{Pause: time.Second}, "r2") },
+		"its entry removed and added again": func(l *leavingEndpoint) { l.Remove(l.in.ID, false); l.Update(l.in) },
+		"a full listing":                    func(l *leavingEndpoint) { l.Replace([]fleet.Instance{l.in}, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newPausing()
+			l := newPausedEndpoint()
 			after(l)
 			l.now += testPause - time.Millisecond
-			if l.takes() {
+			if l.getsWork() {
 				t.Error("the endpoint got a request during its pause")
 			}
 			l.now += time.Millisecond
-			if !l.takes() {
+			if !l.getsWork() {
 				t.Error("the endpoint got no request after its pause")
 			}
 		})
@@ -48,11 +48,11 @@
 // Guards against a restarted endpoint that gets no work because of a pause of its previous
 // incarnation.
 func TestNextIncarnationIsNotPaused(t *testing.T) {
-	l := newPausing()
-	reborn := l.in
-	reborn.Born = 3
-	l.Update(reborn)
-	if !l.takes() {
+	l := newPausedEndpoint()
+	restarted := l.in
+	restarted.Born = 3
+	l.Update(restarted)
+	if !l.getsWork() {
 		t.Error("the restarted endpoint got no work")
 	}
 }
@@ -60,7 +60,7 @@
 // Guards against callers that wait until their time is over although the pause is longer, and
 // against retry delays that end before the pause does.
 func TestWorkBeyondAPauseIsRefusedAtOnce(t *testing.T) {
-	l := newPausing()
+	l := newPausedEndpoint()
 	began := time.Now()
 	_, refusal := l.Acquire(context.Background(), fleet.Want{Service: l.service}, testPause/2)
 	if refusal == nil || refusal.Outcome != crocusreel.OutcomeNotRun || refusal.RetryAfter != testPause {
@@ -73,21 +73,21 @@
 
 // Guards against work that keeps waiting although the only endpoint has requested a pause that
 // exceeds the wait.
-func TestPauseEndsTheWaitOfWorkThatCannotBeServed(t *testing.T) {
-	l := newPausing()
+func TestPauseRefusesWaitingWorkThatCannotBeServed(t *testing.T) {
+	l := newPausedEndpoint()
 	l.now += testPause
-	full := l.service
-	for l.takes() && l.Waiting(full.Name) == 0 {
-		if _, refusal := l.Acquire(context.Background(), fleet.Want{Service: full}, 0); refusal != nil {
+	service := l.service
+	for l.getsWork() && l.Waiting(service.Name) == 0 {
+		if _, refusal := l.Acquire(context.Background(), fleet.Want{Service: service}, 0); refusal != nil {
 			break
 		}
 	}
 	ended := make(chan *crocusreel.Refusal, 1)
 	go func() {
-		_, refusal := l.Acquire(context.Background(), fleet.Want{Service: full}, testPause/2)
+		_, refusal := l.Acquire(context.Background(), fleet.Want{Service: service}, testPause/2)
 		ended <- refusal
 	}()
-	for l.Waiting(full.Name) == 0 {
+	for l.Waiting(service.Name) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	l.Note(l.in, notice.Notice{Pause: testPause}, "r2")
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against turns that are more or less frequent than the rate, or never come.
-func TestTurnsOfAllNodesMakeTheRate(t *testing.T) {
+func TestTurnsOfAllNodesAddUpToTheRate(t *testing.T) {
 	const nodes, perSecond, length = 40, 8.0, 100 * time.Second
 	turns := 0
 	for i := range nodes {
--- a/pace/slot.go
+++ b/pace/slot.go
@@ -35,8 +35,8 @@
 }
 
 // Until returns the time until the node may send; 0 if it may send now. Wall is the time of day,
-// now the time of a monotonic clock, and used the time of that clock at which the node last sent; 0
-// if it never did.
+// now the time of a monotonic clock, and lastSent the time of that clock at which the node last
+// sent; 0 if it never did.
 func (s Slots) Until(wall time.Time, now, lastSent time.Duration) time.Duration {
 	spacing := max(time.Duration(float64(time.Second)/s.PerSecond), minSlotSpacing)
 	slotCount := s.slotsPerPeriod()
--- a/pace/slot_test.go
+++ b/pace/slot_test.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	window    = 4 * time.Second
-	slotStep  = 20 * time.Millisecond
-	slotFor   = 60 * time.Second
-	slotSeeds = 40
+	window       = 4 * time.Second
+	slotStep     = 20 * time.Millisecond
+	slotDuration = 60 * time.Second
+	slotSeeds    = 40
 )
 
 // allowed returns the maximum number of requests within window for an endpoint with the limit
@@ -24,23 +24,23 @@
 // sender is a node that sends requests to the endpoint in its slots.
 type sender struct {
 	slots pace.Slots
-	// skew is the error of its time of day, offset the origin of its monotonic clock, and used the
-	// time of its last request by that clock.
-	skew, offset, used time.Duration
+	// skew is the error of its time of day, offset the origin of its monotonic clock, and lastSent
+	// the time of its last request by that clock.
+	skew, offset, lastSent time.Duration
 }
 
 func (s *sender) sends(now time.Duration) bool {
-	mine := s.offset + now
-	if s.slots.Until(time.Unix(1_800_000_000, 0).Add(now+s.skew), mine, s.used) > 0 {
+	monotonic := s.offset + now
+	if s.slots.Until(time.Unix(1_800_000_000, 0).Add(now+s.skew), monotonic, s.lastSent) > 0 {
 		return false
 	}
-	s.used = mine
+	s.lastSent = monotonic
 	return true
 }
 
-// crowd returns the given number of nodes. Each of them does not know up to lacking others, and its
-// time of day differs by up to skew.
-func crowd(random *rand.Rand, nodes, lacking int, skew time.Duration, perSecond float64) []*sender {
+// newSenders returns the given number of nodes. Each of them does not know up to maxUnknown others,
+// and its time of day differs by up to skew.
+func newSenders(random *rand.Rand, nodes, maxUnknown int, skew time.Duration, perSecond float64) []*sender {
 	var names []string
 	for range nodes {
 		names = append(names, fmt.Sprintf("10.%d.%d.%d", random.IntN(250), random.IntN(250), random.IntN(250)))
@@ -49,7 +49,7 @@
 	var all []*sender
 	for _, name := range names {
 		known := slices.Clone(names)
-		for range min(random.IntN(lacking+1), nodes-1) {
+		for range min(random.IntN(maxUnknown+1), nodes-1) {
 			i := random.IntN(len(known))
 			if known[i] != name {
 				known = slices.Delete(known, i, i+1)
@@ -65,16 +65,16 @@
 
 // Guards against slots of many nodes that lie close together, if all nodes have work for an
 // endpoint with a low limit all the time, or all start at the same moment.
-func TestSlotsOfManyNodesKeepEveryWindow(t *testing.T) {
+func TestSlotsOfManyNodesKeepTheLimitInEveryWindow(t *testing.T) {
 	for _, nodes := range []int{1, 7, 75, 300} {
 		for _, perSecond := range []float64{0.5, 1, 3, 10} {
 			t.Run(fmt.Sprintf("%d nodes, %g a second", nodes, perSecond), func(t *testing.T) {
 				for seed := range uint64(slotSeeds) {
 					random := rand.New(rand.NewPCG(seed, 5))
-					all := crowd(random, nodes, 2, 100*time.Millisecond, perSecond)
-					idle := time.Duration(seed%2) * slotFor / 2
+					all := newSenders(random, nodes, 2, 100*time.Millisecond, perSecond)
+					idle := time.Duration(seed%2) * slotDuration / 2
 					var sent []time.Duration
-					for now := time.Duration(0); now < slotFor; now += slotStep {
+					for now := time.Duration(0); now < slotDuration; now += slotStep {
 						for _, s := range all {
 							if now >= idle && s.sends(now) {
 								sent = append(sent, now)
@@ -91,7 +91,7 @@
 					if most > allowed(perSecond) {
 						t.Errorf("seed %d: %d requests in %v, want at most %d", seed, most, window, allowed(perSecond))
 					}
-					if least := int(0.5 * perSecond * (slotFor - idle).Seconds()); perSecond >= 1 && len(sent) < least {
+					if least := int(0.5 * perSecond * (slotDuration - idle).Seconds()); perSecond >= 1 && len(sent) < least {
 						t.Errorf("seed %d: %d requests were sent, want at least %d", seed, len(sent), least)
 					}
 				}
@@ -101,18 +101,18 @@
 }
 
 // Guards against a node that uses its slot more than once per period because its time of day jumps.
-func TestJumpsOfTheTimeOfDayGiveNoMoreSlots(t *testing.T) {
+func TestClockJumpsGiveNoMoreSlots(t *testing.T) {
 	const perSecond = 3.0
 	random := rand.New(rand.NewPCG(1, 6))
-	s := crowd(random, 7, 0, 0, perSecond)[0]
+	s := newSenders(random, 7, 0, 0, perSecond)[0]
 	sent := 0
-	for now := time.Duration(0); now < slotFor; now += slotStep {
+	for now := time.Duration(0); now < slotDuration; now += slotStep {
 		s.skew = time.Duration(random.Int64N(int64(10*time.Second))) - 5*time.Second
 		if s.sends(now) {
 			sent++
 		}
 	}
-	if most := int(2*pace.LimitRate(perSecond)/7*slotFor.Seconds()) + 1; sent > most {
+	if most := int(2*pace.LimitRate(perSecond)/7*slotDuration.Seconds()) + 1; sent > most {
 		t.Errorf("%d requests, want at most twice the share of one of 7 nodes: %d", sent, most)
 	}
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -14,7 +14,7 @@
 // once after an outage. Endpoints count over a sliding window; a budget that accumulates over quiet
 // minutes would be spent within a second. First attempts are counted over the window and the slice
 // before it.
-func TestNoWindowHoldsMoreRepeatsThanItsShare(t *testing.T) {
+func TestRetriesAreLimitedInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
 		now := time.Hour
@@ -23,19 +23,19 @@
 			Now: func() time.Duration { return now }, Nodes: func() int { return 2 },
 		}
 		w := set.Get("service")
-		var firsts, repeats []time.Duration
+		var firsts, retries []time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "first") {
 				w.Earn()
 				firsts = append(firsts, now)
 			} else if w.Spend() {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
-			spent := within(repeats, end-length+time.Second, end)
-			earned := within(firsts, end-length-time.Second, end)
+		for _, end := range retries {
+			spent := countWithin(retries, end-length+time.Second, end)
+			earned := countWithin(firsts, end-length-time.Second, end)
 			if float64(spent) > 0.2*float64(earned)+20/2 {
 				t.Fatalf("%d retries for %d first attempts in the window up to %s", spent, earned, end)
 			}
@@ -43,7 +43,7 @@
 	})
 }
 
-func within(times []time.Duration, from, to time.Duration) int {
+func countWithin(times []time.Duration, from, to time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if at > from && at <= to {
@@ -54,7 +54,7 @@
 }
 
 // Guards against nodes that each use the whole slack, which is shared, and together exceed it.
-func TestSlackIsSharedByTheLiveNodes(t *testing.T) {
+func TestSlackIsSharedByAllNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	spent := func(nodes int) int {
 		set := &retry.Windows{
