--- a/client/retry.go
+++ b/client/retry.go
@@ -69,7 +69,7 @@
 }
 
 func (c *Client) newAttempts(meta Meta) *attempts {
-	c.budget.Earn()
+	c.budget.RecordAttempt()
 	return &attempts{client: c, meta: meta, number: 1, failed: map[string]bool{}, uncertain: meta.Resent}
 }
 
@@ -121,7 +121,7 @@
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < wait {
 		return false
 	}
-	if !a.client.budget.Spend() {
+	if !a.client.budget.AllowRetry() {
 		return false
 	}
 	if !retry.Sleep(ctx, wait) {
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -80,7 +80,7 @@
 
 func (c *call) run(ctx context.Context) callResult {
 	limits := c.snap.config.Limits
-	c.g.budgets.Get(c.Workspace.Name, limits.RetryRatio).Earn()
+	c.g.budgets.Get(c.Workspace.Name, limits.RetryRatio).RecordAttempt()
 	var tries outcomes
 	for attempt := 1; ; attempt++ {
 		res := c.attempt(ctx, attempt)
@@ -113,7 +113,7 @@
 		return callResult{refusal: crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, lostRetryAfter, "no endpoint serves %q", c.route.Prefix)}
 	}
 	if number == 1 {
-		c.g.endpointBudgets.Get(spec.Name, c.snap.config.Limits.RetryRatio).Earn()
+		c.g.endpointBudgets.Get(spec.Name, c.snap.config.Limits.RetryRatio).RecordAttempt()
 	} else if !c.g.payRetry(c.Workspace.Name, spec.Name, c.snap.config.Limits.RetryRatio) {
 		return callResult{refusal: crocusreel.Refuse(crocusreel.ReasonRateLimit, crocusreel.OutcomeNotRun, lostRetryAfter, "no retry is left in the budget")}
 	}
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -84,7 +84,7 @@
 func (r *generation) run(ctx context.Context) *crocusreel.Refusal {
 	limits := r.snap.config.Limits
 	budget := r.g.budgets.Get(r.Workspace.Name, limits.RetryRatio)
-	budget.Earn()
+	budget.RecordAttempt()
 	var tries outcomes
 	for attempt := 1; ; attempt++ {
 		v := r.attempt(ctx)
@@ -97,7 +97,7 @@
 		}
 		// Endpoints need no budget of their own here: their scheduler's permits bound
 		// what retries can send them.
-		if !budget.Spend() {
+		if !budget.AllowRetry() {
 			metrics.Count("retry_denied")
 			return r.g.endClaim(ctx, r.claim, v.refusal)
 		}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -63,7 +63,7 @@
 // that would get it. Without a budget for each endpoint the retries of many
 // workspaces, each within its own, add up at the last service that is alive.
 func (g *Gateway) payRetry(workspace, endpoint string, ratio float64) bool {
-	if g.endpointBudgets.Get(endpoint, ratio).Spend() && g.budgets.Get(workspace, ratio).Spend() {
+	if g.endpointBudgets.Get(endpoint, ratio).AllowRetry() && g.budgets.Get(workspace, ratio).AllowRetry() {
 		return true
 	}
 	metrics.Count("retry_denied")
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -175,7 +175,7 @@
 func (l *Relay) Serve(ctx context.Context, r *Request, sink Sink) Verdict {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	l.Budgets.Get(r.Service.Name).Earn()
+	l.Budgets.Get(r.Service.Name).RecordAttempt()
 	job := &job{Relay: l, r: r, sink: sink}
 	if n := l.Strikes.Count(r.Fingerprint); n >= strikeLimit {
 		return Verdict{Refusal: job.suspect(n)}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -26,15 +26,15 @@
 	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// Earn records a first attempt.
-func (b *Budget) Earn() {
+// RecordAttempt records a first attempt.
+func (b *Budget) RecordAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
-// Spend takes one retry from the budget. It returns false if none is left.
-func (b *Budget) Spend() bool {
+// AllowRetry takes one retry from the budget. It returns false if none is left.
+func (b *Budget) AllowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -18,9 +18,9 @@
 		firsts, retries := 0, 0
 		for _, first := range rapid.SliceOf(rapid.Bool()).Draw(t, "events") {
 			if first {
-				b.Earn()
+				b.RecordAttempt()
 				firsts++
-			} else if b.Spend() {
+			} else if b.AllowRetry() {
 				retries++
 			}
 		}
--- a/retry/window.go
+++ b/retry/window.go
@@ -72,16 +72,16 @@
 	}
 }
 
-// Earn records a first attempt.
-func (w *Window) Earn() {
+// RecordAttempt records a first attempt.
+func (w *Window) RecordAttempt() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
 	w.attempts[w.head%windowSlices]++
 }
 
-// Spend records a retry and returns true, or returns false if no retry is left in the window.
-func (w *Window) Spend() bool {
+// AllowRetry records a retry and returns true, or returns false if no retry is left in the window.
+func (w *Window) AllowRetry() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -27,9 +27,9 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "first") {
-				w.Earn()
+				w.RecordAttempt()
 				firsts = append(firsts, now)
-			} else if w.Spend() {
+			} else if w.AllowRetry() {
 				retries = append(retries, now)
 			}
 		}
@@ -62,7 +62,7 @@
 			Now: func() time.Duration { return time.Hour }, Nodes: func() int { return nodes },
 		}
 		n := 0
-		for set.Get("service").Spend() {
+		for set.Get("service").AllowRetry() {
 			n++
 		}
 		return n
