--- a/endpoint/notice.go
+++ b/endpoint/notice.go
@@ -19,7 +19,7 @@
 // readNotice reads what an endpoint says of itself in the head of an answer.
 func readNotice(status int, h http.Header) notice.Notice {
 	n := notice.Notice{Leaving: h.Get(HeaderLeaving) == leavingYes}
-	n.Limit, n.Limited, n.LimitFault = notice.ParseLimit(HeaderRequestLimit, h.Get(HeaderRequestLimit))
-	n.Pause, n.PauseFault = notice.ParsePause(status, h)
+	n.Limit, n.Limited, n.LimitErr = notice.ParseLimit(HeaderRequestLimit, h.Get(HeaderRequestLimit))
+	n.Pause, n.PauseErr = notice.ParsePause(status, h)
 	return n
 }
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -107,7 +107,7 @@
 	restarted := l.in
 	restarted.Born = 2
 	l.Update(restarted)
-	l.Note(restarted, notice.Notice{Leaving: true, LimitFault: errors.New("not a number")}, "r1")
+	l.Note(restarted, notice.Notice{Leaving: true, LimitErr: errors.New("not a number")}, "r1")
 	if l.getsWork() {
 		t.Error("the leaving endpoint got new work")
 	}
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -107,11 +107,11 @@
 	if changed {
 		known.announcedAt = f.now()
 	}
-	if n.LimitFault == nil {
+	if n.LimitErr == nil {
 		// If the limit cannot be parsed, the previous one stays in force.
 		changed = f.setOwnLimitLocked(key, known, n) || changed
 	}
-	faulty := n.Fault() != nil
+	faulty := n.Err() != nil
 	unread := faulty && !known.unreadable
 	known.unreadable = faulty
 	paused := f.startPauseLocked(in.Service, known, n.Pause)
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -51,13 +51,13 @@
 		known = &noticed{}
 		n.known[address] = known
 	}
-	faulty := said.Fault() != nil
+	faulty := said.Err() != nil
 	if faulty && !known.unreadable {
 		metrics.Count("endpoint_notice_unreadable")
-		n.log.Warn("endpoint's answer not readable", zap.String("address", address), zap.Error(said.Fault()))
+		n.log.Warn("endpoint's answer not readable", zap.String("address", address), zap.Error(said.Err()))
 	}
 	known.unreadable = faulty
-	if said.LimitFault != nil {
+	if said.LimitErr != nil {
 		// The limit before holds on.
 		said.Limited, said.Limit = known.last.Limited, known.last.Limit
 	}
--- a/node/notices.go
+++ b/node/notices.go
@@ -17,7 +17,7 @@
 		zap.String("address", c.Instance.Address), zap.String("request", c.Request),
 		zap.String("node", c.Node), zap.Duration("age", c.Age),
 	}
-	if err := c.Notice.Fault(); err != nil {
+	if err := c.Notice.Err(); err != nil {
 		metrics.Count("endpoint_notice_unreadable")
 		n.log.Warn("endpoint's answer not readable", append(fields, zap.Error(err))...)
 	}
@@ -29,7 +29,7 @@
 		metrics.Count("endpoint_pauses")
 		n.log.Info("endpoint asks for a pause", append(fields, zap.Duration("for", c.Notice.Pause))...)
 	}
-	if c.Notice.LimitFault == nil && (c.Notice.Limited != c.Before.Limited || c.Notice.Limit != c.Before.Limit) {
+	if c.Notice.LimitErr == nil && (c.Notice.Limited != c.Before.Limited || c.Notice.Limit != c.Before.Limit) {
 		n.limitChanged(c, fields)
 	}
 }
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -17,22 +17,22 @@
 	// that it accepts from all VMs together.
 	Limited bool
 	Limit   float64
-	// LimitFault is the error in parsing the limit; nil if there is none.
-	LimitFault error
+	// LimitErr is the error in parsing the limit; nil if there is none.
+	LimitErr error
 	// Leaving is set if the endpoint is about to stop.
 	Leaving bool
 	// Pause is how long an endpoint that refused a request wants no further requests from this VM;
 	// 0 for no pause.
 	Pause time.Duration
-	// PauseFault is the error in parsing the pause; nil if there is none.
-	PauseFault error
+	// PauseErr is the error in parsing the pause; nil if there is none.
+	PauseErr error
 }
 
 // Empty reports whether the endpoint reported nothing.
 func (n Notice) Empty() bool { return n == Notice{} }
 
-// Fault returns the errors in parsing the notice, joined; nil if there are none.
-func (n Notice) Fault() error { return errors.Join(n.LimitFault, n.PauseFault) }
+// Err returns the errors in parsing the notice, joined; nil if there are none.
+func (n Notice) Err() error { return errors.Join(n.LimitErr, n.PauseErr) }
 
 // ParseLimit parses text, the value of the named header, as a number of requests per second.
 // Limited is false if text is empty or invalid.
