--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -69,7 +69,7 @@
 		return true
 	}
 	began, next := pace.Turn(f.Name, uint32(e.key), population.Nodes, coldShare*s.ColdPerSecond, now)
-	if now-began < pace.Length && e.coldUsedAt < began {
+	if now-began < pace.TurnLength && e.coldUsedAt < began {
 		return true
 	}
 	f.wakeLocked(now, min(next, until)-now)
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -139,7 +139,7 @@
 		return 0
 	}
 	slots := pace.Slots{
-		Rank: pace.Rank(n.vm, gateways, pace.Key(e.Name)), Nodes: max(len(gateways), 1), PerSecond: pace.LimitRate(known.last.Limit),
+		Rank: pace.Rank(n.vm, gateways, pace.EndpointKey(e.Name)), Nodes: max(len(gateways), 1), PerSecond: pace.LimitRate(known.last.Limit),
 	}
 	return slots.Until(n.now(), now, known.turnUsed)
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Length is how long a turn can be used. An unused turn is lost, so that nodes with unused turns
-// cannot use them all at the same moment.
-const Length = 100 * time.Millisecond
+// TurnLength is how long a turn can be used. An unused turn is lost, so that nodes with unused
+// turns cannot use them all at the same moment.
+const TurnLength = 100 * time.Millisecond
 
 const (
 	// limitShare is the share of an endpoint's limit that is used. The remainder covers requests
@@ -57,8 +57,8 @@
 	return x
 }
 
-// Key returns the number that identifies the endpoint with the given name in Rank and Turn.
-func Key(name string) uint32 {
+// EndpointKey returns the number that identifies the endpoint with the given name in Rank and Turn.
+func EndpointKey(name string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum32()
