--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -84,7 +84,7 @@
 		},
 		Services: map[string]*routing.Service{
 			"app":  {Name: "app"},
-			"pool": {Name: "pool", Engine: &routing.EngineSpec{Slots: 24, Memory: 30_000, TokensPerEvent: 4}},
+			"pool": {Name: "pool", Engine: &routing.EngineSpec{Slots: 24, CacheTokens: 30_000, TokensPerEvent: 4}},
 		},
 		Limits:    routing.Limits{MaxBodyBytes: 1000},
 		Keys:      map[string]*routing.Workspace{"key": {Name: "ws"}},
--- a/fleet/coldreturn_test.go
+++ b/fleet/coldreturn_test.go
@@ -45,7 +45,7 @@
 		name: "generations", perCentre: 12, rate: 66,
 		service: routing.Service{
 			Name: "s", ColdStart: 2 * time.Second, ColdPerSecond: coldRate,
-			Engine: &routing.EngineSpec{Slots: 24, Memory: 21_861, BytesPerToken: 18_432, LinkMbps: 2700},
+			Engine: &routing.EngineSpec{Slots: 24, CacheTokens: 21_861, BytesPerToken: 18_432, LinkMbps: 2700},
 		},
 		size: func(random *rand.Rand) fleet.Demand {
 			if random.Float64() < 0.34 {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 
 var (
 	// pool is an engine service of the size of the users' engines.
-	pool = &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Slots: 24, Memory: 34_000, BytesPerToken: 18_432, LinkMbps: 2700}}
+	pool = &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Slots: 24, CacheTokens: 34_000, BytesPerToken: 18_432, LinkMbps: 2700}}
 	app  = &routing.Service{Name: "app"}
 )
 
--- a/fleet/holding.go
+++ b/fleet/holding.go
@@ -52,10 +52,10 @@
 		}
 		load := e.total()
 		used := load.Tokens + load.Held
-		if float64(used+need) > backupShare*float64(spec.Memory) {
+		if float64(used+need) > backupShare*float64(spec.CacheTokens) {
 			continue
 		}
-		cost := float64(used)/float64(spec.Memory) + f.random.Float64()*backupSpread
+		cost := float64(used)/float64(spec.CacheTokens) + f.random.Float64()*backupSpread
 		if best == nil || cost < bestCost {
 			best, bestCost = e, cost
 		}
@@ -78,7 +78,7 @@
 			continue
 		}
 		tokens += e.total().Tokens
-		memory += s.Engine.Memory
+		memory += s.Engine.CacheTokens
 	}
 	return float64(tokens) / float64(max(memory, 1))
 }
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -146,7 +146,7 @@
 // Guards against health checks that exceed an endpoint's limit or are sent during its pause.
 func TestHealthChecksRespectLimitsAndPauses(t *testing.T) {
 	l := newLeavingEndpoint()
-	service := &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Memory: 30_000}}
+	service := &routing.Service{Name: "pool", Engine: &routing.EngineSpec{CacheTokens: 30_000}}
 	engine := fleet.Instance{ID: "e1", Service: "pool", DataCentre: "dc1", Slots: 10}
 	l.Update(engine)
 	if _, refusal := l.Acquire(context.Background(), fleet.Want{Service: service, Demand: fleet.Demand{Prompt: 10, Output: 10}}, 0); refusal != nil {
--- a/fleet/notice_model_test.go
+++ b/fleet/notice_model_test.go
@@ -49,7 +49,7 @@
 	m := &noticeModel{
 		now: time.Hour, present: make(map[string]bool), known: make(map[string]bool), reports: make(map[fleet.EndpointKey]*reportModel),
 		service: &routing.Service{Name: "pool", Engine: &routing.EngineSpec{
-			Slots: 24, Memory: 100_000, BytesPerToken: 18_432, LinkMbps: 2700, CanMove: true, CanBackUp: true, TokensPerEvent: 4,
+			Slots: 24, CacheTokens: 100_000, BytesPerToken: 18_432, LinkMbps: 2700, CanMove: true, CanBackUp: true, TokensPerEvent: 4,
 		}},
 	}
 	m.Fleet = fleet.New("dc1", func() time.Duration { return m.now })
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -161,7 +161,7 @@
 		return false
 	}
 	need := float64(load.Tokens + load.Held + w.Demand.Tokens())
-	return (need <= f.memoryShare(w)*float64(spec.Memory) || load.Count == 0) &&
+	return (need <= f.memoryShare(w)*float64(spec.CacheTokens) || load.Count == 0) &&
 		(w.from != nil || load.Unread <= maxUnread || f.Without[UnreadBound])
 }
 
@@ -178,7 +178,7 @@
 		cost += missingCost
 	}
 	if spec := w.Service.Engine; spec != nil {
-		share := float64(load.Tokens) / float64(max(spec.Memory, 1))
+		share := float64(load.Tokens) / float64(max(spec.CacheTokens, 1))
 		return cost + share + unreadCost*float64(load.Unread)/readRate
 	}
 	return cost + float64(load.Count)/float64(max(e.Slots, 1))
--- a/fleet/turn_test.go
+++ b/fleet/turn_test.go
@@ -28,7 +28,7 @@
 	regularly = 600 * time.Millisecond
 )
 
-var crowdPool = &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Slots: 24, Memory: crowdMemory}}
+var crowdPool = &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Slots: 24, CacheTokens: crowdMemory}}
 
 // crowd is many nodes with one clock and datagrams that take their time.
 type crowd struct {
--- a/relay/decisions_test.go
+++ b/relay/decisions_test.go
@@ -16,7 +16,7 @@
 
 // spec is an engine of the users: 18,432 bytes a token over 2,700 Mbit/s are 18,300
 // tokens a second.
-var spec = &routing.EngineSpec{Slots: 24, Memory: 34_360, BytesPerToken: 18_432, LinkMbps: 2700, CanMove: true, TokensPerEvent: 4}
+var spec = &routing.EngineSpec{Slots: 24, CacheTokens: 34_360, BytesPerToken: 18_432, LinkMbps: 2700, CanMove: true, TokensPerEvent: 4}
 
 var _ = Describe("the order in which runs leave an engine", func() {
 	// Engines are reclaimed 1.5 to 2.1 s after their notice. Nine runs of 4,000 tokens
--- a/routing/configuration.go
+++ b/routing/configuration.go
@@ -69,8 +69,8 @@
 type EngineSpec struct {
 	// Slots is the maximum number of generations in one batch.
 	Slots int
-	// Memory is the size of an engine's KV cache, in tokens.
-	Memory int
+	// CacheTokens is the size of an engine's KV cache, in tokens.
+	CacheTokens int
 	// BytesPerToken is the size of one token in the KV cache.
 	BytesPerToken float64
 	// LinkMbps is the bandwidth of an engine's link for moves, in Mbit/s.
