--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -30,7 +30,7 @@
 	roster := &fleet.Roster{Names: []string{""}}
 	l.Roster = func() *fleet.Roster { return roster }
 	l.Update(l.in)
-	l.Note(l.in, notice.Notice{Leaving: true}, "r0")
+	l.RecordNotice(l.in, notice.Notice{Leaving: true}, "r0")
 	return l
 }
 
@@ -48,7 +48,7 @@
 func TestLeavingEndpointGetsNoWork(t *testing.T) {
 	for name, after := range map[string]func(*leavingEndpoint){
 		"no further event":                  func(*leavingEndpoint) {},
-		"an answer without a notice":        func(l *leavingEndpoint) { l.Note(l.in, notice.Notice{}, "r1") },
+		"an answer without a notice":        func(l *leavingEndpoint) { l.RecordNotice(l.in, notice.Notice{}, "r1") },
 		"its unchanged entry":               func(l *leavingEndpoint) { l.Update(l.in) },
 		"a full listing":                    func(l *leavingEndpoint) { l.Replace([]fleet.Instance{l.in}, true) },
 		"its entry removed and added again": func(l *leavingEndpoint) { l.Remove(l.in.ID, false); l.Update(l.in) },
@@ -82,7 +82,7 @@
 	restarted.Born = 2
 	l.Update(restarted)
 	l.Unhealthy(restarted.Incarnation().Key())
-	l.Note(restarted, notice.Notice{Leaving: true}, "r1")
+	l.RecordNotice(restarted, notice.Notice{Leaving: true}, "r1")
 	l.now += time.Minute
 	if reinstated := l.Reinstate(4 * time.Second); len(reinstated) > 0 || l.getsWork() {
 		t.Errorf("leaving endpoint was reinstated or got new work; reinstated: %v", reinstated)
@@ -107,7 +107,7 @@
 	restarted := l.in
 	restarted.Born = 2
 	l.Update(restarted)
-	l.Note(restarted, notice.Notice{Leaving: true, LimitErr: errors.New("not a number")}, "r1")
+	l.RecordNotice(restarted, notice.Notice{Leaving: true, LimitErr: errors.New("not a number")}, "r1")
 	if l.getsWork() {
 		t.Error("the leaving endpoint got new work")
 	}
@@ -136,8 +136,8 @@
 	second := fleet.Instance{ID: "i2", Service: "app", DataCentre: "dc1", Slots: 10, Leaving: true}
 	l.Update(second)
 	l.Changed = func(string) { t.Error("a notice that the entry already contains was broadcast at once") }
-	l.Note(second, notice.Notice{Leaving: true}, "r1")
-	l.Note(second, notice.Notice{Pause: time.Second}, "r2")
+	l.RecordNotice(second, notice.Notice{Leaving: true}, "r1")
+	l.RecordNotice(second, notice.Notice{Pause: time.Second}, "r2")
 	if broadcast := append(l.OwnLeaving(), fleet.EndpointKey(len(l.OwnLimits()))); len(broadcast) != 1 || broadcast[0] != 0 {
 		t.Errorf("leaving endpoints and number of limits to broadcast: %v, want no endpoints and 0 limits", broadcast)
 	}
@@ -153,7 +153,7 @@
 		t.Fatal(refusal)
 	}
 	const perSecond = 2.0
-	l.Note(engine, notice.Notice{Limited: true, Limit: perSecond}, "r1")
+	l.RecordNotice(engine, notice.Notice{Limited: true, Limit: perSecond}, "r1")
 	checks := 0
 	for end := l.now + limitWindow; l.now < end; l.now += limitStep {
 		checks += len(l.Busy("pool", "dc1"))
@@ -161,7 +161,7 @@
 	if checks == 0 || checks > limitAllows(perSecond) {
 		t.Errorf("%d health checks in %v, want at least 1 and no more than the limit allows", checks, limitWindow)
 	}
-	l.Note(engine, notice.Notice{Pause: testPause}, "r2")
+	l.RecordNotice(engine, notice.Notice{Pause: testPause}, "r2")
 	if busy := l.Busy("pool", "dc1"); len(busy) != 0 {
 		t.Errorf("health checks during the pause: %v", busy)
 	}
--- a/fleet/limit_test.go
+++ b/fleet/limit_test.go
@@ -63,7 +63,7 @@
 	}
 	n.f.Wall = func() time.Time { return dayStart.Add(n.now - offset) }
 	n.f.Update(n.in)
-	n.f.Note(n.in, notice.Notice{Limited: true, Limit: perSecond}, "r0")
+	n.f.RecordNotice(n.in, notice.Notice{Limited: true, Limit: perSecond}, "r0")
 	return n
 }
 
@@ -145,11 +145,11 @@
 // another incarnation.
 func TestLimitEndsWhenTheEndpointNamesNone(t *testing.T) {
 	n := newLimitedNode(randomNames(rand.New(rand.NewPCG(1, 1)), 100), 0.5, 0)
-	n.f.Note(n.in, notice.Notice{}, "r1")
+	n.f.RecordNotice(n.in, notice.Notice{}, "r1")
 	if n.countSent(2) != 2 {
 		t.Error("requests were held back after the endpoint ended its limit")
 	}
-	n.f.Note(n.in, notice.Notice{Limited: true, Limit: 0.5}, "r2")
+	n.f.RecordNotice(n.in, notice.Notice{Limited: true, Limit: 0.5}, "r2")
 	restarted := n.in
 	restarted.Born = 1
 	n.f.Update(restarted)
--- a/fleet/missing_test.go
+++ b/fleet/missing_test.go
@@ -52,7 +52,7 @@
 	// Guards against health checks during a pause that the endpoint requested.
 	It("gets no health check during its pause", func() {
 		in := missing("dc1")
-		w.Note(in, notice.Notice{Pause: time.Minute}, "r")
+		w.RecordNotice(in, notice.Notice{Pause: time.Minute}, "r")
 		Expect(w.Unvouched(service, "dc1")).To(BeEmpty())
 	})
 
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -87,9 +87,9 @@
 	return known
 }
 
-// Note records the notice in an answer that an incarnation has just given. Request is the ID of the
-// request that was answered; it is empty for an order or a health check.
-func (f *Fleet) Note(in Instance, n notice.Notice, request string) {
+// RecordNotice records the notice in an answer that an incarnation has just given. Request is the
+// ID of the request that was answered; it is empty for an order or a health check.
+func (f *Fleet) RecordNotice(in Instance, n notice.Notice, request string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := in.Incarnation().Key()
@@ -178,9 +178,9 @@
 	return keys[:min(len(keys), maxBroadcastLeaving)]
 }
 
-// NoteRemoteLeaving records the endpoints that have announced to another node that they are about
+// RecordRemoteLeaving records the endpoints that have announced to another node that they are about
 // to stop.
-func (f *Fleet) NoteRemoteLeaving(node string, keys []EndpointKey) {
+func (f *Fleet) RecordRemoteLeaving(node string, keys []EndpointKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, key := range keys {
@@ -193,10 +193,11 @@
 	}
 }
 
-// NoteAt records the notice in an answer to an order or a health check, which is known only by the
-// endpoint's address. The notice is ignored if the address does not belong to exactly one endpoint.
-// An empty notice does not end a limit, because another process may have the address now.
-func (f *Fleet) NoteAt(address string, n notice.Notice) {
+// RecordNoticeByAddress records the notice in an answer to an order or a health check, which is
+// known only by the endpoint's address. The notice is ignored if the address does not belong to
+// exactly one endpoint. An empty notice does not end a limit, because another process may have the
+// address now.
+func (f *Fleet) RecordNoticeByAddress(address string, n notice.Notice) {
 	if n.Empty() {
 		return
 	}
@@ -209,13 +210,13 @@
 	}
 	f.mu.Unlock()
 	if len(at) == 1 {
-		f.Note(at[0], n, "")
+		f.RecordNotice(at[0], n, "")
 	}
 }
 
-// LimitNews is the latest limit of an endpoint, or the end of its limit, in the endpoint's answers
-// to one node.
-type LimitNews struct {
+// LimitReport is the latest limit of an endpoint, or the end of its limit, in the endpoint's
+// answers to one node.
+type LimitReport struct {
 	Key     EndpointKey
 	Limited bool
 	Limit   float64
@@ -226,24 +227,24 @@
 // OwnLimits returns the limits that endpoints have recently reported to this node, for broadcast to
 // the other nodes, newest first. Limits reported by other nodes are not forwarded: their age lacks
 // the transit time, and the error would grow with each hop.
-func (f *Fleet) OwnLimits() []LimitNews {
+func (f *Fleet) OwnLimits() []LimitReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	var reports []LimitNews
+	var reports []LimitReport
 	for key, n := range f.notices {
 		if age := now - n.ownLimitAt; n.ownReported && age < limitBroadcastTime {
-			reports = append(reports, LimitNews{Key: key, Limited: n.ownLimit.isSet, Limit: n.ownLimit.perSecond, Age: age})
+			reports = append(reports, LimitReport{Key: key, Limited: n.ownLimit.isSet, Limit: n.ownLimit.perSecond, Age: age})
 		}
 	}
-	slices.SortFunc(reports, func(a, b LimitNews) int {
+	slices.SortFunc(reports, func(a, b LimitReport) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Key, b.Key))
 	})
 	return reports[:min(len(reports), maxBroadcastLimits)]
 }
 
-// NoteRemote records the limits that endpoints have reported to another node.
-func (f *Fleet) NoteRemote(node string, reports []LimitNews) {
+// RecordRemoteLimits records the limits that endpoints have reported to another node.
+func (f *Fleet) RecordRemoteLimits(node string, reports []LimitReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
--- a/fleet/notice_model_test.go
+++ b/fleet/notice_model_test.go
@@ -219,12 +219,12 @@
 		},
 		"reports a limit": func(t *rapid.T) {
 			in, n := pick(), notice.Notice{Limited: true, Limit: rate.Draw(t, "rate")}
-			m.Note(*in, n, "r")
+			m.RecordNotice(*in, n, "r")
 			m.recordReport(*in).setLimit(true, n.Limit, m.now)
 		},
 		"reports nothing": func(*rapid.T) {
 			in := pick()
-			m.Note(*in, notice.Notice{}, "r")
+			m.RecordNotice(*in, notice.Notice{}, "r")
 			if s := m.reportsOf(*in); s.hasReported || m.known[in.ID] {
 				s.setLimit(false, 0, m.now)
 			}
@@ -232,7 +232,7 @@
 		"asks for a pause": func(t *rapid.T) {
 			in := pick()
 			pause := time.Duration(rapid.IntRange(1, 3000).Draw(t, "pause")) * time.Millisecond
-			m.Note(*in, notice.Notice{Pause: pause}, "r")
+			m.RecordNotice(*in, notice.Notice{Pause: pause}, "r")
 			s := m.recordReport(*in)
 			s.pausedUntil = max(s.pausedUntil, m.now+pause)
 			s.setLimit(false, 0, m.now)
@@ -242,7 +242,7 @@
 				return
 			}
 			in := pick()
-			m.Note(*in, notice.Notice{Leaving: true}, "r")
+			m.RecordNotice(*in, notice.Notice{Leaving: true}, "r")
 			s := m.recordReport(*in)
 			s.leaving = true
 			s.setLimit(false, 0, m.now)
@@ -251,11 +251,11 @@
 			in := pick()
 			age := time.Duration(rapid.IntRange(0, 2000).Draw(t, "age")) * time.Millisecond
 			limited := rapid.Bool().Draw(t, "limited")
-			news := fleet.LimitNews{Key: in.Incarnation().Key(), Limited: limited, Age: age}
+			news := fleet.LimitReport{Key: in.Incarnation().Key(), Limited: limited, Age: age}
 			if limited {
 				news.Limit = rate.Draw(t, "rate")
 			}
-			m.NoteRemote("10.0.0.2", []fleet.LimitNews{news})
+			m.RecordRemoteLimits("10.0.0.2", []fleet.LimitReport{news})
 			m.recordReport(*in).setLimit(news.Limited, news.Limit, m.now-age)
 		},
 		"another node reports a leaving engine": func(t *rapid.T) {
@@ -263,7 +263,7 @@
 				return
 			}
 			in := pick()
-			m.NoteRemoteLeaving("10.0.0.2", []fleet.EndpointKey{in.Incarnation().Key()})
+			m.RecordRemoteLeaving("10.0.0.2", []fleet.EndpointKey{in.Incarnation().Key()})
 			m.recordReport(*in).leaving = true
 		},
 		"its entry is updated": func(*rapid.T) { m.addEntry(*pick()) },
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -16,7 +16,7 @@
 	l := newLeavingEndpoint()
 	l.in.Born = 2
 	l.Update(l.in)
-	l.Note(l.in, notice.Notice{Pause: testPause}, "r1")
+	l.RecordNotice(l.in, notice.Notice{Pause: testPause}, "r1")
 	return l
 }
 
@@ -25,8 +25,8 @@
 func TestPausedEndpointGetsNoRequests(t *testing.T) {
 	for name, after := range map[string]func(*leavingEndpoint){
 		"no further event":                  func(*leavingEndpoint) {},
-		"an answer without a notice":        func(l *leavingEndpoint) { l.Note(l.in, notice.Notice{}, "r2") },
-		"a shorter pause":                   func(l *leavingEndpoint) { l.Note(l.in, notice.Notice{Pause: time.Second}, "r2") },
+		"an answer without a notice":        func(l *leavingEndpoint) { l.RecordNotice(l.in, notice.Notice{}, "r2") },
+		"a shorter pause":                   func(l *leavingEndpoint) { l.RecordNotice(l.in, notice.Notice{Pause: time.Second}, "r2") },
 		"its entry removed and added again": func(l *leavingEndpoint) { l.Remove(l.in.ID, false); l.Update(l.in) },
 		"a full listing":                    func(l *leavingEndpoint) { l.Replace([]fleet.Instance{l.in}, false) },
 	} {
@@ -90,7 +90,7 @@
 	for l.Waiting(service.Name) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	l.Note(l.in, notice.Notice{Pause: testPause}, "r2")
+	l.RecordNotice(l.in, notice.Notice{Pause: testPause}, "r2")
 	select {
 	case refusal := <-ended:
 		if refusal == nil || refusal.Outcome != crocusreel.OutcomeNotRun {
--- a/node/node.go
+++ b/node/node.go
@@ -132,7 +132,7 @@
 	n.fleet.Changed = n.tell
 	n.fleet.Believed = n.believed
 	n.fleet.Noticed = n.noticed
-	n.engines.Noticed = n.fleet.NoteAt
+	n.engines.Noticed = n.fleet.RecordNoticeByAddress
 	n.fleet.Wake = func(after time.Duration) { time.AfterFunc(after, n.fleet.Tick) }
 	n.relay = &relay.Relay{
 		Fleet:    n.fleet,
--- a/node/notices.go
+++ b/node/notices.go
@@ -49,14 +49,14 @@
 	if len(s.GetLimits()) == 0 {
 		return
 	}
-	news := make([]fleet.LimitNews, 0, len(s.GetLimits()))
+	news := make([]fleet.LimitReport, 0, len(s.GetLimits()))
 	for _, l := range s.GetLimits() {
-		news = append(news, fleet.LimitNews{
+		news = append(news, fleet.LimitReport{
 			Key: fleet.EndpointKey(l.GetKey()), Limited: l.GetLimited(), Limit: l.GetRequestsPerSecond(),
 			Age: time.Duration(l.GetAgeMs()) * time.Millisecond,
 		})
 	}
-	n.fleet.NoteRemote(s.GetAddress(), news)
+	n.fleet.RecordRemoteLimits(s.GetAddress(), news)
 }
 
 // heardAnnounced takes which endpoints have said to another node that they are about to stop.
@@ -68,5 +68,5 @@
 	for _, key := range s.GetAnnouncedLeaving() {
 		keys = append(keys, fleet.EndpointKey(key))
 	}
-	n.fleet.NoteRemoteLeaving(s.GetAddress(), keys)
+	n.fleet.RecordRemoteLeaving(s.GetAddress(), keys)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -311,7 +311,7 @@
 	if reply.Notice.Limited {
 		metrics.Count(j.limitedCounter())
 	}
-	j.Fleet.Note(in, reply.Notice, j.r.ID)
+	j.Fleet.RecordNotice(in, reply.Notice, j.r.ID)
 }
 
 // limitedCounter tells first sendings to endpoints that name a limit from repeats.
