--- a/fleet/doubt.go
+++ b/fleet/doubt.go
@@ -9,10 +9,10 @@
 // Health checks are used instead, and what one node learns from a check is broadcast to the others.
 // An entry that is written later takes precedence over the health check.
 
-// Busy returns the endpoints of a service in a data centre that run work of any node and are not
-// known to be leaving. The caller sends each of them a health check now: it is already counted
-// against the endpoint's request limit.
-func (f *Fleet) Busy(service, dataCentre string) []Instance {
+// BusyEndpoints returns the endpoints of a service in a data centre that run work of any node and
+// are not known to be leaving. The caller sends each of them a health check now: it is already
+// counted against the endpoint's request limit.
+func (f *Fleet) BusyEndpoints(service, dataCentre string) []Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var busy []Instance
@@ -52,9 +52,9 @@
 	return reinstated
 }
 
-// Unhealthy records that an endpoint reported at its health check that it is leaving. It returns
-// false if the endpoint is unknown or already counts as leaving.
-func (f *Fleet) Unhealthy(key EndpointKey) bool {
+// MarkUnhealthy records that an endpoint reported at its health check that it is leaving. It
+// returns false if the endpoint is unknown or already counts as leaving.
+func (f *Fleet) MarkUnhealthy(key EndpointKey) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.byKey[key]
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -322,11 +322,11 @@
 		p := w.place(generation(1000, 100))
 		Expect(p.Leaving()).NotTo(BeClosed())
 		w.now += 2 * time.Second
-		Expect(w.Missing()).To(Equal(1))
+		Expect(w.MissingCount()).To(Equal(1))
 		Expect(p.Leaving()).NotTo(BeClosed())
 		w.engine("e1", "dc1")
 		w.now += time.Minute
-		Expect(w.Missing()).To(BeZero())
+		Expect(w.MissingCount()).To(BeZero())
 		Expect(w.DropMissing()).To(BeEmpty())
 		Expect(p.Leaving()).NotTo(BeClosed())
 	})
@@ -337,7 +337,7 @@
 		p := w.place(generation(1000, 100))
 		w.Remove("e1", true)
 		w.now += 2200 * time.Millisecond
-		Expect(w.DropMissing()).To(Equal([]fleet.Gone{{ID: "e1", Missing: 2200 * time.Millisecond}}))
+		Expect(w.DropMissing()).To(Equal([]fleet.DroppedEndpoint{{ID: "e1", MissingFor: 2200 * time.Millisecond}}))
 		Expect(p.Leaving()).To(BeClosed())
 		Expect(w.refused(generation(1000, 100)).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 	})
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -93,8 +93,8 @@
 		w := newWorld()
 		w.engine("e1", "dc1")
 		w.engine("e2", "dc1")
-		Expect(w.Unhealthy(fleet.Incarnation{ID: "e1"}.Key())).To(BeTrue())
-		Expect(w.Unhealthy(fleet.Incarnation{ID: "e2"}.Key())).To(BeTrue())
+		Expect(w.MarkUnhealthy(fleet.Incarnation{ID: "e1"}.Key())).To(BeTrue())
+		Expect(w.MarkUnhealthy(fleet.Incarnation{ID: "e2"}.Key())).To(BeTrue())
 		leaving := fleet.Instance{ID: "e2", Service: "pool", Address: "e2", DataCentre: "dc1", Slots: 24, Leaving: true}
 		w.Update(leaving)
 		w.refused(generation(1000, 100))
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -58,7 +58,7 @@
 			l.Update(l.in)
 		},
 		"a health check that its entry does not confirm": func(l *leavingEndpoint) {
-			l.Unhealthy(l.in.Incarnation().Key())
+			l.MarkUnhealthy(l.in.Incarnation().Key())
 			l.now += time.Minute
 			l.Reinstate(4 * time.Second)
 			l.Update(l.in)
@@ -81,7 +81,7 @@
 	restarted := l.in
 	restarted.Born = 2
 	l.Update(restarted)
-	l.Unhealthy(restarted.Incarnation().Key())
+	l.MarkUnhealthy(restarted.Incarnation().Key())
 	l.RecordNotice(restarted, notice.Notice{Leaving: true}, "r1")
 	l.now += time.Minute
 	if reinstated := l.Reinstate(4 * time.Second); len(reinstated) > 0 || l.getsWork() {
@@ -156,13 +156,13 @@
 	l.RecordNotice(engine, notice.Notice{Limited: true, Limit: perSecond}, "r1")
 	checks := 0
 	for end := l.now + limitWindow; l.now < end; l.now += limitStep {
-		checks += len(l.Busy("pool", "dc1"))
+		checks += len(l.BusyEndpoints("pool", "dc1"))
 	}
 	if checks == 0 || checks > limitAllows(perSecond) {
 		t.Errorf("%d health checks in %v, want at least 1 and no more than the limit allows", checks, limitWindow)
 	}
 	l.RecordNotice(engine, notice.Notice{Pause: testPause}, "r2")
-	if busy := l.Busy("pool", "dc1"); len(busy) != 0 {
+	if busy := l.BusyEndpoints("pool", "dc1"); len(busy) != 0 {
 		t.Errorf("health checks during the pause: %v", busy)
 	}
 }
--- a/fleet/missing_test.go
+++ b/fleet/missing_test.go
@@ -30,40 +30,40 @@
 	// Guards against endless health checks of all endpoints whose entries were lost in an outage.
 	It("gets health checks until one has confirmed that it remains in service", func() {
 		in := missing("dc1")
-		Expect(ids(w.Unvouched(service, "dc1"))).To(Equal([]string{"e1"}))
-		Expect(ids(w.Unvouched(service, "dc1"))).To(Equal([]string{"e1"}))
-		w.Vouch(in.Incarnation().Key())
-		Expect(w.Unvouched(service, "dc1")).To(BeEmpty())
+		Expect(ids(w.UnconfirmedEndpoints(service, "dc1"))).To(Equal([]string{"e1"}))
+		Expect(ids(w.UnconfirmedEndpoints(service, "dc1"))).To(Equal([]string{"e1"}))
+		w.ConfirmHealthy(in.Incarnation().Key())
+		Expect(w.UnconfirmedEndpoints(service, "dc1")).To(BeEmpty())
 		w.Update(in)
 		w.Remove(in.ID, true)
-		Expect(ids(w.Unvouched(service, "dc1"))).To(Equal([]string{"e1"}), "missing again")
+		Expect(ids(w.UnconfirmedEndpoints(service, "dc1"))).To(Equal([]string{"e1"}), "missing again")
 	})
 
 	// Guards against health checks by the nodes of all data centres, and of endpoints whose entries
 	// exist.
 	It("gets health checks only in its own data centre and for its own service", func() {
 		in := missing("dc2")
-		Expect(w.Unvouched(service, "dc1")).To(BeEmpty())
-		Expect(w.Unvouched("other", "dc2")).To(BeEmpty())
+		Expect(w.UnconfirmedEndpoints(service, "dc1")).To(BeEmpty())
+		Expect(w.UnconfirmedEndpoints("other", "dc2")).To(BeEmpty())
 		w.Update(in)
-		Expect(w.Unvouched(service, "dc2")).To(BeEmpty())
+		Expect(w.UnconfirmedEndpoints(service, "dc2")).To(BeEmpty())
 	})
 
 	// Guards against health checks during a pause that the endpoint requested.
 	It("gets no health check during its pause", func() {
 		in := missing("dc1")
 		w.RecordNotice(in, notice.Notice{Pause: time.Minute}, "r")
-		Expect(w.Unvouched(service, "dc1")).To(BeEmpty())
+		Expect(w.UnconfirmedEndpoints(service, "dc1")).To(BeEmpty())
 	})
 
 	// Guards against reinstating an endpoint that has withdrawn.
 	It("is not reinstated once it reports that it is leaving, and is dropped with the other missing endpoints", func() {
 		in := missing("dc1")
-		Expect(w.Unhealthy(in.Incarnation().Key())).To(BeTrue())
+		Expect(w.MarkUnhealthy(in.Incarnation().Key())).To(BeTrue())
 		w.now += time.Minute
 		Expect(w.Reinstate(4 * time.Second)).To(BeEmpty())
-		Expect(w.Unvouched(service, "dc1")).To(BeEmpty())
-		Expect(w.DropMissing()).To(Equal([]fleet.Gone{{ID: "e1", Missing: time.Minute}}))
-		Expect(w.Missing()).To(BeZero())
+		Expect(w.UnconfirmedEndpoints(service, "dc1")).To(BeEmpty())
+		Expect(w.DropMissing()).To(Equal([]fleet.DroppedEndpoint{{ID: "e1", MissingFor: time.Minute}}))
+		Expect(w.MissingCount()).To(BeZero())
 	})
 })
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -91,7 +91,7 @@
 	}
 	known := n.uptime.Current()
 	for _, gone := range n.fleet.DropMissing() {
-		n.log.Info("endpoint gone", zap.String("endpoint", gone.ID), zap.Duration("missing", gone.Missing),
+		n.log.Info("endpoint gone", zap.String("endpoint", gone.ID), zap.Duration("missing", gone.MissingFor),
 			zap.Duration("store_up", known.Until-known.Since))
 	}
 }
--- a/node/health.go
+++ b/node/health.go
@@ -51,9 +51,9 @@
 
 // doubtful returns the endpoints of a service in this data centre that are to be asked now.
 func (n *Node) doubtful(name string, service *routing.Service) []fleet.Instance {
-	doubtful := n.fleet.Unvouched(name, n.settings.DataCentre)
+	doubtful := n.fleet.UnconfirmedEndpoints(name, n.settings.DataCentre)
 	if service.Engine != nil && n.storeAway() {
-		doubtful = append(doubtful, n.fleet.Busy(name, n.settings.DataCentre)...)
+		doubtful = append(doubtful, n.fleet.BusyEndpoints(name, n.settings.DataCentre)...)
 	}
 	return doubtful
 }
@@ -100,13 +100,13 @@
 		n.log.Warn("health answer not readable", zap.String("endpoint", in.ID), zap.Error(answer.ColdFault))
 	}
 	if answer.GoesOn {
-		n.fleet.Vouch(in.Incarnation().Key())
+		n.fleet.ConfirmHealthy(in.Incarnation().Key())
 		if answer.Cold > 0 && n.fleet.SetCold(in.Incarnation().Key(), answer.Cold) {
 			n.log.Info("endpoint is cold by its health check", zap.String("endpoint", in.ID), zap.Duration("for", answer.Cold))
 		}
 		return
 	}
-	if n.fleet.Unhealthy(in.Incarnation().Key()) {
+	if n.fleet.MarkUnhealthy(in.Incarnation().Key()) {
 		n.log.Info("endpoint leaves by its health check", zap.String("endpoint", in.ID), zap.String("address", in.Address))
 		n.gossip.TellAll()
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -124,7 +124,7 @@
 // heardLeaving takes over which endpoints leave by their health check.
 func (n *Node) heardLeaving(s *exchangev1.NodeState) {
 	for _, key := range s.GetLeavingEndpoints() {
-		if n.fleet.Unhealthy(fleet.EndpointKey(key)) {
+		if n.fleet.MarkUnhealthy(fleet.EndpointKey(key)) {
 			n.log.Info("endpoint leaves by another node's health check", zap.Uint32("endpoint_key", key),
 				zap.String("node", s.GetAddress()))
 		}
--- a/node/uptime.go
+++ b/node/uptime.go
@@ -25,7 +25,7 @@
 // settlingWait is how long the store is to hold the next question: while entries are missing, no
 // longer than until its answer tells which endpoints are gone.
 func (n *Node) settlingWait() time.Duration {
-	if doubt := n.uptime.Doubt(); doubt > 0 && n.fleet.Missing() > 0 {
+	if doubt := n.uptime.Doubt(); doubt > 0 && n.fleet.MissingCount() > 0 {
 		return min(doubt+time.Millisecond, endpointsWait)
 	}
 	return endpointsWait
