--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -22,7 +22,7 @@
 	Names []string
 }
 
-// limit is the request limit that an endpoint last reported. If named is not set, it has none.
+// limit is the request limit that an endpoint last reported. If isSet is false, it has none.
 type limit struct {
 	isSet     bool
 	perSecond float64
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -47,8 +47,8 @@
 	// the incarnation or from another node.
 	createdAt time.Duration
 	// limit is the latest limit that it has reported to any node, as far as this node knows.
-	// limitAt is the time of the answer that set or ended the limit, or of the latest answer while
-	// it has not reported one. everLimited is set once it has reported a limit.
+	// limitAt is the time of the latest known answer that reported or ended the limit, or of the
+	// latest answer while it has not reported one. everLimited is set once it has reported a limit.
 	limit       limit
 	limitAt     time.Duration
 	everLimited bool
@@ -73,8 +73,8 @@
 	unreadable bool
 }
 
-// noticeRecordLocked returns the record of an incarnation, or nil if there is none. With make set,
-// it creates a missing record.
+// noticeRecordLocked returns the record of an incarnation, or nil if there is none. With create
+// set, it creates a missing record.
 func (f *Fleet) noticeRecordLocked(key EndpointKey, create bool) *noticeRecord {
 	known := f.notices[key]
 	if known == nil && create {
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -34,8 +34,8 @@
 // Err returns the errors in parsing the notice, joined; nil if there are none.
 func (n Notice) Err() error { return errors.Join(n.LimitErr, n.PauseErr) }
 
-// ParseLimit parses text, the value of the named header, as a number of requests per second.
-// Limited is false if text is empty or invalid.
+// ParseLimit parses value, the content of the named header, as a number of requests per second.
+// Limited is false if value is empty or invalid.
 func ParseLimit(header, value string) (perSecond float64, limited bool, err error) {
 	if value == "" {
 		return 0, false, nil
