--- a/fleet/doubt.go
+++ b/fleet/doubt.go
@@ -5,54 +5,56 @@
 	"time"
 )
 
-// While the store is away, no entry tells that an endpoint is about to leave. Its health
-// check does, and what one node learns by it the others are told. An entry that is
-// written later goes before it.
+// While the store is unavailable, an entry cannot announce that its endpoint is about to leave.
+// Health checks are used instead, and what one node learns from a check is broadcast to the others.
+// An entry that is written later takes precedence over the health check.
 
-// Busy returns the endpoints of a service in a data centre on which anything runs and
-// that are not known to leave, for a health check now.
-func (f *Fleet) Busy(service, dataCentre string) []Instance {
+// BusyEndpoints returns the endpoints of a service in a data centre that run work of any node and
+// are not known to be leaving. The caller sends each of them a health check now: it is already
+// counted against the endpoint's request limit.
+func (f *Fleet) BusyEndpoints(service, dataCentre string) []Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var busy []Instance
 	now := f.now()
 	for _, e := range f.services[service] {
-		if e.DataCentre == dataCentre && e.total().Count > 0 && f.takesCheckLocked(e, now) {
+		if e.DataCentre == dataCentre && e.total().Count > 0 && f.takeHealthCheckLocked(e, now) {
 			busy = append(busy, e.Instance)
 		}
 	}
 	return busy
 }
 
-// takesCheckLocked tells whether an endpoint is to be sent a health check now, and counts the
-// check against its limit: it is a request, too.
-func (f *Fleet) takesCheckLocked(e *Endpoint, now time.Duration) bool {
-	if e.isLeaving || f.pausedLocked(e) || !f.takesLimitedLocked(e, now) {
+// takeHealthCheckLocked reports whether a health check may be sent to the endpoint now, and counts
+// the check against the endpoint's request limit, because a check is a request too.
+func (f *Fleet) takeHealthCheckLocked(e *Endpoint, now time.Duration) bool {
+	if e.isLeaving || f.pausedLocked(e) || !f.limitAllowsLocked(e, now) {
 		return false
 	}
-	f.useTurnLocked(e, now)
+	f.useSlotLocked(e, now)
 	return true
 }
 
-// Reinstate takes back that endpoints leave which said so at their health check longer ago
-// than the given time, and returns their IDs. Their entries are there and do not say that they
-// leave.
+// Reinstate returns endpoints to service that reported at a health check at least the given time
+// ago that they are leaving, and returns their IDs. It applies only to endpoints whose entries
+// exist and do not say that they are leaving.
 func (f *Fleet) Reinstate(after time.Duration) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var stayed []string
+	var reinstated []string
 	for e := range f.doubted {
 		if e.byHealth && e.missingAt == 0 && f.now()-e.left >= after {
 			e.stay()
-			stayed = append(stayed, e.ID)
+			reinstated = append(reinstated, e.ID)
 			f.dispatchLocked(e.Service)
 		}
 	}
-	return stayed
+	return reinstated
 }
 
-// Unhealthy records that an endpoint said at its health check that it leaves.
-func (f *Fleet) Unhealthy(key EndpointKey) bool {
+// MarkUnhealthy records that an endpoint reported at its health check that it is leaving. It
+// returns false if the endpoint is unknown or already counts as leaving.
+func (f *Fleet) MarkUnhealthy(key EndpointKey) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.byKey[key]
@@ -65,7 +67,8 @@
 	return true
 }
 
-// UnhealthyKeys returns the endpoints that count as leaving by their health check alone.
+// UnhealthyKeys returns the keys of the endpoints that count as leaving by their health check
+// alone, in ascending order.
 func (f *Fleet) UnhealthyKeys() []EndpointKey {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -8,22 +8,23 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// Evacuation is a data centre to whose endpoints nothing is sent.
+// Evacuation is a data centre whose endpoints get no requests.
 type Evacuation struct {
 	DataCentre string `json:"data_centre"`
-	// Since is the time for which this node has known of it.
+	// Since is how long this node has known of the evacuation.
 	Since time.Duration `json:"since_ns"`
-	// Endpoints are in service there, and Running is what this node still runs on them.
+	// Endpoints is the number of endpoints in service there, and Running the number of requests
+	// that this node still runs on them.
 	Endpoints int `json:"endpoints"`
 	Running   int `json:"running"`
 }
 
-// evacuatedRetry is when callers may come back whose service has endpoints in evacuated data
-// centres only. The operator does not announce the end of an evacuation.
-const evacuatedRetry = 2 * time.Second
+// evacuatedRetryDelay is the time after which callers may retry if all endpoints of their service
+// are in evacuated data centres. The end of an evacuation is not known in advance.
+const evacuatedRetryDelay = 2 * time.Second
 
-// Evacuate replaces the set of data centres to whose endpoints nothing is sent: no new work, no
-// retry, no copy of a run and no run that goes on. What runs there goes on to its end.
+// Evacuate replaces the set of evacuated data centres. Their endpoints get no new work, retries,
+// copies of runs or resumed runs. Work that already runs there continues to its end.
 func (f *Fleet) Evacuate(dataCentres []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -31,37 +32,37 @@
 	before := f.evacuated
 	f.evacuated = make(map[string]time.Duration, len(dataCentres))
 	for _, name := range dataCentres {
-		since, already := before[name]
-		if !already {
+		since, known := before[name]
+		if !known {
 			since = now
 		}
 		f.evacuated[name] = since
 	}
 	for _, e := range f.byID {
-		_, is := f.evacuated[e.DataCentre]
-		f.setEvacuatedLocked(e, is, now)
+		_, evacuated := f.evacuated[e.DataCentre]
+		f.setEvacuatedLocked(e, evacuated, now)
 	}
 	f.dispatchAllLocked()
 	f.refuseUnservableLocked()
 }
 
-func (f *Fleet) setEvacuatedLocked(e *Endpoint, is bool, now time.Duration) {
-	if e.isEvacuated == is {
+func (f *Fleet) setEvacuatedLocked(e *Endpoint, evacuated bool, now time.Duration) {
+	if e.isEvacuated == evacuated {
 		return
 	}
-	e.isEvacuated = is
-	if is {
+	e.isEvacuated = evacuated
+	if evacuated {
 		e.markUnusable()
 		return
 	}
-	// It had nothing to do and may have become cold, which its entry tells with a delay.
+	// The endpoint was idle and may have become cold; its entry reports that only with a delay.
 	e.returnedAt = now
 	if !e.isLeaving {
 		e.unusable = make(chan struct{})
 	}
 }
 
-// Evacuations returns the data centres that are evacuated, in order of their names.
+// Evacuations returns the evacuated data centres, sorted by name.
 func (f *Fleet) Evacuations() []Evacuation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,8 +84,8 @@
 	return all
 }
 
-// unservableLocked returns the refusal of work that no endpoint may run: those in its regions
-// are all in evacuated data centres, or there is none; nil for other work.
+// unservableLocked returns a refusal if no endpoint may run the work: all endpoints in its regions
+// are in evacuated data centres, or there are none. Otherwise it returns nil.
 func (f *Fleet) unservableLocked(w *Want) *crocusreel.Refusal {
 	if len(f.evacuated) == 0 && !w.Bound {
 		return nil
@@ -109,7 +110,8 @@
 	}
 }
 
-// refuseUnservableLocked ends the wait of work that no endpoint may run any more.
+// refuseUnservableLocked refuses waiting work that no endpoint may run any more, or whose wait
+// would end before a limited or paused endpoint accepts it.
 func (f *Fleet) refuseUnservableLocked() {
 	now := f.now()
 	for _, q := range f.queues {
@@ -117,7 +119,7 @@
 		for _, w := range slices.Clone(q.waiting) {
 			refusal := f.unservableLocked(w.want)
 			if refusal == nil {
-				refusal = f.beyondLocked(w.want, ahead, w.until-now)
+				refusal = f.refuseLongWaitLocked(w.want, ahead, w.until-now)
 			}
 			if refusal == nil {
 				ahead++
@@ -130,7 +132,7 @@
 }
 
 func refuseEvacuated(w *Want) *crocusreel.Refusal {
-	return crocusreel.Refuse(crocusreel.ReasonEvacuated, crocusreel.OutcomeNotRun, evacuatedRetry,
+	return crocusreel.Refuse(crocusreel.ReasonEvacuated, crocusreel.OutcomeNotRun, evacuatedRetryDelay,
 		"all endpoints of service %q are in evacuated data centres", w.Service.Name)
 }
 
--- a/fleet/missing.go
+++ b/fleet/missing.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// An entry may be missing although its endpoint lives, as after an outage of the store. Such an
-// endpoint stays in use, behind the others, until its entry is back, until it is known to be
-// gone, or until it says at a health check that it leaves.
+// The entry of a live endpoint may be missing, for example after an outage of the store. Such an
+// endpoint stays in use, with lower preference than the others, until its entry is back, until it
+// is known to be gone, or until it reports at a health check that it is leaving.
 
-// Gone is an endpoint that was dropped.
-type Gone struct {
+// DroppedEndpoint describes an endpoint that DropMissing has removed.
+type DroppedEndpoint struct {
 	ID string
-	// Missing is the time for which its entry was missing.
-	Missing time.Duration
+	// MissingFor is how long its entry had been missing.
+	MissingFor time.Duration
 }
 
-// DropMissing drops the endpoints whose entries are missing.
-func (f *Fleet) DropMissing() []Gone {
+// DropMissing removes the endpoints whose entries are missing, and returns them.
+func (f *Fleet) DropMissing() []DroppedEndpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var gone []Gone
+	var dropped []DroppedEndpoint
 	now := f.now()
 	for e := range f.doubted {
 		if e.missingAt != 0 {
-			gone = append(gone, Gone{ID: e.ID, Missing: now - e.missingAt})
+			dropped = append(dropped, DroppedEndpoint{ID: e.ID, MissingFor: now - e.missingAt})
 			f.dropLocked(e)
 		}
 	}
-	return gone
+	return dropped
 }
 
-// Missing returns how many endpoints in use have no entry.
-func (f *Fleet) Missing() int {
+// MissingCount returns the number of endpoints in use whose entries are missing.
+func (f *Fleet) MissingCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	missing := 0
@@ -41,24 +41,26 @@
 	return missing
 }
 
-// Unvouched returns the endpoints of a service in a data centre whose entries are missing and
-// that have not said since at a health check whether they go on, for a check now.
-func (f *Fleet) Unvouched(service, dataCentre string) []Instance {
+// UnconfirmedEndpoints returns the endpoints of a service in a data centre whose entries are
+// missing and that have not confirmed since then, at a health check, that they remain in service.
+// The caller sends each of them a health check now: it is already counted against the endpoint's
+// request limit.
+func (f *Fleet) UnconfirmedEndpoints(service, dataCentre string) []Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var unvouched []Instance
+	var unconfirmed []Instance
 	now := f.now()
 	for e := range f.doubted {
 		missing := e.missingAt != 0 && !e.vouched && e.Service == service && e.DataCentre == dataCentre
-		if missing && f.takesCheckLocked(e, now) {
-			unvouched = append(unvouched, e.Instance)
+		if missing && f.takeHealthCheckLocked(e, now) {
+			unconfirmed = append(unconfirmed, e.Instance)
 		}
 	}
-	return unvouched
+	return unconfirmed
 }
 
-// Vouch records that an endpoint said at its health check that it goes on.
-func (f *Fleet) Vouch(key EndpointKey) {
+// ConfirmHealthy records that an endpoint reported at its health check that it remains in service.
+func (f *Fleet) ConfirmHealthy(key EndpointKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e := f.byKey[key]; e != nil {
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -8,68 +8,77 @@
 	"github.com/crocusreel/crocusreel/notice"
 )
 
-// NoticeChange is a change of what this node believes an endpoint to say of itself.
+// NoticeChange is a change in what an endpoint reports about itself, as known to this node: its
+// limit, its shutdown, a new pause, or values that can no longer be parsed.
 type NoticeChange struct {
 	Instance Instance
 	Notice   notice.Notice
 	Before   notice.Notice
-	// Request is the ID of the request whose answer said so; empty if another node told.
+	// Request is the ID of the request whose answer carried the notice; empty if another node
+	// reported it, or if it came with the answer to an order or a health check.
 	Request string
-	// Node is the node that told, and Age the time since the endpoint said so to it.
+	// Node is the node that reported the notice, and Age the time since that node received it.
 	Node string
 	Age  time.Duration
 }
 
 const (
-	// noticeMemory is how long a notice is remembered of an incarnation that is not in
-	// service. Its entry may vanish and come back, and it is bound by what it said before.
-	noticeMemory = 10 * time.Minute
-	// limitTold is how long other nodes are told of an endpoint's limit, or its end,
-	// after the answer. It is longer than the time between two answers of an endpoint with a very low limit.
-	limitTold = 15 * time.Second
-	// maxLimitsTold bounds the limits in a datagram, the newest first. Each takes 16 B.
-	maxLimitsTold = 24
-	// leavingTold is how long other nodes are told at least of an endpoint that is about to stop
-	// and of which no entry had said so. maxLeavingTold bounds them; each takes 4 B.
-	leavingTold    = 3 * time.Second
-	maxLeavingTold = 64
+	// noticeRetention is how long a notice is kept for an incarnation that is not in service. Its
+	// entry may disappear and return, and the earlier notice then still applies.
+	noticeRetention = 10 * time.Minute
+	// limitBroadcastTime is how long after the answer an endpoint's limit, or the end of its limit,
+	// is broadcast to other nodes. It exceeds the interval between two answers of an endpoint with
+	// a very low limit.
+	limitBroadcastTime = 15 * time.Second
+	// maxBroadcastLimits is the maximum number of limits in a datagram; the newest are sent. Each
+	// takes 16 bytes.
+	maxBroadcastLimits = 24
+	// minLeavingBroadcastTime is the minimum time for which other nodes are informed that an
+	// endpoint is about to stop, if its entry had not said so before. maxBroadcastLeaving is the
+	// maximum number of such endpoints in a datagram; each takes 4 bytes.
+	minLeavingBroadcastTime = 3 * time.Second
+	maxBroadcastLeaving     = 64
 )
 
-// noticed is what an incarnation has said of itself.
-type noticed struct {
-	// madeAt is when it first said anything.
-	madeAt time.Duration
-	// limit is the latest that it has named to any node, as far as it is known here, at the
-	// time limitAt; everLimited is set once it has named one.
+// noticeRecord is what is known of an incarnation from its notices. It is guarded by the Fleet's
+// lock.
+type noticeRecord struct {
+	// createdAt is when the record was created, for the first notice that came to this node from
+	// the incarnation or from another node.
+	createdAt time.Duration
+	// limit is the latest limit that it has reported to any node, as far as this node knows.
+	// limitAt is the time of the latest known answer that reported or ended the limit, or of the
+	// latest answer while it has not reported one. everLimited is set once it has reported a limit.
 	limit       limit
 	limitAt     time.Duration
 	everLimited bool
-	// own is the latest limit in an answer to this node, at the time ownAt; ownSaid is set
-	// once there is one.
-	own     limit
-	ownAt   time.Duration
-	ownSaid bool
-	// pausedUntil is until when it wants nothing from this node.
+	// ownLimit is the latest limit, or end of a limit, in an answer to this node, and ownLimitAt
+	// the time of that answer. ownReported is set once there is such an answer.
+	ownLimit    limit
+	ownLimitAt  time.Duration
+	ownReported bool
+	// pausedUntil is when the pause that it requested from this node ends.
 	pausedUntil time.Duration
-	// leftAt is when it said to this node that it is about to stop, heardAt when another node
-	// told so. Both are 0 if its entry had said so before.
-	leftAt, heardAt time.Duration
-	// turnUsedAt is when this node last sent it a request.
-	turnUsedAt time.Duration
-	// rank is this node's place among those of the roster.
+	// announcedAt is when it announced to this node that it is about to stop, and remoteAnnouncedAt
+	// when another node reported that. Both are 0 if its entry had announced it before.
+	announcedAt, remoteAnnouncedAt time.Duration
+	// lastSentAt is when this node last sent it a request while its limit applied; 0 if never.
+	lastSentAt time.Duration
+	// rank is the rank of this node among the nodes of roster, for this endpoint.
 	rank   int
 	roster *Roster
-	// leaving is set once it has said that it is about to stop.
+	// leaving is set once it has announced that it is about to stop. It is never reset.
 	leaving bool
-	// unreadable is set while it names figures that cannot be read.
+	// unreadable is set while its answers carry values that cannot be parsed.
 	unreadable bool
 }
 
-// noticedLocked returns what is known of an incarnation; make adds a record where there is none.
-func (f *Fleet) noticedLocked(key EndpointKey, make bool) *noticed {
+// noticeRecordLocked returns the record of an incarnation, or nil if there is none. With create
+// set, it creates a missing record.
+func (f *Fleet) noticeRecordLocked(key EndpointKey, create bool) *noticeRecord {
 	known := f.notices[key]
-	if known == nil && make {
-		known = &noticed{madeAt: f.now()}
+	if known == nil && create {
+		known = &noticeRecord{createdAt: f.now()}
 		f.notices[key] = known
 		if e := f.byKey[key]; e != nil {
 			e.noticed, known.limitAt = known, e.answeredAt
@@ -78,33 +87,34 @@
 	return known
 }
 
-// Note takes what an incarnation says of itself in an answer that has just come. Request is the
-// ID of the request that was answered.
-func (f *Fleet) Note(in Instance, n notice.Notice, request string) {
+// RecordNotice records the notice in an answer that an incarnation has just given. Request is the
+// ID of the request that was answered; it is empty for an order or a health check.
+func (f *Fleet) RecordNotice(in Instance, n notice.Notice, request string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := in.Incarnation().Key()
-	known := f.noticedLocked(key, !n.Empty())
+	known := f.noticeRecordLocked(key, !n.Empty())
 	if known == nil {
-		// Older news of other nodes must not bind an endpoint that says nothing any more.
+		// Record the time, so that an older limit reported by another node is not applied to an
+		// endpoint that no longer reports one.
 		if e := f.byKey[key]; e != nil {
 			e.answeredAt = f.now()
 		}
 		return
 	}
-	before := notice.Notice{Limited: known.limit.named, Limit: known.limit.perSecond, Leaving: known.leaving}
+	before := notice.Notice{Limited: known.limit.isSet, Limit: known.limit.perSecond, Leaving: known.leaving}
 	changed := n.Leaving && f.setLeavingLocked(key, known)
 	if changed {
-		known.leftAt = f.now()
+		known.announcedAt = f.now()
 	}
-	if n.LimitFault == nil {
-		// A limit that cannot be read leaves the one before in force.
+	if n.LimitErr == nil {
+		// If the limit cannot be parsed, the previous one stays in force.
 		changed = f.setOwnLimitLocked(key, known, n) || changed
 	}
-	faulty := n.Fault() != nil
+	faulty := n.Err() != nil
 	unread := faulty && !known.unreadable
 	known.unreadable = faulty
-	paused := f.pauseLocked(in.Service, known, n.Pause)
+	paused := f.startPauseLocked(in.Service, known, n.Pause)
 	if changed || unread || paused {
 		f.Noticed(NoticeChange{Instance: in, Notice: n, Before: before, Request: request})
 	}
@@ -113,24 +123,24 @@
 	}
 }
 
-// setOwnLimitLocked takes the limit in an answer to this node, or its end, and returns whether that
-// changes what is known.
-func (f *Fleet) setOwnLimitLocked(key EndpointKey, known *noticed, n notice.Notice) bool {
+// setOwnLimitLocked records the limit, or the end of the limit, in an answer to this node, and
+// reports whether that changes the known limit.
+func (f *Fleet) setOwnLimitLocked(key EndpointKey, known *noticeRecord, n notice.Notice) bool {
 	before := known.limit
 	if !n.Limited && !known.everLimited {
 		known.limitAt = f.now()
 		return false
 	}
-	known.ownSaid = true
-	known.own, known.ownAt = limit{named: n.Limited, perSecond: n.Limit}, f.now()
-	f.setLimitLocked(key, known, known.own, known.ownAt)
-	return before != known.own
+	known.ownReported = true
+	known.ownLimit, known.ownLimitAt = limit{isSet: n.Limited, perSecond: n.Limit}, f.now()
+	f.setLimitLocked(key, known, known.ownLimit, known.ownLimitAt)
+	return before != known.ownLimit
 }
 
-// setLeavingLocked records that an incarnation has said that it is about to stop, and returns
-// whether that is news: its entry tells the other nodes as well. Nothing takes it back, as its
-// entry and its health check may be late.
-func (f *Fleet) setLeavingLocked(key EndpointKey, n *noticed) bool {
+// setLeavingLocked records that an incarnation has announced that it is about to stop, and reports
+// whether this is new to the fleet: the other nodes also learn it from the endpoint's entry. The
+// record is permanent, because the entry and the health check may be out of date.
+func (f *Fleet) setLeavingLocked(key EndpointKey, n *noticeRecord) bool {
 	if n.leaving {
 		return false
 	}
@@ -139,18 +149,19 @@
 	if e == nil || e.entryLeaving {
 		return false
 	}
-	e.announceLeaving(f.now())
+	e.markLeavingByAnswer(f.now())
 	return true
 }
 
-// announceLeaving marks an endpoint that has said in an answer that it is about to stop.
-func (e *Endpoint) announceLeaving(now time.Duration) {
+// markLeavingByAnswer marks an endpoint as leaving because it announced in an answer that it is
+// about to stop.
+func (e *Endpoint) markLeavingByAnswer(now time.Duration) {
 	e.byHealth = false
 	e.markLeaving(now)
 }
 
-// OwnLeaving returns the endpoints that have said in an answer to this node that they are about
-// to stop, for the others.
+// OwnLeaving returns the keys of the endpoints that have announced in an answer to this node that
+// they are about to stop, for broadcast to the other nodes.
 func (f *Fleet) OwnLeaving() []EndpointKey {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,32 +169,35 @@
 	var keys []EndpointKey
 	for key, n := range f.notices {
 		e := f.byKey[key]
-		untold := e != nil && !e.entryLeaving
-		if n.leftAt != 0 && (untold || now-n.leftAt < leavingTold) {
+		unannounced := e != nil && !e.entryLeaving
+		if n.announcedAt != 0 && (unannounced || now-n.announcedAt < minLeavingBroadcastTime) {
 			keys = append(keys, key)
 		}
 	}
 	slices.Sort(keys)
-	return keys[:min(len(keys), maxLeavingTold)]
+	return keys[:min(len(keys), maxBroadcastLeaving)]
 }
 
-// NoteRemoteLeaving takes which endpoints have said to another node that they are about to stop.
-func (f *Fleet) NoteRemoteLeaving(node string, keys []EndpointKey) {
+// RecordRemoteLeaving records the endpoints that have announced to another node that they are about
+// to stop.
+func (f *Fleet) RecordRemoteLeaving(node string, keys []EndpointKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, key := range keys {
-		known := f.noticedLocked(key, true)
+		known := f.noticeRecordLocked(key, true)
 		if !f.setLeavingLocked(key, known) {
 			continue
 		}
-		known.heardAt = f.now()
+		known.remoteAnnouncedAt = f.now()
 		f.Noticed(NoticeChange{Instance: f.byKey[key].Instance, Notice: notice.Notice{Leaving: true}, Node: node})
 	}
 }
 
-// NoteAt takes what the endpoint at an address says of itself in an answer to an order or a check.
-// An answer that says nothing ends no limit: it may come from whatever has the address now.
-func (f *Fleet) NoteAt(address string, n notice.Notice) {
+// RecordNoticeByAddress records the notice in an answer to an order or a health check, which is
+// known only by the endpoint's address. The notice is ignored if the address does not belong to
+// exactly one endpoint. An empty notice does not end a limit, because another process may have the
+// address now.
+func (f *Fleet) RecordNoticeByAddress(address string, n notice.Notice) {
 	if n.Empty() {
 		return
 	}
@@ -196,63 +210,65 @@
 	}
 	f.mu.Unlock()
 	if len(at) == 1 {
-		f.Note(at[0], n, "")
+		f.RecordNotice(at[0], n, "")
 	}
 }
 
-// LimitNews is the latest limit, or its end, in an endpoint's answers to one node.
-type LimitNews struct {
+// LimitReport is the latest limit of an endpoint, or the end of its limit, in the endpoint's
+// answers to one node.
+type LimitReport struct {
 	Key     EndpointKey
 	Limited bool
 	Limit   float64
-	// Age is the time since the answer that said so.
+	// Age is the time since that answer.
 	Age time.Duration
 }
 
-// OwnLimits returns what endpoints lately said of their limits to this node, for the others.
-// What others told is not told onwards: its age would be wrong by the time on the way, and grow
-// less true with each node.
-func (f *Fleet) OwnLimits() []LimitNews {
+// OwnLimits returns the limits that endpoints have recently reported to this node, for broadcast to
+// the other nodes, newest first. Limits reported by other nodes are not forwarded: their age lacks
+// the transit time, and the error would grow with each hop.
+func (f *Fleet) OwnLimits() []LimitReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	var news []LimitNews
+	var reports []LimitReport
 	for key, n := range f.notices {
-		if age := now - n.ownAt; n.ownSaid && age < limitTold {
-			news = append(news, LimitNews{Key: key, Limited: n.own.named, Limit: n.own.perSecond, Age: age})
+		if age := now - n.ownLimitAt; n.ownReported && age < limitBroadcastTime {
+			reports = append(reports, LimitReport{Key: key, Limited: n.ownLimit.isSet, Limit: n.ownLimit.perSecond, Age: age})
 		}
 	}
-	slices.SortFunc(news, func(a, b LimitNews) int {
+	slices.SortFunc(reports, func(a, b LimitReport) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Key, b.Key))
 	})
-	return news[:min(len(news), maxLimitsTold)]
+	return reports[:min(len(reports), maxBroadcastLimits)]
 }
 
-// NoteRemote takes what endpoints said of their limits to another node.
-func (f *Fleet) NoteRemote(node string, news []LimitNews) {
+// RecordRemoteLimits records the limits that endpoints have reported to another node.
+func (f *Fleet) RecordRemoteLimits(node string, reports []LimitReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	for _, l := range news {
-		known := f.noticedLocked(l.Key, true)
+	for _, l := range reports {
+		known := f.noticeRecordLocked(l.Key, true)
 		before := known.limit
-		said := limit{named: l.Limited, perSecond: l.Limit}
-		if !f.setLimitLocked(l.Key, known, said, now-l.Age) || before == said {
+		reported := limit{isSet: l.Limited, perSecond: l.Limit}
+		if !f.setLimitLocked(l.Key, known, reported, now-l.Age) || before == reported {
 			continue
 		}
 		if e := f.byKey[l.Key]; e != nil {
 			f.Noticed(NoticeChange{
-				Instance: e.Instance, Notice: said.notice(), Before: before.notice(), Node: node, Age: l.Age,
+				Instance: e.Instance, Notice: reported.notice(), Before: before.notice(), Node: node, Age: l.Age,
 			})
 		}
 	}
 }
 
-// pruneNoticesLocked forgets incarnations that are no longer in service.
+// pruneNoticesLocked deletes the records of incarnations that have been out of service for longer
+// than noticeRetention.
 func (f *Fleet) pruneNoticesLocked() {
 	now := f.now()
 	for key, n := range f.notices {
-		if f.byKey[key] == nil && now-max(n.madeAt, n.ownAt, n.limitAt) > noticeMemory {
+		if f.byKey[key] == nil && now-max(n.createdAt, n.ownLimitAt, n.limitAt) > noticeRetention {
 			delete(f.notices, key)
 		}
 	}
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -100,14 +100,14 @@
 	now := f.now()
 	for _, ejectedToo := range []bool{false, true} {
 		for _, e := range endpoints {
-			if !f.mayServeLocked(e, w) || f.waitsForPauseLocked(e, now) {
+			if !f.mayServeLocked(e, w) || f.deferForPauseLocked(e, now) {
 				continue
 			}
 			if !ejectedToo && f.ejectedLocked(e, now) {
 				continue
 			}
 			load := e.total()
-			if !f.fitsLocked(e, w, &load) || !f.takesColdLocked(e, w.Service, &load, now) || !f.takesLimitedLocked(e, now) {
+			if !f.fitsLocked(e, w, &load) || !f.takesColdLocked(e, w.Service, &load, now) || !f.limitAllowsLocked(e, now) {
 				continue
 			}
 			if cost := f.costLocked(e, w, &load, now); best == nil || cost < bestCost {
@@ -161,7 +161,7 @@
 		return false
 	}
 	need := float64(load.Tokens + load.Held + w.Demand.Tokens())
-	return (need <= f.memoryShare(w)*float64(spec.Memory) || load.Count == 0) &&
+	return (need <= f.memoryShare(w)*float64(spec.CacheTokens) || load.Count == 0) &&
 		(w.from != nil || load.Unread <= maxUnread || f.Without[UnreadBound])
 }
 
@@ -169,7 +169,7 @@
 func (f *Fleet) costLocked(e *Endpoint, w *Want, load *Load, now time.Duration) float64 {
 	cost := f.distanceCostLocked(e, w)
 	if !f.Without[Ejection] {
-		cost += failureCost * e.health.penalty(now)
+		cost += failureCost * e.health.failureShare(now)
 	}
 	if now < e.warmUntil {
 		cost += warmingCost
@@ -178,7 +178,7 @@
 		cost += missingCost
 	}
 	if spec := w.Service.Engine; spec != nil {
-		share := float64(load.Tokens) / float64(max(spec.Memory, 1))
+		share := float64(load.Tokens) / float64(max(spec.CacheTokens, 1))
 		return cost + share + unreadCost*float64(load.Unread)/readRate
 	}
 	return cost + float64(load.Count)/float64(max(e.Slots, 1))
--- a/node/health.go
+++ b/node/health.go
@@ -53,9 +53,9 @@
 // endpointsToCheck returns the endpoints of a service in this data centre that are to be checked
 // now.
 func (n *Node) endpointsToCheck(name string, service *routing.Service) []fleet.Instance {
-	endpoints := n.fleet.Unvouched(name, n.settings.DataCentre)
+	endpoints := n.fleet.UnconfirmedEndpoints(name, n.settings.DataCentre)
 	if service.Engine != nil && n.storeAway() {
-		endpoints = append(endpoints, n.fleet.Busy(name, n.settings.DataCentre)...)
+		endpoints = append(endpoints, n.fleet.BusyEndpoints(name, n.settings.DataCentre)...)
 	}
 	return endpoints
 }
@@ -103,13 +103,13 @@
 		n.log.Warn("health answer not readable", zap.String("endpoint", in.ID), zap.Error(answer.ColdFault))
 	}
 	if answer.GoesOn {
-		n.fleet.Vouch(in.Incarnation().Key())
+		n.fleet.ConfirmHealthy(in.Incarnation().Key())
 		if answer.Cold > 0 && n.fleet.SetCold(in.Incarnation().Key(), answer.Cold) {
 			n.log.Info("endpoint is cold by its health check", zap.String("endpoint", in.ID), zap.Duration("for", answer.Cold))
 		}
 		return
 	}
-	if n.fleet.Unhealthy(in.Incarnation().Key()) {
+	if n.fleet.MarkUnhealthy(in.Incarnation().Key()) {
 		n.log.Info("endpoint leaves by its health check", zap.String("endpoint", in.ID), zap.String("address", in.Address))
 		n.gossip.TellAll()
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -134,7 +134,7 @@
 	n.fleet.Changed = n.announce
 	n.fleet.Believed = n.logExclusion
 	n.fleet.Noticed = n.logNoticeChange
-	n.engines.Noticed = n.fleet.NoteAt
+	n.engines.Noticed = n.fleet.RecordNoticeByAddress
 	n.fleet.Wake = func(after time.Duration) { time.AfterFunc(after, n.fleet.Tick) }
 	n.relay = &relay.Relay{
 		Fleet:    n.fleet,
--- a/node/notices.go
+++ b/node/notices.go
@@ -17,7 +17,7 @@
 		zap.String("address", c.Instance.Address), zap.String("request", c.Request),
 		zap.String("node", c.Node), zap.Duration("age", c.Age),
 	}
-	if err := c.Notice.Fault(); err != nil {
+	if err := c.Notice.Err(); err != nil {
 		metrics.Count("endpoint_notice_unreadable")
 		n.log.Warn("endpoint's answer not readable", append(fields, zap.Error(err))...)
 	}
@@ -29,7 +29,7 @@
 		metrics.Count("endpoint_pauses")
 		n.log.Info("endpoint asks for a pause", append(fields, zap.Duration("for", c.Notice.Pause))...)
 	}
-	if c.Notice.LimitFault == nil && (c.Notice.Limited != c.Before.Limited || c.Notice.Limit != c.Before.Limit) {
+	if c.Notice.LimitErr == nil && (c.Notice.Limited != c.Before.Limited || c.Notice.Limit != c.Before.Limit) {
 		n.logLimitChange(c, fields)
 	}
 }
@@ -49,14 +49,14 @@
 	if len(s.GetLimits()) == 0 {
 		return
 	}
-	news := make([]fleet.LimitNews, 0, len(s.GetLimits()))
+	news := make([]fleet.LimitReport, 0, len(s.GetLimits()))
 	for _, l := range s.GetLimits() {
-		news = append(news, fleet.LimitNews{
+		news = append(news, fleet.LimitReport{
 			Key: fleet.EndpointKey(l.GetKey()), Limited: l.GetLimited(), Limit: l.GetRequestsPerSecond(),
 			Age: time.Duration(l.GetAgeMs()) * time.Millisecond,
 		})
 	}
-	n.fleet.NoteRemote(s.GetAddress(), news)
+	n.fleet.RecordRemoteLimits(s.GetAddress(), news)
 }
 
 // applyPeerLeaving applies which endpoints have announced to another node that they are about to
@@ -69,5 +69,5 @@
 	for _, key := range s.GetAnnouncedLeaving() {
 		keys = append(keys, fleet.EndpointKey(key))
 	}
-	n.fleet.NoteRemoteLeaving(s.GetAddress(), keys)
+	n.fleet.RecordRemoteLeaving(s.GetAddress(), keys)
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -126,7 +126,7 @@
 // applyPeerUnhealthy applies which endpoints leave according to another node's health checks.
 func (n *Node) applyPeerUnhealthy(s *exchangev1.NodeState) {
 	for _, key := range s.GetLeavingEndpoints() {
-		if n.fleet.Unhealthy(fleet.EndpointKey(key)) {
+		if n.fleet.MarkUnhealthy(fleet.EndpointKey(key)) {
 			n.log.Info("endpoint leaves by another node's health check", zap.Uint32("endpoint_key", key),
 				zap.String("node", s.GetAddress()))
 		}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -177,7 +177,7 @@
 func (l *Relay) Serve(ctx context.Context, r *Request, sink Sink) Result {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	l.Budgets.Get(r.Service.Name).Earn()
+	l.Budgets.Get(r.Service.Name).RecordAttempt()
 	job := &job{Relay: l, r: r, sink: sink}
 	if n := l.Strikes.Count(r.Fingerprint); n >= strikeLimit {
 		return Result{Refusal: job.suspectRefusal(n)}
@@ -314,7 +314,7 @@
 	if reply.Notice.Limited {
 		metrics.Count(j.limitedCounter())
 	}
-	j.Fleet.Note(in, reply.Notice, j.r.ID)
+	j.Fleet.RecordNotice(in, reply.Notice, j.r.ID)
 }
 
 // limitedCounter returns the name of the counter of answers that name a rate limit. First attempts
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,12 +10,11 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// After an outage all requests want to be repeated at once. Whatever the pattern of
-// firsts and repeats, no window of the given length may hold more repeats than its
-// share: endpoints count over a sliding window, and a budget that saves up over quiet
-// minutes would spend it all in one second. The allowance for the firsts is taken over
-// the window and one slice before it.
-func TestNoWindowHoldsMoreRepeatsThanItsShare(t *testing.T) {
+// Guards against more retries in a window than the ratio allows, when all requests are retried at
+// once after an outage. Endpoints count over a sliding window; a budget that accumulates over quiet
+// minutes would be spent within a second. First attempts are counted over the window and the slice
+// before it.
+func TestRetriesAreLimitedInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
 		now := time.Hour
@@ -24,27 +23,27 @@
 			Now: func() time.Duration { return now }, Nodes: func() int { return 2 },
 		}
 		w := set.Get("service")
-		var firsts, repeats []time.Duration
+		var firsts, retries []time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "first") {
-				w.Earn()
+				w.RecordAttempt()
 				firsts = append(firsts, now)
-			} else if w.Spend() {
-				repeats = append(repeats, now)
+			} else if w.AllowRetry() {
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
-			spent := within(repeats, end-length+time.Second, end)
-			earned := within(firsts, end-length-time.Second, end)
+		for _, end := range retries {
+			spent := countWithin(retries, end-length+time.Second, end)
+			earned := countWithin(firsts, end-length-time.Second, end)
 			if float64(spent) > 0.2*float64(earned)+20/2 {
-				t.Fatalf("%d repeats for %d firsts in the window up to %s", spent, earned, end)
+				t.Fatalf("%d retries for %d first attempts in the window up to %s", spent, earned, end)
 			}
 		}
 	})
 }
 
-func within(times []time.Duration, from, to time.Duration) int {
+func countWithin(times []time.Duration, from, to time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if at > from && at <= to {
@@ -54,9 +53,8 @@
 	return n
 }
 
-// The slack is one for all nodes together. A node that used all of it would leave
-// nothing to the others, and together they would exceed it.
-func TestSlackIsSharedByTheLiveNodes(t *testing.T) {
+// Guards against nodes that each use the whole slack, which is shared, and together exceed it.
+func TestSlackIsSharedByAllNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	spent := func(nodes int) int {
 		set := &retry.Windows{
@@ -64,7 +62,7 @@
 			Now: func() time.Duration { return time.Hour }, Nodes: func() int { return nodes },
 		}
 		n := 0
-		for set.Get("service").Spend() {
+		for set.Get("service").AllowRetry() {
 			n++
 		}
 		return n
