--- a/knowledge/evacuations.go
+++ b/knowledge/evacuations.go
@@ -6,12 +6,14 @@
 	"sync"
 )
 
-// Evacuations is the node's knowledge of the data centres to whose endpoints the operator
-// has nothing sent. It is the exact set as of a version of the store, so that of two nodes'
-// knowledge the one of the later version is right, whichever way it came.
+// Evacuations tracks the data centres that the operator has evacuated, so that no new work is sent
+// to endpoints there. It holds the exact set as of one version of the store; the set with the later
+// version is therefore right, whichever node it comes from. Its methods are safe for concurrent
+// use.
 type Evacuations struct {
-	// Known tells whether a data centre is one of the deployment's. Of names for which it
-	// returns false, at most maxUnknownEvacuations are kept.
+	// Known reports whether a data centre belongs to the deployment. At most maxUnknownEvacuations
+	// orders are kept for names for which it returns false. It must be set before use and is called
+	// with the lock held.
 	Known func(dataCentre string) bool
 
 	mu      sync.Mutex
@@ -19,31 +21,31 @@
 	orders  map[string]int64
 }
 
-// EvacuationSet is an immutable copy of what is known.
+// EvacuationSet is an immutable copy of the evacuated data centres.
 type EvacuationSet struct {
-	// Version is the store's version at which this was the set; 0 if nothing is known.
+	// Version is the store version at which this was the set; 0 if nothing is known.
 	Version int64
-	// Orders holds the version of each evacuated data centre's order.
+	// Orders maps each evacuated data centre to the store version of its order.
 	Orders map[string]int64
 }
 
-// DataCentres returns the names of the evacuated data centres in order.
+// DataCentres returns the sorted names of the evacuated data centres.
 func (s EvacuationSet) DataCentres() []string { return slices.Sorted(maps.Keys(s.Orders)) }
 
-// EvacuationOrder is one change of the set.
+// EvacuationOrder is a change of the set.
 type EvacuationOrder struct {
 	DataCentre string
 	Version    int64
-	// Withdrawn is set if the data centre is in use again.
+	// Withdrawn is set if the evacuation has ended and the data centre is in use again.
 	Withdrawn bool
 }
 
-// maxUnknownEvacuations bounds the orders for names that are none of the deployment's: rows
-// that somebody wrote by mistake must not fill the memory, nor keep out a real order.
+// maxUnknownEvacuations bounds the number of orders for names that are not part of the deployment:
+// rows written by mistake must neither exhaust memory nor displace a real order.
 const maxUnknownEvacuations = 256
 
-// Replace takes the whole set as of a version, if that is later than the known one. It returns
-// whether the set has changed.
+// Replace installs the complete set if its version is later than the known one. It reports whether
+// the set has changed.
 func (e *Evacuations) Replace(set EvacuationSet) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,7 +53,8 @@
 		return false
 	}
 	if e.version > 0 && maps.Equal(e.orders, set.Orders) {
-		// The version is taken all the same: whoever told it would tell it again.
+		// Adopt the version although the set is unchanged. Otherwise peers would send the same set
+		// again.
 		e.version = set.Version
 		return false
 	}
@@ -62,8 +65,8 @@
 	return true
 }
 
-// Apply takes changes after the known version, as the store lists them in order, and returns
-// those that were new. Changes of one transaction share a version.
+// Apply applies changes in the order in which the store lists them and returns those that are later
+// than the known version. Changes of one transaction share a version.
 func (e *Evacuations) Apply(changes []EvacuationOrder) []EvacuationOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,14 +107,14 @@
 	return unknown
 }
 
-// Current returns what is known.
+// Current returns a copy of the set.
 func (e *Evacuations) Current() EvacuationSet {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return EvacuationSet{Version: e.version, Orders: maps.Clone(e.orders)}
 }
 
-// Version returns the store's version of the known set; 0 if nothing is known.
+// Version returns the store version of the set; 0 if nothing is known.
 func (e *Evacuations) Version() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/knowledge/evacuations_test.go
+++ b/knowledge/evacuations_test.go
@@ -10,17 +10,18 @@
 	"github.com/crocusreel/crocusreel/knowledge"
 )
 
-// change is one row of the operator's table at the store.
+// change is one change of the operator's table in the store.
 type change struct {
 	knowledge.EvacuationOrder
 }
 
-// evacuationWorld is a store and nodes that learn of its evacuations in any order and way.
+// evacuationWorld models a store and nodes that learn of its evacuations in any order and from any
+// source.
 type evacuationWorld struct {
 	version int64
 	changes []change
 	nodes   []*knowledge.Evacuations
-	// asked is the version up to which each node's own questions have gone.
+	// asked is the store version up to which each node has read the store itself.
 	asked []int64
 }
 
@@ -38,7 +39,7 @@
 	return orders
 }
 
-// since returns the last change of each row after a version, as the store tells them.
+// since returns the last change of each row after a version, as the store lists them.
 func (w *evacuationWorld) since(version int64) []knowledge.EvacuationOrder {
 	var orders []knowledge.EvacuationOrder
 	for i, c := range w.changes {
@@ -56,9 +57,9 @@
 	return orders
 }
 
-// Guards against an order that a node loses, or takes back to life, because it learns of it
-// by several ways at once. Whatever the order, a node's set is that of the store at its
-// version, and versions never go back.
+// Guards against an order that a node loses or restores because it learns of it from several
+// sources at once. In any order of events, the set of a node equals that of the store at the node's
+// version, and versions never decrease.
 func TestEvacuationsAreThoseOfTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &evacuationWorld{version: 1}
@@ -70,10 +71,10 @@
 		check := func(i int, before int64) {
 			got := w.nodes[i].Current()
 			if got.Version < before {
-				t.Fatalf("node %d goes back from version %d to %d", i, before, got.Version)
+				t.Fatalf("node %d went back from version %d to %d", i, before, got.Version)
 			}
 			if got.Version > 0 && !maps.Equal(got.Orders, w.at(got.Version)) {
-				t.Fatalf("node %d at version %d: %v, the store has %v", i, got.Version, got.Orders, w.at(got.Version))
+				t.Fatalf("node %d at version %d has %v, but the store has %v", i, got.Version, got.Orders, w.at(got.Version))
 			}
 		}
 		read := func(i int) {
@@ -111,9 +112,9 @@
 				before := w.nodes[to].Version()
 				w.nodes[to].Replace(w.nodes[from].Current())
 				check(to, before)
-				// Else the one would be told the same again at once, without end.
+				// Otherwise the peer would send the same set again in an endless loop.
 				if w.nodes[to].Version() < w.nodes[from].Version() {
-					t.Fatalf("node %d was told version %d and stays at %d", to, w.nodes[from].Version(), w.nodes[to].Version())
+					t.Fatalf("node %d received version %d but is still at version %d", to, w.nodes[from].Version(), w.nodes[to].Version())
 				}
 			},
 			"start again": func(t *rapid.T) {
@@ -124,13 +125,13 @@
 		for i := range w.nodes {
 			read(i)
 			if got := w.nodes[i].Current(); !maps.Equal(got.Orders, w.at(w.version)) {
-				t.Fatalf("node %d has read everything and knows %v, the store has %v", i, got.Orders, w.at(w.version))
+				t.Fatalf("node %d has %v after reading all changes, but the store has %v", i, got.Orders, w.at(w.version))
 			}
 		}
 	})
 }
 
-// Guards against rows written by mistake that fill the memory or keep out a real order.
+// Guards against rows written by mistake that exhaust memory or displace a real order.
 func TestUnknownEvacuationsAreBounded(t *testing.T) {
 	e := &knowledge.Evacuations{Known: func(name string) bool { return name == "dc1" }}
 	set := knowledge.EvacuationSet{Version: 1, Orders: make(map[string]int64)}
@@ -141,9 +142,9 @@
 	e.Apply([]knowledge.EvacuationOrder{{DataCentre: "dc1", Version: 2}})
 	got := e.Current()
 	if _, is := got.Orders["dc1"]; !is {
-		t.Error("the real order is not known")
+		t.Error("the order for dc1 was not kept")
 	}
 	if len(got.Orders) > 300 {
-		t.Errorf("%d orders are kept", len(got.Orders))
+		t.Errorf("%d orders are kept, want at most 300", len(got.Orders))
 	}
 }
--- a/knowledge/knowledge.go
+++ b/knowledge/knowledge.go
@@ -1,5 +1,6 @@
-// Package knowledge holds what a node knows of the configuration: which version, and
-// at which moment that version was last confirmed as the newest.
+// Package knowledge tracks what a node knows of the state in the store: the configuration and when
+// its version was last confirmed to be the newest, the evacuated data centres, and the uptime of
+// the store.
 package knowledge
 
 import (
@@ -9,24 +10,24 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Snapshot is the knowledge at one moment. It is immutable.
+// Snapshot is the known configuration at one moment. It is immutable.
 type Snapshot struct {
 	Table *routing.Table
-	// Row is the version of the stored row, which rises with each change.
+	// Row is the version of the stored row, which increases with each change.
 	Row int64
-	// Raw is the row's content, for nodes that cannot reach the store.
+	// Raw is the content of the row. It is passed on to nodes that cannot reach the store.
 	Raw []byte
 	Seen
 }
 
-// Seen tells when a version was the newest.
+// Seen records when a version was confirmed to be the newest.
 type Seen struct {
-	// Certain is a moment at which it was certainly the newest: the question to which
-	// the answer confirmed it had not been sent before. Whatever was taken away earlier
-	// is known.
+	// Certain is the latest time at which the version is certain to have been the newest: the time
+	// at which the request was sent whose response confirmed it. Every revocation made before that
+	// time is known.
 	Certain time.Duration
-	// Answered is when the store last answered, here or at the node that was asked. A
-	// store that is silent for longer than its usual wait is out of reach.
+	// Answered is the time of the last response of the store, to this node or to the node that was
+	// asked. A store that stays silent for longer than its usual wait is unreachable.
 	Answered time.Duration
 }
 
@@ -34,27 +35,28 @@
 	return Seen{Certain: max(s.Certain, other.Certain), Answered: max(s.Answered, other.Answered)}
 }
 
-// Ages are the times since the moments of Seen.
+// Ages holds the times elapsed since the times in Seen.
 type Ages struct {
 	Certain, Answered time.Duration
 }
 
-// Configuration is the node's knowledge of the configuration. Time is that of a clock
-// that goes on while the machine is suspended: a machine that has slept must not
-// believe that it is up to date.
+// Configuration tracks the newest known configuration and when it was last confirmed. Its methods
+// are safe for concurrent use. Its clock must keep running while the machine is suspended, or a
+// machine that has resumed would consider an old configuration up to date.
 type Configuration struct {
 	now func() time.Duration
 	mu  sync.RWMutex
 	at  Snapshot
 }
 
-// NewConfiguration returns a Configuration that knows nothing.
+// NewConfiguration returns a Configuration without a known version. now reads the clock.
 func NewConfiguration(now func() time.Duration) *Configuration {
 	return &Configuration{now: now}
 }
 
-// Apply takes a version that was the newest as seen says. An older version than the
-// known one is not applied; it returns whether the version is new.
+// Apply installs a version that was the newest at the times in seen, unless a newer one is known.
+// It reports whether the version is new. For the version that is known already, it only records the
+// confirmation.
 func (c *Configuration) Apply(table *routing.Table, row int64, raw []byte, seen Seen) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +71,8 @@
 	return true
 }
 
-// Confirm records that the version of the row was the newest.
+// Confirm records that the known version was the newest at the times in seen. It does nothing if
+// row is not the known version.
 func (c *Configuration) Confirm(row int64, seen Seen) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +81,7 @@
 	}
 }
 
-// Current returns the knowledge and its ages. Without a configuration the table is nil.
+// Current returns the known configuration and its ages. The table is nil if none is known.
 func (c *Configuration) Current() (Snapshot, Ages) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/knowledge/knowledge_test.go
+++ b/knowledge/knowledge_test.go
@@ -10,7 +10,7 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-var _ = Describe("knowledge of the configuration", func() {
+var _ = Describe("tracking of the configuration", func() {
 	var now time.Duration
 	var c *knowledge.Configuration
 	table := func(version int64) *routing.Table {
@@ -23,8 +23,8 @@
 		c = knowledge.NewConfiguration(func() time.Duration { return now })
 	})
 
-	// A node learns version 9 from the store and then gets version 7 from a peer that is
-	// behind. A caller whose key was taken away by 9 would be served again.
+	// A node learns version 9 from the store and then receives version 7 from a peer that lags
+	// behind. A caller whose key was revoked in version 9 must not be served again.
 	It("never goes back to an older version", func() {
 		Expect(c.Apply(table(9), 90, nil, seen(now))).To(BeTrue())
 		Expect(c.Apply(table(7), 70, nil, seen(now+time.Second))).To(BeFalse())
@@ -33,9 +33,9 @@
 		Expect(known.Certain).To(Equal(time.Minute))
 	})
 
-	// A peer that is behind confirms its own older version. Taken for a confirmation of
-	// the newer one it would make a cut-off node believe that it is up to date.
-	It("takes a confirmation only for the version that it knows", func() {
+	// A peer that lags behind confirms its own older version. If this counted as a confirmation of
+	// the newer one, a node without connection to the store would consider itself up to date.
+	It("accepts a confirmation only for the known version", func() {
 		c.Apply(table(9), 90, nil, seen(now))
 		now += 3 * time.Second
 		c.Confirm(70, seen(now))
@@ -46,7 +46,7 @@
 		Expect(ages).To(Equal(knowledge.Ages{Certain: time.Second, Answered: 0}))
 	})
 
-	It("never becomes older by a late confirmation", func() {
+	It("does not become older through a late confirmation", func() {
 		c.Apply(table(9), 90, nil, seen(now))
 		c.Confirm(90, seen(now-10*time.Second))
 		_, ages := c.Current()
--- a/knowledge/uptime.go
+++ b/knowledge/uptime.go
@@ -5,59 +5,62 @@
 	"time"
 )
 
-// Uptime is a span of the store's clock in which the store is known to have served the
-// endpoints' table, with no pause so long that an entry could have expired in it.
+// Uptime is a span on the store's clock in which the store is known to have served the endpoint
+// table, without an outage long enough for an entry to expire.
 type Uptime struct {
-	// Since and Until are times of the store's clock; both are 0 if nothing is known.
+	// Since and Until are times on the store's clock; both are 0 if nothing is known.
 	Since, Until time.Duration
 }
 
 const (
-	// lapseHeartbeats is the least length of an outage, in heartbeats, in which entries of living
-	// endpoints expire: it takes three in a row, and they may come early.
+	// lapseHeartbeats is the minimum length, in heartbeats, of an outage in which entries of living
+	// endpoints can expire. An entry expires after three missed heartbeats in a row, and heartbeats
+	// may come early.
 	lapseHeartbeats = 1.5
-	// unaskedHeartbeats is the longest pause between two answers, in heartbeats, that is no outage
-	// if no question has failed: the node that asks may have died, and another one takes over.
+	// unaskedHeartbeats is the longest pause between two responses, in heartbeats, that does not
+	// count as an outage if no request has failed: the node that queries the store may have died,
+	// and another node takes over.
 	unaskedHeartbeats = 2
-	// entriesBack is the time from an outage's end after which the entries of living endpoints are
-	// back: the platform promises about two seconds.
+	// entriesBack is the time after the end of an outage by which the entries of living endpoints
+	// have been written again: the platform promises about two seconds.
 	entriesBack = 2100 * time.Millisecond
 )
 
-// UptimeRecord is a node's account of the store's uptime, from the store's answers to any node.
-// Its methods may be called from any goroutine.
+// UptimeRecord tracks the uptime of the store from its responses to this node and to others. Its
+// methods are safe for concurrent use.
 type UptimeRecord struct {
-	// lapse is the length of an outage from which entries may have expired, and unasked the pause
-	// from which it is one although no question has failed.
+	// lapse is the pause that counts as an outage, because entries may have expired in it, if a
+	// request has failed or the span comes from another node; unasked is the longer one that counts
+	// if no request has failed.
 	lapse, unasked time.Duration
 
 	mu    sync.Mutex
 	known Uptime
-	// failed is set if a question of some node has failed since known.Until.
+	// failed is set if a request of any node to the store has failed since known.Until.
 	failed bool
 }
 
-// NewUptimeRecord returns an empty account. Heartbeat is the time between two writes of an
-// endpoint's entry.
+// NewUptimeRecord returns an UptimeRecord without a known span. heartbeat is the interval between
+// two writes of an endpoint's entry.
 func NewUptimeRecord(heartbeat time.Duration) *UptimeRecord {
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(heartbeat)) }
 	return &UptimeRecord{lapse: beats(lapseHeartbeats), unasked: beats(unaskedHeartbeats)}
 }
 
-// Failed records that the store didn't answer a question of this node or of another one.
+// Failed records that a request to the store, by this node or another one, got no response.
 func (r *UptimeRecord) Failed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failed = true
 }
 
-// Answered takes an answer of the store to this node, which was made at the given time of the
-// store's clock. It returns the length of the outage that the answer ends, 0 if there was none.
+// Answered records a response of the store to this node. at is the time of the response on the
+// store's clock. It returns the length of the outage that the response ends, 0 if there was none.
 func (r *UptimeRecord) Answered(at time.Duration) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at < r.known.Until-r.unasked {
-		// Other nodes' answers are that far ahead only if the clock was set back.
+		// Responses to other nodes are this far ahead only if the store's clock was set back.
 		r.known = Uptime{}
 	}
 	if r.failed {
@@ -66,14 +69,17 @@
 	return r.serveLocked(Uptime{Since: at, Until: at}, r.unasked)
 }
 
-// Told takes the account of another node together with all entries as of told.Until.
+// Told merges the span known to another node, which sent all its entries as of told.Until with it.
+// It returns the length of the outage between the known span and this one, 0 if there was none.
 func (r *UptimeRecord) Told(told Uptime) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.serveLocked(told, r.lapse)
 }
 
-// serveLocked joins a span that begins within the given pause, and begins anew with a later one.
+// serveLocked joins a span that begins no later than pause after the end of the known one, and
+// replaces the known span by one that begins later. It returns the length of the outage between the
+// two. The caller holds r.mu.
 func (r *UptimeRecord) serveLocked(told Uptime, pause time.Duration) (outage time.Duration) {
 	switch {
 	case !told.valid():
@@ -90,9 +96,9 @@
 	return outage
 }
 
-// Heard takes the account of another node without its entries: it can show that the store served
-// others during a pause of its answers here, but not that an entry is still missing. It returns
-// whether it did.
+// Heard merges the span known to another node that did not send its entries. Such a span can show
+// that the store served others while this node got no responses, but not that an entry is still
+// missing. Heard therefore only moves the start of the known span back, and reports whether it did.
 func (r *UptimeRecord) Heard(told Uptime) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,15 +115,15 @@
 
 func (u Uptime) valid() bool { return u.Since > 0 && u.Since <= u.Until }
 
-// Current returns what is known.
+// Current returns the known span; it is empty if nothing is known.
 func (r *UptimeRecord) Current() Uptime {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
 }
 
-// Doubt is how much longer the store has to serve until entries that are missing are so for
-// good: those that expired in an outage may still come back. It is 0 if they can't.
+// Doubt returns how much longer the store must be up before missing entries are final: entries that
+// expired in an outage may still be written again until then. It is 0 if missing entries are final.
 func (r *UptimeRecord) Doubt() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/knowledge/uptime_test.go
+++ b/knowledge/uptime_test.go
@@ -12,29 +12,30 @@
 
 const (
 	heartbeat = 1200 * time.Millisecond
-	// expiry is the time without a heartbeat after which an entry expires, and promisedBack that
-	// after an outage in which the entries that expired in it are written again.
+	// expiry is the time without a heartbeat after which an entry expires. promisedBack is the time
+	// after an outage within which the entries that expired in it are written again.
 	expiry       = 3 * heartbeat
 	promisedBack = 2 * time.Second
-	// noticed is the length of an outage from which a question has failed and all nodes know it.
+	// noticed is the length from which every outage makes a request fail and all nodes learn of it.
 	noticed = 1600 * time.Millisecond
-	// settled bounds the time from the store's return until nothing is doubted any more, at a
-	// node that gets its answers.
+	// settled bounds the time from the store's return until missing entries are final at a node
+	// that gets responses.
 	settled = 2200 * time.Millisecond
 )
 
-// livingEndpoint writes its entry at each heartbeat at which the store is up.
+// livingEndpoint writes its entry at each heartbeat while the store is up.
 type livingEndpoint struct {
-	// interval is the time between two heartbeats, about that of the settings.
+	// interval is the time between two heartbeats, close to the configured one.
 	phase, interval time.Duration
-	// back is when, after an outage in which its entry has expired, it writes it again.
+	// back is the delay after an outage with which the endpoint writes an expired entry again.
 	back time.Duration
 }
 
-// span is one outage.
+// span is the time of one outage.
 type span struct{ from, to time.Duration }
 
-// uptimeWorld is a store with outages, a living endpoint, and nodes with their accounts.
+// uptimeWorld models a store with outages, a living endpoint, and nodes that track the store's
+// uptime.
 type uptimeWorld struct {
 	now      time.Duration
 	outages  []span
@@ -51,7 +52,7 @@
 	return true
 }
 
-// present tells whether the endpoint's entry was there at a time.
+// present reports whether the endpoint's entry exists at a time.
 func (w *uptimeWorld) present(at time.Duration) bool {
 	written := time.Duration(0)
 	for t := w.endpoint.phase; t <= at; t += w.endpoint.interval {
@@ -68,8 +69,8 @@
 	return at <= written+expiry
 }
 
-// writesAgain is when an endpoint whose entry had expired by t writes it after the last outage
-// before t; 0 if it hadn't.
+// writesAgain returns the time at which the endpoint writes its entry again after the last outage
+// before t, if the entry had expired by t; 0 otherwise.
 func (w *uptimeWorld) writesAgain(t, written time.Duration) time.Duration {
 	for _, o := range slices.Backward(w.outages) {
 		if t >= o.to && written+expiry < t && written < o.to {
@@ -79,8 +80,8 @@
 	return 0
 }
 
-// Guards against living endpoints that are given up because an outage took their entries, and
-// against doubts that outlast the time in which such entries come back.
+// Guards against giving up living endpoints whose entries expired in an outage, and against a grace
+// time that outlasts the time in which such entries are written again.
 func TestUptimeTellsWhichEntriesMayComeBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &uptimeWorld{now: 100 * time.Second, outages: []span{{from: 0, to: 50 * time.Second}}}
@@ -95,7 +96,7 @@
 		ask := func(i int) {
 			w.nodes[i].Answered(w.now)
 			if w.now >= returned()+settled && w.nodes[i].Current().Since <= returned()+settled-2100*time.Millisecond && w.nodes[i].Doubt() > 0 {
-				t.Fatalf("node %d still doubts %s after the store's return: %+v", i, w.now-returned(), w.nodes[i].Current())
+				t.Fatalf("node %d still has a grace time %s after the store's return: %+v", i, w.now-returned(), w.nodes[i].Current())
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -103,14 +104,14 @@
 				for i, n := range w.nodes {
 					known := n.Current()
 					if known.Until > 0 && n.Doubt() == 0 && !w.present(known.Until) {
-						t.Fatalf("node %d, %+v, takes the entry for gone at %s, outages %v", i, known, known.Until, w.outages[1:])
+						t.Fatalf("node %d, %+v, considers the entry of a living endpoint gone at %s, outages %v", i, known, known.Until, w.outages[1:])
 					}
 				}
 			},
 			"time passes": func(t *rapid.T) {
 				w.now += time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond
 			},
-			// All nodes get answers for some time, as they do if nothing is wrong.
+			// All nodes get responses for some time, as in normal operation.
 			"service": func(t *rapid.T) {
 				for range rapid.IntRange(1, 6).Draw(t, "answers") {
 					w.now += 500 * time.Millisecond
@@ -119,8 +120,8 @@
 					}
 				}
 			},
-			// An outage begins only when heartbeats have got through since the last one. From noticed
-			// on all nodes know of a question that failed.
+			// An outage begins only after heartbeats have succeeded since the last one. From the
+			// length noticed on, all nodes know of a failed request.
 			"outage": func(t *rapid.T) {
 				if w.now > returned()+promisedBack+heartbeat {
 					from := w.now
@@ -141,8 +142,8 @@
 	})
 }
 
-// Guards against doubts at a node that the store alone turned away, cut off or frozen for long,
-// while it served others.
+// Guards against a grace time at a node that alone got no responses for long, because it was cut
+// off, frozen or turned away by the store, while the store served other nodes.
 func TestUptimeOfOthersCoversAPause(t *testing.T) {
 	reader, other := knowledge.NewUptimeRecord(heartbeat), knowledge.NewUptimeRecord(heartbeat)
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
@@ -152,15 +153,16 @@
 		}
 	}
 	if reader.Doubt() == 0 {
-		t.Fatal("no doubt after ten seconds without an answer")
+		t.Fatal("no grace time after ten seconds without a response")
 	}
 	if !reader.Heard(other.Current()) || reader.Doubt() > 0 {
-		t.Fatalf("doubt of %s although the store served others", reader.Doubt())
+		t.Fatalf("grace time of %s although the store served other nodes", reader.Doubt())
 	}
 }
 
-// Guards against withdrawals that are doubted because the node that asks the store has died, and
-// against living endpoints that are given up after an outage that is as short as that pause.
+// Guards against a grace time that delays the removal of endpoints because the node that queries
+// the store has died, and against giving up living endpoints after an outage as short as the pause
+// of such a takeover.
 func TestUptimeTellsATakeoverFromAnOutage(t *testing.T) {
 	const pause = 2100 * time.Millisecond
 	for _, failed := range []bool{false, true} {
@@ -174,13 +176,13 @@
 		}
 		r.Answered(at - time.Second + pause)
 		if doubted := r.Doubt() > 0; doubted != failed {
-			t.Errorf("a pause of %v, a question failed: %t, entries are doubted: %t", pause, failed, doubted)
+			t.Errorf("pause of %v, a request failed: %t, missing entries have a grace time: %t", pause, failed, doubted)
 		}
 	}
 }
 
-// Guards against living endpoints that are given up because a node which didn't notice an outage
-// tells of the time before it.
+// Guards against giving up living endpoints because a node that did not notice an outage sends the
+// span from before it.
 func TestUptimeOfOthersDoesNotCoverAnOutage(t *testing.T) {
 	const before, after = 6 * time.Second, 8100 * time.Millisecond
 	told := knowledge.Uptime{Since: time.Second, Until: before}
@@ -189,15 +191,15 @@
 	r.Failed()
 	r.Answered(after)
 	if r.Heard(told) || r.Doubt() == 0 {
-		t.Errorf("an outage of %v is covered by %+v", after-before, told)
+		t.Errorf("an outage of %v is hidden by %+v", after-before, told)
 	}
 	if r.Told(told); r.Doubt() == 0 {
-		t.Errorf("an outage of %v is covered by %+v and its entries", after-before, told)
+		t.Errorf("an outage of %v is hidden by %+v with its entries", after-before, told)
 	}
 }
 
-// Guards against an account that never ends its doubts, or never begins them, because a clock was
-// set back, isn't told, or is told by a node that knows nothing.
+// Guards against a grace time that never ends or never begins because a clock was set back, is
+// missing, or belongs to a node that knows nothing.
 func TestUptimeOfFaultyClocks(t *testing.T) {
 	r := knowledge.NewUptimeRecord(heartbeat)
 	for _, nothing := range []knowledge.Uptime{{}, {Since: 5, Until: 4}, {Since: -3, Until: 7}} {
@@ -206,7 +208,7 @@
 	}
 	r.Answered(0)
 	if got := r.Current(); got != (knowledge.Uptime{}) || r.Doubt() != 0 {
-		t.Fatalf("learned %+v from nothing", got)
+		t.Fatalf("uptime is %+v after invalid spans, want it empty", got)
 	}
 	for at := 100 * time.Second; at <= 105*time.Second; at += time.Second {
 		r.Answered(at)
@@ -215,6 +217,6 @@
 		r.Answered(at)
 	}
 	if got := r.Current(); got.Since != 10*time.Second || r.Doubt() != 0 {
-		t.Fatalf("%+v after the clock went back to 10 s, doubt %s", got, r.Doubt())
+		t.Fatalf("uptime is %+v after the clock was set back to 10 s, grace time %s", got, r.Doubt())
 	}
 }
--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -2,20 +2,21 @@
 
 import "math/rand/v2"
 
-// None is returned by a picker if no endpoint can take the request now.
+// None is the index that a Picker returns if no endpoint can take the request now.
 const None = -1
 
-// Picker chooses an endpoint for a request, or None to let it wait.
+// Picker chooses an endpoint for a request. Pick returns an index into endpoints, or None if the
+// request has to wait.
 type Picker interface {
 	Pick(endpoints []*Endpoint, r *Request) int
 }
 
-// Watermark is a fixed fraction of an engine's memory up to which the baselines
-// admit; 0 admits without limit.
+// Watermark is the fraction of an engine's memory up to which the baseline pickers admit requests;
+// 0 disables the limit.
 type Watermark float64
 
-// admits tells whether the memory in use at e plus the prompt stays under the
-// watermark.
+// admits reports whether the memory in use at e plus the prompt stays within the watermark. It
+// admits everything while the capacity of e is unknown.
 func (w Watermark) admits(e *Endpoint, r *Request) bool {
 	if w <= 0 || e.Capacity == 0 {
 		return true
@@ -23,7 +24,7 @@
 	return e.Used()+float64(r.Prompt) <= float64(w)*float64(e.Capacity)
 }
 
-// RoundRobin takes the endpoints in turn.
+// RoundRobin picks the endpoints in turn.
 type RoundRobin struct {
 	Watermark Watermark
 	next      int
@@ -41,7 +42,7 @@
 	return None
 }
 
-// LeastOutstanding takes the endpoint with the fewest open answers.
+// LeastOutstanding picks the endpoint with the fewest admitted answers.
 type LeastOutstanding struct {
 	Watermark Watermark
 }
@@ -60,19 +61,19 @@
 	return best
 }
 
-// PowerOfTwo takes the less loaded of two random endpoints, by their last load
-// reports.
+// PowerOfTwo picks the less loaded of two random endpoints, judged by their last load reports.
 type PowerOfTwo struct {
 	Watermark Watermark
 	rng       *rand.Rand
 }
 
-// NewPowerOfTwo returns a picker that draws from the given seed.
+// NewPowerOfTwo returns a PowerOfTwo whose random numbers are derived from seed.
 func NewPowerOfTwo(w Watermark, seed uint64) *PowerOfTwo {
 	return &PowerOfTwo{Watermark: w, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// powerOfTwoTries bounds the draws for two endpoints that may take the request.
+// powerOfTwoTries bounds the number of random draws made to find two endpoints that can take the
+// request.
 const powerOfTwoTries = 8
 
 // Pick implements Picker.
@@ -99,7 +100,8 @@
 	return p.any(endpoints, r)
 }
 
-// any finds an endpoint when the draws hit none, as when few are healthy.
+// any returns the first endpoint that can take the request. It is the fallback for when no random
+// draw hit such an endpoint, for example because few are healthy.
 func (p *PowerOfTwo) any(endpoints []*Endpoint, r *Request) int {
 	for i, e := range endpoints {
 		if e.Eligible(r) && p.Watermark.admits(e, r) {
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -8,7 +8,7 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// benchmarkPool is a pool in which every engine runs some answers.
+// benchmarkPool returns a pool in which every engine runs 24 answers.
 func benchmarkPool(engines int) ([]*Endpoint, *Estimator) {
 	est := NewEstimator()
 	pool := make([]*Endpoint, engines)
@@ -33,7 +33,7 @@
 	}
 }
 
-// BenchmarkDecision is the choice of an endpoint for one request.
+// BenchmarkDecision measures picking an endpoint for one request.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{257, 1800} {
 		b.Run(fmt.Sprintf("reservation/%d", n), func(b *testing.B) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkDemand is the prediction for one new request.
+// BenchmarkDemand measures predicting the demand of one new request.
 func BenchmarkDemand(b *testing.B) {
 	est := NewEstimator()
 	b.ReportAllocs()
@@ -57,7 +57,7 @@
 	}
 }
 
-// BenchmarkRefresh brings one engine with 24 answers up to date.
+// BenchmarkRefresh measures refreshing one engine with 24 answers.
 func BenchmarkRefresh(b *testing.B) {
 	pool, est := benchmarkPool(1)
 	b.ReportAllocs()
@@ -66,7 +66,7 @@
 	}
 }
 
-// BenchmarkObserve learns from one answer.
+// BenchmarkObserve measures recording one completed answer.
 func BenchmarkObserve(b *testing.B) {
 	est := NewEstimator()
 	b.ReportAllocs()
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// horizonPoints is the number of moments ahead at which memory use is predicted.
+// horizonPoints is the number of future points at which memory use is predicted.
 const horizonPoints = 14
 
-// horizon holds these moments, in decoding steps; an answer grows by one token at
-// each step.
+// horizon lists these points as a number of decoding steps from now. An answer grows by one token
+// per step.
 var horizon = [horizonPoints]float64{1, 32, 64, 128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 4096, 8192}
 
-// blockSlack is what an answer uses beyond its tokens, since engines hand out
-// memory in blocks of some 16 tokens.
+// blockSlack is the memory, in tokens, that an answer uses beyond its own tokens: engines allocate
+// memory in blocks of about 16 tokens.
 const blockSlack = 8
 
-// Demand is the predicted memory use of one answer. At each point of the horizon it
-// uses size tokens with probability prob, and else has ended and uses none.
+// Demand is the predicted memory use of one answer. At point i of the horizon, the answer uses
+// size[i] tokens with probability prob[i]; otherwise it has ended and uses none.
 type Demand struct {
 	size, prob [horizonPoints]float64
 }
 
-// AnswerDemand predicts one answer. prompt and produced are in tokens; maxTokens
-// bounds the answer, 0 if nothing does.
+// AnswerDemand predicts the demand of an answer of unknown length. prompt and produced are in
+// tokens; maxTokens limits the length of the answer, 0 means no limit.
 func AnswerDemand(s *Survival, prompt, produced, maxTokens int) (d Demand) {
 	now := float64(prompt + produced + blockSlack)
 	for i, h := range horizon {
@@ -33,8 +33,8 @@
 	return d
 }
 
-// KnownDemand predicts an answer of length tokens, told beforehand. It counts the
-// answer at a point of the horizon if it lives at any time since the point before.
+// KnownDemand predicts the demand of an answer whose length, in tokens, is known in advance. The
+// answer counts at a point of the horizon if it runs at any time since the previous point.
 func KnownDemand(prompt, produced, length int) (d Demand) {
 	left := float64(length - produced)
 	before := 0.0
@@ -50,29 +50,30 @@
 }
 
 const (
-	// memoryBins is the number of steps in which the memory of an engine is counted.
+	// memoryBins is the number of bins into which the memory of an engine is divided.
 	memoryBins = 64
-	// occupancyBins reaches beyond the memory, so that what exceeds it is counted.
+	// occupancyBins extends beyond the capacity of the engine so that use above it is represented.
 	occupancyBins = memoryBins + 8
 )
 
-// Occupancy is the distribution of the memory that several independent answers use
-// together, at each point of the horizon. It is kept whole, and not as mean and
-// variance: with the few answers of one engine the sum is far from normal, and in
-// trials a normal bound admitted too much in some states and too little in others.
+// Occupancy is the distribution of the total memory used by several independent answers at each
+// point of the horizon. It keeps the whole distribution rather than mean and variance: one engine
+// runs so few answers that the sum is far from normal, and in trials a normal bound admitted too
+// much in some states and too little in others.
 type Occupancy struct {
 	mean [horizonPoints]float64
-	// reach[i][k] is the probability that at point i at least k bins are in use.
+	// reach[i][k] is the probability that at least k bins are in use at point i.
 	reach [horizonPoints][occupancyBins + 1]float32
-	// top is the highest bin that can be reached.
+	// top[i] is the highest bin that can be in use at point i.
 	top [horizonPoints]int
 	// bin is the size of one bin in tokens.
 	bin float64
-	// fixed is memory in use that nothing is known about, in tokens.
+	// fixed is the memory in use, in tokens, whose growth is unknown; it counts as constant.
 	fixed float64
 }
 
-// Reset empties the occupancy of an engine with the given memory, in tokens.
+// Reset clears the occupancy for an engine with the given capacity. fixed is the memory already in
+// use whose growth is unknown. Both are in tokens.
 func (o *Occupancy) Reset(capacity, fixed float64) {
 	*o = Occupancy{bin: capacity / memoryBins, fixed: fixed}
 	for i := range o.reach {
@@ -81,10 +82,10 @@
 	}
 }
 
-// leastProbability is what is taken as never.
+// leastProbability is the probability up to which a use of memory is ignored.
 const leastProbability = 1e-4
 
-// Add adds an answer.
+// Add adds the demand of one answer.
 func (o *Occupancy) Add(d *Demand) {
 	if o.bin <= 0 {
 		return
@@ -97,8 +98,8 @@
 	}
 }
 
-// convolve adds a use of x bins with probability p at point i. A use between two
-// bins is split between them, which keeps the mean.
+// convolve adds a use of x bins with probability p at point i. A use between two bins is split
+// between them, which preserves the mean.
 func (o *Occupancy) convolve(i int, x float64, p float32) {
 	whole := min(int(x), occupancyBins)
 	up := p * float32(x-float64(whole))
@@ -130,26 +131,25 @@
 	return float64((1-f)*o.reach[i][k+1] + f*next)
 }
 
-// exceedsWith returns the probability that more than x bins are in use at point i once an
-// answer is added that uses the given number of bins. It counts as convolve does, which
-// splits a use between two bins: a use that is merely subtracted from x comes out smaller
-// where bins are coarse, and an answer was then admitted whose risk, once it was added,
-// was over the bound.
+// exceedsWith returns the probability that more than x bins are in use at point i once an answer
+// that uses the given number of bins has been added. Like convolve, it splits a use between two
+// bins. Subtracting the use from x instead gives too small a probability if bins are coarse: an
+// answer was then admitted although the risk, once it was added, was over the bound.
 func (o *Occupancy) exceedsWith(i int, x, bins float64) float64 {
 	whole := math.Floor(bins)
 	up := bins - whole
 	return (1-up)*o.spread(i, x-whole) + up*o.spread(i, x-whole-1)
 }
 
-// spread interpolates the probability that more than x bins are in use, also for x
-// between -1 and 0.
+// spread interpolates the probability that more than x bins are in use at point i. Unlike exceeds,
+// it also interpolates for x between -1 and 0.
 func (o *Occupancy) spread(i int, x float64) float64 {
 	k := int(math.Floor(x))
 	f := x - math.Floor(x)
 	return (1-f)*o.atLeast(i, k+1) + f*o.atLeast(i, k+2)
 }
 
-// atLeast is the probability that at least k bins are in use at point i.
+// atLeast returns the probability that at least k bins are in use at point i.
 func (o *Occupancy) atLeast(i, k int) float64 {
 	switch {
 	case k <= 0:
@@ -161,22 +161,23 @@
 	}
 }
 
-// nearPoints is the number of points of the horizon that count as near.
+// nearPoints is the number of points of the horizon that count as the near future.
 const nearPoints = 2
 
-// Risk returns the highest probability over the horizon that the answers together
-// with d use more than near tokens soon, or more than far tokens later. It stops
-// early once that is over bound.
+// Risk returns the highest probability, over the points of the horizon, that the answers together
+// with d use more than near tokens in the near future or more than far tokens later. It stops early
+// once the probability is over bound.
 func (o *Occupancy) Risk(d *Demand, near, far, bound float64) float64 {
 	return o.worst(d, near, far, bound, 0)
 }
 
-// Added is like Risk, but counts only by how much d raises the probability.
+// Added is like Risk, but returns only the increase of the probability that d causes.
 func (o *Occupancy) Added(d *Demand, near, far, bound float64) float64 {
 	return o.worst(d, near, far, bound, 1)
 }
 
-// worst counts the probability without d to the given part as not caused by d.
+// worst implements Risk and Added. part is the share, 0 to 1, of the probability without d that is
+// subtracted from the result.
 func (o *Occupancy) worst(d *Demand, near, far, bound, part float64) float64 {
 	if o.bin <= 0 {
 		return 1
@@ -199,8 +200,8 @@
 	return worst
 }
 
-// Peak returns the highest expected use over the horizon of the answers with d, in
-// tokens.
+// Peak returns the highest expected use over the horizon, in tokens, of the answers together with
+// d.
 func (o *Occupancy) Peak(d *Demand) float64 {
 	peak := 0.0
 	for i := range d.size {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,8 +1,8 @@
-// Package policy holds the decisions about engines: how long an answer will be,
-// whether an engine can take another one, which engine takes it, whose turn it
-// is, and which requests are suspected of killing engines.
+// Package policy implements the scheduling decisions about engines: it predicts the length of an
+// answer (the output of one generation), decides whether an engine has memory for another answer,
+// picks the engine, orders the queue, and tracks which requests are suspected of killing engines.
 //
-// Nothing here does input or output, reads a clock or starts a goroutine. Times
-// are passed in as durations on one monotonic clock of the caller's choice. The
-// types are not safe for concurrent use: one goroutine owns them.
+// The package does no I/O, reads no clock and starts no goroutines. All times are durations on one
+// monotonic clock chosen by the caller. The types are not safe for concurrent use; each value must
+// be owned by a single goroutine.
 package policy
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -6,29 +6,27 @@
 )
 
 const (
-	// slowShare is the part of the median token rate under which an endpoint counts
-	// as slow.
+	// slowShare is the fraction of the median token rate below which an endpoint counts as slow.
 	slowShare = 0.35
-	// ejectShare bounds the part of the endpoints that are ejected at a time: if many
-	// seem slow, the cause lies elsewhere, and ejecting them would overload the rest.
+	// ejectShare bounds the fraction of endpoints that are ejected at the same time. If many
+	// endpoints seem slow, the cause lies elsewhere, and ejecting them would overload the rest.
 	ejectShare = 1.0 / 3
-	// ejectTime is how long an ejected endpoint gets no new work before it is tried
-	// again.
+	// ejectTime is how long an ejected endpoint gets no new work before it is readmitted.
 	ejectTime = 10 * time.Second
-	// leastSamples is the number of rate samples that a judgement needs.
+	// leastSamples is the number of rate samples required before an endpoint is judged.
 	leastSamples = 8
-	// leastPeers is the number of endpoints with a known rate that a median needs.
+	// leastPeers is the number of endpoints with a known rate required to compute a median.
 	leastPeers = 3
 )
 
-// Ejector keeps new work away from endpoints that answer polls but hardly produce
-// tokens: their load looks small, so they would attract work.
+// Ejector detects endpoints that answer polls but produce hardly any tokens, and keeps new work
+// away from them. Their load looks small, so they would otherwise attract work.
 type Ejector struct {
 	rates []float64
 }
 
-// Judge ejects slow endpoints and readmits those whose time is over. It returns the
-// number of endpoints that it ejected now.
+// Judge readmits endpoints whose ejection has expired and ejects slow ones. It returns the number
+// of endpoints that it ejected in this call.
 func (j *Ejector) Judge(endpoints []*Endpoint, now time.Duration) int {
 	j.rates = j.rates[:0]
 	out := 0
@@ -63,16 +61,16 @@
 }
 
 const (
-	// rampTime is how long an endpoint that joins takes to get its full share.
+	// rampTime is the time after which an endpoint that has joined gets its full share of work.
 	rampTime = 5 * time.Second
-	// rampStart is the share that it begins with.
+	// rampStart is the initial share of an endpoint that has just joined.
 	rampStart = 0.25
 )
 
-// Ramp returns the share of its memory that an endpoint may be given so long after
-// it became healthy. An endpoint that joins a busy pool is the emptiest: without
-// this it would be sent everything at once, with cold caches and before its first
-// load reports.
+// Ramp returns the share of its memory, 0 to 1, that may be used at an endpoint that has been
+// healthy for the given time. An endpoint that joins a busy pool is the emptiest one: without the
+// ramp it would get all new work at once, while its caches are cold and before its first load
+// reports.
 func Ramp(healthyFor time.Duration) float64 {
 	if healthyFor >= rampTime {
 		return 1
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// One engine answers its polls but hardly decodes. It looks idle, attracts work, and
-// callers see answers that creep.
+// Guards against an engine that answers its polls but hardly decodes: it looks idle and attracts
+// work, and its callers get their tokens very slowly.
 func TestSlowEndpointIsEjectedAndTriedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var pool []*Endpoint
@@ -47,7 +47,7 @@
 				}
 			}
 			if float64(out) > ejectShare*float64(n) {
-				t.Fatalf("%d of %d are ejected", out, n)
+				t.Fatalf("%d of %d endpoints are ejected, want at most a third", out, n)
 			}
 		}
 	})
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -7,94 +7,95 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// State tells whether an endpoint may get new work.
+// State is the health of an endpoint, which decides whether it may get new work.
 type State int
 
 const (
-	// StateUnknown means that no load report has come yet.
+	// StateUnknown means that no load report has arrived yet.
 	StateUnknown State = iota
-	// StateHealthy means that the endpoint answers.
+	// StateHealthy means that the endpoint responds.
 	StateHealthy
-	// StateFailed means that the endpoint does not answer.
+	// StateFailed means that the endpoint does not respond.
 	StateFailed
-	// StateLeaving means that the endpoint answers and is about to stop.
+	// StateLeaving means that the endpoint responds but is about to stop.
 	StateLeaving
 )
 
-// Answer is one answer that runs at an endpoint.
+// Answer is an answer in progress at an endpoint.
 type Answer struct {
 	Key       LengthKey
 	Prompt    int
 	MaxTokens int
-	// Hint is the length told by the caller; 0 if none.
+	// Hint is the length in tokens announced by the caller; 0 if there is none.
 	Hint int
-	// Produced is the number of tokens at the time ProducedAt.
+	// Produced is the number of tokens produced by the time ProducedAt.
 	Produced   int
 	ProducedAt time.Duration
 	Suspect    bool
 }
 
-// Endpoint is the view of one engine that decisions are made on.
+// Endpoint is the scheduler's view of one engine, on which decisions are based.
 type Endpoint struct {
 	Name  string
 	State State
 	// Capacity is the engine's memory in tokens; 0 if not known yet.
 	Capacity int
-	// ReportedUsed, ReportedRunning and ReportedWaiting are from the last load
-	// report, which lags.
+	// ReportedUsed (in tokens), ReportedRunning and ReportedWaiting are the values of the last load
+	// report, which lags behind.
 	ReportedUsed    int
 	ReportedRunning int
 	ReportedWaiting int
-	// Running holds the answers admitted here, by permit.
+	// Running holds the answers that this scheduler has admitted or adopted, keyed by permit ID.
 	Running map[string]*Answer
-	// Rate is the number of tokens per second of one answer, learned from so many
+	// Rate is the decoding rate of one answer in tokens per second, averaged over RateSamples
 	// samples.
 	Rate        float64
 	RateSamples int
-	// HealthySince is when the endpoint became healthy.
+	// HealthySince is the time at which the endpoint became healthy.
 	HealthySince time.Duration
-	// Ejected keeps new work away from an endpoint that answers but is much slower
-	// than its peers.
+	// Ejected keeps new work away, until EjectedUntil, from an endpoint that responds but is much
+	// slower than its peers.
 	Ejected      bool
 	EjectedUntil time.Duration
-	// Share is the part of its memory that may be used, 0 to 1.
+	// Share is the fraction of its memory that may be used, 0 to 1.
 	Share float64
 
 	occupancy Occupancy
 	used      float64
 	suspects  int
-	// left and leftBefore are the answers that ended in the current and the last
-	// period of reportAge; load reports may still contain them.
+	// left and leftBefore are the answers that ended in the current and in the previous period of
+	// length reportAge, which began at the time period; load reports may still contain them.
 	left, leftBefore departures
 	period           time.Duration
 }
 
-// departures are answers that ended and the memory they used, in tokens.
+// departures sums up answers that have ended: their number and the memory that they used, in
+// tokens.
 type departures struct {
 	count  int
 	tokens float64
 }
 
-// reportAge is how old a load report may be.
+// reportAge is the maximum age of a load report.
 const reportAge = time.Second
 
-// NewEndpoint returns an endpoint without work.
+// NewEndpoint returns an endpoint without answers that may use its whole memory.
 func NewEndpoint(name string) *Endpoint {
 	return &Endpoint{Name: name, Share: 1, Running: make(map[string]*Answer)}
 }
 
-// Open returns the number of answers admitted here.
+// Open returns the number of answers in Running.
 func (e *Endpoint) Open() int { return len(e.Running) }
 
-// Used returns the memory in use in tokens: what the answers admitted here have
-// grown to, or more if the engine reported more.
+// Used returns the memory in use in tokens: the current size of the answers in Running, or more if
+// the engine reported answers that other schedulers admitted.
 func (e *Endpoint) Used() float64 { return e.used }
 
-// Suspects returns the number of suspected requests that run here.
+// Suspects returns the number of suspected requests that run at the endpoint.
 func (e *Endpoint) Suspects() int { return e.suspects }
 
-// Attach adds an answer, with its demand if that is known; otherwise Refresh has to
-// follow.
+// Attach adds an answer under its permit ID. d is its demand; if it is nil, the caller must call
+// Refresh afterwards.
 func (e *Endpoint) Attach(id string, a *Answer, d *Demand) {
 	e.Running[id] = a
 	e.used += float64(a.Prompt + a.Produced)
@@ -106,8 +107,8 @@
 	}
 }
 
-// Detach removes an answer and returns it, nil if there is none. Its demand
-// stays until the next Refresh.
+// Detach removes an answer and returns it, or nil if there is none with this ID. Its demand stays
+// in the occupancy until the next Refresh.
 func (e *Endpoint) Detach(id string) *Answer {
 	a, ok := e.Running[id]
 	if !ok {
@@ -122,15 +123,15 @@
 	return a
 }
 
-// Refresh computes occupancy and memory in use from the running answers at the time
-// now. hints makes it trust lengths told by callers.
+// Refresh recomputes the occupancy and the memory in use from the running answers at the time now.
+// hints selects whether lengths announced by callers are trusted.
 func (e *Endpoint) Refresh(est *Estimator, now time.Duration, hints bool) {
 	sum := 0.0
 	for _, a := range e.Running {
 		sum += float64(a.Prompt + a.producedBy(now, e.Rate))
 	}
-	// What the engine holds beyond the answers admitted here was admitted by
-	// others, and nothing is known about its growth: it counts as constant.
+	// The memory that the engine holds beyond the answers in Running was admitted by other
+	// schedulers. Nothing is known about its growth, so it counts as constant.
 	others := 0.0
 	e.forget(now)
 	if e.strangers() {
@@ -144,14 +145,14 @@
 	}
 }
 
-// strangers tells whether the engine reported more answers than were admitted here
-// lately. Memory beyond the estimate is no sign of them, and neither are answers
-// that have ended since: the report lags.
+// strangers reports whether the engine reported more answers than this scheduler has had in Running
+// lately, so that other schedulers must have admitted some. Memory use above the estimate is no
+// evidence of that, and neither are answers that have ended since, because the report lags.
 func (e *Endpoint) strangers() bool {
 	return e.ReportedRunning+e.ReportedWaiting > len(e.Running)+e.left.count+e.leftBefore.count
 }
 
-// forget drops departures that no load report can contain any more.
+// forget drops ended answers that no load report can contain any more.
 func (e *Endpoint) forget(now time.Duration) {
 	if now-e.period < reportAge {
 		return
@@ -163,7 +164,7 @@
 	e.period = now
 }
 
-// EachRunning calls fn with the kind of each running answer and the tokens that it
+// EachRunning calls fn with the length key of each running answer and the number of tokens that it
 // has produced by the time now.
 func (e *Endpoint) EachRunning(now time.Duration, fn func(LengthKey, int)) {
 	for _, a := range e.Running {
@@ -171,7 +172,8 @@
 	}
 }
 
-// producedBy extrapolates the number of tokens to the time now.
+// producedBy extrapolates the number of tokens produced to the time now. rate is in tokens per
+// second.
 func (a *Answer) producedBy(now time.Duration, rate float64) int {
 	n := a.Produced + int(rate*max(now-a.ProducedAt, 0).Seconds())
 	if a.Hint > 0 {
@@ -190,7 +192,7 @@
 	return AnswerDemand(est.Survival(a.Key), a.Prompt, produced, a.MaxTokens)
 }
 
-// Request is what a picker needs to know of the work to be placed.
+// Request holds the properties of a request that a Picker needs.
 type Request struct {
 	Class    crocusreel.Class
 	Prompt   int
@@ -198,15 +200,15 @@
 	Suspect  bool
 	// Demand is the predicted memory use of the answer.
 	Demand Demand
-	// Holders are endpoints that probably have HeldShare, 0 to 1, of the prompt
+	// Holders are the endpoints that probably have the fraction HeldShare, 0 to 1, of the prompt
 	// cached.
 	Holders   [PrefixHolders]string
 	HeldShare float64
 }
 
-// Eligible tells whether the endpoint may take the request at all. A suspected
-// request never shares an endpoint with another suspected one, so that a death
-// tells which of them is at fault.
+// Eligible reports whether the endpoint may take the request, regardless of memory. A suspected
+// request never shares an endpoint with another suspected one, so that the death of the endpoint
+// shows which of them is at fault.
 func (e *Endpoint) Eligible(r *Request) bool {
 	if e.State != StateHealthy || e.Ejected {
 		return false
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -7,51 +7,53 @@
 )
 
 const (
-	// maxLengthKeys bounds the estimator's memory; 560 workspaces with seven
-	// models and two classes need 7,840.
+	// maxLengthKeys bounds the estimator's memory: 560 workspaces with seven models and two classes
+	// need 7,840 keys.
 	maxLengthKeys = 8192
-	// priorStrength is the number of answers that a prior counts for.
+	// priorStrength is the weight of a prior, as a number of answers.
 	priorStrength = 16
-	// priorAge is the number of observations of a prior after which the estimates
-	// built on it are computed anew.
+	// priorAge is the number of new observations of a prior after which the estimates derived from
+	// it are recomputed.
 	priorAge = 32
-	// Without any observation answers are taken as lognormal.
+	// Without observations, the length of an answer is assumed to be lognormal with this median, in
+	// tokens, and this sigma.
 	priorMedian = 300
 	priorSigma  = 1.0
-	// shortMedian is the same for short work.
+	// shortMedian is the median for short work, in tokens.
 	shortMedian = 12
 )
 
-// LengthKey names a stream of answers with one distribution of lengths.
+// LengthKey identifies a group of answers whose lengths follow one distribution.
 type LengthKey struct {
 	Workspace string
 	Class     crocusreel.Class
 	Model     string
 }
 
-// lengthEstimate is the estimate for one key.
+// lengthEstimate is the estimate for one key or prior.
 type lengthEstimate struct {
 	counts lengthCounts
-	// running counts the answers that run now, by what they have produced.
+	// running is a histogram of the answers in progress by the tokens that they have produced so
+	// far.
 	running  [lengthBuckets]float32
 	round    uint64
 	survival Survival
 	prior    *lengthEstimate
-	// version counts observations; priorVersion is the prior's version at which
-	// survival was computed.
+	// version counts observations; priorVersion is the version of the prior from which survival was
+	// computed.
 	version, priorVersion uint64
 	used                  uint64
 }
 
-// Estimator learns the lengths of answers from those that ended. A workspace
-// without history borrows from its model, and a model from its class.
+// Estimator learns the lengths of answers from completed, cut-off and running ones. A workspace
+// with little history falls back on the prior of its model, and a model on the prior of its class.
 type Estimator struct {
 	keys   map[LengthKey]*lengthEstimate
 	models map[LengthKey]*lengthEstimate
 	bases  map[crocusreel.Class]*lengthEstimate
 	clock  uint64
-	// round numbers the listings of running answers; listed are the estimates that
-	// had one in the current listing, before those of the one before.
+	// round numbers the listings of running answers. listed holds the estimates that have a running
+	// answer in the current listing, before those of the previous one.
 	round          uint64
 	listed, before []*lengthEstimate
 }
@@ -65,7 +67,7 @@
 	}
 }
 
-// Observe adds a whole answer of n tokens.
+// Observe records a completed answer of n tokens.
 func (e *Estimator) Observe(k LengthKey, n int) {
 	for _, l := range e.chain(k) {
 		l.counts.observe(n)
@@ -74,7 +76,7 @@
 	}
 }
 
-// ObserveCensored adds an answer that was cut off after n tokens.
+// ObserveCensored records an answer that was cut off after n tokens.
 func (e *Estimator) ObserveCensored(k LengthKey, n int) {
 	if n <= 0 {
 		return
@@ -86,15 +88,15 @@
 	}
 }
 
-// BeginRunning begins a listing of the running answers. Without them the estimate
-// would be biased after a start or a change of the mix: the answers that end first
-// are the short ones, and only those would be known.
+// BeginRunning begins a new listing of the running answers. Without them the estimate would be
+// biased after a start or a change of the mix: short answers end first, so only those would be
+// known.
 func (e *Estimator) BeginRunning() {
 	e.round++
 	e.listed, e.before = e.before[:0], e.listed
 }
 
-// Running lists an answer that runs and has produced n tokens.
+// Running adds an answer in progress that has produced n tokens to the listing.
 func (e *Estimator) Running(k LengthKey, n int) {
 	b := bucketOf(float64(n))
 	for _, l := range e.chain(k) {
@@ -107,7 +109,7 @@
 	}
 }
 
-// EndRunning ends the listing and brings the estimates up to date.
+// EndRunning ends the listing and recomputes the affected estimates.
 func (e *Estimator) EndRunning() {
 	for _, l := range e.before {
 		if l.round != e.round {
@@ -120,8 +122,8 @@
 	}
 }
 
-// Survival returns the distribution for k. It stays valid until the estimator
-// evicts k, and is updated in place.
+// Survival returns the length distribution for k. The result is updated in place and stays valid
+// until the estimator evicts k.
 func (e *Estimator) Survival(k LengthKey) *Survival {
 	l := e.estimate(k)
 	if l.prior.version >= l.priorVersion+priorAge {
@@ -130,10 +132,10 @@
 	return &l.survival
 }
 
-// Len returns the number of keys held, priors not counted.
+// Len returns the number of keys held, not counting priors.
 func (e *Estimator) Len() int { return len(e.keys) }
 
-// chain returns the estimates that an answer of k informs, priors first.
+// chain returns the estimates that an answer of k updates, priors first.
 func (e *Estimator) chain(k LengthKey) [3]*lengthEstimate {
 	l := e.estimate(k)
 	return [3]*lengthEstimate{l.prior.prior, l.prior, l}
@@ -154,7 +156,7 @@
 	return l
 }
 
-// evict drops the key that was unused for longest.
+// evict drops the least recently used key.
 func (e *Estimator) evict() {
 	var oldest LengthKey
 	least := uint64(math.MaxUint64)
@@ -196,7 +198,7 @@
 	return l
 }
 
-// lognormalCounts is a histogram with the weight of a prior.
+// lognormalCounts returns a histogram of a lognormal distribution with the total weight of a prior.
 func lognormalCounts(median, sigma float64) (c lengthCounts) {
 	below := 0.0
 	for i, b := range bucketBound {
@@ -207,13 +209,13 @@
 	return c
 }
 
-// rebuild computes the survival from the counts and the prior by the product-limit
-// estimator (Kaplan and Meier): in each bucket, the share of the answers that ended
-// there among those that got so far. An answer that was cut off or still runs
-// counts as long as it is known to have gone on.
+// rebuild computes the survival function from the counts and the prior with the Kaplan-Meier
+// (product-limit) estimator: the hazard of a bucket is the number of answers that ended there
+// divided by the number that reached it. Answers that were cut off or still run are censored: they
+// count up to the last length that is known of them.
 //
-// Counts are summed anew each time. A total kept beside them drifts away by
-// rounding, and probabilities above 1 let every request seem to fit.
+// The sums are computed anew each time. A running total drifts away from the counts by rounding
+// errors, and the resulting probabilities above 1 make every request seem to fit.
 func (l *lengthEstimate) rebuild() {
 	weight := float32(0)
 	if l.prior != nil {
@@ -227,7 +229,7 @@
 		if l.prior != nil {
 			ended += weight * l.prior.survival.mass(i)
 		}
-		// Within a bucket an answer cut off there is at risk for half of it.
+		// An answer censored within a bucket is at risk for half of the bucket.
 		open := l.counts.cut[i] + l.running[i]
 		reached += ended + open/2
 		if reached > 0 {
--- a/policy/feedback.go
+++ b/policy/feedback.go
@@ -3,48 +3,49 @@
 import "math"
 
 const (
-	// baseRisk is the risk accepted where a second of stall and a preemption weigh
-	// the same; riskExponent is how strongly their ratio moves it.
+	// baseRisk is the accepted risk if one second of stall and one preemption have the same weight;
+	// riskExponent is the exponent with which the ratio of the weights changes it.
 	baseRisk     = 0.04
 	riskExponent = 0.3
-	// riskRange bounds how far the feedback moves the risk, as a factor.
+	// riskRange bounds the factor by which the feedback changes the risk, up or down.
 	riskRange = 2
-	// riskStep is by how much one preemption lowers the logarithm of the risk.
+	// riskStep is the amount by which one preemption lowers the logarithm of the risk, apart from
+	// the factor 1 - target.
 	riskStep = 0.05
-	// baseTarget is the number of preemptions per answer accepted where a second
-	// of stall and a preemption weigh the same.
+	// baseTarget is the accepted number of preemptions per answer if one second of stall and one
+	// preemption have the same weight. minTarget and maxTarget bound the target.
 	baseTarget = 0.008
 	minTarget  = 0.004
 	maxTarget  = 0.02
-	// leastRatio and mostRatio bound the ratio of the weights.
+	// leastRatio and mostRatio bound the ratio of the weight of stall to that of preemption.
 	leastRatio = 0.01
 	mostRatio  = 100
 )
 
-// Feedback adjusts the risk that a reservation accepts by what happens. A
-// preemption lowers it and a finished answer raises it, in such proportion that it
-// settles where preemptions per answer meet the target. So a biased estimate of
-// lengths is corrected by its consequences.
+// Feedback adjusts the risk accepted by a Reservation to the observed preemptions. A preemption
+// lowers the risk and a completed answer raises it; the steps are sized so that the risk settles
+// where the number of preemptions per answer meets the target. This corrects for a biased estimate
+// of answer lengths.
 type Feedback struct {
 	base, target float64
-	// shift is the logarithm of the risk over base.
+	// shift is the logarithm of the ratio of the risk to base.
 	shift float64
 	fixed bool
 }
 
-// NewFeedback returns a feedback for a site's weights of a second of stall and of
-// one preemption.
+// NewFeedback returns a Feedback for the weights that the operator gives to one second of stall and
+// to one preemption.
 func NewFeedback(stall, preemption float64) *Feedback {
 	f := &Feedback{}
 	f.SetWeights(stall, preemption)
 	return f
 }
 
-// FixedRisk returns a feedback that stays at one risk, for comparison.
+// FixedRisk returns a Feedback that always accepts the same risk, for comparison.
 func FixedRisk(risk float64) *Feedback { return &Feedback{base: risk, fixed: true} }
 
-// SetWeights changes the site's weights. A preemption that weighs more lowers the
-// risk to accept.
+// SetWeights changes the weights of one second of stall and of one preemption. A higher weight of
+// preemption lowers the accepted risk.
 func (f *Feedback) SetWeights(stall, preemption float64) {
 	if f.fixed {
 		return
@@ -57,19 +58,19 @@
 	f.target = min(max(baseTarget*ratio, minTarget), maxTarget)
 }
 
-// Risk returns the risk to accept.
+// Risk returns the risk to accept, a probability.
 func (f *Feedback) Risk() float64 { return f.base * math.Exp(f.shift) }
 
-// Preempted tells of n preemptions at one engine since its last report. Several at
-// once come from one shortage, and say no more about the estimate than one.
+// Preempted records n preemptions at one engine since its last load report. Several preemptions in
+// one report stem from the same shortage of memory, so they count as one.
 func (f *Feedback) Preempted(n int) {
 	if n > 0 {
 		f.move(-riskStep * (1 - f.target))
 	}
 }
 
-// Finished tells of an answer that ended while others were waiting; only then does
-// a higher risk admit more.
+// Finished records an answer that completed while other requests were waiting. The caller must not
+// report other answers: a higher risk admits more only if requests are waiting.
 func (f *Feedback) Finished() { f.move(riskStep * f.target) }
 
 func (f *Feedback) move(by float64) {
--- a/policy/lengths.go
+++ b/policy/lengths.go
@@ -3,20 +3,21 @@
 import "math"
 
 const (
-	// lengthBuckets is the number of logarithmic buckets for answer lengths. At
-	// four buckets to each doubling they reach from 4 to 65,536 tokens.
+	// lengthBuckets is the number of logarithmic buckets for answer lengths. With four buckets per
+	// doubling, their upper bounds range from 4 to about 55,100 tokens; longer answers count in the
+	// last bucket.
 	lengthBuckets    = 56
 	bucketsPerOctave = 4
 	firstOctave      = 2
-	// lengthMemory is the number of answers after which an observation has lost
-	// most of its weight, so that the estimate follows a changing mix.
+	// lengthMemory is the number of answers after which an observation has lost most of its weight,
+	// so that the estimate follows a changing mix of requests.
 	lengthMemory = 256
-	// tailShape is the exponent of the Pareto tail assumed beyond the longest
-	// answer that was seen.
+	// tailShape is the exponent of the Pareto tail that is assumed beyond the last bucket and where
+	// too few longer answers have been observed.
 	tailShape = 2
 )
 
-// bucketBound is the upper bound of each bucket in tokens.
+// bucketBound holds the upper bound of each bucket in tokens.
 var bucketBound = func() (b [lengthBuckets]float64) {
 	for i := range b {
 		b[i] = math.Exp2(firstOctave + float64(i)/bucketsPerOctave)
@@ -24,7 +25,7 @@
 	return b
 }()
 
-// bucketOf returns the bucket that holds an answer of n tokens.
+// bucketOf returns the index of the bucket for an answer of n tokens.
 func bucketOf(n float64) int {
 	if n <= bucketBound[0] {
 		return 0
@@ -33,14 +34,14 @@
 	return min(max(i, 0), lengthBuckets-1)
 }
 
-// lengthCounts is a decaying histogram of answer lengths.
+// lengthCounts is a histogram of answer lengths with exponential decay.
 type lengthCounts struct {
-	// ended counts whole answers by length, cut those that were cut off, by what they
-	// had produced by then.
+	// ended counts completed answers by their length; cut counts answers that were cut off, by the
+	// number of tokens produced until then.
 	ended, cut [lengthBuckets]float32
 }
 
-// decay lets earlier observations lose weight.
+// decay reduces the weight of all earlier observations by one step.
 func (c *lengthCounts) decay() {
 	const keep = 1 - 1.0/lengthMemory
 	for i := range c.ended {
@@ -49,25 +50,25 @@
 	}
 }
 
-// observe adds one whole answer of n tokens.
+// observe records a completed answer of n tokens.
 func (c *lengthCounts) observe(n int) {
 	c.decay()
 	c.ended[bucketOf(float64(n))]++
 }
 
-// censor adds an answer that was cut off after n tokens.
+// censor records an answer that was cut off after n tokens.
 func (c *lengthCounts) censor(n int) {
 	c.decay()
 	c.cut[bucketOf(float64(n))]++
 }
 
-// Survival is the distribution of an answer's length: at[i] is the probability
-// that it is longer than bucketBound[i].
+// Survival is the survival function of an answer's length: at[i] is the probability that the answer
+// is longer than bucketBound[i] tokens.
 type Survival struct {
 	at [lengthBuckets]float32
 }
 
-// mass returns the probability of bucket i.
+// mass returns the probability that the length falls into bucket i.
 func (s *Survival) mass(i int) float32 {
 	if i == 0 {
 		return 1 - s.at[0]
@@ -75,7 +76,8 @@
 	return s.at[i-1] - s.at[i]
 }
 
-// Beyond returns the probability that an answer is longer than n tokens.
+// Beyond returns the probability that an answer is longer than n tokens. It interpolates linearly
+// within a bucket and assumes a Pareto tail beyond the last one.
 func (s *Survival) Beyond(n float64) float64 {
 	if n <= 0 {
 		return 1
@@ -94,12 +96,12 @@
 	return float64(s.at[i-1])*(1-f) + float64(s.at[i])*f
 }
 
-// leastSurvival is the probability under which the estimate holds too little
-// about longer answers, so that the Pareto tail takes over.
+// leastSurvival is the survival probability below which the estimate has too few longer answers to
+// be used; the Pareto tail replaces it.
 const leastSurvival = 1e-3
 
-// Remaining returns the probability that an answer that has produced n tokens
-// goes on for more than h further ones.
+// Remaining returns the conditional probability that an answer that has produced n tokens produces
+// more than h further ones.
 func (s *Survival) Remaining(n, h float64) float64 {
 	now := s.Beyond(n)
 	if now < leastSurvival {
@@ -117,7 +119,8 @@
 	return mean
 }
 
-// MeanRemaining returns the expected number of further tokens after n.
+// MeanRemaining returns the expected number of further tokens of an answer that has produced n
+// tokens.
 func (s *Survival) MeanRemaining(n float64) float64 {
 	now := s.Beyond(n)
 	if now < leastSurvival {
--- a/policy/lengths_test.go
+++ b/policy/lengths_test.go
@@ -16,7 +16,7 @@
 	return LengthKey{Workspace: workspace, Class: crocusreel.ClassGeneration, Model: "m"}
 }
 
-// observations draws a history of whole and cut-off answers.
+// observations draws a history of running, completed and cut-off answers and records it in e.
 func observations(t *rapid.T, e *Estimator, k LengthKey) {
 	n := rapid.IntRange(0, 600).Draw(t, "answers")
 	e.BeginRunning()
@@ -45,7 +45,7 @@
 		for n := 0.0; n < 100000; n = n*1.3 + 1 {
 			p := s.Beyond(n)
 			if !(p >= 0 && p <= before) {
-				t.Fatalf("survival beyond %v is %v, before it was %v", n, p, before)
+				t.Fatalf("survival at %v tokens is %v, want between 0 and %v", n, p, before)
 			}
 			before = p
 		}
@@ -62,17 +62,17 @@
 		for _, h := range horizon {
 			p := s.Remaining(produced, h)
 			if !(p >= 0 && p <= before+1e-9) {
-				t.Fatalf("remaining after %v and %v is %v, before it was %v", produced, h, p, before)
+				t.Fatalf("probability of more than the tokens produced (%v) plus %v is %v, want between 0 and %v", produced, h, p, before)
 			}
 			before = p
 		}
 	})
 }
 
-// Rounding makes the counts and their total drift apart over a long history. The
-// survival then exceeds 1, the variance is negative and its root not a number, so
-// that no comparison refuses a request: engines were filled to more than twice
-// their memory in a trial, and callers saw hundreds of preemptions.
+// Guards against a survival above 1: rounding lets counts and their total drift apart over a long
+// history. The variance is then negative and its root NaN, so that no comparison refuses a request.
+// In a trial, engines were filled to more than twice their memory, with hundreds of preemptions for
+// their callers.
 func TestDemandIsANumberAfterALongHistory(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := NewEstimator()
@@ -109,9 +109,8 @@
 	g.Expect(e.Survival(key("cold")).Mean()).To(gomega.BeNumerically(">", 3*cold))
 }
 
-// Callers give up on the long answers. If those were left out, the estimate would
-// hold only the short ones, and engines would be filled with answers that outgrow
-// them.
+// Guards against an estimate that leaves out the long answers that callers give up on. It would
+// hold only the short ones, and engines would be filled with answers that outgrow them.
 func TestCutOffAnswersDoNotBiasTheEstimate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	all, cut := NewEstimator(), NewEstimator()
@@ -130,8 +129,8 @@
 	g.Expect(cut.Survival(key("w")).Mean()).To(gomega.BeNumerically("~", truth, 0.25*truth))
 }
 
-// A pool starts with many answers at once. Those that end first are the short ones;
-// if only they were counted, the engines would be filled as if all were short.
+// Guards against an estimate made only from the answers that end first. Many answers start at once
+// in a new pool, and the short ones end first; engines would be filled as if all were short.
 func TestRunningAnswersKeepTheEstimateFromSeeingOnlyShortOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := NewEstimator()
@@ -157,6 +156,6 @@
 		e.Observe(key(fmt.Sprint(i)), 100)
 	}
 	g.Expect(e.Len()).To(gomega.Equal(maxLengthKeys))
-	g.Expect(e.keys).To(gomega.HaveKey(key(fmt.Sprint(maxLengthKeys+99))), "the newest is kept")
-	g.Expect(e.keys).NotTo(gomega.HaveKey(key("0")), "the oldest is dropped")
+	g.Expect(e.keys).To(gomega.HaveKey(key(fmt.Sprint(maxLengthKeys+99))), "the newest key is kept")
+	g.Expect(e.keys).NotTo(gomega.HaveKey(key("0")), "the oldest key is evicted")
 }
--- a/policy/prefixes.go
+++ b/policy/prefixes.go
@@ -3,38 +3,39 @@
 import "time"
 
 const (
-	// maxPrefixes bounds the prefixes remembered.
+	// maxPrefixes bounds the number of prefixes held.
 	maxPrefixes = 16384
-	// PrefixHolders is the number of endpoints remembered for each.
+	// PrefixHolders is the maximum number of endpoints held for each prefix.
 	PrefixHolders = 4
-	// prefixLife is how long a prefix is taken to stay cached after its last use.
+	// prefixLife is how long a prefix is assumed to stay cached after its last use.
 	prefixLife = 60 * time.Second
 )
 
-// holder is one endpoint that probably has a prefix cached.
+// holder is an endpoint that probably has a prefix cached; at is the time of the last sign of that.
 type holder struct {
 	endpoint string
 	at       time.Duration
 }
 
-// Prefixes remembers which endpoints have prompt prefixes cached, from the work
-// that was sent to them and from their cache events. Events come late and with
-// gaps, so every entry is a hint that fades.
+// Prefixes maps hashes of prompt prefixes to the endpoints that probably have them cached. It
+// learns from the requests sent to endpoints and from their cache events. Cache events arrive late
+// and with gaps, so every entry is a hint that expires.
 type Prefixes struct {
 	holders map[uint64]*[PrefixHolders]holder
 }
 
-// NewPrefixes returns an empty memory.
+// NewPrefixes returns an empty Prefixes.
 func NewPrefixes() *Prefixes { return &Prefixes{holders: make(map[uint64]*[PrefixHolders]holder)} }
 
-// Routed notes that work with these prefixes was sent to an endpoint.
+// Routed records that a request with these prefixes was sent to the endpoint.
 func (p *Prefixes) Routed(endpoint string, prefixes []uint64, now time.Duration) {
 	for _, h := range prefixes {
 		p.Stored(endpoint, h, now)
 	}
 }
 
-// Stored notes that the endpoint holds the prefix.
+// Stored records that the endpoint has the prefix cached. If the maximum number of endpoints is
+// held already, it replaces the one with the oldest entry.
 func (p *Prefixes) Stored(endpoint string, prefix uint64, now time.Duration) {
 	hs, ok := p.holders[prefix]
 	if !ok {
@@ -57,15 +58,15 @@
 	hs[oldest] = holder{endpoint: endpoint, at: now}
 }
 
-// Confirm notes that the endpoint holds the prefix if that was ever part of a request
-// here; engines tell of many more.
+// Confirm is like Stored, but ignores prefixes that no request routed here has had: engines also
+// report many others.
 func (p *Prefixes) Confirm(endpoint string, prefix uint64, now time.Duration) {
 	if _, ok := p.holders[prefix]; ok {
 		p.Stored(endpoint, prefix, now)
 	}
 }
 
-// Removed notes that the endpoint no longer holds the prefix.
+// Removed records that the endpoint no longer has the prefix cached.
 func (p *Prefixes) Removed(endpoint string, prefix uint64) {
 	hs, ok := p.holders[prefix]
 	if !ok {
@@ -78,15 +79,16 @@
 	}
 }
 
-// Forget drops all that is known of an endpoint.
+// Forget drops all entries of the endpoint.
 func (p *Prefixes) Forget(endpoint string) {
 	for h := range p.holders {
 		p.Removed(endpoint, h)
 	}
 }
 
-// Holders returns the endpoints that probably hold the longest known one of a
-// prompt's prefixes, and the share of the prefixes that this is.
+// Holders returns the endpoints that probably have the longest known prefix of a prompt cached, and
+// that prefix as a fraction of all given prefixes. prefixes lists the prefixes of the prompt from
+// the shortest to the longest. Unused elements of names are empty.
 func (p *Prefixes) Holders(prefixes []uint64, now time.Duration) (names [PrefixHolders]string, share float64) {
 	for n := len(prefixes); n > 0; n-- {
 		hs, ok := p.holders[prefixes[n-1]]
@@ -106,10 +108,11 @@
 	return names, 0
 }
 
-// Len returns the number of prefixes remembered.
+// Len returns the number of prefixes held.
 func (p *Prefixes) Len() int { return len(p.holders) }
 
-// expire makes room: faded entries go first, and then any.
+// expire frees space for a new prefix: it drops expired entries, and then arbitrary ones while
+// there are still too many.
 func (p *Prefixes) expire(now time.Duration) {
 	for h, hs := range p.holders {
 		latest := time.Duration(0)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,17 +6,17 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// ageStep is the wait that is worth one step of priority, so that work of low
-// priority is not passed over for ever.
+// ageStep is the waiting time that is worth one step of priority, so that work of low priority does
+// not starve.
 const ageStep = 2 * time.Second
 
-// Item is one waiting request.
+// Item is a request waiting in a Queue.
 type Item[V any] struct {
 	Workspace string
 	Priority  crocusreel.Priority
-	// Cost is the expected work, in tokens.
+	// Cost is the expected work in tokens.
 	Cost float64
-	// Enqueued is when it came.
+	// Enqueued is the time at which the request arrived.
 	Enqueued time.Duration
 	Value    V
 
@@ -24,26 +24,27 @@
 	queued bool
 }
 
-// Queued tells whether the item is still waiting.
+// Queued reports whether the item is still waiting.
 func (i *Item[V]) Queued() bool { return i.queued }
 
-// urgency orders the items of one workspace.
+// urgency orders the items of one workspace; the highest goes first.
 func (i *Item[V]) urgency(now time.Duration) float64 {
 	return float64(i.Priority) + float64(now-i.Enqueued)/float64(ageStep)
 }
 
-// flow is one workspace's part of the queue.
+// flow holds the waiting items of one workspace.
 type flow[V any] struct {
 	items []*Item[V]
-	// start is the virtual time at which its next item begins.
+	// start is the virtual time at which the next item of the flow starts.
 	start  float64
 	weight float64
 }
 
-// Queue is a weighted fair queue over workspaces (start-time fair queueing). It is
-// work-conserving: a workspace that waits for nothing leaves its share to others,
-// and is owed nothing for it later. Within a workspace higher priorities and
-// longer waits go first.
+// Queue is a weighted fair queue over workspaces that uses start-time fair queueing. It is
+// work-conserving: a workspace without waiting items leaves its share to the others and earns no
+// credit for it. Within a workspace, items with higher priority and longer waits go first.
+//
+// Items are tried in rounds. Begin must be called before the first call of Next.
 type Queue[V any] struct {
 	flows  map[string]*flow[V]
 	clock  float64
@@ -57,7 +58,7 @@
 // Len returns the number of waiting items.
 func (q *Queue[V]) Len() int { return q.length }
 
-// Push adds an item for a workspace of the given weight.
+// Push enqueues an item. weight is the weight of its workspace from now on.
 func (q *Queue[V]) Push(i *Item[V], weight float64) {
 	f, ok := q.flows[i.Workspace]
 	if !ok {
@@ -73,7 +74,8 @@
 	q.length++
 }
 
-// Remove takes an item out without serving it.
+// Remove removes an item without charging its workspace. It does nothing if the item is not
+// waiting.
 func (q *Queue[V]) Remove(i *Item[V]) {
 	f, ok := q.flows[i.Workspace]
 	if !ok || !i.queued {
@@ -89,7 +91,8 @@
 	}
 }
 
-// Begin starts a round: items passed over in earlier rounds come up again.
+// Begin starts a new round, in which items passed over in earlier rounds are eligible again. It
+// also drops the state of workspaces that have neither waiting items nor outstanding charges.
 func (q *Queue[V]) Begin() {
 	q.round++
 	for name, f := range q.flows {
@@ -99,8 +102,8 @@
 	}
 }
 
-// Next returns the item whose turn it is among those not passed over in this
-// round, nil if there is none.
+// Next returns the next item to serve among those not passed over in this round, or nil if there is
+// none. It does not remove the item.
 func (q *Queue[V]) Next(now time.Duration) *Item[V] {
 	var best *Item[V]
 	start := 0.0
@@ -128,10 +131,10 @@
 	return best
 }
 
-// Pass passes an item over for the rest of the round.
+// Pass excludes an item from the rest of the round.
 func (q *Queue[V]) Pass(i *Item[V]) { i.passed = q.round }
 
-// Serve takes an item out and charges its cost to its workspace.
+// Serve removes an item and charges its cost to its workspace.
 func (q *Queue[V]) Serve(i *Item[V]) {
 	f, ok := q.flows[i.Workspace]
 	if !ok || !i.queued {
@@ -142,16 +145,16 @@
 	f.start += i.Cost / f.weight
 }
 
-// Charge corrects what a workspace was charged once the real cost is known; extra
-// is in tokens and may be negative.
+// Charge corrects the charge of a workspace once the real cost of an item is known. extra is in
+// tokens and may be negative.
 func (q *Queue[V]) Charge(workspace string, extra float64) {
 	if f, ok := q.flows[workspace]; ok {
 		f.start = max(f.start+extra/f.weight, q.clock)
 	}
 }
 
-// Share returns the part of the service that the workspace gets, over 0 to 1, if
-// it waits with the given weight beside those that wait now.
+// Share returns the fraction of the service, between 0 and 1, that a workspace of the given weight
+// gets in competition with the workspaces that have waiting items now.
 func (q *Queue[V]) Share(workspace string, weight float64) float64 {
 	sum := weight
 	for name, f := range q.flows {
@@ -162,7 +165,7 @@
 	return weight / sum
 }
 
-// Waiting returns the number of items of a workspace.
+// Waiting returns the number of waiting items of a workspace.
 func (q *Queue[V]) Waiting(workspace string) int {
 	if f, ok := q.flows[workspace]; ok {
 		return len(f.items)
@@ -170,9 +173,8 @@
 	return 0
 }
 
-// Least returns the item to give up first when the queue is full: from the
-// workspace that waits with most in proportion to its weight, the one with the
-// least urgency.
+// Least returns the item to drop first when the queue is full, or nil if the queue is empty: the
+// least urgent item of the workspace with the most waiting items in proportion to its weight.
 func (q *Queue[V]) Least(now time.Duration) *Item[V] {
 	var most *flow[V]
 	for _, f := range q.flows {
@@ -194,7 +196,7 @@
 
 func (f *flow[V]) excess() float64 { return float64(len(f.items)) / f.weight }
 
-// Each calls fn for every waiting item; fn may remove the item.
+// Each calls fn for every waiting item; fn may remove that item.
 func (q *Queue[V]) Each(fn func(*Item[V])) {
 	for _, f := range q.flows {
 		for n := len(f.items) - 1; n >= 0; n-- {
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -29,14 +29,14 @@
 			q.Begin()
 			i := q.Next(0)
 			if (i == nil) != (waiting == 0) {
-				t.Fatalf("%d are waiting and next is %v", waiting, i)
+				t.Fatalf("%d items are waiting, but Next returned %v", waiting, i)
 			}
 			if i != nil {
 				q.Serve(i)
 				waiting--
 			}
 			if q.Len() != waiting {
-				t.Fatalf("length %d, want %d", q.Len(), waiting)
+				t.Fatalf("queue length is %d, want %d", q.Len(), waiting)
 			}
 		}
 	})
--- a/policy/rate.go
+++ b/policy/rate.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// rateMemory is the time over which a service rate is averaged.
+// rateMemory is the time constant of the exponential average of a service rate.
 const rateMemory = 10 * time.Second
 
-// ServiceRate measures how many requests per second begin.
+// ServiceRate measures the rate at which requests start, as an exponential moving average.
 type ServiceRate struct {
 	perSecond float64
 	at, first time.Duration
 	started   bool
 }
 
-// Served tells that a request began at the time now.
+// Served records that a request started at the time now.
 func (r *ServiceRate) Served(now time.Duration) {
 	if !r.started {
 		r.started, r.first, r.at = true, now, now
@@ -24,13 +24,14 @@
 	r.perSecond += 1 / rateMemory.Seconds()
 }
 
-// PerSecond returns the rate at the time now; 0 if nothing is known.
+// PerSecond returns the rate at the time now, in requests per second; 0 if it is not known yet.
 func (r *ServiceRate) PerSecond(now time.Duration) float64 {
 	if !r.started {
 		return 0
 	}
 	r.decay(now)
-	// Soon after the start the average covers less than its memory.
+	// Shortly after the first request, the average covers only part of its time constant; the rate
+	// is scaled up accordingly.
 	covered := 1 - math.Exp(-float64(now-r.first)/float64(rateMemory))
 	if covered < leastCovered {
 		return 0
@@ -38,7 +39,7 @@
 	return r.perSecond / covered
 }
 
-// leastCovered is the part of its memory that a rate has to cover to be believed.
+// leastCovered is the fraction of the average that must be covered before the rate is reported.
 const leastCovered = 0.1
 
 func (r *ServiceRate) decay(now time.Duration) {
--- a/policy/reservation.go
+++ b/policy/reservation.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// affinityWeight is how much of an engine's free share one wholly cached
-	// prompt is worth.
+	// affinityWeight is the score of a completely cached prompt, as a fraction of the engine's
+	// memory.
 	affinityWeight = 0.4
-	// loadBound keeps affinity from overloading an endpoint: one with more than
-	// this many times the mean of open answers gets no bonus.
+	// loadBound keeps cache affinity from overloading an endpoint: an endpoint with more than this
+	// many times the mean number of answers gets no affinity bonus.
 	loadBound = 1.25
 )
 
-// Reservation admits a request to an endpoint if the answers there, with the new
-// one, are unlikely to use more than the engine's memory at any point of the
-// horizon. Among such endpoints it takes the one with the most room left at the
-// expected peak, with a bonus for a cached prompt.
+// Reservation is a Picker that admits a request to an endpoint only if the answers there, together
+// with the new one, are unlikely to exceed the engine's memory at any point of the horizon. Among
+// such endpoints it picks the one with the most free memory at the expected peak, with a bonus for
+// a cached prompt.
 type Reservation struct {
-	// Risk is the probability of running out of memory that is accepted.
+	// Risk is the accepted probability of running out of memory.
 	Risk float64
-	// ShortReserve is the share of memory that is kept free of other work in the near
-	// future, so that short work finds room at once. Further ahead it may fill: short
-	// answers that come now are gone by then.
+	// ShortReserve is the fraction of the memory that other work must leave free in the near
+	// future, so that short work finds room at once. Later it may be used: short answers that start
+	// now have ended by that time.
 	ShortReserve float64
-	// Share is the part of the memory that this scheduler may use, over 0 to 1.
+	// Share is the fraction of the memory that this scheduler may use; it is greater than 0 and at
+	// most 1.
 	Share float64
 }
 
@@ -51,8 +52,8 @@
 	return best
 }
 
-// fits tells whether the risk at the endpoint stays within bounds. Short work is
-// judged by what it adds: it has ended before a risk further ahead comes true.
+// fits reports whether the risk at the endpoint stays within bounds. Short work is judged only by
+// the risk that it adds, because it ends before a risk later in the horizon materializes.
 func (p *Reservation) fits(e *Endpoint, r *Request, capacity float64) bool {
 	far := capacity * p.Share * e.Share
 	if r.Class == crocusreel.ClassShort {
@@ -61,8 +62,9 @@
 	return e.occupancy.Risk(&r.Demand, far*(1-p.ShortReserve), far, p.Risk) <= p.Risk
 }
 
-// alone lets an idle engine take an answer that may outgrow it: no other engine
-// would suit it better, and it would never run otherwise.
+// alone reports whether an idle engine takes the request although the answer may outgrow its
+// memory. No other engine would suit it better, and the request would otherwise never run. The
+// prompt has to fit.
 func (p *Reservation) alone(e *Endpoint, r *Request) bool {
 	return e.Open() == 0 && !e.strangers() && r.Prompt < e.Capacity
 }
--- a/policy/reservation_test.go
+++ b/policy/reservation_test.go
@@ -20,7 +20,7 @@
 	return e
 }
 
-// admitAll offers answers to one endpoint and attaches those that are admitted.
+// admitAll offers answers to an endpoint and attaches those that the picker admits.
 func admitAll(t *rapid.T, e *Endpoint, p Picker, est *Estimator) {
 	n := rapid.IntRange(1, 80).Draw(t, "offers")
 	for i := range n {
@@ -49,13 +49,13 @@
 		near := far * (1 - p.ShortReserve)
 		risk := e.occupancy.Risk(&Demand{}, near, far, 1)
 		if e.Open() > 1 && !(risk <= p.Risk+1e-3) {
-			t.Fatalf("%d answers run out of memory with probability %v, accepted was %v", e.Open(), risk, p.Risk)
+			t.Fatalf("%d answers run out of memory with probability %v, want at most %v", e.Open(), risk, p.Risk)
 		}
 	})
 }
 
-// The distribution of the sum is counted in bins; a coarse or one-sided count would
-// waste an engine's memory or fill it too far.
+// Guards against an error of the binned distribution of memory use: a coarse or biased count would
+// waste the memory of an engine or overfill it.
 func TestOccupancyAgreesWithDrawnAnswers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	est := NewEstimator()
@@ -71,7 +71,7 @@
 	r := rand.New(rand.NewPCG(3, 3))
 	for _, limit := range []float64{2000, 4000, 6000} {
 		for point := range horizon {
-			// Counting in bins shifts a limit by up to two of them.
+			// Binning shifts a limit by up to two bins.
 			low, high := 0, 0
 			for range draws {
 				sum := 0.0
@@ -101,7 +101,7 @@
 		w := rapid.Float64Range(0.1, 1).Draw(t, "watermark")
 		admitAll(t, e, &LeastOutstanding{Watermark: Watermark(w)}, est)
 		if e.Used() > w*float64(e.Capacity) {
-			t.Fatalf("%v tokens of %d in use at watermark %v", e.Used(), e.Capacity, w)
+			t.Fatalf("%v of %d tokens are in use, above the watermark of %v", e.Used(), e.Capacity, w)
 		}
 	})
 }
@@ -146,14 +146,14 @@
 			peak = max(peak, d.size[i]*d.prob[i])
 		}
 		if peak < float64(prompt+length) {
-			t.Fatalf("peak %v is under %d", peak, prompt+length)
+			t.Fatalf("predicted peak is %v tokens, want at least %d", peak, prompt+length)
 		}
 	})
 }
 
-// A load report is some hundred milliseconds old and still lists answers that have
-// ended since. Counted as work of others they would keep an engine's memory idle;
-// in a trial that cost five per cent of goodput.
+// Guards against counting answers that have ended as work of other schedulers. A load report is
+// some hundred milliseconds old and still lists them, which kept memory of engines idle; in a trial
+// that cost five per cent of goodput.
 func TestEndedAnswersInAnOldReportAreNoWorkOfOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := healthy("e", 10000)
@@ -167,8 +167,8 @@
 	g.Expect(e.Used()).To(gomega.BeNumerically("==", 3000))
 }
 
-// Two gateways schedule the same engine for a moment. What the other one admitted
-// shows only in the engine's load report.
+// Guards against ignoring the answers of another scheduler. While two gateways schedule the same
+// engine for a moment, the work of the other one is visible only in the engine's load report.
 func TestEndpointCountsWhatOthersAdmitted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := healthy("e", 10000)
--- a/policy/suspects.go
+++ b/policy/suspects.go
@@ -7,48 +7,47 @@
 )
 
 const (
-	// maxSuspects bounds the fingerprints remembered.
+	// maxSuspects bounds the number of fingerprints held.
 	maxSuspects = 4096
-	// maxDeaths bounds the deaths remembered of one fingerprint: more than any bound
-	// on them that an operator would set.
+	// maxDeaths bounds the number of deaths held per fingerprint. It is above any limit on strikes
+	// that an operator would set.
 	maxDeaths = 16
-	// StrikeLife is how long a strike counts where callers send a deadly request again for
-	// minutes.
+	// StrikeLife is how long a strike counts in deployments whose callers keep resending a deadly
+	// request for minutes.
 	StrikeLife = 10 * time.Minute
 )
 
-// Strike is one endpoint death at which a request was running.
+// Strike records that a request was running at an endpoint when the endpoint died.
 type Strike struct {
 	Fingerprint uint64
-	// Death identifies the death together with the fingerprint. Two schedulers that
-	// both hear of it give it the same value.
+	// Death identifies the death, together with the fingerprint. Schedulers that learn of the same
+	// death independently use the same value.
 	Death uint64
 	// At is the time of the death.
 	At time.Duration
 }
 
-// Suspects remembers which requests were running when endpoints died. Callers
-// send a deadly request again under new keys, so it is known by its fingerprint.
+// Suspects tracks which requests were running when endpoints died. Callers resend a deadly request
+// under new keys, so requests are identified by a fingerprint.
 //
-// Deaths are kept as a set and not as a number: two schedulers of a pool, as there are
-// while gateways disagree on who schedules, each see some of the deaths, and the larger
-// of two numbers would leave out what only the other one saw. A request would then kill
-// more endpoints than the bound allows.
+// Deaths are kept as a set rather than as a count. While gateways disagree on which of them
+// schedules a pool, two schedulers each see only some of the deaths, and the maximum of two counts
+// would miss those that only the other one saw. A request could then kill more endpoints than the
+// limit allows.
 type Suspects struct {
 	// life is how long a strike counts.
 	life   time.Duration
 	deaths map[uint64]map[uint64]time.Duration
-	// cleared is when a request that had strikes ran to its end.
+	// cleared holds, by fingerprint, the time at which a request that had strikes completed.
 	cleared map[uint64]time.Duration
 }
 
-// NewSuspects returns an empty memory in which each strike counts for the given time.
+// NewSuspects returns an empty Suspects in which each strike counts for the duration life.
 func NewSuspects(life time.Duration) *Suspects {
 	return &Suspects{life: life, deaths: make(map[uint64]map[uint64]time.Duration), cleared: make(map[uint64]time.Duration)}
 }
 
-// Strike records that an endpoint died while the request was running there. It is
-// idempotent for each death.
+// Strike records a strike. Recording the same death again has no effect.
 func (s *Suspects) Strike(k Strike) {
 	known := s.deaths[k.Fingerprint]
 	if known == nil {
@@ -63,7 +62,7 @@
 	}
 }
 
-// Clear forgets a request that has run to its end: it did not kill its endpoint.
+// Clear drops the strikes against a request that has completed, since it did not kill its endpoint.
 func (s *Suspects) Clear(fingerprint uint64, now time.Duration) {
 	if len(s.deaths[fingerprint]) == 0 {
 		return
@@ -75,13 +74,13 @@
 	delete(s.deaths, fingerprint)
 }
 
-// clearSlack is by how much a strike may look younger than it is to one that is told of it:
-// the way of a message.
+// clearSlack is how much younger than it is a strike may look to a scheduler that receives it,
+// because of the transmission delay of the message.
 const clearSlack = 500 * time.Millisecond
 
-// Merge takes over a strike that another scheduler recorded. Those who told of a request
-// before it was cleared go on telling for a while; what they tell does not bring its
-// strikes back.
+// Merge records a strike received from another scheduler, unless it has expired or the request was
+// cleared after the death. Schedulers keep sending strikes for a while after a request was cleared,
+// and these must not bring the strikes back.
 func (s *Suspects) Merge(k Strike, now time.Duration) {
 	at, cleared := s.cleared[k.Fingerprint]
 	if now-k.At > s.life || (cleared && k.At <= at+clearSlack) {
@@ -90,13 +89,13 @@
 	s.Strike(k)
 }
 
-// Count returns the strikes against the request that still count.
+// Count returns the number of strikes against the request that have not expired.
 func (s *Suspects) Count(fingerprint uint64, now time.Duration) int {
 	s.forget(fingerprint, now)
 	return len(s.deaths[fingerprint])
 }
 
-// forget drops the strikes against a request that no longer count.
+// forget drops the expired strikes against a request.
 func (s *Suspects) forget(fingerprint uint64, now time.Duration) {
 	known := s.deaths[fingerprint]
 	for death, at := range known {
@@ -109,8 +108,8 @@
 	}
 }
 
-// Below returns how long it takes until fewer strikes than the bound count against the
-// request; 0 if that is so now. It is when the request may come back.
+// Below returns the time until the request has fewer than bound strikes, which is when it may be
+// retried; 0 if it has fewer now.
 func (s *Suspects) Below(fingerprint uint64, bound int, now time.Duration) time.Duration {
 	over := s.Count(fingerprint, now) - bound
 	if over < 0 {
@@ -128,7 +127,7 @@
 	return last
 }
 
-// All appends every strike that still counts to dst, at most limit of them.
+// All appends the strikes that have not expired to dst, until dst has limit elements.
 func (s *Suspects) All(dst []Strike, limit int, now time.Duration) []Strike {
 	for fingerprint, known := range s.deaths {
 		for death, at := range known {
@@ -143,7 +142,7 @@
 	return dst
 }
 
-// evict drops the request whose last strike is the oldest.
+// evict drops the request whose latest strike is the oldest.
 func (s *Suspects) evict() {
 	var oldest uint64
 	var oldestAt time.Duration
--- a/policy/suspects_test.go
+++ b/policy/suspects_test.go
@@ -27,16 +27,16 @@
 	s.Strike(Strike{Fingerprint: 7, Death: 1})
 	s.Clear(7, time.Second)
 	g.Expect(s.Count(7, 0)).To(gomega.BeZero())
-	// A gateway that heard of the strike before still tells of it.
+	// A gateway that received the strike earlier still sends it.
 	s.Merge(Strike{Fingerprint: 7, Death: 1, At: 0}, 2*time.Second)
 	g.Expect(s.Count(7, 2*time.Second)).To(gomega.BeZero())
 	s.Merge(Strike{Fingerprint: 7, Death: 2, At: 3 * time.Second}, 3*time.Second)
 	g.Expect(s.Count(7, 3*time.Second)).To(gomega.Equal(1))
 }
 
-// Two gateways take themselves for the scheduler for a while, and each sees some of the
-// deaths of one request. Whoever hears of both must count them all, and each once:
-// otherwise the request kills one engine more, and all answers beside it are lost.
+// Guards against losing strikes while two gateways both act as the scheduler and each sees only
+// some deaths of a request. Each death must count exactly once: otherwise the request kills one
+// more engine, with all answers beside it.
 func TestStrikesOfAnotherSchedulerAreTakenOver(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewSuspects(strikeLife)
