--- a/knowledge/evacuations.go
+++ b/knowledge/evacuations.go
@@ -60,7 +60,7 @@
 	}
 	e.version, e.orders = set.Version, make(map[string]int64, len(set.Orders))
 	for _, name := range set.DataCentres() {
-		e.giveLocked(name, set.Orders[name])
+		e.addLocked(name, set.Orders[name])
 	}
 	return true
 }
@@ -81,23 +81,23 @@
 		if change.Withdrawn {
 			delete(e.orders, change.DataCentre)
 		} else {
-			e.giveLocked(change.DataCentre, change.Version)
+			e.addLocked(change.DataCentre, change.Version)
 		}
 	}
 	return fresh
 }
 
-func (e *Evacuations) giveLocked(name string, version int64) {
+func (e *Evacuations) addLocked(name string, version int64) {
 	if e.orders == nil {
 		e.orders = make(map[string]int64)
 	}
-	if _, given := e.orders[name]; !given && !e.Known(name) && e.unknownLocked() >= maxUnknownEvacuations {
+	if _, exists := e.orders[name]; !exists && !e.Known(name) && e.countUnknownLocked() >= maxUnknownEvacuations {
 		return
 	}
 	e.orders[name] = version
 }
 
-func (e *Evacuations) unknownLocked() int {
+func (e *Evacuations) countUnknownLocked() int {
 	unknown := 0
 	for name := range e.orders {
 		if !e.Known(name) {
--- a/knowledge/evacuations_test.go
+++ b/knowledge/evacuations_test.go
@@ -15,9 +15,9 @@
 	knowledge.EvacuationOrder
 }
 
-// evacuationWorld models a store and nodes that learn of its evacuations in any order and from any
+// evacuationModel models a store and nodes that learn of its evacuations in any order and from any
 // source.
-type evacuationWorld struct {
+type evacuationModel struct {
 	version int64
 	changes []change
 	nodes   []*knowledge.Evacuations
@@ -25,7 +25,7 @@
 	asked []int64
 }
 
-func (w *evacuationWorld) at(version int64) map[string]int64 {
+func (w *evacuationModel) at(version int64) map[string]int64 {
 	orders := make(map[string]int64)
 	for _, c := range w.changes {
 		switch {
@@ -40,7 +40,7 @@
 }
 
 // since returns the last change of each row after a version, as the store lists them.
-func (w *evacuationWorld) since(version int64) []knowledge.EvacuationOrder {
+func (w *evacuationModel) since(version int64) []knowledge.EvacuationOrder {
 	var orders []knowledge.EvacuationOrder
 	for i, c := range w.changes {
 		if c.Version <= version {
@@ -62,7 +62,7 @@
 // version, and versions never decrease.
 func TestEvacuationsAreThoseOfTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &evacuationWorld{version: 1}
+		w := &evacuationModel{version: 1}
 		for range 3 {
 			w.nodes = append(w.nodes, &knowledge.Evacuations{Known: func(string) bool { return true }})
 			w.asked = append(w.asked, 0)
--- a/knowledge/knowledge.go
+++ b/knowledge/knowledge.go
@@ -31,7 +31,7 @@
 	Answered time.Duration
 }
 
-func (s Seen) or(other Seen) Seen {
+func (s Seen) merge(other Seen) Seen {
 	return Seen{Certain: max(s.Certain, other.Certain), Answered: max(s.Answered, other.Answered)}
 }
 
@@ -44,9 +44,9 @@
 // are safe for concurrent use. Its clock must keep running while the machine is suspended, or a
 // machine that has resumed would consider an old configuration up to date.
 type Configuration struct {
-	now func() time.Duration
-	mu  sync.RWMutex
-	at  Snapshot
+	now     func() time.Duration
+	mu      sync.RWMutex
+	current Snapshot
 }
 
 // NewConfiguration returns a Configuration without a known version. now reads the clock.
@@ -60,14 +60,14 @@
 func (c *Configuration) Apply(table *routing.Table, row int64, raw []byte, seen Seen) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if row < c.at.Row {
+	if row < c.current.Row {
 		return false
 	}
-	if row == c.at.Row {
-		c.at.Seen = c.at.or(seen)
+	if row == c.current.Row {
+		c.current.Seen = c.current.merge(seen)
 		return false
 	}
-	c.at = Snapshot{Table: table, Row: row, Raw: raw, Seen: seen}
+	c.current = Snapshot{Table: table, Row: row, Raw: raw, Seen: seen}
 	return true
 }
 
@@ -76,8 +76,8 @@
 func (c *Configuration) Confirm(row int64, seen Seen) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if row == c.at.Row {
-		c.at.Seen = c.at.or(seen)
+	if row == c.current.Row {
+		c.current.Seen = c.current.merge(seen)
 	}
 }
 
@@ -86,5 +86,5 @@
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	now := c.now()
-	return c.at, Ages{Certain: now - c.at.Certain, Answered: now - c.at.Answered}
+	return c.current, Ages{Certain: now - c.current.Certain, Answered: now - c.current.Answered}
 }
--- a/knowledge/uptime.go
+++ b/knowledge/uptime.go
@@ -13,26 +13,26 @@
 }
 
 const (
-	// lapseHeartbeats is the minimum length, in heartbeats, of an outage in which entries of living
-	// endpoints can expire. An entry expires after three missed heartbeats in a row, and heartbeats
-	// may come early.
-	lapseHeartbeats = 1.5
-	// unaskedHeartbeats is the longest pause between two responses, in heartbeats, that does not
+	// minOutageHeartbeats is the minimum length, in heartbeats, of an outage in which entries of
+	// living endpoints can expire. An entry expires after three missed heartbeats in a row, and
+	// heartbeats may come early.
+	minOutageHeartbeats = 1.5
+	// maxPauseHeartbeats is the longest pause between two responses, in heartbeats, that does not
 	// count as an outage if no request has failed: the node that queries the store may have died,
 	// and another node takes over.
-	unaskedHeartbeats = 2
-	// entriesBack is the time after the end of an outage by which the entries of living endpoints
-	// have been written again: the platform promises about two seconds.
-	entriesBack = 2100 * time.Millisecond
+	maxPauseHeartbeats = 2
+	// entryRecoveryTime is the time after the end of an outage by which the entries of living
+	// endpoints have been written again: the platform promises about two seconds.
+	entryRecoveryTime = 2100 * time.Millisecond
 )
 
 // UptimeRecord tracks the uptime of the store from its responses to this node and to others. Its
 // methods are safe for concurrent use.
 type UptimeRecord struct {
-	// lapse is the pause that counts as an outage, because entries may have expired in it, if a
-	// request has failed or the span comes from another node; unasked is the longer one that counts
-	// if no request has failed.
-	lapse, unasked time.Duration
+	// minOutage is the pause that counts as an outage, because entries may have expired in it, if a
+	// request has failed or the span comes from another node; maxPause is the longer one that
+	// counts if no request has failed.
+	minOutage, maxPause time.Duration
 
 	mu    sync.Mutex
 	known Uptime
@@ -44,7 +44,7 @@
 // two writes of an endpoint's entry.
 func NewUptimeRecord(heartbeat time.Duration) *UptimeRecord {
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(heartbeat)) }
-	return &UptimeRecord{lapse: beats(lapseHeartbeats), unasked: beats(unaskedHeartbeats)}
+	return &UptimeRecord{minOutage: beats(minOutageHeartbeats), maxPause: beats(maxPauseHeartbeats)}
 }
 
 // Failed records that a request to the store, by this node or another one, got no response.
@@ -59,14 +59,14 @@
 func (r *UptimeRecord) Answered(at time.Duration) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at < r.known.Until-r.unasked {
+	if at < r.known.Until-r.maxPause {
 		// Responses to other nodes are this far ahead only if the store's clock was set back.
 		r.known = Uptime{}
 	}
 	if r.failed {
-		return r.serveLocked(Uptime{Since: at, Until: at}, r.lapse)
+		return r.mergeLocked(Uptime{Since: at, Until: at}, r.minOutage)
 	}
-	return r.serveLocked(Uptime{Since: at, Until: at}, r.unasked)
+	return r.mergeLocked(Uptime{Since: at, Until: at}, r.maxPause)
 }
 
 // Told merges the span known to another node, which sent all its entries as of told.Until with it.
@@ -74,24 +74,24 @@
 func (r *UptimeRecord) Told(told Uptime) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.serveLocked(told, r.lapse)
+	return r.mergeLocked(told, r.minOutage)
 }
 
-// serveLocked joins a span that begins no later than pause after the end of the known one, and
+// mergeLocked joins a span that begins no later than pause after the end of the known one, and
 // replaces the known span by one that begins later. It returns the length of the outage between the
 // two. The caller holds r.mu.
-func (r *UptimeRecord) serveLocked(told Uptime, pause time.Duration) (outage time.Duration) {
+func (r *UptimeRecord) mergeLocked(span Uptime, pause time.Duration) (outage time.Duration) {
 	switch {
-	case !told.valid():
+	case !span.valid():
 	case r.known == Uptime{}:
-		r.known = told
-	case told.Since > r.known.Until+pause:
-		outage = told.Since - r.known.Until
-		r.known, r.failed = told, false
+		r.known = span
+	case span.Since > r.known.Until+pause:
+		outage = span.Since - r.known.Until
+		r.known, r.failed = span, false
 	default:
-		r.extendBackLocked(told)
-		r.failed = r.failed && told.Until <= r.known.Until
-		r.known.Until = max(r.known.Until, told.Until)
+		r.extendBackLocked(span)
+		r.failed = r.failed && span.Until <= r.known.Until
+		r.known.Until = max(r.known.Until, span.Until)
 	}
 	return outage
 }
@@ -105,11 +105,11 @@
 	return told.valid() && r.extendBackLocked(told)
 }
 
-func (r *UptimeRecord) extendBackLocked(told Uptime) bool {
-	if told.Since >= r.known.Since || told.Until < r.known.Since-r.lapse {
+func (r *UptimeRecord) extendBackLocked(span Uptime) bool {
+	if span.Since >= r.known.Since || span.Until < r.known.Since-r.minOutage {
 		return false
 	}
-	r.known.Since = told.Since
+	r.known.Since = span.Since
 	return true
 }
 
@@ -130,5 +130,5 @@
 	if r.known == (Uptime{}) {
 		return 0
 	}
-	return max(r.known.Since+entriesBack-r.known.Until, 0)
+	return max(r.known.Since+entryRecoveryTime-r.known.Until, 0)
 }
--- a/knowledge/uptime_test.go
+++ b/knowledge/uptime_test.go
@@ -12,38 +12,40 @@
 
 const (
 	heartbeat = 1200 * time.Millisecond
-	// expiry is the time without a heartbeat after which an entry expires. promisedBack is the time
-	// after an outage within which the entries that expired in it are written again.
-	expiry       = 3 * heartbeat
-	promisedBack = 2 * time.Second
-	// noticed is the length from which every outage makes a request fail and all nodes learn of it.
-	noticed = 1600 * time.Millisecond
-	// settled bounds the time from the store's return until missing entries are final at a node
-	// that gets responses.
-	settled = 2200 * time.Millisecond
+	// expiry is the time without a heartbeat after which an entry expires. promisedRecovery is the
+	// time after an outage within which the entries that expired in it are written again.
+	expiry           = 3 * heartbeat
+	promisedRecovery = 2 * time.Second
+	// noticedOutage is the length from which every outage makes a request fail and all nodes learn
+	// of it.
+	noticedOutage = 1600 * time.Millisecond
+	// maxGraceTime bounds the time from the store's return until missing entries are final at a
+	// node that gets responses.
+	maxGraceTime = 2200 * time.Millisecond
 )
 
 // livingEndpoint writes its entry at each heartbeat while the store is up.
 type livingEndpoint struct {
 	// interval is the time between two heartbeats, close to the configured one.
 	phase, interval time.Duration
-	// back is the delay after an outage with which the endpoint writes an expired entry again.
-	back time.Duration
+	// rewriteDelay is the delay after an outage with which the endpoint writes an expired entry
+	// again.
+	rewriteDelay time.Duration
 }
 
 // span is the time of one outage.
 type span struct{ from, to time.Duration }
 
-// uptimeWorld models a store with outages, a living endpoint, and nodes that track the store's
+// uptimeModel models a store with outages, a living endpoint, and nodes that track the store's
 // uptime.
-type uptimeWorld struct {
+type uptimeModel struct {
 	now      time.Duration
 	outages  []span
 	endpoint livingEndpoint
 	nodes    []*knowledge.UptimeRecord
 }
 
-func (w *uptimeWorld) upAt(t time.Duration) bool {
+func (w *uptimeModel) upAt(t time.Duration) bool {
 	for _, o := range w.outages {
 		if t >= o.from && t < o.to {
 			return false
@@ -53,28 +55,28 @@
 }
 
 // present reports whether the endpoint's entry exists at a time.
-func (w *uptimeWorld) present(at time.Duration) bool {
+func (w *uptimeModel) present(at time.Duration) bool {
 	written := time.Duration(0)
 	for t := w.endpoint.phase; t <= at; t += w.endpoint.interval {
-		if again := w.writesAgain(t, written); again > 0 && again <= at {
+		if again := w.rewrittenAt(t, written); again > 0 && again <= at {
 			written = again
 		}
 		if w.upAt(t) && t <= written+expiry {
 			written = t
 		}
 	}
-	if again := w.writesAgain(at, written); again > 0 && again <= at {
+	if again := w.rewrittenAt(at, written); again > 0 && again <= at {
 		written = again
 	}
 	return at <= written+expiry
 }
 
-// writesAgain returns the time at which the endpoint writes its entry again after the last outage
+// rewrittenAt returns the time at which the endpoint writes its entry again after the last outage
 // before t, if the entry had expired by t; 0 otherwise.
-func (w *uptimeWorld) writesAgain(t, written time.Duration) time.Duration {
+func (w *uptimeModel) rewrittenAt(t, written time.Duration) time.Duration {
 	for _, o := range slices.Backward(w.outages) {
 		if t >= o.to && written+expiry < t && written < o.to {
-			return max(o.to+w.endpoint.back, written+expiry)
+			return max(o.to+w.endpoint.rewriteDelay, written+expiry)
 		}
 	}
 	return 0
@@ -84,10 +86,10 @@
 // time that outlasts the time in which such entries are written again.
 func TestUptimeTellsWhichEntriesMayComeBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &uptimeWorld{now: 100 * time.Second, outages: []span{{from: 0, to: 50 * time.Second}}}
+		w := &uptimeModel{now: 100 * time.Second, outages: []span{{from: 0, to: 50 * time.Second}}}
 		w.endpoint.phase = time.Duration(rapid.IntRange(0, 1199).Draw(t, "phase")) * time.Millisecond
 		w.endpoint.interval = time.Duration(rapid.IntRange(1000, 1200).Draw(t, "interval")) * time.Millisecond
-		w.endpoint.back = time.Duration(rapid.IntRange(0, int(promisedBack.Milliseconds())).Draw(t, "back")) * time.Millisecond
+		w.endpoint.rewriteDelay = time.Duration(rapid.IntRange(0, int(promisedRecovery.Milliseconds())).Draw(t, "back")) * time.Millisecond
 		for range 3 {
 			w.nodes = append(w.nodes, knowledge.NewUptimeRecord(heartbeat))
 		}
@@ -95,7 +97,7 @@
 		returned := func() time.Duration { return w.outages[len(w.outages)-1].to }
 		ask := func(i int) {
 			w.nodes[i].Answered(w.now)
-			if w.now >= returned()+settled && w.nodes[i].Current().Since <= returned()+settled-2100*time.Millisecond && w.nodes[i].Doubt() > 0 {
+			if w.now >= returned()+maxGraceTime && w.nodes[i].Current().Since <= returned()+maxGraceTime-2100*time.Millisecond && w.nodes[i].Doubt() > 0 {
 				t.Fatalf("node %d still has a grace time %s after the store's return: %+v", i, w.now-returned(), w.nodes[i].Current())
 			}
 		}
@@ -121,13 +123,13 @@
 				}
 			},
 			// An outage begins only after heartbeats have succeeded since the last one. From the
-			// length noticed on, all nodes know of a failed request.
+			// length noticedOutage on, all nodes know of a failed request.
 			"outage": func(t *rapid.T) {
-				if w.now > returned()+promisedBack+heartbeat {
+				if w.now > returned()+promisedRecovery+heartbeat {
 					from := w.now
 					w.now += time.Duration(rapid.IntRange(100, 7000).Draw(t, "outage")) * time.Millisecond
 					w.outages = append(w.outages, span{from: from, to: w.now})
-					if w.now-from >= noticed {
+					if w.now-from >= noticedOutage {
 						for _, n := range w.nodes {
 							n.Failed()
 						}
--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -72,9 +72,9 @@
 	return &PowerOfTwo{Watermark: w, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// powerOfTwoTries bounds the number of random draws made to find two endpoints that can take the
+// powerOfTwoDraws bounds the number of random draws made to find two endpoints that can take the
 // request.
-const powerOfTwoTries = 8
+const powerOfTwoDraws = 8
 
 // Pick implements Picker.
 func (p *PowerOfTwo) Pick(endpoints []*Endpoint, r *Request) int {
@@ -82,7 +82,7 @@
 		return None
 	}
 	best, found := None, 0
-	for range powerOfTwoTries {
+	for range powerOfTwoDraws {
 		i := p.rng.IntN(len(endpoints))
 		if i == best || !endpoints[i].Eligible(r) || !p.Watermark.admits(endpoints[i], r) {
 			continue
@@ -97,12 +97,12 @@
 	if best != None {
 		return best
 	}
-	return p.any(endpoints, r)
+	return p.firstAdmitting(endpoints, r)
 }
 
-// any returns the first endpoint that can take the request. It is the fallback for when no random
-// draw hit such an endpoint, for example because few are healthy.
-func (p *PowerOfTwo) any(endpoints []*Endpoint, r *Request) int {
+// firstAdmitting returns the first endpoint that can take the request. It is the fallback for when
+// no random draw hit such an endpoint, for example because few are healthy.
+func (p *PowerOfTwo) firstAdmitting(endpoints []*Endpoint, r *Request) int {
 	for i, e := range endpoints {
 		if e.Eligible(r) && p.Watermark.admits(e, r) {
 			return i
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -62,38 +62,38 @@
 // much in some states and too little in others.
 type Occupancy struct {
 	mean [horizonPoints]float64
-	// reach[i][k] is the probability that at least k bins are in use at point i.
-	reach [horizonPoints][occupancyBins + 1]float32
-	// top[i] is the highest bin that can be in use at point i.
-	top [horizonPoints]int
-	// bin is the size of one bin in tokens.
-	bin float64
-	// fixed is the memory in use, in tokens, whose growth is unknown; it counts as constant.
-	fixed float64
+	// tail[i][k] is the probability that at least k bins are in use at point i.
+	tail [horizonPoints][occupancyBins + 1]float32
+	// maxBin[i] is the highest bin that can be in use at point i.
+	maxBin [horizonPoints]int
+	// binTokens is the size of one binTokens in tokens.
+	binTokens float64
+	// fixedTokens is the memory in use, in tokens, whose growth is unknown; it counts as constant.
+	fixedTokens float64
 }
 
 // Reset clears the occupancy for an engine with the given capacity. fixed is the memory already in
 // use whose growth is unknown. Both are in tokens.
 func (o *Occupancy) Reset(capacity, fixed float64) {
-	*o = Occupancy{bin: capacity / memoryBins, fixed: fixed}
-	for i := range o.reach {
-		o.reach[i][0] = 1
+	*o = Occupancy{binTokens: capacity / memoryBins, fixedTokens: fixed}
+	for i := range o.tail {
+		o.tail[i][0] = 1
 		o.mean[i] = fixed
 	}
 }
 
-// leastProbability is the probability up to which a use of memory is ignored.
-const leastProbability = 1e-4
+// minProbability is the probability up to which a use of memory is ignored.
+const minProbability = 1e-4
 
 // Add adds the demand of one answer.
 func (o *Occupancy) Add(d *Demand) {
-	if o.bin <= 0 {
+	if o.binTokens <= 0 {
 		return
 	}
 	for i := range d.size {
-		if d.prob[i] > leastProbability {
+		if d.prob[i] > minProbability {
 			o.mean[i] += d.size[i] * d.prob[i]
-			o.convolve(i, d.size[i]/o.bin, float32(d.prob[i]))
+			o.convolve(i, d.size[i]/o.binTokens, float32(d.prob[i]))
 		}
 	}
 }
@@ -104,13 +104,13 @@
 	whole := min(int(x), occupancyBins)
 	up := p * float32(x-float64(whole))
 	down := p - up
-	reach := &o.reach[i]
-	o.top[i] = min(o.top[i]+whole+1, occupancyBins)
-	for k := o.top[i]; k > whole; k-- {
-		reach[k] = (1-p)*reach[k] + down*reach[k-whole] + up*reach[k-whole-1]
+	tail := &o.tail[i]
+	o.maxBin[i] = min(o.maxBin[i]+whole+1, occupancyBins)
+	for k := o.maxBin[i]; k > whole; k-- {
+		tail[k] = (1-p)*tail[k] + down*tail[k-whole] + up*tail[k-whole-1]
 	}
-	for k := min(whole, o.top[i]); k > 0; k-- {
-		reach[k] = (1-p)*reach[k] + p
+	for k := min(whole, o.maxBin[i]); k > 0; k-- {
+		tail[k] = (1-p)*tail[k] + p
 	}
 }
 
@@ -126,9 +126,9 @@
 	f := float32(x - float64(k))
 	next := float32(0)
 	if k+2 <= occupancyBins {
-		next = o.reach[i][k+2]
+		next = o.tail[i][k+2]
 	}
-	return float64((1-f)*o.reach[i][k+1] + f*next)
+	return float64((1-f)*o.tail[i][k+1] + f*next)
 }
 
 // exceedsWith returns the probability that more than x bins are in use at point i once an answer
@@ -138,12 +138,12 @@
 func (o *Occupancy) exceedsWith(i int, x, bins float64) float64 {
 	whole := math.Floor(bins)
 	up := bins - whole
-	return (1-up)*o.spread(i, x-whole) + up*o.spread(i, x-whole-1)
+	return (1-up)*o.interpolatedTail(i, x-whole) + up*o.interpolatedTail(i, x-whole-1)
 }
 
-// spread interpolates the probability that more than x bins are in use at point i. Unlike exceeds,
-// it also interpolates for x between -1 and 0.
-func (o *Occupancy) spread(i int, x float64) float64 {
+// interpolatedTail interpolates the probability that more than x bins are in use at point i. Unlike
+// exceeds, it also interpolates for x between -1 and 0.
+func (o *Occupancy) interpolatedTail(i int, x float64) float64 {
 	k := int(math.Floor(x))
 	f := x - math.Floor(x)
 	return (1-f)*o.atLeast(i, k+1) + f*o.atLeast(i, k+2)
@@ -157,7 +157,7 @@
 	case k > occupancyBins:
 		return 0
 	default:
-		return float64(o.reach[i][k])
+		return float64(o.tail[i][k])
 	}
 }
 
@@ -168,36 +168,36 @@
 // with d use more than near tokens in the near future or more than far tokens later. It stops early
 // once the probability is over bound.
 func (o *Occupancy) Risk(d *Demand, near, far, bound float64) float64 {
-	return o.worst(d, near, far, bound, 0)
+	return o.maxRisk(d, near, far, bound, 0)
 }
 
 // Added is like Risk, but returns only the increase of the probability that d causes.
 func (o *Occupancy) Added(d *Demand, near, far, bound float64) float64 {
-	return o.worst(d, near, far, bound, 1)
+	return o.maxRisk(d, near, far, bound, 1)
 }
 
-// worst implements Risk and Added. part is the share, 0 to 1, of the probability without d that is
-// subtracted from the result.
-func (o *Occupancy) worst(d *Demand, near, far, bound, part float64) float64 {
-	if o.bin <= 0 {
+// maxRisk implements Risk and Added. baselineShare is the share, 0 to 1, of the probability without
+// d that is subtracted from the result.
+func (o *Occupancy) maxRisk(d *Demand, near, far, bound, baselineShare float64) float64 {
+	if o.binTokens <= 0 {
 		return 1
 	}
-	worst := 0.0
-	x := (near - o.fixed) / o.bin
+	highest := 0.0
+	x := (near - o.fixedTokens) / o.binTokens
 	for i := range d.size {
 		if i == nearPoints {
-			x = (far - o.fixed) / o.bin
+			x = (far - o.fixedTokens) / o.binTokens
 		}
 		without := o.exceeds(i, x)
-		risk := without * (1 - part)
+		risk := without * (1 - baselineShare)
 		if d.prob[i] > 0 {
-			risk += d.prob[i] * (o.exceedsWith(i, x, d.size[i]/o.bin) - without)
+			risk += d.prob[i] * (o.exceedsWith(i, x, d.size[i]/o.binTokens) - without)
 		}
-		if worst = max(worst, risk); worst > bound {
-			return worst
+		if highest = max(highest, risk); highest > bound {
+			return highest
 		}
 	}
-	return worst
+	return highest
 }
 
 // Peak returns the highest expected use over the horizon, in tokens, of the answers together with
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// slowShare is the fraction of the median token rate below which an endpoint counts as slow.
-	slowShare = 0.35
-	// ejectShare bounds the fraction of endpoints that are ejected at the same time. If many
+	// slowRateFactor is the fraction of the median token rate below which an endpoint counts as
+	// slow.
+	slowRateFactor = 0.35
+	// maxEjectedShare bounds the fraction of endpoints that are ejected at the same time. If many
 	// endpoints seem slow, the cause lies elsewhere, and ejecting them would overload the rest.
-	ejectShare = 1.0 / 3
-	// ejectTime is how long an ejected endpoint gets no new work before it is readmitted.
-	ejectTime = 10 * time.Second
-	// leastSamples is the number of rate samples required before an endpoint is judged.
-	leastSamples = 8
-	// leastPeers is the number of endpoints with a known rate required to compute a median.
-	leastPeers = 3
+	maxEjectedShare = 1.0 / 3
+	// ejectionDuration is how long an ejected endpoint gets no new work before it is readmitted.
+	ejectionDuration = 10 * time.Second
+	// minRateSamples is the number of rate samples required before an endpoint is judged.
+	minRateSamples = 8
+	// minRatedPeers is the number of endpoints with a known rate required to compute a median.
+	minRatedPeers = 3
 )
 
 // Ejector detects endpoints that answer polls but produce hardly any tokens, and keeps new work
@@ -29,42 +30,42 @@
 // of endpoints that it ejected in this call.
 func (j *Ejector) Judge(endpoints []*Endpoint, now time.Duration) int {
 	j.rates = j.rates[:0]
-	out := 0
+	ejectedTotal := 0
 	for _, e := range endpoints {
 		if e.Ejected && now >= e.EjectedUntil {
 			e.Ejected = false
 			e.Rate, e.RateSamples = 0, 0
 		}
 		if e.Ejected {
-			out++
+			ejectedTotal++
 		}
-		if e.RateSamples >= leastSamples {
+		if e.RateSamples >= minRateSamples {
 			j.rates = append(j.rates, e.Rate)
 		}
 	}
-	if len(j.rates) < leastPeers {
+	if len(j.rates) < minRatedPeers {
 		return 0
 	}
 	slices.Sort(j.rates)
 	median := j.rates[len(j.rates)/2]
 	ejected := 0
 	for _, e := range endpoints {
-		full := float64(out+1) > ejectShare*float64(len(endpoints))
-		if full || e.Ejected || e.RateSamples < leastSamples || e.Rate >= slowShare*median {
+		limitReached := float64(ejectedTotal+1) > maxEjectedShare*float64(len(endpoints))
+		if limitReached || e.Ejected || e.RateSamples < minRateSamples || e.Rate >= slowRateFactor*median {
 			continue
 		}
-		e.Ejected, e.EjectedUntil = true, now+ejectTime
-		out++
+		e.Ejected, e.EjectedUntil = true, now+ejectionDuration
+		ejectedTotal++
 		ejected++
 	}
 	return ejected
 }
 
 const (
-	// rampTime is the time after which an endpoint that has joined gets its full share of work.
-	rampTime = 5 * time.Second
-	// rampStart is the initial share of an endpoint that has just joined.
-	rampStart = 0.25
+	// rampDuration is the time after which an endpoint that has joined gets its full share of work.
+	rampDuration = 5 * time.Second
+	// rampInitialShare is the initial share of an endpoint that has just joined.
+	rampInitialShare = 0.25
 )
 
 // Ramp returns the share of its memory, 0 to 1, that may be used at an endpoint that has been
@@ -72,8 +73,8 @@
 // ramp it would get all new work at once, while its caches are cold and before its first load
 // reports.
 func Ramp(healthyFor time.Duration) float64 {
-	if healthyFor >= rampTime {
+	if healthyFor >= rampDuration {
 		return 1
 	}
-	return rampStart + (1-rampStart)*float64(max(healthyFor, 0))/float64(rampTime)
+	return rampInitialShare + (1-rampInitialShare)*float64(max(healthyFor, 0))/float64(rampDuration)
 }
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -16,14 +16,14 @@
 	var pool []*Endpoint
 	for i := range 4 {
 		e := healthy(fmt.Sprint(i), 1000)
-		e.Rate, e.RateSamples = 100, leastSamples
+		e.Rate, e.RateSamples = 100, minRateSamples
 		pool = append(pool, e)
 	}
 	pool[2].Rate = 10
 	var j Ejector
 	g.Expect(j.Judge(pool, 0)).To(gomega.Equal(1))
 	g.Expect(pool[2].Eligible(&Request{})).To(gomega.BeFalse())
-	g.Expect(j.Judge(pool, ejectTime)).To(gomega.BeZero())
+	g.Expect(j.Judge(pool, ejectionDuration)).To(gomega.BeZero())
 	g.Expect(pool[2].Eligible(&Request{})).To(gomega.BeTrue())
 }
 
@@ -34,7 +34,7 @@
 		for i := range n {
 			e := healthy(fmt.Sprint(i), 1000)
 			e.Rate = rapid.Float64Range(0, 100).Draw(t, "rate")
-			e.RateSamples = rapid.IntRange(0, 2*leastSamples).Draw(t, "samples")
+			e.RateSamples = rapid.IntRange(0, 2*minRateSamples).Draw(t, "samples")
 			pool = append(pool, e)
 		}
 		var j Ejector
@@ -46,7 +46,7 @@
 					out++
 				}
 			}
-			if float64(out) > ejectShare*float64(n) {
+			if float64(out) > maxEjectedShare*float64(n) {
 				t.Fatalf("%d of %d endpoints are ejected, want at most a third", out, n)
 			}
 		}
@@ -55,7 +55,7 @@
 
 func TestJoiningEndpointGetsItsShareByAndBy(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(Ramp(0)).To(gomega.BeNumerically("==", rampStart))
-	g.Expect(Ramp(rampTime / 2)).To(gomega.BeNumerically("~", (1+rampStart)/2, 1e-9))
-	g.Expect(Ramp(rampTime)).To(gomega.BeNumerically("==", 1))
+	g.Expect(Ramp(0)).To(gomega.BeNumerically("==", rampInitialShare))
+	g.Expect(Ramp(rampDuration / 2)).To(gomega.BeNumerically("~", (1+rampInitialShare)/2, 1e-9))
+	g.Expect(Ramp(rampDuration)).To(gomega.BeNumerically("==", 1))
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -63,21 +63,21 @@
 	occupancy Occupancy
 	used      float64
 	suspects  int
-	// left and leftBefore are the answers that ended in the current and in the previous period of
-	// length reportAge, which began at the time period; load reports may still contain them.
-	left, leftBefore departures
-	period           time.Duration
+	// ended and endedBefore are the answers that ended in the current and in the previous period of
+	// length maxReportAge, which began at periodStart; load reports may still contain them.
+	ended, endedBefore endedAnswers
+	periodStart        time.Duration
 }
 
-// departures sums up answers that have ended: their number and the memory that they used, in
+// endedAnswers sums up answers that have ended: their number and the memory that they used, in
 // tokens.
-type departures struct {
+type endedAnswers struct {
 	count  int
 	tokens float64
 }
 
-// reportAge is the maximum age of a load report.
-const reportAge = time.Second
+// maxReportAge is the maximum age of a load report.
+const maxReportAge = time.Second
 
 // NewEndpoint returns an endpoint without answers that may use its whole memory.
 func NewEndpoint(name string) *Endpoint {
@@ -115,8 +115,8 @@
 		return nil
 	}
 	delete(e.Running, id)
-	e.left.count++
-	e.left.tokens += float64(a.Prompt + a.Produced)
+	e.ended.count++
+	e.ended.tokens += float64(a.Prompt + a.Produced)
 	if a.Suspect {
 		e.suspects--
 	}
@@ -132,36 +132,37 @@
 	}
 	// The memory that the engine holds beyond the answers in Running was admitted by other
 	// schedulers. Nothing is known about its growth, so it counts as constant.
-	others := 0.0
-	e.forget(now)
-	if e.strangers() {
-		others = max(float64(e.ReportedUsed)-sum-e.left.tokens-e.leftBefore.tokens, 0)
+	external := 0.0
+	e.expireEnded(now)
+	if e.hasExternalAnswers() {
+		external = max(float64(e.ReportedUsed)-sum-e.ended.tokens-e.endedBefore.tokens, 0)
 	}
-	e.used = sum + others
-	e.occupancy.Reset(float64(e.Capacity), others)
+	e.used = sum + external
+	e.occupancy.Reset(float64(e.Capacity), external)
 	for _, a := range e.Running {
 		d := a.demand(est, a.producedBy(now, e.Rate), hints)
 		e.occupancy.Add(&d)
 	}
 }
 
-// strangers reports whether the engine reported more answers than this scheduler has had in Running
-// lately, so that other schedulers must have admitted some. Memory use above the estimate is no
-// evidence of that, and neither are answers that have ended since, because the report lags.
-func (e *Endpoint) strangers() bool {
-	return e.ReportedRunning+e.ReportedWaiting > len(e.Running)+e.left.count+e.leftBefore.count
+// hasExternalAnswers reports whether the engine reported more answers than this scheduler has had
+// in Running lately, so that other schedulers must have admitted some. Memory use above the
+// estimate is no evidence of that, and neither are answers that have ended since, because the
+// report lags.
+func (e *Endpoint) hasExternalAnswers() bool {
+	return e.ReportedRunning+e.ReportedWaiting > len(e.Running)+e.ended.count+e.endedBefore.count
 }
 
-// forget drops ended answers that no load report can contain any more.
-func (e *Endpoint) forget(now time.Duration) {
-	if now-e.period < reportAge {
+// expireEnded drops ended answers that no load report can contain any more.
+func (e *Endpoint) expireEnded(now time.Duration) {
+	if now-e.periodStart < maxReportAge {
 		return
 	}
-	e.leftBefore, e.left = e.left, departures{}
-	if now-e.period >= 2*reportAge {
-		e.leftBefore = departures{}
+	e.endedBefore, e.ended = e.ended, endedAnswers{}
+	if now-e.periodStart >= 2*maxReportAge {
+		e.endedBefore = endedAnswers{}
 	}
-	e.period = now
+	e.periodStart = now
 }
 
 // EachRunning calls fn with the length key of each running answer and the number of tokens that it
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -10,17 +10,17 @@
 	// maxLengthKeys bounds the estimator's memory: 560 workspaces with seven models and two classes
 	// need 7,840 keys.
 	maxLengthKeys = 8192
-	// priorStrength is the weight of a prior, as a number of answers.
-	priorStrength = 16
-	// priorAge is the number of new observations of a prior after which the estimates derived from
-	// it are recomputed.
-	priorAge = 32
+	// priorWeight is the weight of a prior, as a number of answers.
+	priorWeight = 16
+	// priorRefreshObservations is the number of new observations of a prior after which the
+	// estimates derived from it are recomputed.
+	priorRefreshObservations = 32
 	// Without observations, the length of an answer is assumed to be lognormal with this median, in
 	// tokens, and this sigma.
-	priorMedian = 300
-	priorSigma  = 1.0
-	// shortMedian is the median for short work, in tokens.
-	shortMedian = 12
+	priorMedianTokens = 300
+	priorSigma        = 1.0
+	// shortPriorMedianTokens is the median for short work, in tokens.
+	shortPriorMedianTokens = 12
 )
 
 // LengthKey identifies a group of answers whose lengths follow one distribution.
@@ -42,34 +42,34 @@
 	// version counts observations; priorVersion is the version of the prior from which survival was
 	// computed.
 	version, priorVersion uint64
-	used                  uint64
+	lastUsed              uint64
 }
 
 // Estimator learns the lengths of answers from completed, cut-off and running ones. A workspace
 // with little history falls back on the prior of its model, and a model on the prior of its class.
 type Estimator struct {
-	keys   map[LengthKey]*lengthEstimate
-	models map[LengthKey]*lengthEstimate
-	bases  map[crocusreel.Class]*lengthEstimate
-	clock  uint64
+	keys        map[LengthKey]*lengthEstimate
+	modelPriors map[LengthKey]*lengthEstimate
+	classPriors map[crocusreel.Class]*lengthEstimate
+	useCounter  uint64
 	// round numbers the listings of running answers. listed holds the estimates that have a running
-	// answer in the current listing, before those of the previous one.
-	round          uint64
-	listed, before []*lengthEstimate
+	// answer in the current listing, previouslyListed holds those of the previous one.
+	round                    uint64
+	listed, previouslyListed []*lengthEstimate
 }
 
 // NewEstimator returns an estimator without observations.
 func NewEstimator() *Estimator {
 	return &Estimator{
-		keys:   make(map[LengthKey]*lengthEstimate),
-		models: make(map[LengthKey]*lengthEstimate),
-		bases:  make(map[crocusreel.Class]*lengthEstimate),
+		keys:        make(map[LengthKey]*lengthEstimate),
+		modelPriors: make(map[LengthKey]*lengthEstimate),
+		classPriors: make(map[crocusreel.Class]*lengthEstimate),
 	}
 }
 
 // Observe records a completed answer of n tokens.
 func (e *Estimator) Observe(k LengthKey, n int) {
-	for _, l := range e.chain(k) {
+	for _, l := range e.withPriors(k) {
 		l.counts.observe(n)
 		l.version++
 		l.rebuild()
@@ -81,7 +81,7 @@
 	if n <= 0 {
 		return
 	}
-	for _, l := range e.chain(k) {
+	for _, l := range e.withPriors(k) {
 		l.counts.censor(n)
 		l.version++
 		l.rebuild()
@@ -93,13 +93,13 @@
 // known.
 func (e *Estimator) BeginRunning() {
 	e.round++
-	e.listed, e.before = e.before[:0], e.listed
+	e.listed, e.previouslyListed = e.previouslyListed[:0], e.listed
 }
 
 // Running adds an answer in progress that has produced n tokens to the listing.
 func (e *Estimator) Running(k LengthKey, n int) {
 	b := bucketOf(float64(n))
-	for _, l := range e.chain(k) {
+	for _, l := range e.withPriors(k) {
 		if l.round != e.round {
 			l.round = e.round
 			l.running = [lengthBuckets]float32{}
@@ -111,7 +111,7 @@
 
 // EndRunning ends the listing and recomputes the affected estimates.
 func (e *Estimator) EndRunning() {
-	for _, l := range e.before {
+	for _, l := range e.previouslyListed {
 		if l.round != e.round {
 			l.running = [lengthBuckets]float32{}
 			l.rebuild()
@@ -126,7 +126,7 @@
 // until the estimator evicts k.
 func (e *Estimator) Survival(k LengthKey) *Survival {
 	l := e.estimate(k)
-	if l.prior.version >= l.priorVersion+priorAge {
+	if l.prior.version >= l.priorVersion+priorRefreshObservations {
 		l.rebuild()
 	}
 	return &l.survival
@@ -135,23 +135,23 @@
 // Len returns the number of keys held, not counting priors.
 func (e *Estimator) Len() int { return len(e.keys) }
 
-// chain returns the estimates that an answer of k updates, priors first.
-func (e *Estimator) chain(k LengthKey) [3]*lengthEstimate {
+// withPriors returns the estimates that an answer of k updates, priors first.
+func (e *Estimator) withPriors(k LengthKey) [3]*lengthEstimate {
 	l := e.estimate(k)
 	return [3]*lengthEstimate{l.prior.prior, l.prior, l}
 }
 
 func (e *Estimator) estimate(k LengthKey) *lengthEstimate {
-	e.clock++
+	e.useCounter++
 	if l, ok := e.keys[k]; ok {
-		l.used = e.clock
+		l.lastUsed = e.useCounter
 		return l
 	}
 	if len(e.keys) >= maxLengthKeys {
 		e.evict()
 	}
-	l := newEstimate(e.model(k))
-	l.used = e.clock
+	l := newEstimate(e.modelPrior(k))
+	l.lastUsed = e.useCounter
 	e.keys[k] = l
 	return l
 }
@@ -161,33 +161,33 @@
 	var oldest LengthKey
 	least := uint64(math.MaxUint64)
 	for k, l := range e.keys {
-		if l.used < least {
-			least, oldest = l.used, k
+		if l.lastUsed < least {
+			least, oldest = l.lastUsed, k
 		}
 	}
 	delete(e.keys, oldest)
 }
 
-func (e *Estimator) model(k LengthKey) *lengthEstimate {
+func (e *Estimator) modelPrior(k LengthKey) *lengthEstimate {
 	k.Workspace = ""
-	l, ok := e.models[k]
+	l, ok := e.modelPriors[k]
 	if !ok {
-		l = newEstimate(e.base(k.Class))
-		e.models[k] = l
+		l = newEstimate(e.classPrior(k.Class))
+		e.modelPriors[k] = l
 	}
 	return l
 }
 
-func (e *Estimator) base(c crocusreel.Class) *lengthEstimate {
-	l, ok := e.bases[c]
+func (e *Estimator) classPrior(c crocusreel.Class) *lengthEstimate {
+	l, ok := e.classPriors[c]
 	if !ok {
-		median := float64(priorMedian)
+		median := float64(priorMedianTokens)
 		if c == crocusreel.ClassShort {
-			median = shortMedian
+			median = shortPriorMedianTokens
 		}
 		l = &lengthEstimate{counts: lognormalCounts(median, priorSigma)}
 		l.rebuild()
-		e.bases[c] = l
+		e.classPriors[c] = l
 	}
 	return l
 }
@@ -203,7 +203,7 @@
 	below := 0.0
 	for i, b := range bucketBound {
 		p := 0.5 * math.Erfc(-(math.Log(b)-math.Log(median))/(sigma*math.Sqrt2))
-		c.ended[i] = float32(priorStrength * (p - below))
+		c.completed[i] = float32(priorWeight * (p - below))
 		below = p
 	}
 	return c
@@ -219,27 +219,27 @@
 func (l *lengthEstimate) rebuild() {
 	weight := float32(0)
 	if l.prior != nil {
-		weight = priorStrength
+		weight = priorWeight
 		l.priorVersion = l.prior.version
 	}
 	var hazard [lengthBuckets]float32
-	reached := float32(0)
+	atRisk := float32(0)
 	for i := lengthBuckets - 1; i >= 0; i-- {
-		ended := l.counts.ended[i]
+		ended := l.counts.completed[i]
 		if l.prior != nil {
 			ended += weight * l.prior.survival.mass(i)
 		}
 		// An answer censored within a bucket is at risk for half of the bucket.
-		open := l.counts.cut[i] + l.running[i]
-		reached += ended + open/2
-		if reached > 0 {
-			hazard[i] = min(ended/reached, 1)
+		censored := l.counts.censored[i] + l.running[i]
+		atRisk += ended + censored/2
+		if atRisk > 0 {
+			hazard[i] = min(ended/atRisk, 1)
 		}
-		reached += open / 2
+		atRisk += censored / 2
 	}
-	left := float32(1)
+	surviving := float32(1)
 	for i := range hazard {
-		left *= 1 - hazard[i]
-		l.survival.at[i] = left
+		surviving *= 1 - hazard[i]
+		l.survival.at[i] = surviving
 	}
 }
--- a/policy/lengths.go
+++ b/policy/lengths.go
@@ -9,12 +9,12 @@
 	lengthBuckets    = 56
 	bucketsPerOctave = 4
 	firstOctave      = 2
-	// lengthMemory is the number of answers after which an observation has lost most of its weight,
-	// so that the estimate follows a changing mix of requests.
-	lengthMemory = 256
-	// tailShape is the exponent of the Pareto tail that is assumed beyond the last bucket and where
-	// too few longer answers have been observed.
-	tailShape = 2
+	// lengthDecayAnswers is the number of answers after which an observation has lost most of its
+	// weight, so that the estimate follows a changing mix of requests.
+	lengthDecayAnswers = 256
+	// paretoShape is the exponent of the Pareto tail that is assumed beyond the last bucket and
+	// where too few longer answers have been observed.
+	paretoShape = 2
 )
 
 // bucketBound holds the upper bound of each bucket in tokens.
@@ -36,30 +36,30 @@
 
 // lengthCounts is a histogram of answer lengths with exponential decay.
 type lengthCounts struct {
-	// ended counts completed answers by their length; cut counts answers that were cut off, by the
-	// number of tokens produced until then.
-	ended, cut [lengthBuckets]float32
+	// completed counts completed answers by their length; censored counts answers that were
+	// censored off, by the number of tokens produced until then.
+	completed, censored [lengthBuckets]float32
 }
 
 // decay reduces the weight of all earlier observations by one step.
 func (c *lengthCounts) decay() {
-	const keep = 1 - 1.0/lengthMemory
-	for i := range c.ended {
-		c.ended[i] *= keep
-		c.cut[i] *= keep
+	const keep = 1 - 1.0/lengthDecayAnswers
+	for i := range c.completed {
+		c.completed[i] *= keep
+		c.censored[i] *= keep
 	}
 }
 
 // observe records a completed answer of n tokens.
 func (c *lengthCounts) observe(n int) {
 	c.decay()
-	c.ended[bucketOf(float64(n))]++
+	c.completed[bucketOf(float64(n))]++
 }
 
 // censor records an answer that was cut off after n tokens.
 func (c *lengthCounts) censor(n int) {
 	c.decay()
-	c.cut[bucketOf(float64(n))]++
+	c.censored[bucketOf(float64(n))]++
 }
 
 // Survival is the survival function of an answer's length: at[i] is the probability that the answer
@@ -96,16 +96,16 @@
 	return float64(s.at[i-1])*(1-f) + float64(s.at[i])*f
 }
 
-// leastSurvival is the survival probability below which the estimate has too few longer answers to
-// be used; the Pareto tail replaces it.
-const leastSurvival = 1e-3
+// minSurvival is the survival probability below which the estimate has too few longer answers to be
+// used; the Pareto tail replaces it.
+const minSurvival = 1e-3
 
 // Remaining returns the conditional probability that an answer that has produced n tokens produces
 // more than h further ones.
 func (s *Survival) Remaining(n, h float64) float64 {
 	now := s.Beyond(n)
-	if now < leastSurvival {
-		return math.Pow(max(n, 1)/(max(n, 1)+h), tailShape)
+	if now < minSurvival {
+		return math.Pow(max(n, 1)/(max(n, 1)+h), paretoShape)
 	}
 	return min(s.Beyond(n+h)/now, 1)
 }
@@ -123,7 +123,7 @@
 // tokens.
 func (s *Survival) MeanRemaining(n float64) float64 {
 	now := s.Beyond(n)
-	if now < leastSurvival {
+	if now < minSurvival {
 		return max(n, 1)
 	}
 	prev, left, mean := n, 1.0, 0.0
--- a/policy/lengths_test.go
+++ b/policy/lengths_test.go
@@ -16,8 +16,9 @@
 	return LengthKey{Workspace: workspace, Class: crocusreel.ClassGeneration, Model: "m"}
 }
 
-// observations draws a history of running, completed and cut-off answers and records it in e.
-func observations(t *rapid.T, e *Estimator, k LengthKey) {
+// recordRandomHistory draws a history of running, completed and cut-off answers and records it in
+// e.
+func recordRandomHistory(t *rapid.T, e *Estimator, k LengthKey) {
 	n := rapid.IntRange(0, 600).Draw(t, "answers")
 	e.BeginRunning()
 	for _, produced := range rapid.SliceOfN(rapid.IntRange(0, 5000), 0, 40).Draw(t, "running") {
@@ -39,7 +40,7 @@
 func TestSurvivalIsADistribution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := NewEstimator()
-		observations(t, e, key("w"))
+		recordRandomHistory(t, e, key("w"))
 		s := e.Survival(key("w"))
 		before := 1.0
 		for n := 0.0; n < 100000; n = n*1.3 + 1 {
@@ -55,7 +56,7 @@
 func TestConditionalRemainingFallsWithTheHorizon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := NewEstimator()
-		observations(t, e, key("w"))
+		recordRandomHistory(t, e, key("w"))
 		s := e.Survival(key("w"))
 		produced := float64(rapid.IntRange(0, 20000).Draw(t, "produced"))
 		before := 1.0
@@ -93,7 +94,7 @@
 		e.Observe(key("w"), 100)
 	}
 	g.Expect(e.Survival(key("w")).Mean()).To(gomega.BeNumerically("~", 100, 25))
-	for range 3 * lengthMemory {
+	for range 3 * lengthDecayAnswers {
 		e.Observe(key("w"), 2000)
 	}
 	g.Expect(e.Survival(key("w")).Mean()).To(gomega.BeNumerically("~", 1900, 300))
@@ -117,10 +118,10 @@
 	r := rand.New(rand.NewPCG(2, 2))
 	for range 4000 {
 		length := int(math.Exp(r.NormFloat64()*0.8 + 6))
-		patience := 200 + r.IntN(1000)
+		cutoff := 200 + r.IntN(1000)
 		all.Observe(key("w"), length)
-		if length > patience {
-			cut.ObserveCensored(key("w"), patience)
+		if length > cutoff {
+			cut.ObserveCensored(key("w"), cutoff)
 		} else {
 			cut.Observe(key("w"), length)
 		}
--- a/policy/prefixes.go
+++ b/policy/prefixes.go
@@ -7,25 +7,28 @@
 	maxPrefixes = 16384
 	// PrefixHolders is the maximum number of endpoints held for each prefix.
 	PrefixHolders = 4
-	// prefixLife is how long a prefix is assumed to stay cached after its last use.
-	prefixLife = 60 * time.Second
+	// prefixTTL is how long a prefix is assumed to stay cached after its last use.
+	prefixTTL = 60 * time.Second
 )
 
-// holder is an endpoint that probably has a prefix cached; at is the time of the last sign of that.
-type holder struct {
+// prefixHolder is an endpoint that probably has a prefix cached, as was last observed at the time
+// lastSeen.
+type prefixHolder struct {
 	endpoint string
-	at       time.Duration
+	lastSeen time.Duration
 }
 
 // Prefixes maps hashes of prompt prefixes to the endpoints that probably have them cached. It
 // learns from the requests sent to endpoints and from their cache events. Cache events arrive late
 // and with gaps, so every entry is a hint that expires.
 type Prefixes struct {
-	holders map[uint64]*[PrefixHolders]holder
+	holders map[uint64]*[PrefixHolders]prefixHolder
 }
 
 // NewPrefixes returns an empty Prefixes.
-func NewPrefixes() *Prefixes { return &Prefixes{holders: make(map[uint64]*[PrefixHolders]holder)} }
+func NewPrefixes() *Prefixes {
+	return &Prefixes{holders: make(map[uint64]*[PrefixHolders]prefixHolder)}
+}
 
 // Routed records that a request with these prefixes was sent to the endpoint.
 func (p *Prefixes) Routed(endpoint string, prefixes []uint64, now time.Duration) {
@@ -40,22 +43,22 @@
 	hs, ok := p.holders[prefix]
 	if !ok {
 		if len(p.holders) >= maxPrefixes {
-			p.expire(now)
+			p.evict(now)
 		}
-		hs = new([PrefixHolders]holder)
+		hs = new([PrefixHolders]prefixHolder)
 		p.holders[prefix] = hs
 	}
 	oldest := 0
 	for i := range hs {
 		if hs[i].endpoint == endpoint {
-			hs[i].at = now
+			hs[i].lastSeen = now
 			return
 		}
-		if hs[i].at < hs[oldest].at {
+		if hs[i].lastSeen < hs[oldest].lastSeen {
 			oldest = i
 		}
 	}
-	hs[oldest] = holder{endpoint: endpoint, at: now}
+	hs[oldest] = prefixHolder{endpoint: endpoint, lastSeen: now}
 }
 
 // Confirm is like Stored, but ignores prefixes that no request routed here has had: engines also
@@ -74,7 +77,7 @@
 	}
 	for i := range hs {
 		if hs[i].endpoint == endpoint {
-			hs[i] = holder{}
+			hs[i] = prefixHolder{}
 		}
 	}
 }
@@ -96,7 +99,7 @@
 			continue
 		}
 		for i := range hs {
-			if hs[i].endpoint != "" && now-hs[i].at < prefixLife {
+			if hs[i].endpoint != "" && now-hs[i].lastSeen < prefixTTL {
 				names[i] = hs[i].endpoint
 				share = float64(n) / float64(len(prefixes))
 			}
@@ -111,15 +114,15 @@
 // Len returns the number of prefixes held.
 func (p *Prefixes) Len() int { return len(p.holders) }
 
-// expire frees space for a new prefix: it drops expired entries, and then arbitrary ones while
-// there are still too many.
-func (p *Prefixes) expire(now time.Duration) {
+// evict frees space for a new prefix: it drops expired entries, and then arbitrary ones while there
+// are still too many.
+func (p *Prefixes) evict(now time.Duration) {
 	for h, hs := range p.holders {
 		latest := time.Duration(0)
 		for i := range hs {
-			latest = max(latest, hs[i].at)
+			latest = max(latest, hs[i].lastSeen)
 		}
-		if now-latest >= prefixLife {
+		if now-latest >= prefixTTL {
 			delete(p.holders, h)
 		}
 	}
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// priorityUnit is the time that one step of engine priority represents.
-	priorityUnit = 10 * time.Millisecond
-	// callerPriorityTime is the time that one step of caller priority is worth.
-	callerPriorityTime = 30 * time.Second
-	// shortTime is the time that short work is worth, so that it is not preempted in favour of the
-	// answers that started before it.
-	shortTime = 5 * time.Minute
-	// expectedWeight is the weight of an answer's expected duration relative to its start time. In
-	// trials with 0, 1 and 4, the value 4 gave the least stall and the fewest preemptions.
-	expectedWeight = 4
-	// priorityRange is the number of units, 124 days, after which engine priorities wrap around.
-	// For the duration of one answer after that, victims of preemption are chosen badly.
-	priorityRange = 1 << 30
+	// enginePriorityUnit is the time that one step of engine priority represents.
+	enginePriorityUnit = 10 * time.Millisecond
+	// callerPriorityStep is the time that one step of caller priority is worth.
+	callerPriorityStep = 30 * time.Second
+	// shortWorkBonus is the time that short work is worth, so that it is not preempted in favour of
+	// the answers that started before it.
+	shortWorkBonus = 5 * time.Minute
+	// expectedDurationWeight is the weight of an answer's expected duration relative to its start
+	// time. In trials with 0, 1 and 4, the value 4 gave the least stall and the fewest preemptions.
+	expectedDurationWeight = 4
+	// enginePriorityRange is the number of units, 124 days, after which engine priorities wrap
+	// around. For the duration of one answer after that, victims of preemption are chosen badly.
+	enginePriorityRange = 1 << 30
 )
 
 // EnginePriority returns the priority with which an engine runs an answer that starts at the time
@@ -28,9 +28,9 @@
 // longest. As a rule this is also the youngest one, with the least to recompute and the least shown
 // to its caller. now must count from an epoch that all schedulers share.
 func EnginePriority(now, expected time.Duration, class crocusreel.Class, p crocusreel.Priority) int {
-	end := now + expectedWeight*expected - time.Duration(p)*callerPriorityTime
+	end := now + expectedDurationWeight*expected - time.Duration(p)*callerPriorityStep
 	if class == crocusreel.ClassShort {
-		end -= shortTime
+		end -= shortWorkBonus
 	}
-	return -int((end / priorityUnit) % priorityRange)
+	return -int((end / enginePriorityUnit) % enginePriorityRange)
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,9 +6,9 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// ageStep is the waiting time that is worth one step of priority, so that work of low priority does
-// not starve.
-const ageStep = 2 * time.Second
+// agingInterval is the waiting time that is worth one step of priority, so that work of low
+// priority does not starve.
+const agingInterval = 2 * time.Second
 
 // Item is a request waiting in a Queue.
 type Item[V any] struct {
@@ -29,15 +29,15 @@
 
 // urgency orders the items of one workspace; the highest goes first.
 func (i *Item[V]) urgency(now time.Duration) float64 {
-	return float64(i.Priority) + float64(now-i.Enqueued)/float64(ageStep)
+	return float64(i.Priority) + float64(now-i.Enqueued)/float64(agingInterval)
 }
 
 // flow holds the waiting items of one workspace.
 type flow[V any] struct {
 	items []*Item[V]
-	// start is the virtual time at which the next item of the flow starts.
-	start  float64
-	weight float64
+	// nextStart is the virtual time at which the next item of the flow starts.
+	nextStart float64
+	weight    float64
 }
 
 // Queue is a weighted fair queue over workspaces that uses start-time fair queueing. It is
@@ -46,10 +46,10 @@
 //
 // Items are tried in rounds. Begin must be called before the first call of Next.
 type Queue[V any] struct {
-	flows  map[string]*flow[V]
-	clock  float64
-	round  uint64
-	length int
+	flows       map[string]*flow[V]
+	virtualTime float64
+	round       uint64
+	length      int
 }
 
 // NewQueue returns an empty queue.
@@ -62,11 +62,11 @@
 func (q *Queue[V]) Push(i *Item[V], weight float64) {
 	f, ok := q.flows[i.Workspace]
 	if !ok {
-		f = &flow[V]{start: q.clock}
+		f = &flow[V]{nextStart: q.virtualTime}
 		q.flows[i.Workspace] = f
 	}
 	if len(f.items) == 0 {
-		f.start = max(f.start, q.clock)
+		f.nextStart = max(f.nextStart, q.virtualTime)
 	}
 	f.weight = weight
 	f.items = append(f.items, i)
@@ -96,7 +96,7 @@
 func (q *Queue[V]) Begin() {
 	q.round++
 	for name, f := range q.flows {
-		if len(f.items) == 0 && f.start <= q.clock {
+		if len(f.items) == 0 && f.nextStart <= q.virtualTime {
 			delete(q.flows, name)
 		}
 	}
@@ -108,17 +108,17 @@
 	var best *Item[V]
 	start := 0.0
 	for _, f := range q.flows {
-		if best != nil && f.start >= start {
+		if best != nil && f.nextStart >= start {
 			continue
 		}
-		if i := q.first(f, now); i != nil {
-			best, start = i, f.start
+		if i := q.mostUrgent(f, now); i != nil {
+			best, start = i, f.nextStart
 		}
 	}
 	return best
 }
 
-func (q *Queue[V]) first(f *flow[V], now time.Duration) *Item[V] {
+func (q *Queue[V]) mostUrgent(f *flow[V], now time.Duration) *Item[V] {
 	var best *Item[V]
 	for _, i := range f.items {
 		if i.passed == q.round {
@@ -141,15 +141,15 @@
 		return
 	}
 	q.Remove(i)
-	q.clock = max(q.clock, f.start)
-	f.start += i.Cost / f.weight
+	q.virtualTime = max(q.virtualTime, f.nextStart)
+	f.nextStart += i.Cost / f.weight
 }
 
 // Charge corrects the charge of a workspace once the real cost of an item is known. extra is in
 // tokens and may be negative.
 func (q *Queue[V]) Charge(workspace string, extra float64) {
 	if f, ok := q.flows[workspace]; ok {
-		f.start = max(f.start+extra/f.weight, q.clock)
+		f.nextStart = max(f.nextStart+extra/f.weight, q.virtualTime)
 	}
 }
 
@@ -178,7 +178,7 @@
 func (q *Queue[V]) Least(now time.Duration) *Item[V] {
 	var most *flow[V]
 	for _, f := range q.flows {
-		if len(f.items) > 0 && (most == nil || f.excess() > most.excess()) {
+		if len(f.items) > 0 && (most == nil || f.backlogPerWeight() > most.backlogPerWeight()) {
 			most = f
 		}
 	}
@@ -194,7 +194,7 @@
 	return least
 }
 
-func (f *flow[V]) excess() float64 { return float64(len(f.items)) / f.weight }
+func (f *flow[V]) backlogPerWeight() float64 { return float64(len(f.items)) / f.weight }
 
 // Each calls fn for every waiting item; fn may remove that item.
 func (q *Queue[V]) Each(fn func(*Item[V])) {
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -95,10 +95,10 @@
 	q.Push(urgent, 1)
 	q.Begin()
 	g.Expect(q.Next(0)).To(gomega.BeIdenticalTo(urgent))
-	later := &Item[int]{Workspace: "w", Priority: 5, Enqueued: 20 * ageStep}
+	later := &Item[int]{Workspace: "w", Priority: 5, Enqueued: 20 * agingInterval}
 	q.Remove(urgent)
 	q.Push(later, 1)
-	g.Expect(q.Next(20 * ageStep)).To(gomega.BeIdenticalTo(old))
+	g.Expect(q.Next(20 * agingInterval)).To(gomega.BeIdenticalTo(old))
 }
 
 func TestQueueGivesUpTheLeastUrgentOfTheMostGreedy(t *testing.T) {
--- a/policy/reservation.go
+++ b/policy/reservation.go
@@ -10,9 +10,9 @@
 	// affinityWeight is the score of a completely cached prompt, as a fraction of the engine's
 	// memory.
 	affinityWeight = 0.4
-	// loadBound keeps cache affinity from overloading an endpoint: an endpoint with more than this
-	// many times the mean number of answers gets no affinity bonus.
-	loadBound = 1.25
+	// affinityLoadFactor keeps cache affinity from overloading an endpoint: an endpoint with more
+	// than this many times the mean number of answers gets no affinity bonus.
+	affinityLoadFactor = 1.25
 )
 
 // Reservation is a Picker that admits a request to an endpoint only if the answers there, together
@@ -33,7 +33,7 @@
 
 // Pick implements Picker.
 func (p *Reservation) Pick(endpoints []*Endpoint, r *Request) int {
-	bound := loadBound * meanOpen(endpoints)
+	bound := affinityLoadFactor * meanAnswers(endpoints)
 	best, bestScore := None, 0.0
 	for i, e := range endpoints {
 		if e.Capacity == 0 || !e.Eligible(r) {
@@ -41,7 +41,7 @@
 		}
 		capacity := float64(e.Capacity)
 		fits := p.fits(e, r, capacity)
-		if !fits && !p.alone(e, r) {
+		if !fits && !p.fitsIdle(e, r) {
 			continue
 		}
 		score := 1 - e.occupancy.Peak(&r.Demand)/capacity + affinity(e, r, bound)
@@ -62,11 +62,11 @@
 	return e.occupancy.Risk(&r.Demand, far*(1-p.ShortReserve), far, p.Risk) <= p.Risk
 }
 
-// alone reports whether an idle engine takes the request although the answer may outgrow its
+// fitsIdle reports whether an idle engine takes the request although the answer may outgrow its
 // memory. No other engine would suit it better, and the request would otherwise never run. The
 // prompt has to fit.
-func (p *Reservation) alone(e *Endpoint, r *Request) bool {
-	return e.Open() == 0 && !e.strangers() && r.Prompt < e.Capacity
+func (p *Reservation) fitsIdle(e *Endpoint, r *Request) bool {
+	return e.Open() == 0 && !e.hasExternalAnswers() && r.Prompt < e.Capacity
 }
 
 func affinity(e *Endpoint, r *Request, bound float64) float64 {
@@ -76,7 +76,7 @@
 	return affinityWeight * r.HeldShare
 }
 
-func meanOpen(endpoints []*Endpoint) float64 {
+func meanAnswers(endpoints []*Endpoint) float64 {
 	if len(endpoints) == 0 {
 		return 0
 	}
--- a/policy/reservation_test.go
+++ b/policy/reservation_test.go
@@ -36,7 +36,7 @@
 func TestReservationNeverAdmitsBeyondThePredictedPeak(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		est := NewEstimator()
-		observations(t, est, key("w"))
+		recordRandomHistory(t, est, key("w"))
 		e := healthy("e", rapid.IntRange(1000, 100000).Draw(t, "capacity"))
 		p := &Reservation{
 			Risk:         rapid.Float64Range(0, 0.5).Draw(t, "risk"),
@@ -80,14 +80,14 @@
 						sum += demands[i].size[point]
 					}
 				}
-				if sum > limit+2*o.bin {
+				if sum > limit+2*o.binTokens {
 					low++
 				}
-				if sum > limit-2*o.bin {
+				if sum > limit-2*o.binTokens {
 					high++
 				}
 			}
-			got := o.exceeds(point, limit/o.bin)
+			got := o.exceeds(point, limit/o.binTokens)
 			g.Expect(got).To(gomega.BeNumerically(">=", float64(low)/draws-0.02), "point %d, limit %v", point, limit)
 			g.Expect(got).To(gomega.BeNumerically("<=", float64(high)/draws+0.02), "point %d, limit %v", point, limit)
 		}
--- a/policy/suspects.go
+++ b/policy/suspects.go
@@ -9,9 +9,9 @@
 const (
 	// maxSuspects bounds the number of fingerprints held.
 	maxSuspects = 4096
-	// maxDeaths bounds the number of deaths held per fingerprint. It is above any limit on strikes
-	// that an operator would set.
-	maxDeaths = 16
+	// maxDeathsPerFingerprint bounds the number of deaths held per fingerprint. It is above any
+	// limit on strikes that an operator would set.
+	maxDeathsPerFingerprint = 16
 	// StrikeLife is how long a strike counts in deployments whose callers keep resending a deadly
 	// request for minutes.
 	StrikeLife = 10 * time.Minute
@@ -35,16 +35,16 @@
 // would miss those that only the other one saw. A request could then kill more endpoints than the
 // limit allows.
 type Suspects struct {
-	// life is how long a strike counts.
-	life   time.Duration
+	// ttl is how long a strike counts.
+	ttl    time.Duration
 	deaths map[uint64]map[uint64]time.Duration
 	// cleared holds, by fingerprint, the time at which a request that had strikes completed.
 	cleared map[uint64]time.Duration
 }
 
-// NewSuspects returns an empty Suspects in which each strike counts for the duration life.
-func NewSuspects(life time.Duration) *Suspects {
-	return &Suspects{life: life, deaths: make(map[uint64]map[uint64]time.Duration), cleared: make(map[uint64]time.Duration)}
+// NewSuspects returns an empty Suspects in which each strike counts for the duration ttl.
+func NewSuspects(ttl time.Duration) *Suspects {
+	return &Suspects{ttl: ttl, deaths: make(map[uint64]map[uint64]time.Duration), cleared: make(map[uint64]time.Duration)}
 }
 
 // Strike records a strike. Recording the same death again has no effect.
@@ -57,7 +57,7 @@
 		known = make(map[uint64]time.Duration)
 		s.deaths[k.Fingerprint] = known
 	}
-	if _, counted := known[k.Death]; !counted && len(known) < maxDeaths {
+	if _, counted := known[k.Death]; !counted && len(known) < maxDeathsPerFingerprint {
 		known[k.Death] = k.At
 	}
 }
@@ -74,16 +74,16 @@
 	delete(s.deaths, fingerprint)
 }
 
-// clearSlack is how much younger than it is a strike may look to a scheduler that receives it,
+// clearTolerance is how much younger than it is a strike may look to a scheduler that receives it,
 // because of the transmission delay of the message.
-const clearSlack = 500 * time.Millisecond
+const clearTolerance = 500 * time.Millisecond
 
 // Merge records a strike received from another scheduler, unless it has expired or the request was
 // cleared after the death. Schedulers keep sending strikes for a while after a request was cleared,
 // and these must not bring the strikes back.
 func (s *Suspects) Merge(k Strike, now time.Duration) {
 	at, cleared := s.cleared[k.Fingerprint]
-	if now-k.At > s.life || (cleared && k.At <= at+clearSlack) {
+	if now-k.At > s.ttl || (cleared && k.At <= at+clearTolerance) {
 		return
 	}
 	s.Strike(k)
@@ -91,15 +91,15 @@
 
 // Count returns the number of strikes against the request that have not expired.
 func (s *Suspects) Count(fingerprint uint64, now time.Duration) int {
-	s.forget(fingerprint, now)
+	s.expire(fingerprint, now)
 	return len(s.deaths[fingerprint])
 }
 
-// forget drops the expired strikes against a request.
-func (s *Suspects) forget(fingerprint uint64, now time.Duration) {
+// expire drops the expired strikes against a request.
+func (s *Suspects) expire(fingerprint uint64, now time.Duration) {
 	known := s.deaths[fingerprint]
 	for death, at := range known {
-		if now-at > s.life {
+		if now-at > s.ttl {
 			delete(known, death)
 		}
 	}
@@ -116,10 +116,10 @@
 		return 0
 	}
 	times := slices.Sorted(maps.Values(s.deaths[fingerprint]))
-	return max(s.life-(now-times[over]), 0)
+	return max(s.ttl-(now-times[over]), 0)
 }
 
-func (s *Suspects) last(fingerprint uint64) time.Duration {
+func (s *Suspects) lastStrike(fingerprint uint64) time.Duration {
 	var last time.Duration
 	for _, at := range s.deaths[fingerprint] {
 		last = max(last, at)
@@ -134,7 +134,7 @@
 			if len(dst) >= limit {
 				return dst
 			}
-			if now-at <= s.life {
+			if now-at <= s.ttl {
 				dst = append(dst, Strike{Fingerprint: fingerprint, Death: death, At: at})
 			}
 		}
@@ -148,7 +148,7 @@
 	var oldestAt time.Duration
 	found := false
 	for fingerprint := range s.deaths {
-		if at := s.last(fingerprint); !found || at < oldestAt {
+		if at := s.lastStrike(fingerprint); !found || at < oldestAt {
 			oldest, oldestAt, found = fingerprint, at, true
 		}
 	}
--- a/policy/suspects_test.go
+++ b/policy/suspects_test.go
@@ -57,10 +57,10 @@
 	}
 	g.Expect(s.deaths).To(gomega.HaveLen(maxSuspects))
 	g.Expect(s.deaths).NotTo(gomega.HaveKey(uint64(1)))
-	for n := range uint64(maxDeaths + 10) {
+	for n := range uint64(maxDeathsPerFingerprint + 10) {
 		s.Strike(Strike{Fingerprint: maxSuspects, Death: n})
 	}
-	g.Expect(s.Count(maxSuspects, 0)).To(gomega.Equal(maxDeaths))
+	g.Expect(s.Count(maxSuspects, 0)).To(gomega.Equal(maxDeathsPerFingerprint))
 }
 
 func TestPrefixesFadeAndAreBounded(t *testing.T) {
@@ -70,7 +70,7 @@
 	names, share := p.Holders([]uint64{1, 2, 9, 10}, time.Second)
 	g.Expect(names[:]).To(gomega.ContainElement("a"))
 	g.Expect(share).To(gomega.BeNumerically("==", 0.5))
-	_, share = p.Holders([]uint64{1, 2}, 2*prefixLife)
+	_, share = p.Holders([]uint64{1, 2}, 2*prefixTTL)
 	g.Expect(share).To(gomega.BeZero())
 	p.Confirm("b", 2, time.Second)
 	p.Confirm("b", 77, time.Second)
@@ -100,9 +100,9 @@
 	for range 100000 {
 		f.Finished()
 	}
-	g.Expect(f.Risk()).To(gomega.BeNumerically("~", riskRange*baseRisk, 1e-6))
+	g.Expect(f.Risk()).To(gomega.BeNumerically("~", maxRiskFactor*baseRisk, 1e-6))
 	for range 1000 {
 		f.Preempted(1)
 	}
-	g.Expect(f.Risk()).To(gomega.BeNumerically("~", baseRisk/riskRange, 1e-6))
+	g.Expect(f.Risk()).To(gomega.BeNumerically("~", baseRisk/maxRiskFactor, 1e-6))
 }
