--- a/policy/queue.go
+++ b/policy/queue.go
@@ -20,8 +20,8 @@
 	Enqueued time.Duration
 	Value    V
 
-	passed uint64
-	queued bool
+	skippedRound uint64
+	queued       bool
 }
 
 // Queued reports whether the item is still waiting.
@@ -91,9 +91,9 @@
 	}
 }
 
-// Begin starts a new round, in which items passed over in earlier rounds are eligible again. It
+// BeginRound starts a new round, in which items passed over in earlier rounds are eligible again. It
 // also drops the state of workspaces that have neither waiting items nor outstanding charges.
-func (q *Queue[V]) Begin() {
+func (q *Queue[V]) BeginRound() {
 	q.round++
 	for name, f := range q.flows {
 		if len(f.items) == 0 && f.nextStart <= q.virtualTime {
@@ -121,7 +121,7 @@
 func (q *Queue[V]) mostUrgent(f *flow[V], now time.Duration) *Item[V] {
 	var best *Item[V]
 	for _, i := range f.items {
-		if i.passed == q.round {
+		if i.skippedRound == q.round {
 			continue
 		}
 		if best == nil || i.urgency(now) > best.urgency(now) {
@@ -131,8 +131,8 @@
 	return best
 }
 
-// Pass excludes an item from the rest of the round.
-func (q *Queue[V]) Pass(i *Item[V]) { i.passed = q.round }
+// Skip excludes an item from the rest of the round.
+func (q *Queue[V]) Skip(i *Item[V]) { i.skippedRound = q.round }
 
 // Serve removes an item and charges its cost to its workspace.
 func (q *Queue[V]) Serve(i *Item[V]) {
@@ -145,9 +145,9 @@
 	f.nextStart += i.Cost / f.weight
 }
 
-// Charge corrects the charge of a workspace once the real cost of an item is known. extra is in
+// AdjustCharge corrects the charge of a workspace once the real cost of an item is known. extra is in
 // tokens and may be negative.
-func (q *Queue[V]) Charge(workspace string, extra float64) {
+func (q *Queue[V]) AdjustCharge(workspace string, extra float64) {
 	if f, ok := q.flows[workspace]; ok {
 		f.nextStart = max(f.nextStart+extra/f.weight, q.virtualTime)
 	}
@@ -173,9 +173,9 @@
 	return 0
 }
 
-// Least returns the item to drop first when the queue is full, or nil if the queue is empty: the
+// DropCandidate returns the item to drop first when the queue is full, or nil if the queue is empty: the
 // least urgent item of the workspace with the most waiting items in proportion to its weight.
-func (q *Queue[V]) Least(now time.Duration) *Item[V] {
+func (q *Queue[V]) DropCandidate(now time.Duration) *Item[V] {
 	var most *flow[V]
 	for _, f := range q.flows {
 		if len(f.items) > 0 && (most == nil || f.backlogPerWeight() > most.backlogPerWeight()) {
@@ -185,13 +185,13 @@
 	if most == nil {
 		return nil
 	}
-	least := most.items[0]
+	candidate := most.items[0]
 	for _, i := range most.items[1:] {
-		if i.urgency(now) <= least.urgency(now) {
-			least = i
+		if i.urgency(now) <= candidate.urgency(now) {
+			candidate = i
 		}
 	}
-	return least
+	return candidate
 }
 
 func (f *flow[V]) backlogPerWeight() float64 { return float64(len(f.items)) / f.weight }
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -26,7 +26,7 @@
 				waiting++
 				continue
 			}
-			q.Begin()
+			q.BeginRound()
 			i := q.Next(0)
 			if (i == nil) != (waiting == 0) {
 				t.Fatalf("%d items are waiting, but Next returned %v", waiting, i)
@@ -51,7 +51,7 @@
 	}
 	served := map[string]int{}
 	for range 200 {
-		q.Begin()
+		q.BeginRound()
 		i := q.Next(0)
 		q.Serve(i)
 		served[i.Workspace]++
@@ -63,13 +63,13 @@
 	g := gomega.NewWithT(t)
 	q := NewQueue[int]()
 	push(q, "late", 100, 1, 0)
-	q.Begin()
+	q.BeginRound()
 	q.Serve(q.Next(0))
 	for range 100 {
 		push(q, "busy", 100, 1, 0)
 	}
 	for range 50 {
-		q.Begin()
+		q.BeginRound()
 		q.Serve(q.Next(0))
 	}
 	for range 50 {
@@ -77,7 +77,7 @@
 	}
 	late := 0
 	for range 20 {
-		q.Begin()
+		q.BeginRound()
 		i := q.Next(0)
 		q.Serve(i)
 		if i.Workspace == "late" {
@@ -93,7 +93,7 @@
 	old := push(q, "w", 1, 1, 0)
 	urgent := &Item[int]{Workspace: "w", Priority: 5, Enqueued: 0}
 	q.Push(urgent, 1)
-	q.Begin()
+	q.BeginRound()
 	g.Expect(q.Next(0)).To(gomega.BeIdenticalTo(urgent))
 	later := &Item[int]{Workspace: "w", Priority: 5, Enqueued: 20 * agingInterval}
 	q.Remove(urgent)
@@ -109,17 +109,17 @@
 	for n := range 5 {
 		last = push(q, "greedy", 1, 1, time.Duration(n)*time.Second)
 	}
-	g.Expect(q.Least(10 * time.Second)).To(gomega.BeIdenticalTo(last))
+	g.Expect(q.DropCandidate(10 * time.Second)).To(gomega.BeIdenticalTo(last))
 }
 
 func TestPassedItemsComeUpInTheNextRound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := NewQueue[int]()
 	i := push(q, "w", 1, 1, 0)
-	q.Begin()
-	q.Pass(i)
+	q.BeginRound()
+	q.Skip(i)
 	g.Expect(q.Next(0)).To(gomega.BeNil())
-	q.Begin()
+	q.BeginRound()
 	g.Expect(q.Next(0)).To(gomega.BeIdenticalTo(i))
 }
 
@@ -128,19 +128,19 @@
 	q := NewQueue[int]()
 	for n := range 1000 {
 		push(q, fmt.Sprint(n), 1, 1, 0)
-		q.Begin()
+		q.BeginRound()
 		q.Serve(q.Next(0))
 	}
 	push(q, "last", 1, 1, 0)
-	q.Begin()
+	q.BeginRound()
 	q.Serve(q.Next(0))
 	g.Expect(len(q.flows)).To(gomega.BeNumerically("<=", 1001))
 	for range 3 {
 		push(q, "last", 1, 1, 0)
-		q.Begin()
+		q.BeginRound()
 		q.Serve(q.Next(0))
 	}
-	q.Begin()
+	q.BeginRound()
 	g.Expect(len(q.flows)).To(gomega.BeNumerically("<", 10))
 }
 
@@ -149,7 +149,7 @@
 	var r ServiceRate
 	g.Expect(r.PerSecond(0)).To(gomega.BeZero())
 	for n := range 400 {
-		r.Served(time.Duration(n) * 100 * time.Millisecond)
+		r.RecordStart(time.Duration(n) * 100 * time.Millisecond)
 	}
 	g.Expect(r.PerSecond(40 * time.Second)).To(gomega.BeNumerically("~", 10, 1))
 }
--- a/policy/rate.go
+++ b/policy/rate.go
@@ -15,8 +15,8 @@
 	started            bool
 }
 
-// Served records that a request started at the time now.
-func (r *ServiceRate) Served(now time.Duration) {
+// RecordStart records that a request started at the time now.
+func (r *ServiceRate) RecordStart(now time.Duration) {
 	if !r.started {
 		r.started, r.firstAt, r.updatedAt = true, now, now
 	}
--- a/scheduler/backlog.go
+++ b/scheduler/backlog.go
@@ -29,7 +29,7 @@
 // served tells that a request began.
 func (b *backlog) served() {
 	if b.waiting {
-		b.rate.Served(b.clock)
+		b.rate.RecordStart(b.clock)
 	}
 }
 
--- a/scheduler/permits.go
+++ b/scheduler/permits.go
@@ -119,7 +119,7 @@
 		c.feedback.Finished()
 	}
 	if g != nil {
-		q.Charge(p.Workspace, float64(p.Produced)-g.expected)
+		q.AdjustCharge(p.Workspace, float64(p.Produced)-g.expected)
 	}
 }
 
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -119,7 +119,7 @@
 	q := c.queue(w.req.Class)
 	limit := c.pc.cfg.Limits.QueueLength
 	for limit > 0 && q.Len() > limit*max(1, len(c.pc.spec.models)) {
-		i := q.Least(now)
+		i := q.DropCandidate(now)
 		if i == nil {
 			return
 		}
@@ -235,7 +235,7 @@
 	if q.Len() == 0 {
 		return
 	}
-	q.Begin()
+	q.BeginRound()
 	c.blocked = c.blocked[:0]
 	for passed := 0; passed < lookahead; {
 		i := q.Next(now)
@@ -250,7 +250,7 @@
 		}
 		model := i.Value.req.Model
 		if slices.Contains(c.blocked, model) {
-			q.Pass(i)
+			q.Skip(i)
 			continue
 		}
 		if c.place(i.Value, now) {
@@ -258,7 +258,7 @@
 			c.backlog(i.Value.req.Class).served()
 			continue
 		}
-		q.Pass(i)
+		q.Skip(i)
 		passed++
 		if c.starving(i.Value, now) {
 			c.blocked = append(c.blocked, model)
