--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -54,7 +54,7 @@
 		if !e.Eligible(r) || !p.Watermark.admits(e, r) {
 			continue
 		}
-		if best == None || e.Open() < endpoints[best].Open() {
+		if best == None || e.NumAnswers() < endpoints[best].NumAnswers() {
 			best = i
 		}
 	}
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -24,9 +24,9 @@
 
 func benchmarkPick(b *testing.B, p Picker, engines int) {
 	pool, est := benchmarkPool(engines)
-	r := &Request{Class: crocusreel.ClassGeneration, Prompt: 300, HeldShare: 0.5}
+	r := &Request{Class: crocusreel.ClassGeneration, Prompt: 300, CachedShare: 0.5}
 	r.Holders[0] = "7"
-	r.Demand = AnswerDemand(est.Survival(key("w")), 300, 0, 0)
+	r.Demand = PredictDemand(est.Survival(key("w")), 300, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Pick(pool, r)
@@ -53,7 +53,7 @@
 	est := NewEstimator()
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = AnswerDemand(est.Survival(key("w")), 300, 100, 0)
+		_ = PredictDemand(est.Survival(key("w")), 300, 100, 0)
 	}
 }
 
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -19,9 +19,9 @@
 	size, prob [horizonPoints]float64
 }
 
-// AnswerDemand predicts the demand of an answer of unknown length. prompt and produced are in
+// PredictDemand predicts the demand of an answer of unknown length. prompt and produced are in
 // tokens; maxTokens limits the length of the answer, 0 means no limit.
-func AnswerDemand(s *Survival, prompt, produced, maxTokens int) (d Demand) {
+func PredictDemand(s *Survival, prompt, produced, maxTokens int) (d Demand) {
 	now := float64(prompt + produced + blockSlack)
 	for i, h := range horizon {
 		if maxTokens > 0 && float64(produced)+h > float64(maxTokens) {
@@ -33,9 +33,9 @@
 	return d
 }
 
-// KnownDemand predicts the demand of an answer whose length, in tokens, is known in advance. The
+// DemandForLength predicts the demand of an answer whose length, in tokens, is known in advance. The
 // answer counts at a point of the horizon if it runs at any time since the previous point.
-func KnownDemand(prompt, produced, length int) (d Demand) {
+func DemandForLength(prompt, produced, length int) (d Demand) {
 	left := float64(length - produced)
 	before := 0.0
 	for i, h := range horizon {
@@ -171,8 +171,8 @@
 	return o.maxRisk(d, near, far, bound, 0)
 }
 
-// Added is like Risk, but returns only the increase of the probability that d causes.
-func (o *Occupancy) Added(d *Demand, near, far, bound float64) float64 {
+// AddedRisk is like Risk, but returns only the increase of the probability that d causes.
+func (o *Occupancy) AddedRisk(d *Demand, near, far, bound float64) float64 {
 	return o.maxRisk(d, near, far, bound, 1)
 }
 
@@ -200,9 +200,9 @@
 	return highest
 }
 
-// Peak returns the highest expected use over the horizon, in tokens, of the answers together with
+// ExpectedPeak returns the highest expected use over the horizon, in tokens, of the answers together with
 // d.
-func (o *Occupancy) Peak(d *Demand) float64 {
+func (o *Occupancy) ExpectedPeak(d *Demand) float64 {
 	peak := 0.0
 	for i := range d.size {
 		peak = max(peak, o.mean[i]+d.size[i]*d.prob[i])
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -26,9 +26,9 @@
 	rates []float64
 }
 
-// Judge readmits endpoints whose ejection has expired and ejects slow ones. It returns the number
+// Update readmits endpoints whose ejection has expired and ejects slow ones. It returns the number
 // of endpoints that it ejected in this call.
-func (j *Ejector) Judge(endpoints []*Endpoint, now time.Duration) int {
+func (j *Ejector) Update(endpoints []*Endpoint, now time.Duration) int {
 	j.rates = j.rates[:0]
 	ejectedTotal := 0
 	for _, e := range endpoints {
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -21,9 +21,9 @@
 	}
 	pool[2].Rate = 10
 	var j Ejector
-	g.Expect(j.Judge(pool, 0)).To(gomega.Equal(1))
+	g.Expect(j.Update(pool, 0)).To(gomega.Equal(1))
 	g.Expect(pool[2].Eligible(&Request{})).To(gomega.BeFalse())
-	g.Expect(j.Judge(pool, ejectionDuration)).To(gomega.BeZero())
+	g.Expect(j.Update(pool, ejectionDuration)).To(gomega.BeZero())
 	g.Expect(pool[2].Eligible(&Request{})).To(gomega.BeTrue())
 }
 
@@ -39,7 +39,7 @@
 		}
 		var j Ejector
 		for step := range 5 {
-			j.Judge(pool, time.Duration(step)*time.Second)
+			j.Update(pool, time.Duration(step)*time.Second)
 			out := 0
 			for _, e := range pool {
 				if e.Ejected {
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -26,8 +26,8 @@
 	Key       LengthKey
 	Prompt    int
 	MaxTokens int
-	// Hint is the length in tokens announced by the caller; 0 if there is none.
-	Hint int
+	// LengthHint is the length in tokens announced by the caller; 0 if there is none.
+	LengthHint int
 	// Produced is the number of tokens produced by the time ProducedAt.
 	Produced   int
 	ProducedAt time.Duration
@@ -84,15 +84,15 @@
 	return &Endpoint{Name: name, Share: 1, Running: make(map[string]*Answer)}
 }
 
-// Open returns the number of answers in Running.
-func (e *Endpoint) Open() int { return len(e.Running) }
+// NumAnswers returns the number of answers in Running.
+func (e *Endpoint) NumAnswers() int { return len(e.Running) }
 
 // Used returns the memory in use in tokens: the current size of the answers in Running, or more if
 // the engine reported answers that other schedulers admitted.
 func (e *Endpoint) Used() float64 { return e.used }
 
-// Suspects returns the number of suspected requests that run at the endpoint.
-func (e *Endpoint) Suspects() int { return e.suspects }
+// NumSuspects returns the number of suspected requests that run at the endpoint.
+func (e *Endpoint) NumSuspects() int { return e.suspects }
 
 // Attach adds an answer under its permit ID. d is its demand; if it is nil, the caller must call
 // Refresh afterwards.
@@ -177,8 +177,8 @@
 // second.
 func (a *Answer) producedBy(now time.Duration, rate float64) int {
 	n := a.Produced + int(rate*max(now-a.ProducedAt, 0).Seconds())
-	if a.Hint > 0 {
-		n = min(n, max(a.Hint, a.Produced))
+	if a.LengthHint > 0 {
+		n = min(n, max(a.LengthHint, a.Produced))
 	}
 	if a.MaxTokens > 0 {
 		n = min(n, a.MaxTokens)
@@ -187,10 +187,10 @@
 }
 
 func (a *Answer) demand(est *Estimator, produced int, hints bool) Demand {
-	if hints && a.Hint > 0 {
-		return KnownDemand(a.Prompt, produced, a.Hint)
+	if hints && a.LengthHint > 0 {
+		return DemandForLength(a.Prompt, produced, a.LengthHint)
 	}
-	return AnswerDemand(est.Survival(a.Key), a.Prompt, produced, a.MaxTokens)
+	return PredictDemand(est.Survival(a.Key), a.Prompt, produced, a.MaxTokens)
 }
 
 // Request holds the properties of a request that a Picker needs.
@@ -203,8 +203,8 @@
 	Demand Demand
 	// Holders are the endpoints that probably have the fraction HeldShare, 0 to 1, of the prompt
 	// cached.
-	Holders   [PrefixHolders]string
-	HeldShare float64
+	Holders     [PrefixHolders]string
+	CachedShare float64
 }
 
 // Eligible reports whether the endpoint may take the request, regardless of memory. A suspected
--- a/policy/lengths_test.go
+++ b/policy/lengths_test.go
@@ -80,7 +80,7 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 20000 {
 		e.Observe(key("w"), int(math.Exp(r.NormFloat64()*0.6+6.4)))
-		d := AnswerDemand(e.Survival(key("w")), 100, r.IntN(2000), 0)
+		d := PredictDemand(e.Survival(key("w")), 100, r.IntN(2000), 0)
 		for i := range d.prob {
 			g.Expect(d.prob[i]).To(gomega.And(gomega.BeNumerically(">=", 0), gomega.BeNumerically("<=", 1)))
 		}
--- a/policy/reservation.go
+++ b/policy/reservation.go
@@ -44,7 +44,7 @@
 		if !fits && !p.fitsIdle(e, r) {
 			continue
 		}
-		score := 1 - e.occupancy.Peak(&r.Demand)/capacity + affinity(e, r, bound)
+		score := 1 - e.occupancy.ExpectedPeak(&r.Demand)/capacity + affinity(e, r, bound)
 		if best == None || score > bestScore {
 			best, bestScore = i, score
 		}
@@ -57,7 +57,7 @@
 func (p *Reservation) fits(e *Endpoint, r *Request, capacity float64) bool {
 	far := capacity * p.Share * e.Share
 	if r.Class == crocusreel.ClassShort {
-		return e.occupancy.Added(&r.Demand, far, far, p.Risk) <= p.Risk
+		return e.occupancy.AddedRisk(&r.Demand, far, far, p.Risk) <= p.Risk
 	}
 	return e.occupancy.Risk(&r.Demand, far*(1-p.ShortReserve), far, p.Risk) <= p.Risk
 }
@@ -66,14 +66,14 @@
 // memory. No other engine would suit it better, and the request would otherwise never run. The
 // prompt has to fit.
 func (p *Reservation) fitsIdle(e *Endpoint, r *Request) bool {
-	return e.Open() == 0 && !e.hasExternalAnswers() && r.Prompt < e.Capacity
+	return e.NumAnswers() == 0 && !e.hasExternalAnswers() && r.Prompt < e.Capacity
 }
 
 func affinity(e *Endpoint, r *Request, bound float64) float64 {
-	if r.HeldShare == 0 || float64(e.Open()) > bound || !slices.Contains(r.Holders[:], e.Name) {
+	if r.CachedShare == 0 || float64(e.NumAnswers()) > bound || !slices.Contains(r.Holders[:], e.Name) {
 		return 0
 	}
-	return affinityWeight * r.HeldShare
+	return affinityWeight * r.CachedShare
 }
 
 func meanAnswers(endpoints []*Endpoint) float64 {
@@ -82,7 +82,7 @@
 	}
 	sum := 0
 	for _, e := range endpoints {
-		sum += e.Open()
+		sum += e.NumAnswers()
 	}
 	return float64(sum) / float64(len(endpoints))
 }
--- a/policy/reservation_test.go
+++ b/policy/reservation_test.go
@@ -26,7 +26,7 @@
 	for i := range n {
 		prompt := rapid.IntRange(1, 2000).Draw(t, "prompt")
 		r := &Request{Class: crocusreel.ClassGeneration, Prompt: prompt}
-		r.Demand = AnswerDemand(est.Survival(key("w")), prompt, 0, 0)
+		r.Demand = PredictDemand(est.Survival(key("w")), prompt, 0, 0)
 		if p.Pick([]*Endpoint{e}, r) == 0 {
 			e.Attach(fmt.Sprint(i), &Answer{Key: key("w"), Prompt: prompt}, &r.Demand)
 		}
@@ -48,8 +48,8 @@
 		far := float64(e.Capacity) * p.Share
 		near := far * (1 - p.ShortReserve)
 		risk := e.occupancy.Risk(&Demand{}, near, far, 1)
-		if e.Open() > 1 && !(risk <= p.Risk+1e-3) {
-			t.Fatalf("%d answers run out of memory with probability %v, want at most %v", e.Open(), risk, p.Risk)
+		if e.NumAnswers() > 1 && !(risk <= p.Risk+1e-3) {
+			t.Fatalf("%d answers run out of memory with probability %v, want at most %v", e.NumAnswers(), risk, p.Risk)
 		}
 	})
 }
@@ -65,7 +65,7 @@
 	o.Reset(capacity, 0)
 	demands := make([]Demand, answers)
 	for i := range demands {
-		demands[i] = AnswerDemand(s, 200+100*i, 60*i, 0)
+		demands[i] = PredictDemand(s, 200+100*i, 60*i, 0)
 		o.Add(&demands[i])
 	}
 	r := rand.New(rand.NewPCG(3, 3))
@@ -112,12 +112,12 @@
 	e := healthy("e", 10000)
 	p := &Reservation{ShortReserve: 0.2, Share: 1, Risk: 0.05}
 	long := &Request{Class: crocusreel.ClassGeneration, Prompt: 500}
-	long.Demand = AnswerDemand(est.Survival(key("w")), 500, 0, 0)
+	long.Demand = PredictDemand(est.Survival(key("w")), 500, 0, 0)
 	for i := 0; p.Pick([]*Endpoint{e}, long) == 0; i++ {
 		e.Attach(fmt.Sprint(i), &Answer{Key: key("w"), Prompt: 500}, &long.Demand)
 	}
 	short := &Request{Class: crocusreel.ClassShort, Prompt: 100}
-	short.Demand = AnswerDemand(est.Survival(LengthKey{Class: crocusreel.ClassShort}), 100, 0, 0)
+	short.Demand = PredictDemand(est.Survival(LengthKey{Class: crocusreel.ClassShort}), 100, 0, 0)
 	g.Expect(p.Pick([]*Endpoint{e}, short)).To(gomega.BeZero())
 }
 
@@ -125,9 +125,9 @@
 	g := gomega.NewWithT(t)
 	est := NewEstimator()
 	a, b := healthy("a", 10000), healthy("b", 10000)
-	r := &Request{Class: crocusreel.ClassGeneration, Prompt: 200, HeldShare: 1}
+	r := &Request{Class: crocusreel.ClassGeneration, Prompt: 200, CachedShare: 1}
 	r.Holders[0] = "b"
-	r.Demand = AnswerDemand(est.Survival(key("w")), 200, 0, 0)
+	r.Demand = PredictDemand(est.Survival(key("w")), 200, 0, 0)
 	p := &Reservation{Share: 1, Risk: 0.05}
 	g.Expect(p.Pick([]*Endpoint{a, b}, r)).To(gomega.Equal(1))
 	for i := range 3 {
@@ -140,7 +140,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := rapid.IntRange(1, 4000).Draw(t, "prompt")
 		length := rapid.IntRange(1, 8000).Draw(t, "length")
-		d := KnownDemand(prompt, 0, length)
+		d := DemandForLength(prompt, 0, length)
 		peak := 0.0
 		for i := range d.size {
 			peak = max(peak, d.size[i]*d.prob[i])
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -275,7 +275,7 @@
 	for i, e := range c.order {
 		views[i] = e.view
 	}
-	if n := c.ejector.Judge(views, now); n > 0 {
+	if n := c.ejector.Update(views, now); n > 0 {
 		c.hooks.count("engines_ejected", int64(n))
 	}
 }
--- a/scheduler/permits.go
+++ b/scheduler/permits.go
@@ -54,7 +54,7 @@
 		return
 	}
 	e.view.Attach(g.ID, &policy.Answer{
-		Key: lengthKey(&g.Permit), Prompt: g.PromptTokens, MaxTokens: g.MaxTokens, Hint: g.LengthHint,
+		Key: lengthKey(&g.Permit), Prompt: g.PromptTokens, MaxTokens: g.MaxTokens, LengthHint: g.LengthHint,
 		Produced: g.Produced, ProducedAt: now,
 		Suspect: c.isolated(g.Fingerprint, now),
 	}, d)
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -30,11 +30,11 @@
 	w.expected = survival.Mean()
 	w.place = policy.Request{
 		Class: w.req.Class, Prompt: w.req.PromptTokens,
-		Demand: policy.AnswerDemand(survival, w.req.PromptTokens, 0, w.req.MaxTokens),
+		Demand: policy.PredictDemand(survival, w.req.PromptTokens, 0, w.req.MaxTokens),
 	}
 	if c.oracle() && w.req.LengthHint > 0 {
 		w.expected = float64(w.req.LengthHint)
-		w.place.Demand = policy.KnownDemand(w.req.PromptTokens, 0, w.req.LengthHint)
+		w.place.Demand = policy.DemandForLength(w.req.PromptTokens, 0, w.req.LengthHint)
 	}
 	w.item = &policy.Item[*waiting]{
 		Workspace: w.req.Workspace, Priority: w.req.Priority,
@@ -282,7 +282,7 @@
 		return false
 	}
 	w.place.Suspect = c.isolated(w.req.Fingerprint, now)
-	w.place.Holders, w.place.HeldShare = c.prefix.Holders(w.req.Prefixes, now)
+	w.place.Holders, w.place.CachedShare = c.prefix.Holders(w.req.Prefixes, now)
 	endpoints := c.byModel[w.req.Model]
 	w.place.Excluded = w.req.Excluded
 	if c.allExcluded(endpoints, w.req.Excluded) {
