--- a/policy/demand.go
+++ b/policy/demand.go
@@ -28,7 +28,7 @@
 			break
 		}
 		d.size[i] = now + h
-		d.prob[i] = s.Remaining(float64(produced), h)
+		d.prob[i] = s.ProbRemainingExceeds(float64(produced), h)
 	}
 	return d
 }
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -88,16 +88,16 @@
 	}
 }
 
-// BeginRunning begins a new listing of the running answers. Without them the estimate would be
+// BeginListing begins a new listing of the running answers. Without them the estimate would be
 // biased after a start or a change of the mix: short answers end first, so only those would be
 // known.
-func (e *Estimator) BeginRunning() {
+func (e *Estimator) BeginListing() {
 	e.round++
 	e.listed, e.previouslyListed = e.previouslyListed[:0], e.listed
 }
 
-// Running adds an answer in progress that has produced n tokens to the listing.
-func (e *Estimator) Running(k LengthKey, n int) {
+// AddRunning adds an answer in progress that has produced n tokens to the listing.
+func (e *Estimator) AddRunning(k LengthKey, n int) {
 	b := bucketOf(float64(n))
 	for _, l := range e.withPriors(k) {
 		if l.round != e.round {
@@ -109,8 +109,8 @@
 	}
 }
 
-// EndRunning ends the listing and recomputes the affected estimates.
-func (e *Estimator) EndRunning() {
+// EndListing ends the listing and recomputes the affected estimates.
+func (e *Estimator) EndListing() {
 	for _, l := range e.previouslyListed {
 		if l.round != e.round {
 			l.running = [lengthBuckets]float32{}
--- a/policy/feedback.go
+++ b/policy/feedback.go
@@ -23,31 +23,31 @@
 	maxWeightRatio = 100
 )
 
-// Feedback adjusts the risk accepted by a Reservation to the observed preemptions. A preemption
+// RiskController adjusts the risk accepted by a Reservation to the observed preemptions. A preemption
 // lowers the risk and a completed answer raises it; the steps are sized so that the risk settles
 // where the number of preemptions per answer meets the target. This corrects for a biased estimate
 // of answer lengths.
-type Feedback struct {
+type RiskController struct {
 	base, target float64
 	// logShift is the logarithm of the ratio of the risk to base.
 	logShift float64
 	fixed    bool
 }
 
-// NewFeedback returns a Feedback for the weights that the operator gives to one second of stall and
+// NewRiskController returns a Feedback for the weights that the operator gives to one second of stall and
 // to one preemption.
-func NewFeedback(stall, preemption float64) *Feedback {
-	f := &Feedback{}
+func NewRiskController(stall, preemption float64) *RiskController {
+	f := &RiskController{}
 	f.SetWeights(stall, preemption)
 	return f
 }
 
-// FixedRisk returns a Feedback that always accepts the same risk, for comparison.
-func FixedRisk(risk float64) *Feedback { return &Feedback{base: risk, fixed: true} }
+// NewFixedRisk returns a Feedback that always accepts the same risk, for comparison.
+func NewFixedRisk(risk float64) *RiskController { return &RiskController{base: risk, fixed: true} }
 
 // SetWeights changes the weights of one second of stall and of one preemption. A higher weight of
 // preemption lowers the accepted risk.
-func (f *Feedback) SetWeights(stall, preemption float64) {
+func (f *RiskController) SetWeights(stall, preemption float64) {
 	if f.fixed {
 		return
 	}
@@ -60,21 +60,21 @@
 }
 
 // Risk returns the risk to accept, a probability.
-func (f *Feedback) Risk() float64 { return f.base * math.Exp(f.logShift) }
+func (f *RiskController) Risk() float64 { return f.base * math.Exp(f.logShift) }
 
-// Preempted records n preemptions at one engine since its last load report. Several preemptions in
+// RecordPreemptions records n preemptions at one engine since its last load report. Several preemptions in
 // one report stem from the same shortage of memory, so they count as one.
-func (f *Feedback) Preempted(n int) {
+func (f *RiskController) RecordPreemptions(n int) {
 	if n > 0 {
 		f.adjust(-riskStep * (1 - f.target))
 	}
 }
 
-// Finished records an answer that completed while other requests were waiting. The caller must not
+// RecordCompletion records an answer that completed while other requests were waiting. The caller must not
 // report other answers: a higher risk admits more only if requests are waiting.
-func (f *Feedback) Finished() { f.adjust(riskStep * f.target) }
+func (f *RiskController) RecordCompletion() { f.adjust(riskStep * f.target) }
 
-func (f *Feedback) adjust(by float64) {
+func (f *RiskController) adjust(by float64) {
 	if f.fixed {
 		return
 	}
--- a/policy/lengths.go
+++ b/policy/lengths.go
@@ -76,9 +76,9 @@
 	return s.at[i-1] - s.at[i]
 }
 
-// Beyond returns the probability that an answer is longer than n tokens. It interpolates linearly
+// ProbExceeds returns the probability that an answer is longer than n tokens. It interpolates linearly
 // within a bucket and assumes a Pareto tail beyond the last one.
-func (s *Survival) Beyond(n float64) float64 {
+func (s *Survival) ProbExceeds(n float64) float64 {
 	if n <= 0 {
 		return 1
 	}
@@ -100,14 +100,14 @@
 // used; the Pareto tail replaces it.
 const minSurvival = 1e-3
 
-// Remaining returns the conditional probability that an answer that has produced n tokens produces
+// ProbRemainingExceeds returns the conditional probability that an answer that has produced n tokens produces
 // more than h further ones.
-func (s *Survival) Remaining(n, h float64) float64 {
-	now := s.Beyond(n)
+func (s *Survival) ProbRemainingExceeds(n, h float64) float64 {
+	now := s.ProbExceeds(n)
 	if now < minSurvival {
 		return math.Pow(max(n, 1)/(max(n, 1)+h), paretoShape)
 	}
-	return min(s.Beyond(n+h)/now, 1)
+	return min(s.ProbExceeds(n+h)/now, 1)
 }
 
 // Mean returns the expected length in tokens.
@@ -122,7 +122,7 @@
 // MeanRemaining returns the expected number of further tokens of an answer that has produced n
 // tokens.
 func (s *Survival) MeanRemaining(n float64) float64 {
-	now := s.Beyond(n)
+	now := s.ProbExceeds(n)
 	if now < minSurvival {
 		return max(n, 1)
 	}
--- a/policy/lengths_test.go
+++ b/policy/lengths_test.go
@@ -20,11 +20,11 @@
 // e.
 func recordRandomHistory(t *rapid.T, e *Estimator, k LengthKey) {
 	n := rapid.IntRange(0, 600).Draw(t, "answers")
-	e.BeginRunning()
+	e.BeginListing()
 	for _, produced := range rapid.SliceOfN(rapid.IntRange(0, 5000), 0, 40).Draw(t, "running") {
-		e.Running(k, produced)
+		e.AddRunning(k, produced)
 	}
-	e.EndRunning()
+	e.EndListing()
 	seed := rapid.Uint64().Draw(t, "seed")
 	r := rand.New(rand.NewPCG(seed, 0))
 	for range n {
@@ -44,7 +44,7 @@
 		s := e.Survival(key("w"))
 		before := 1.0
 		for n := 0.0; n < 100000; n = n*1.3 + 1 {
-			p := s.Beyond(n)
+			p := s.ProbExceeds(n)
 			if !(p >= 0 && p <= before) {
 				t.Fatalf("survival at %v tokens is %v, want between 0 and %v", n, p, before)
 			}
@@ -61,7 +61,7 @@
 		produced := float64(rapid.IntRange(0, 20000).Draw(t, "produced"))
 		before := 1.0
 		for _, h := range horizon {
-			p := s.Remaining(produced, h)
+			p := s.ProbRemainingExceeds(produced, h)
 			if !(p >= 0 && p <= before+1e-9) {
 				t.Fatalf("probability of more than the tokens produced (%v) plus %v is %v, want between 0 and %v", produced, h, p, before)
 			}
@@ -138,16 +138,16 @@
 	for range 10 {
 		e.Observe(key("w"), 50)
 	}
-	naive := e.Survival(key("w")).Beyond(500)
-	e.BeginRunning()
+	naive := e.Survival(key("w")).ProbExceeds(500)
+	e.BeginListing()
 	for range 90 {
-		e.Running(key("w"), 450)
+		e.AddRunning(key("w"), 450)
 	}
-	e.EndRunning()
-	g.Expect(e.Survival(key("w")).Beyond(400)).To(gomega.BeNumerically(">", 0.7))
-	e.BeginRunning()
-	e.EndRunning()
-	g.Expect(e.Survival(key("w")).Beyond(500)).To(gomega.BeNumerically("~", naive, 1e-3))
+	e.EndListing()
+	g.Expect(e.Survival(key("w")).ProbExceeds(400)).To(gomega.BeNumerically(">", 0.7))
+	e.BeginListing()
+	e.EndListing()
+	g.Expect(e.Survival(key("w")).ProbExceeds(500)).To(gomega.BeNumerically("~", naive, 1e-3))
 }
 
 func TestEstimatorIsBounded(t *testing.T) {
--- a/policy/suspects_test.go
+++ b/policy/suspects_test.go
@@ -92,17 +92,17 @@
 
 func TestFeedbackFollowsTheSitesWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(NewFeedback(1, 10).Risk()).To(gomega.BeNumerically("<", NewFeedback(10, 1).Risk()))
-	f := NewFeedback(1, 1)
+	g.Expect(NewRiskController(1, 10).Risk()).To(gomega.BeNumerically("<", NewRiskController(10, 1).Risk()))
+	f := NewRiskController(1, 1)
 	before := f.Risk()
-	f.Preempted(1)
+	f.RecordPreemptions(1)
 	g.Expect(f.Risk()).To(gomega.BeNumerically("<", before))
 	for range 100000 {
-		f.Finished()
+		f.RecordCompletion()
 	}
 	g.Expect(f.Risk()).To(gomega.BeNumerically("~", maxRiskFactor*baseRisk, 1e-6))
 	for range 1000 {
-		f.Preempted(1)
+		f.RecordPreemptions(1)
 	}
 	g.Expect(f.Risk()).To(gomega.BeNumerically("~", baseRisk/maxRiskFactor, 1e-6))
 }
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -79,7 +79,7 @@
 	// backlogs holds the service rate of each class.
 	backlogs  map[crocusreel.Class]*backlog
 	suspects  *policy.Suspects
-	feedback  *policy.Feedback
+	feedback  *policy.RiskController
 	picker    policy.Picker
 	reserve   *policy.Reservation
 	engines   map[string]*engine
@@ -132,7 +132,7 @@
 			crocusreel.ClassGeneration: {},
 		},
 		suspects:  policy.NewSuspects(policy.StrikeLife),
-		feedback:  policy.NewFeedback(1, 1),
+		feedback:  policy.NewRiskController(1, 1),
 		engines:   make(map[string]*engine),
 		permits:   make(map[string]*grant),
 		ended:     make(map[string]time.Duration),
@@ -255,11 +255,11 @@
 		return
 	}
 	c.listedAt = now
-	c.est.BeginRunning()
+	c.est.BeginListing()
 	for _, e := range c.order {
-		e.view.EachRunning(now, c.est.Running)
+		e.view.EachRunning(now, c.est.AddRunning)
 	}
-	c.est.EndRunning()
+	c.est.EndListing()
 }
 
 // judgeInterval is the time between two looks for slow engines.
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -122,7 +122,7 @@
 	if n <= 0 || first {
 		return
 	}
-	c.feedback.Preempted(int(n))
+	c.feedback.RecordPreemptions(int(n))
 	c.hooks.count("engine_preemptions", n)
 }
 
