--- a/gateway/strikes.go
+++ b/gateway/strikes.go
@@ -31,7 +31,7 @@
 }
 
 func newStrikes() *strikes {
-	return &strikes{began: time.Now(), suspects: policy.NewSuspects(policy.StrikeLife), struck: make(map[struckKey]time.Time)}
+	return &strikes{began: time.Now(), suspects: policy.NewSuspects(policy.StrikeTTL), struck: make(map[struckKey]time.Time)}
 }
 
 // add gives the content of a call a strike for the death of a service. A lookup that
@@ -53,7 +53,7 @@
 	s.struck[key] = time.Now()
 	s.deaths++
 	now := time.Since(s.began)
-	s.suspects.Strike(policy.Strike{Fingerprint: content, Death: s.deaths, At: now})
+	s.suspects.Record(policy.Strike{Fingerprint: content, Death: s.deaths, At: now})
 	return s.suspects.Count(content, now), true
 }
 
@@ -72,6 +72,6 @@
 	if bound <= 0 || s.suspects.Count(content, now) < bound {
 		return nil
 	}
-	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun, s.suspects.Below(content, bound, now),
+	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun, s.suspects.TimeUntilBelow(content, bound, now),
 		"endpoints were lost while they ran this call")
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -203,7 +203,7 @@
 	Demand Demand
 	// Holders are the endpoints that probably have the fraction HeldShare, 0 to 1, of the prompt
 	// cached.
-	Holders     [PrefixHolders]string
+	Holders     [MaxPrefixHolders]string
 	CachedShare float64
 }
 
--- a/policy/prefixes.go
+++ b/policy/prefixes.go
@@ -5,8 +5,8 @@
 const (
 	// maxPrefixes bounds the number of prefixes held.
 	maxPrefixes = 16384
-	// PrefixHolders is the maximum number of endpoints held for each prefix.
-	PrefixHolders = 4
+	// MaxPrefixHolders is the maximum number of endpoints held for each prefix.
+	MaxPrefixHolders = 4
 	// prefixTTL is how long a prefix is assumed to stay cached after its last use.
 	prefixTTL = 60 * time.Second
 )
@@ -18,34 +18,34 @@
 	lastSeen time.Duration
 }
 
-// Prefixes maps hashes of prompt prefixes to the endpoints that probably have them cached. It
+// PrefixIndex maps hashes of prompt prefixes to the endpoints that probably have them cached. It
 // learns from the requests sent to endpoints and from their cache events. Cache events arrive late
 // and with gaps, so every entry is a hint that expires.
-type Prefixes struct {
-	holders map[uint64]*[PrefixHolders]prefixHolder
+type PrefixIndex struct {
+	holders map[uint64]*[MaxPrefixHolders]prefixHolder
 }
 
-// NewPrefixes returns an empty Prefixes.
-func NewPrefixes() *Prefixes {
-	return &Prefixes{holders: make(map[uint64]*[PrefixHolders]prefixHolder)}
+// NewPrefixIndex returns an empty Prefixes.
+func NewPrefixIndex() *PrefixIndex {
+	return &PrefixIndex{holders: make(map[uint64]*[MaxPrefixHolders]prefixHolder)}
 }
 
-// Routed records that a request with these prefixes was sent to the endpoint.
-func (p *Prefixes) Routed(endpoint string, prefixes []uint64, now time.Duration) {
+// AddAll records that a request with these prefixes was sent to the endpoint.
+func (p *PrefixIndex) AddAll(endpoint string, prefixes []uint64, now time.Duration) {
 	for _, h := range prefixes {
-		p.Stored(endpoint, h, now)
+		p.Add(endpoint, h, now)
 	}
 }
 
-// Stored records that the endpoint has the prefix cached. If the maximum number of endpoints is
+// Add records that the endpoint has the prefix cached. If the maximum number of endpoints is
 // held already, it replaces the one with the oldest entry.
-func (p *Prefixes) Stored(endpoint string, prefix uint64, now time.Duration) {
+func (p *PrefixIndex) Add(endpoint string, prefix uint64, now time.Duration) {
 	hs, ok := p.holders[prefix]
 	if !ok {
 		if len(p.holders) >= maxPrefixes {
 			p.evict(now)
 		}
-		hs = new([PrefixHolders]prefixHolder)
+		hs = new([MaxPrefixHolders]prefixHolder)
 		p.holders[prefix] = hs
 	}
 	oldest := 0
@@ -61,16 +61,16 @@
 	hs[oldest] = prefixHolder{endpoint: endpoint, lastSeen: now}
 }
 
-// Confirm is like Stored, but ignores prefixes that no request routed here has had: engines also
+// AddIfKnown is like Stored, but ignores prefixes that no request routed here has had: engines also
 // report many others.
-func (p *Prefixes) Confirm(endpoint string, prefix uint64, now time.Duration) {
+func (p *PrefixIndex) AddIfKnown(endpoint string, prefix uint64, now time.Duration) {
 	if _, ok := p.holders[prefix]; ok {
-		p.Stored(endpoint, prefix, now)
+		p.Add(endpoint, prefix, now)
 	}
 }
 
-// Removed records that the endpoint no longer has the prefix cached.
-func (p *Prefixes) Removed(endpoint string, prefix uint64) {
+// Remove records that the endpoint no longer has the prefix cached.
+func (p *PrefixIndex) Remove(endpoint string, prefix uint64) {
 	hs, ok := p.holders[prefix]
 	if !ok {
 		return
@@ -82,17 +82,17 @@
 	}
 }
 
-// Forget drops all entries of the endpoint.
-func (p *Prefixes) Forget(endpoint string) {
+// RemoveEndpoint drops all entries of the endpoint.
+func (p *PrefixIndex) RemoveEndpoint(endpoint string) {
 	for h := range p.holders {
-		p.Removed(endpoint, h)
+		p.Remove(endpoint, h)
 	}
 }
 
 // Holders returns the endpoints that probably have the longest known prefix of a prompt cached, and
 // that prefix as a fraction of all given prefixes. prefixes lists the prefixes of the prompt from
 // the shortest to the longest. Unused elements of names are empty.
-func (p *Prefixes) Holders(prefixes []uint64, now time.Duration) (names [PrefixHolders]string, share float64) {
+func (p *PrefixIndex) Holders(prefixes []uint64, now time.Duration) (names [MaxPrefixHolders]string, share float64) {
 	for n := len(prefixes); n > 0; n-- {
 		hs, ok := p.holders[prefixes[n-1]]
 		if !ok {
@@ -112,11 +112,11 @@
 }
 
 // Len returns the number of prefixes held.
-func (p *Prefixes) Len() int { return len(p.holders) }
+func (p *PrefixIndex) Len() int { return len(p.holders) }
 
 // evict frees space for a new prefix: it drops expired entries, and then arbitrary ones while there
 // are still too many.
-func (p *Prefixes) evict(now time.Duration) {
+func (p *PrefixIndex) evict(now time.Duration) {
 	for h, hs := range p.holders {
 		latest := time.Duration(0)
 		for i := range hs {
--- a/policy/suspects.go
+++ b/policy/suspects.go
@@ -12,9 +12,9 @@
 	// maxDeathsPerFingerprint bounds the number of deaths held per fingerprint. It is above any
 	// limit on strikes that an operator would set.
 	maxDeathsPerFingerprint = 16
-	// StrikeLife is how long a strike counts in deployments whose callers keep resending a deadly
+	// StrikeTTL is how long a strike counts in deployments whose callers keep resending a deadly
 	// request for minutes.
-	StrikeLife = 10 * time.Minute
+	StrikeTTL = 10 * time.Minute
 )
 
 // Strike records that a request was running at an endpoint when the endpoint died.
@@ -47,8 +47,8 @@
 	return &Suspects{ttl: ttl, deaths: make(map[uint64]map[uint64]time.Duration), cleared: make(map[uint64]time.Duration)}
 }
 
-// Strike records a strike. Recording the same death again has no effect.
-func (s *Suspects) Strike(k Strike) {
+// Record records a strike. Recording the same death again has no effect.
+func (s *Suspects) Record(k Strike) {
 	known := s.deaths[k.Fingerprint]
 	if known == nil {
 		if len(s.deaths) >= maxSuspects {
@@ -86,7 +86,7 @@
 	if now-k.At > s.ttl || (cleared && k.At <= at+clearTolerance) {
 		return
 	}
-	s.Strike(k)
+	s.Record(k)
 }
 
 // Count returns the number of strikes against the request that have not expired.
@@ -108,9 +108,9 @@
 	}
 }
 
-// Below returns the time until the request has fewer than bound strikes, which is when it may be
+// TimeUntilBelow returns the time until the request has fewer than bound strikes, which is when it may be
 // retried; 0 if it has fewer now.
-func (s *Suspects) Below(fingerprint uint64, bound int, now time.Duration) time.Duration {
+func (s *Suspects) TimeUntilBelow(fingerprint uint64, bound int, now time.Duration) time.Duration {
 	over := s.Count(fingerprint, now) - bound
 	if over < 0 {
 		return 0
@@ -127,8 +127,8 @@
 	return last
 }
 
-// All appends the strikes that have not expired to dst, until dst has limit elements.
-func (s *Suspects) All(dst []Strike, limit int, now time.Duration) []Strike {
+// AppendStrikes appends the strikes that have not expired to dst, until dst has limit elements.
+func (s *Suspects) AppendStrikes(dst []Strike, limit int, now time.Duration) []Strike {
 	for fingerprint, known := range s.deaths {
 		for death, at := range known {
 			if len(dst) >= limit {
--- a/policy/suspects_test.go
+++ b/policy/suspects_test.go
@@ -7,24 +7,24 @@
 	"github.com/onsi/gomega"
 )
 
-const strikeLife = StrikeLife
+const strikeLife = StrikeTTL
 
 func TestStrikesAddUpAndFade(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewSuspects(strikeLife)
-	s.Strike(Strike{Fingerprint: 7, Death: 1, At: 0})
-	s.Strike(Strike{Fingerprint: 7, Death: 2, At: time.Minute})
+	s.Record(Strike{Fingerprint: 7, Death: 1, At: 0})
+	s.Record(Strike{Fingerprint: 7, Death: 2, At: time.Minute})
 	g.Expect(s.Count(7, time.Minute)).To(gomega.Equal(2))
-	g.Expect(s.Below(7, 1, time.Minute)).To(gomega.Equal(strikeLife))
-	g.Expect(s.Below(7, 2, time.Minute)).To(gomega.Equal(strikeLife - time.Minute))
-	g.Expect(s.Below(7, 3, time.Minute)).To(gomega.BeZero())
+	g.Expect(s.TimeUntilBelow(7, 1, time.Minute)).To(gomega.Equal(strikeLife))
+	g.Expect(s.TimeUntilBelow(7, 2, time.Minute)).To(gomega.Equal(strikeLife - time.Minute))
+	g.Expect(s.TimeUntilBelow(7, 3, time.Minute)).To(gomega.BeZero())
 	g.Expect(s.Count(7, time.Minute+strikeLife+1)).To(gomega.BeZero())
 }
 
 func TestFinishedRequestIsCleared(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewSuspects(strikeLife)
-	s.Strike(Strike{Fingerprint: 7, Death: 1})
+	s.Record(Strike{Fingerprint: 7, Death: 1})
 	s.Clear(7, time.Second)
 	g.Expect(s.Count(7, 0)).To(gomega.BeZero())
 	// A gateway that received the strike earlier still sends it.
@@ -40,52 +40,52 @@
 func TestStrikesOfAnotherSchedulerAreTakenOver(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewSuspects(strikeLife)
-	s.Strike(Strike{Fingerprint: 7, Death: 1, At: time.Minute})
+	s.Record(Strike{Fingerprint: 7, Death: 1, At: time.Minute})
 	s.Merge(Strike{Fingerprint: 7, Death: 1, At: time.Minute}, time.Minute)
 	s.Merge(Strike{Fingerprint: 7, Death: 2, At: time.Minute}, time.Minute)
 	s.Merge(Strike{Fingerprint: 8, Death: 3, At: 0}, strikeLife+time.Second)
 	g.Expect(s.Count(7, time.Minute)).To(gomega.Equal(2))
 	g.Expect(s.Count(8, strikeLife+time.Second)).To(gomega.BeZero())
-	g.Expect(s.All(nil, 10, time.Minute)).To(gomega.HaveLen(2))
+	g.Expect(s.AppendStrikes(nil, 10, time.Minute)).To(gomega.HaveLen(2))
 }
 
 func TestSuspectsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewSuspects(strikeLife)
 	for n := range uint64(maxSuspects + 10) {
-		s.Strike(Strike{Fingerprint: n + 1, Death: 1, At: time.Duration(n)})
+		s.Record(Strike{Fingerprint: n + 1, Death: 1, At: time.Duration(n)})
 	}
 	g.Expect(s.deaths).To(gomega.HaveLen(maxSuspects))
 	g.Expect(s.deaths).NotTo(gomega.HaveKey(uint64(1)))
 	for n := range uint64(maxDeathsPerFingerprint + 10) {
-		s.Strike(Strike{Fingerprint: maxSuspects, Death: n})
+		s.Record(Strike{Fingerprint: maxSuspects, Death: n})
 	}
 	g.Expect(s.Count(maxSuspects, 0)).To(gomega.Equal(maxDeathsPerFingerprint))
 }
 
 func TestPrefixesFadeAndAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := NewPrefixes()
-	p.Routed("a", []uint64{1, 2, 3, 4}, 0)
+	p := NewPrefixIndex()
+	p.AddAll("a", []uint64{1, 2, 3, 4}, 0)
 	names, share := p.Holders([]uint64{1, 2, 9, 10}, time.Second)
 	g.Expect(names[:]).To(gomega.ContainElement("a"))
 	g.Expect(share).To(gomega.BeNumerically("==", 0.5))
 	_, share = p.Holders([]uint64{1, 2}, 2*prefixTTL)
 	g.Expect(share).To(gomega.BeZero())
-	p.Confirm("b", 2, time.Second)
-	p.Confirm("b", 77, time.Second)
-	p.Removed("a", 2)
+	p.AddIfKnown("b", 2, time.Second)
+	p.AddIfKnown("b", 77, time.Second)
+	p.Remove("a", 2)
 	names, _ = p.Holders([]uint64{1, 2}, time.Second)
 	g.Expect(names[:]).To(gomega.ContainElement("b"))
 	g.Expect(names[:]).NotTo(gomega.ContainElement("a"))
 	_, share = p.Holders([]uint64{77}, time.Second)
 	g.Expect(share).To(gomega.BeZero())
-	p.Forget("a")
-	p.Forget("b")
+	p.RemoveEndpoint("a")
+	p.RemoveEndpoint("b")
 	_, share = p.Holders([]uint64{1, 2}, time.Second)
 	g.Expect(share).To(gomega.BeZero())
 	for n := range uint64(maxPrefixes + 100) {
-		p.Stored("a", n, 0)
+		p.Add("a", n, 0)
 	}
 	g.Expect(p.Len()).To(gomega.BeNumerically("<=", maxPrefixes))
 }
--- a/relay/strikes.go
+++ b/relay/strikes.go
@@ -70,7 +70,7 @@
 func (s *Strikes) Below(work Fingerprint, limit int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.suspects.Below(uint64(work), limit, s.now())
+	return s.suspects.TimeUntilBelow(uint64(work), limit, s.now())
 }
 
 // Add records a death seen by this node and returns the strikes against the work.
@@ -79,7 +79,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	strike := Strike{Work: work, Endpoint: endpoint, At: s.now()}
-	s.suspects.Strike(strike.held())
+	s.suspects.Record(strike.held())
 	s.fresh = append(s.fresh, strike)
 	return s.suspects.Count(uint64(work), strike.At)
 }
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -74,7 +74,7 @@
 	pc     poolConfig
 	hooks  hooks
 	est    *policy.Estimator
-	prefix *policy.Prefixes
+	prefix *policy.PrefixIndex
 	queues map[crocusreel.Class]*policy.Queue[*waiting]
 	// backlogs holds the service rate of each class.
 	backlogs  map[crocusreel.Class]*backlog
@@ -122,7 +122,7 @@
 	return &core{
 		vm: vm, hooks: h,
 		est:    policy.NewEstimator(),
-		prefix: policy.NewPrefixes(),
+		prefix: policy.NewPrefixIndex(),
 		queues: map[crocusreel.Class]*policy.Queue[*waiting]{
 			crocusreel.ClassShort:      policy.NewQueue[*waiting](),
 			crocusreel.ClassGeneration: policy.NewQueue[*waiting](),
@@ -131,7 +131,7 @@
 			crocusreel.ClassShort:      {},
 			crocusreel.ClassGeneration: {},
 		},
-		suspects:  policy.NewSuspects(policy.StrikeLife),
+		suspects:  policy.NewSuspects(policy.StrikeTTL),
 		feedback:  policy.NewRiskController(1, 1),
 		engines:   make(map[string]*engine),
 		permits:   make(map[string]*grant),
@@ -177,7 +177,7 @@
 	}
 	for name := range c.engines {
 		if _, ok := engines[name]; !ok {
-			c.prefix.Forget(name)
+			c.prefix.RemoveEndpoint(name)
 		}
 	}
 	c.engines = engines
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -165,7 +165,7 @@
 	e.incarnation = ""
 	e.view.ReportedUsed, e.view.ReportedRunning, e.view.ReportedWaiting = 0, 0, 0
 	e.view.Refresh(c.est, now, c.oracle())
-	c.prefix.Forget(e.spec.Name)
+	c.prefix.RemoveEndpoint(e.spec.Name)
 }
 
 // explain takes the losses at an engine as caused by its death.
@@ -180,7 +180,7 @@
 	if e.leaving || e.spec.Leaving || p.Fingerprint == 0 {
 		return
 	}
-	c.suspects.Strike(policy.Strike{Fingerprint: p.Fingerprint, Death: p.death(), At: now})
+	c.suspects.Record(policy.Strike{Fingerprint: p.Fingerprint, Death: p.death(), At: now})
 	c.hooks.count("strikes", 1)
 	c.logStrike(p, now)
 }
--- a/scheduler/permits.go
+++ b/scheduler/permits.go
@@ -26,7 +26,7 @@
 	}
 	p.EnginePriority = policy.EnginePriority(now, c.duration(e, w.expected), w.req.Class, w.req.Priority)
 	c.open(&grant{Permit: p, gateway: w.req.Gateway, grantedAt: now, reportedAt: now, expected: w.expected}, &w.place.Demand, now)
-	c.prefix.Routed(e.spec.Name, w.req.Prefixes, now)
+	c.prefix.AddAll(e.spec.Name, w.req.Prefixes, now)
 	w.done, w.granted = true, p.ID
 	c.paced(e, now)
 	c.logGrant(w, &p, now)
@@ -144,7 +144,7 @@
 			c.drop(id)
 		}
 	}
-	return c.suspects.All(nil, strikesInReport, now)
+	return c.suspects.AppendStrikes(nil, strikesInReport, now)
 }
 
 // reported brings one permit up to date, or adopts it from an earlier scheduler.
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -205,9 +205,9 @@
 func (e cacheEvent) apply(p *pool, now time.Duration) {
 	for _, c := range e.events {
 		if c.Stored {
-			p.core.prefix.Confirm(e.engine, c.Prefix, now)
+			p.core.prefix.AddIfKnown(e.engine, c.Prefix, now)
 		} else {
-			p.core.prefix.Removed(e.engine, c.Prefix)
+			p.core.prefix.Remove(e.engine, c.Prefix)
 		}
 	}
 }
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -75,7 +75,7 @@
 		return nil
 	}
 	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun,
-		c.suspects.Below(w.req.Fingerprint, c.pc.cfg.Limits.Strikes, now), "endpoints died while they ran this request")
+		c.suspects.TimeUntilBelow(w.req.Fingerprint, c.pc.cfg.Limits.Strikes, now), "endpoints died while they ran this request")
 }
 
 // refuseUnserved refuses if no engine serves the model: waiting would not help.
