--- a/entry/entry.go
+++ b/entry/entry.go
@@ -22,7 +22,7 @@
 
 // Handler serves callers' requests.
 type Handler struct {
-	Config *knowledge.Configuration
+	Config *knowledge.ConfigurationTracker
 	Relay  *relay.Relay
 	Gate   *Gate
 	Bodies *Bodies
@@ -152,7 +152,7 @@
 	if route.Public || !s.Table.NeedsKeys {
 		return route, nil, nil
 	}
-	if ages.Certain > h.Freshness.Keys {
+	if ages.Confirmed > h.Freshness.Keys {
 		return nil, nil, outdated
 	}
 	ws := s.Table.Keys[head.Key]
@@ -171,7 +171,7 @@
 	if r.Workspace == nil {
 		return nil
 	}
-	if _, ages := h.Config.Current(); ages.Certain > h.Freshness.Keys {
+	if _, ages := h.Config.Current(); ages.Confirmed > h.Freshness.Keys {
 		return outdated(ages)
 	}
 	return nil
@@ -179,7 +179,7 @@
 
 func outdated(ages knowledge.Ages) *crocusreel.Refusal {
 	return refuseNotRun(crocusreel.ReasonNotReady, notReadyRetry, "the configuration was last confirmed %s ago, the store answered %s ago",
-		ages.Certain.Round(time.Millisecond), ages.Answered.Round(time.Millisecond))
+		ages.Confirmed.Round(time.Millisecond), ages.Answered.Round(time.Millisecond))
 }
 
 // leavingSoon refuses streams that cannot end before this node stops.
@@ -273,8 +273,8 @@
 	}
 	if req == nil {
 		known, ages := h.Config.Current()
-		h.Log.Info("request refused", append(fields, zap.String("request", platform.AttemptID(r)), zap.Int64("config_row", known.Row),
-			zap.Duration("config_age", ages.Certain))...)
+		h.Log.Info("request refused", append(fields, zap.String("request", platform.AttemptID(r)), zap.Int64("config_row", known.RowVersion),
+			zap.Duration("config_age", ages.Confirmed))...)
 		return
 	}
 	fields = append(fields,
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -27,7 +27,7 @@
 // site is an entry with one plain service and one engine behind it.
 type site struct {
 	now    time.Duration
-	config *knowledge.Configuration
+	config *knowledge.ConfigurationTracker
 	gate   *entry.Gate
 	app    *worker.Worker
 	url    string
@@ -38,7 +38,7 @@
 func newSite() *site {
 	GinkgoHelper()
 	s := &site{now: time.Hour, gate: entry.NewGate(), usage: "100,2000"}
-	s.config = knowledge.NewConfiguration(func() time.Duration { return s.now })
+	s.config = knowledge.NewConfigurationTracker(func() time.Duration { return s.now })
 	client := h1.NewClient()
 	endpoints := fleet.New("dc1", boottime.Now)
 	app, err := worker.Start(worker.Options{ID: "i1"})
@@ -89,7 +89,7 @@
 		Limits:    routing.Limits{MaxBodyBytes: 1000},
 		Keys:      map[string]*routing.Workspace{"key": {Name: "ws"}},
 		NeedsKeys: true,
-	}), 1, nil, knowledge.Seen{Certain: s.now, Answered: s.now})
+	}), 1, nil, knowledge.Confirmation{ConfirmedAt: s.now, AnsweredAt: s.now})
 }
 
 type reply struct {
--- a/knowledge/evacuations.go
+++ b/knowledge/evacuations.go
@@ -6,15 +6,15 @@
 	"sync"
 )
 
-// Evacuations tracks the data centres that the operator has evacuated, so that no new work is sent
+// EvacuationTracker tracks the data centres that the operator has evacuated, so that no new work is sent
 // to endpoints there. It holds the exact set as of one version of the store; the set with the later
 // version is therefore right, whichever node it comes from. Its methods are safe for concurrent
 // use.
-type Evacuations struct {
-	// Known reports whether a data centre belongs to the deployment. At most maxUnknownEvacuations
+type EvacuationTracker struct {
+	// IsKnown reports whether a data centre belongs to the deployment. At most maxUnknownEvacuations
 	// orders are kept for names for which it returns false. It must be set before use and is called
 	// with the lock held.
-	Known func(dataCentre string) bool
+	IsKnown func(dataCentre string) bool
 
 	mu      sync.Mutex
 	version int64
@@ -46,7 +46,7 @@
 
 // Replace installs the complete set if its version is later than the known one. It reports whether
 // the set has changed.
-func (e *Evacuations) Replace(set EvacuationSet) bool {
+func (e *EvacuationTracker) Replace(set EvacuationSet) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if set.Version <= e.version {
@@ -67,7 +67,7 @@
 
 // Apply applies changes in the order in which the store lists them and returns those that are later
 // than the known version. Changes of one transaction share a version.
-func (e *Evacuations) Apply(changes []EvacuationOrder) []EvacuationOrder {
+func (e *EvacuationTracker) Apply(changes []EvacuationOrder) []EvacuationOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	known := e.version
@@ -87,20 +87,20 @@
 	return fresh
 }
 
-func (e *Evacuations) addLocked(name string, version int64) {
+func (e *EvacuationTracker) addLocked(name string, version int64) {
 	if e.orders == nil {
 		e.orders = make(map[string]int64)
 	}
-	if _, exists := e.orders[name]; !exists && !e.Known(name) && e.countUnknownLocked() >= maxUnknownEvacuations {
+	if _, exists := e.orders[name]; !exists && !e.IsKnown(name) && e.countUnknownLocked() >= maxUnknownEvacuations {
 		return
 	}
 	e.orders[name] = version
 }
 
-func (e *Evacuations) countUnknownLocked() int {
+func (e *EvacuationTracker) countUnknownLocked() int {
 	unknown := 0
 	for name := range e.orders {
-		if !e.Known(name) {
+		if !e.IsKnown(name) {
 			unknown++
 		}
 	}
@@ -108,14 +108,14 @@
 }
 
 // Current returns a copy of the set.
-func (e *Evacuations) Current() EvacuationSet {
+func (e *EvacuationTracker) Current() EvacuationSet {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return EvacuationSet{Version: e.version, Orders: maps.Clone(e.orders)}
 }
 
 // Version returns the store version of the set; 0 if nothing is known.
-func (e *Evacuations) Version() int64 {
+func (e *EvacuationTracker) Version() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.version
--- a/knowledge/evacuations_test.go
+++ b/knowledge/evacuations_test.go
@@ -20,7 +20,7 @@
 type evacuationModel struct {
 	version int64
 	changes []change
-	nodes   []*knowledge.Evacuations
+	nodes   []*knowledge.EvacuationTracker
 	// asked is the store version up to which each node has read the store itself.
 	asked []int64
 }
@@ -64,7 +64,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := &evacuationModel{version: 1}
 		for range 3 {
-			w.nodes = append(w.nodes, &knowledge.Evacuations{Known: func(string) bool { return true }})
+			w.nodes = append(w.nodes, &knowledge.EvacuationTracker{IsKnown: func(string) bool { return true }})
 			w.asked = append(w.asked, 0)
 		}
 		node := rapid.IntRange(0, len(w.nodes)-1)
@@ -119,7 +119,7 @@
 			},
 			"start again": func(t *rapid.T) {
 				i := node.Draw(t, "node")
-				w.nodes[i], w.asked[i] = &knowledge.Evacuations{Known: func(string) bool { return true }}, 0
+				w.nodes[i], w.asked[i] = &knowledge.EvacuationTracker{IsKnown: func(string) bool { return true }}, 0
 			},
 		})
 		for i := range w.nodes {
@@ -133,7 +133,7 @@
 
 // Guards against rows written by mistake that exhaust memory or displace a real order.
 func TestUnknownEvacuationsAreBounded(t *testing.T) {
-	e := &knowledge.Evacuations{Known: func(name string) bool { return name == "dc1" }}
+	e := &knowledge.EvacuationTracker{IsKnown: func(name string) bool { return name == "dc1" }}
 	set := knowledge.EvacuationSet{Version: 1, Orders: make(map[string]int64)}
 	for i := range 1000 {
 		set.Orders[fmt.Sprintf("a%d", i)] = 1
--- a/knowledge/knowledge.go
+++ b/knowledge/knowledge.go
@@ -13,78 +13,78 @@
 // Snapshot is the known configuration at one moment. It is immutable.
 type Snapshot struct {
 	Table *routing.Table
-	// Row is the version of the stored row, which increases with each change.
-	Row int64
+	// RowVersion is the version of the stored row, which increases with each change.
+	RowVersion int64
 	// Raw is the content of the row. It is passed on to nodes that cannot reach the store.
 	Raw []byte
-	Seen
+	Confirmation
 }
 
-// Seen records when a version was confirmed to be the newest.
-type Seen struct {
-	// Certain is the latest time at which the version is certain to have been the newest: the time
+// Confirmation records when a version was confirmed to be the newest.
+type Confirmation struct {
+	// ConfirmedAt is the latest time at which the version is certain to have been the newest: the time
 	// at which the request was sent whose response confirmed it. Every revocation made before that
 	// time is known.
-	Certain time.Duration
-	// Answered is the time of the last response of the store, to this node or to the node that was
+	ConfirmedAt time.Duration
+	// AnsweredAt is the time of the last response of the store, to this node or to the node that was
 	// asked. A store that stays silent for longer than its usual wait is unreachable.
-	Answered time.Duration
+	AnsweredAt time.Duration
 }
 
-func (s Seen) merge(other Seen) Seen {
-	return Seen{Certain: max(s.Certain, other.Certain), Answered: max(s.Answered, other.Answered)}
+func (s Confirmation) merge(other Confirmation) Confirmation {
+	return Confirmation{ConfirmedAt: max(s.ConfirmedAt, other.ConfirmedAt), AnsweredAt: max(s.AnsweredAt, other.AnsweredAt)}
 }
 
 // Ages holds the times elapsed since the times in Seen.
 type Ages struct {
-	Certain, Answered time.Duration
+	Confirmed, Answered time.Duration
 }
 
-// Configuration tracks the newest known configuration and when it was last confirmed. Its methods
+// ConfigurationTracker tracks the newest known configuration and when it was last confirmed. Its methods
 // are safe for concurrent use. Its clock must keep running while the machine is suspended, or a
 // machine that has resumed would consider an old configuration up to date.
-type Configuration struct {
+type ConfigurationTracker struct {
 	now     func() time.Duration
 	mu      sync.RWMutex
 	current Snapshot
 }
 
-// NewConfiguration returns a Configuration without a known version. now reads the clock.
-func NewConfiguration(now func() time.Duration) *Configuration {
-	return &Configuration{now: now}
+// NewConfigurationTracker returns a Configuration without a known version. now reads the clock.
+func NewConfigurationTracker(now func() time.Duration) *ConfigurationTracker {
+	return &ConfigurationTracker{now: now}
 }
 
 // Apply installs a version that was the newest at the times in seen, unless a newer one is known.
 // It reports whether the version is new. For the version that is known already, it only records the
 // confirmation.
-func (c *Configuration) Apply(table *routing.Table, row int64, raw []byte, seen Seen) bool {
+func (c *ConfigurationTracker) Apply(table *routing.Table, row int64, raw []byte, seen Confirmation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if row < c.current.Row {
+	if row < c.current.RowVersion {
 		return false
 	}
-	if row == c.current.Row {
-		c.current.Seen = c.current.merge(seen)
+	if row == c.current.RowVersion {
+		c.current.Confirmation = c.current.merge(seen)
 		return false
 	}
-	c.current = Snapshot{Table: table, Row: row, Raw: raw, Seen: seen}
+	c.current = Snapshot{Table: table, RowVersion: row, Raw: raw, Confirmation: seen}
 	return true
 }
 
 // Confirm records that the known version was the newest at the times in seen. It does nothing if
 // row is not the known version.
-func (c *Configuration) Confirm(row int64, seen Seen) {
+func (c *ConfigurationTracker) Confirm(row int64, seen Confirmation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if row == c.current.Row {
-		c.current.Seen = c.current.merge(seen)
+	if row == c.current.RowVersion {
+		c.current.Confirmation = c.current.merge(seen)
 	}
 }
 
 // Current returns the known configuration and its ages. The table is nil if none is known.
-func (c *Configuration) Current() (Snapshot, Ages) {
+func (c *ConfigurationTracker) Current() (Snapshot, Ages) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	now := c.now()
-	return c.current, Ages{Certain: now - c.current.Certain, Answered: now - c.current.Answered}
+	return c.current, Ages{Confirmed: now - c.current.ConfirmedAt, Answered: now - c.current.AnsweredAt}
 }
--- a/knowledge/knowledge_test.go
+++ b/knowledge/knowledge_test.go
@@ -12,15 +12,17 @@
 
 var _ = Describe("tracking of the configuration", func() {
 	var now time.Duration
-	var c *knowledge.Configuration
+	var c *knowledge.ConfigurationTracker
 	table := func(version int64) *routing.Table {
 		return routing.NewTable(&routing.Configuration{Version: version})
 	}
-	seen := func(at time.Duration) knowledge.Seen { return knowledge.Seen{Certain: at, Answered: at} }
+	seen := func(at time.Duration) knowledge.Confirmation {
+		return knowledge.Confirmation{ConfirmedAt: at, AnsweredAt: at}
+	}
 
 	BeforeEach(func() {
 		now = time.Minute
-		c = knowledge.NewConfiguration(func() time.Duration { return now })
+		c = knowledge.NewConfigurationTracker(func() time.Duration { return now })
 	})
 
 	// A node learns version 9 from the store and then receives version 7 from a peer that lags
@@ -30,7 +32,7 @@
 		Expect(c.Apply(table(7), 70, nil, seen(now+time.Second))).To(BeFalse())
 		known, _ := c.Current()
 		Expect(known.Table.Version).To(BeEquivalentTo(9))
-		Expect(known.Certain).To(Equal(time.Minute))
+		Expect(known.ConfirmedAt).To(Equal(time.Minute))
 	})
 
 	// A peer that lags behind confirms its own older version. If this counted as a confirmation of
@@ -40,16 +42,16 @@
 		now += 3 * time.Second
 		c.Confirm(70, seen(now))
 		_, ages := c.Current()
-		Expect(ages.Certain).To(Equal(3 * time.Second))
-		c.Confirm(90, knowledge.Seen{Certain: now - time.Second, Answered: now})
+		Expect(ages.Confirmed).To(Equal(3 * time.Second))
+		c.Confirm(90, knowledge.Confirmation{ConfirmedAt: now - time.Second, AnsweredAt: now})
 		_, ages = c.Current()
-		Expect(ages).To(Equal(knowledge.Ages{Certain: time.Second, Answered: 0}))
+		Expect(ages).To(Equal(knowledge.Ages{Confirmed: time.Second, Answered: 0}))
 	})
 
 	It("does not become older through a late confirmation", func() {
 		c.Apply(table(9), 90, nil, seen(now))
 		c.Confirm(90, seen(now-10*time.Second))
 		_, ages := c.Current()
-		Expect(ages.Certain).To(BeZero())
+		Expect(ages.Confirmed).To(BeZero())
 	})
 })
--- a/knowledge/uptime.go
+++ b/knowledge/uptime.go
@@ -26,9 +26,9 @@
 	entryRecoveryTime = 2100 * time.Millisecond
 )
 
-// UptimeRecord tracks the uptime of the store from its responses to this node and to others. Its
+// UptimeTracker tracks the uptime of the store from its responses to this node and to others. Its
 // methods are safe for concurrent use.
-type UptimeRecord struct {
+type UptimeTracker struct {
 	// minOutage is the pause that counts as an outage, because entries may have expired in it, if a
 	// request has failed or the span comes from another node; maxPause is the longer one that
 	// counts if no request has failed.
@@ -40,23 +40,23 @@
 	failed bool
 }
 
-// NewUptimeRecord returns an UptimeRecord without a known span. heartbeat is the interval between
+// NewUptimeTracker returns an UptimeRecord without a known span. heartbeat is the interval between
 // two writes of an endpoint's entry.
-func NewUptimeRecord(heartbeat time.Duration) *UptimeRecord {
+func NewUptimeTracker(heartbeat time.Duration) *UptimeTracker {
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(heartbeat)) }
-	return &UptimeRecord{minOutage: beats(minOutageHeartbeats), maxPause: beats(maxPauseHeartbeats)}
+	return &UptimeTracker{minOutage: beats(minOutageHeartbeats), maxPause: beats(maxPauseHeartbeats)}
 }
 
-// Failed records that a request to the store, by this node or another one, got no response.
-func (r *UptimeRecord) Failed() {
+// RecordFailure records that a request to the store, by this node or another one, got no response.
+func (r *UptimeTracker) RecordFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failed = true
 }
 
-// Answered records a response of the store to this node. at is the time of the response on the
+// RecordAnswer records a response of the store to this node. at is the time of the response on the
 // store's clock. It returns the length of the outage that the response ends, 0 if there was none.
-func (r *UptimeRecord) Answered(at time.Duration) (outage time.Duration) {
+func (r *UptimeTracker) RecordAnswer(at time.Duration) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at < r.known.Until-r.maxPause {
@@ -69,9 +69,9 @@
 	return r.mergeLocked(Uptime{Since: at, Until: at}, r.maxPause)
 }
 
-// Told merges the span known to another node, which sent all its entries as of told.Until with it.
+// MergeWithEntries merges the span known to another node, which sent all its entries as of told.Until with it.
 // It returns the length of the outage between the known span and this one, 0 if there was none.
-func (r *UptimeRecord) Told(told Uptime) (outage time.Duration) {
+func (r *UptimeTracker) MergeWithEntries(told Uptime) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mergeLocked(told, r.minOutage)
@@ -80,7 +80,7 @@
 // mergeLocked joins a span that begins no later than pause after the end of the known one, and
 // replaces the known span by one that begins later. It returns the length of the outage between the
 // two. The caller holds r.mu.
-func (r *UptimeRecord) mergeLocked(span Uptime, pause time.Duration) (outage time.Duration) {
+func (r *UptimeTracker) mergeLocked(span Uptime, pause time.Duration) (outage time.Duration) {
 	switch {
 	case !span.valid():
 	case r.known == Uptime{}:
@@ -96,16 +96,16 @@
 	return outage
 }
 
-// Heard merges the span known to another node that did not send its entries. Such a span can show
+// MergeWithoutEntries merges the span known to another node that did not send its entries. Such a span can show
 // that the store served others while this node got no responses, but not that an entry is still
-// missing. Heard therefore only moves the start of the known span back, and reports whether it did.
-func (r *UptimeRecord) Heard(told Uptime) bool {
+// missing. MergeWithoutEntries therefore only moves the start of the known span back, and reports whether it did.
+func (r *UptimeTracker) MergeWithoutEntries(told Uptime) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return told.valid() && r.extendBackLocked(told)
 }
 
-func (r *UptimeRecord) extendBackLocked(span Uptime) bool {
+func (r *UptimeTracker) extendBackLocked(span Uptime) bool {
 	if span.Since >= r.known.Since || span.Until < r.known.Since-r.minOutage {
 		return false
 	}
@@ -116,15 +116,15 @@
 func (u Uptime) valid() bool { return u.Since > 0 && u.Since <= u.Until }
 
 // Current returns the known span; it is empty if nothing is known.
-func (r *UptimeRecord) Current() Uptime {
+func (r *UptimeTracker) Current() Uptime {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
 }
 
-// Doubt returns how much longer the store must be up before missing entries are final: entries that
+// GraceRemaining returns how much longer the store must be up before missing entries are final: entries that
 // expired in an outage may still be written again until then. It is 0 if missing entries are final.
-func (r *UptimeRecord) Doubt() time.Duration {
+func (r *UptimeTracker) GraceRemaining() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.known == (Uptime{}) {
--- a/knowledge/uptime_test.go
+++ b/knowledge/uptime_test.go
@@ -42,7 +42,7 @@
 	now      time.Duration
 	outages  []span
 	endpoint livingEndpoint
-	nodes    []*knowledge.UptimeRecord
+	nodes    []*knowledge.UptimeTracker
 }
 
 func (w *uptimeModel) upAt(t time.Duration) bool {
@@ -91,13 +91,13 @@
 		w.endpoint.interval = time.Duration(rapid.IntRange(1000, 1200).Draw(t, "interval")) * time.Millisecond
 		w.endpoint.rewriteDelay = time.Duration(rapid.IntRange(0, int(promisedRecovery.Milliseconds())).Draw(t, "back")) * time.Millisecond
 		for range 3 {
-			w.nodes = append(w.nodes, knowledge.NewUptimeRecord(heartbeat))
+			w.nodes = append(w.nodes, knowledge.NewUptimeTracker(heartbeat))
 		}
 		node := rapid.IntRange(0, len(w.nodes)-1)
 		returned := func() time.Duration { return w.outages[len(w.outages)-1].to }
 		ask := func(i int) {
-			w.nodes[i].Answered(w.now)
-			if w.now >= returned()+maxGraceTime && w.nodes[i].Current().Since <= returned()+maxGraceTime-2100*time.Millisecond && w.nodes[i].Doubt() > 0 {
+			w.nodes[i].RecordAnswer(w.now)
+			if w.now >= returned()+maxGraceTime && w.nodes[i].Current().Since <= returned()+maxGraceTime-2100*time.Millisecond && w.nodes[i].GraceRemaining() > 0 {
 				t.Fatalf("node %d still has a grace time %s after the store's return: %+v", i, w.now-returned(), w.nodes[i].Current())
 			}
 		}
@@ -105,7 +105,7 @@
 			"": func(t *rapid.T) {
 				for i, n := range w.nodes {
 					known := n.Current()
-					if known.Until > 0 && n.Doubt() == 0 && !w.present(known.Until) {
+					if known.Until > 0 && n.GraceRemaining() == 0 && !w.present(known.Until) {
 						t.Fatalf("node %d, %+v, considers the entry of a living endpoint gone at %s, outages %v", i, known, known.Until, w.outages[1:])
 					}
 				}
@@ -131,15 +131,19 @@
 					w.outages = append(w.outages, span{from: from, to: w.now})
 					if w.now-from >= noticedOutage {
 						for _, n := range w.nodes {
-							n.Failed()
+							n.RecordFailure()
 						}
 					}
 				}
 			},
-			"answer":        func(t *rapid.T) { ask(node.Draw(t, "node")) },
-			"with entries":  func(t *rapid.T) { w.nodes[node.Draw(t, "to")].Told(w.nodes[node.Draw(t, "from")].Current()) },
-			"span only":     func(t *rapid.T) { w.nodes[node.Draw(t, "to")].Heard(w.nodes[node.Draw(t, "from")].Current()) },
-			"node restarts": func(t *rapid.T) { w.nodes[node.Draw(t, "node")] = knowledge.NewUptimeRecord(heartbeat) },
+			"answer": func(t *rapid.T) { ask(node.Draw(t, "node")) },
+			"with entries": func(t *rapid.T) {
+				w.nodes[node.Draw(t, "to")].MergeWithEntries(w.nodes[node.Draw(t, "from")].Current())
+			},
+			"span only": func(t *rapid.T) {
+				w.nodes[node.Draw(t, "to")].MergeWithoutEntries(w.nodes[node.Draw(t, "from")].Current())
+			},
+			"node restarts": func(t *rapid.T) { w.nodes[node.Draw(t, "node")] = knowledge.NewUptimeTracker(heartbeat) },
 		})
 	})
 }
@@ -147,18 +151,18 @@
 // Guards against a grace time at a node that alone got no responses for long, because it was cut
 // off, frozen or turned away by the store, while the store served other nodes.
 func TestUptimeOfOthersCoversAPause(t *testing.T) {
-	reader, other := knowledge.NewUptimeRecord(heartbeat), knowledge.NewUptimeRecord(heartbeat)
+	reader, other := knowledge.NewUptimeTracker(heartbeat), knowledge.NewUptimeTracker(heartbeat)
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
-		other.Answered(at)
+		other.RecordAnswer(at)
 		if at < 10*time.Second || at > 19*time.Second {
-			reader.Answered(at)
+			reader.RecordAnswer(at)
 		}
 	}
-	if reader.Doubt() == 0 {
+	if reader.GraceRemaining() == 0 {
 		t.Fatal("no grace time after ten seconds without a response")
 	}
-	if !reader.Heard(other.Current()) || reader.Doubt() > 0 {
-		t.Fatalf("grace time of %s although the store served other nodes", reader.Doubt())
+	if !reader.MergeWithoutEntries(other.Current()) || reader.GraceRemaining() > 0 {
+		t.Fatalf("grace time of %s although the store served other nodes", reader.GraceRemaining())
 	}
 }
 
@@ -168,16 +172,16 @@
 func TestUptimeTellsATakeoverFromAnOutage(t *testing.T) {
 	const pause = 2100 * time.Millisecond
 	for _, failed := range []bool{false, true} {
-		r := knowledge.NewUptimeRecord(heartbeat)
+		r := knowledge.NewUptimeTracker(heartbeat)
 		at := time.Second
 		for ; at <= 6*time.Second; at += time.Second {
-			r.Answered(at)
+			r.RecordAnswer(at)
 		}
 		if failed {
-			r.Failed()
+			r.RecordFailure()
 		}
-		r.Answered(at - time.Second + pause)
-		if doubted := r.Doubt() > 0; doubted != failed {
+		r.RecordAnswer(at - time.Second + pause)
+		if doubted := r.GraceRemaining() > 0; doubted != failed {
 			t.Errorf("pause of %v, a request failed: %t, missing entries have a grace time: %t", pause, failed, doubted)
 		}
 	}
@@ -188,14 +192,14 @@
 func TestUptimeOfOthersDoesNotCoverAnOutage(t *testing.T) {
 	const before, after = 6 * time.Second, 8100 * time.Millisecond
 	told := knowledge.Uptime{Since: time.Second, Until: before}
-	r := knowledge.NewUptimeRecord(heartbeat)
-	r.Told(told)
-	r.Failed()
-	r.Answered(after)
-	if r.Heard(told) || r.Doubt() == 0 {
+	r := knowledge.NewUptimeTracker(heartbeat)
+	r.MergeWithEntries(told)
+	r.RecordFailure()
+	r.RecordAnswer(after)
+	if r.MergeWithoutEntries(told) || r.GraceRemaining() == 0 {
 		t.Errorf("an outage of %v is hidden by %+v", after-before, told)
 	}
-	if r.Told(told); r.Doubt() == 0 {
+	if r.MergeWithEntries(told); r.GraceRemaining() == 0 {
 		t.Errorf("an outage of %v is hidden by %+v with its entries", after-before, told)
 	}
 }
@@ -203,22 +207,22 @@
 // Guards against a grace time that never ends or never begins because a clock was set back, is
 // missing, or belongs to a node that knows nothing.
 func TestUptimeOfFaultyClocks(t *testing.T) {
-	r := knowledge.NewUptimeRecord(heartbeat)
+	r := knowledge.NewUptimeTracker(heartbeat)
 	for _, nothing := range []knowledge.Uptime{{}, {Since: 5, Until: 4}, {Since: -3, Until: 7}} {
-		r.Told(nothing)
-		r.Heard(nothing)
+		r.MergeWithEntries(nothing)
+		r.MergeWithoutEntries(nothing)
 	}
-	r.Answered(0)
-	if got := r.Current(); got != (knowledge.Uptime{}) || r.Doubt() != 0 {
+	r.RecordAnswer(0)
+	if got := r.Current(); got != (knowledge.Uptime{}) || r.GraceRemaining() != 0 {
 		t.Fatalf("uptime is %+v after invalid spans, want it empty", got)
 	}
 	for at := 100 * time.Second; at <= 105*time.Second; at += time.Second {
-		r.Answered(at)
+		r.RecordAnswer(at)
 	}
 	for at := 10 * time.Second; at <= 13*time.Second; at += time.Second {
-		r.Answered(at)
+		r.RecordAnswer(at)
 	}
-	if got := r.Current(); got.Since != 10*time.Second || r.Doubt() != 0 {
-		t.Fatalf("uptime is %+v after the clock was set back to 10 s, grace time %s", got, r.Doubt())
+	if got := r.Current(); got.Since != 10*time.Second || r.GraceRemaining() != 0 {
+		t.Fatalf("uptime is %+v after the clock was set back to 10 s, grace time %s", got, r.GraceRemaining())
 	}
 }
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -9,7 +9,7 @@
 )
 
 // configurationListed takes the operator's table.
-func (n *Node) configurationListed(l platform.Listing, seen knowledge.Seen) {
+func (n *Node) configurationListed(l platform.Listing, seen knowledge.Confirmation) {
 	for _, row := range l.Rows {
 		if row.Key == platform.KeyConfiguration {
 			n.applyConfiguration(row.Value, row.Version, seen)
@@ -20,7 +20,7 @@
 
 // configurationChanged takes changes of the operator's table. Without one for the
 // configuration, the known version is confirmed.
-func (n *Node) configurationChanged(l platform.Listing, seen knowledge.Seen) {
+func (n *Node) configurationChanged(l platform.Listing, seen knowledge.Confirmation) {
 	found := false
 	for _, row := range l.Rows {
 		if row.Key == platform.KeyConfiguration && !row.Deleted {
@@ -30,13 +30,13 @@
 	}
 	if !found {
 		known, _ := n.config.Current()
-		n.config.Confirm(known.Row, seen)
+		n.config.Confirm(known.RowVersion, seen)
 	}
 	n.evacuationsChanged(l.Rows)
 }
 
-func (n *Node) applyConfiguration(data []byte, row int64, seen knowledge.Seen) {
-	if known, _ := n.config.Current(); row <= known.Row {
+func (n *Node) applyConfiguration(data []byte, row int64, seen knowledge.Confirmation) {
+	if known, _ := n.config.Current(); row <= known.RowVersion {
 		n.config.Confirm(row, seen)
 		return
 	}
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -27,10 +27,10 @@
 
 // ownEndpoints takes answers of the store itself. What was known of the store through the
 // followed node no longer matters.
-func (n *Node) ownEndpoints(take func(platform.Listing, knowledge.Seen, uptimeSource)) func(platform.Listing, knowledge.Seen) {
-	return func(l platform.Listing, seen knowledge.Seen) {
+func (n *Node) ownEndpoints(take func(platform.Listing, knowledge.Confirmation, uptimeSource)) func(platform.Listing, knowledge.Confirmation) {
+	return func(l platform.Listing, seen knowledge.Confirmation) {
 		n.awayPeer.Store(false)
-		take(l, seen, func() time.Duration { return n.uptime.Answered(l.At) })
+		take(l, seen, func() time.Duration { return n.uptime.RecordAnswer(l.At) })
 	}
 }
 
@@ -44,14 +44,14 @@
 		known := n.uptime.Current()
 		metrics.Count("store_outages")
 		n.log.Info("outage of the store is over", zap.Duration("length", outage), zap.Duration("store_time", known.Since),
-			zap.Duration("doubt", n.uptime.Doubt()))
+			zap.Duration("doubt", n.uptime.GraceRemaining()))
 	}
 }
 
-func (n *Node) endpointsListed(l platform.Listing, seen knowledge.Seen, proof uptimeSource) {
+func (n *Node) endpointsListed(l platform.Listing, seen knowledge.Confirmation, proof uptimeSource) {
 	n.registry.mu.Lock()
 	defer n.registry.mu.Unlock()
-	if !n.entries.replace(l, seen.Answered) {
+	if !n.entries.replace(l, seen.AnsweredAt) {
 		metrics.Count("endpoints_outdated")
 		return
 	}
@@ -62,7 +62,7 @@
 			instances = append(instances, in)
 		}
 	}
-	doubt := n.uptime.Doubt()
+	doubt := n.uptime.GraceRemaining()
 	added, removed := n.fleet.Replace(instances, doubt > 0)
 	n.log.Info("endpoints listed", zap.Int("count", len(instances)), zap.Strings("added", added),
 		zap.Strings("removed", removed), zap.Bool("tentative", doubt > 0), zap.Duration("doubt", doubt),
@@ -71,10 +71,10 @@
 	n.news.tell()
 }
 
-func (n *Node) endpointsChanged(l platform.Listing, seen knowledge.Seen, proof uptimeSource) {
+func (n *Node) endpointsChanged(l platform.Listing, seen knowledge.Confirmation, proof uptimeSource) {
 	n.registry.mu.Lock()
 	defer n.registry.mu.Unlock()
-	fresh := n.entries.update(l, seen.Answered)
+	fresh := n.entries.update(l, seen.AnsweredAt)
 	n.served(proof)
 	for _, row := range fresh {
 		n.endpointChanged(row, seen)
@@ -86,7 +86,7 @@
 // dropMissing gives up the endpoints whose entries would be back by now if an outage had taken
 // them.
 func (n *Node) dropMissing() {
-	if n.uptime.Doubt() > 0 {
+	if n.uptime.GraceRemaining() > 0 {
 		return
 	}
 	known := n.uptime.Current()
@@ -96,9 +96,9 @@
 	}
 }
 
-func (n *Node) endpointChanged(row platform.Row, seen knowledge.Seen) {
+func (n *Node) endpointChanged(row platform.Row, seen knowledge.Confirmation) {
 	if row.Deleted {
-		doubt := n.uptime.Doubt()
+		doubt := n.uptime.GraceRemaining()
 		n.fleet.Remove(row.Key, doubt > 0)
 		n.log.Info("endpoint removed", zap.String("endpoint", row.Key), zap.Int64("version", row.Version),
 			zap.Bool("tentative", doubt > 0), zap.Duration("doubt", doubt))
@@ -116,7 +116,7 @@
 	}
 	n.log.Info("endpoint known", zap.String("endpoint", in.ID), zap.Int64("born", in.Born), zap.String("service", in.Service),
 		zap.String("address", in.Address), zap.Stringer("change", change), zap.Bool("leaving", in.Leaving),
-		zap.Int64("version", row.Version), zap.Duration("age", boottime.Now()-seen.Answered))
+		zap.Int64("version", row.Version), zap.Duration("age", boottime.Now()-seen.AnsweredAt))
 }
 
 // readEndpoint reads an entry; ok is false for one that names no endpoint.
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -26,7 +26,7 @@
 	// Taken before the configuration, which is then at least as new.
 	evacuations := n.evacuationsMessage(req.Msg.GetEvacuationsVersion())
 	known, ages := n.config.Current()
-	if evacuations == nil && known.Row <= req.Msg.GetConfigVersion() && n.entries.known() <= req.Msg.GetEndpointsVersion() {
+	if evacuations == nil && known.RowVersion <= req.Msg.GetConfigVersion() && n.entries.known() <= req.Msg.GetEndpointsVersion() {
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -44,14 +44,14 @@
 		return nil, connect.NewError(connect.CodeResourceExhausted, errBusy)
 	}
 	resp := &exchangev1.SnapshotResponse{
-		ConfigVersion: known.Row,
-		ConfigAgeMs:   uint64(ages.Certain.Milliseconds()) + 1,
+		ConfigVersion: known.RowVersion,
+		ConfigAgeMs:   uint64(ages.Confirmed.Milliseconds()) + 1,
 		AnsweredAgeMs: uint64(ages.Answered.Milliseconds()) + 1,
 		Away:          n.storeAway(),
 		Evacuations:   evacuations,
 	}
-	if known.Row > req.Msg.GetConfigVersion() {
-		resp.Config = &exchangev1.Row{Key: platform.KeyConfiguration, Version: known.Row}
+	if known.RowVersion > req.Msg.GetConfigVersion() {
+		resp.Config = &exchangev1.Row{Key: platform.KeyConfiguration, Version: known.RowVersion}
 		resp.ConfigPacked = n.packedConfig.of(known)
 	}
 	// Taken before the endpoints, which are then at least as new.
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -17,7 +17,7 @@
 
 // NewFeed returns a feed that drops what it learns.
 func NewFeed(store *platform.Store, direct func() bool) *Feed {
-	drop := func(platform.Listing, knowledge.Seen) {}
+	drop := func(platform.Listing, knowledge.Confirmation) {}
 	return &feed{
 		store: store, table: "t", wait: time.Second, log: zap.NewNop(), direct: direct, listed: drop, changed: drop,
 		learned:  func() int64 { return 0 },
@@ -37,7 +37,7 @@
 // NewListingFeed returns a feed that tells of each reading of the whole table.
 func NewListingFeed(store *platform.Store, listed func(platform.Listing)) *Feed {
 	f := NewFeed(store, func() bool { return true })
-	f.listed = func(l platform.Listing, _ knowledge.Seen) { listed(l) }
+	f.listed = func(l platform.Listing, _ knowledge.Confirmation) { listed(l) }
 	return f
 }
 
--- a/node/feed.go
+++ b/node/feed.go
@@ -72,8 +72,8 @@
 	// direct tells whether this node follows the store at present.
 	direct func() bool
 	// listed takes a whole table and changed the rows that changed.
-	listed  func(l platform.Listing, seen knowledge.Seen)
-	changed func(l platform.Listing, seen knowledge.Seen)
+	listed  func(l platform.Listing, seen knowledge.Confirmation)
+	changed func(l platform.Listing, seen knowledge.Confirmation)
 
 	// linkChanged is called when the store was lost or has come back; it must not block.
 	linkChanged func()
@@ -152,7 +152,7 @@
 		if err != nil {
 			return err
 		}
-		f.listed(listing, knowledge.Seen{Certain: asked, Answered: boottime.Now()})
+		f.listed(listing, knowledge.Confirmation{ConfirmedAt: asked, AnsweredAt: boottime.Now()})
 		f.version, f.relist = listing.Version, false
 		if f.version == 0 {
 			// Nothing was ever written, and there is no version to wait from.
@@ -171,7 +171,7 @@
 	if len(listing.Rows) == 0 {
 		f.delayed(answered - asked - wait)
 	}
-	f.changed(listing, knowledge.Seen{Certain: asked, Answered: answered})
+	f.changed(listing, knowledge.Confirmation{ConfirmedAt: asked, AnsweredAt: answered})
 	f.version = max(f.version, listing.Version)
 	if len(listing.Rows) > 0 {
 		pause(ctx, gather)
--- a/node/follow.go
+++ b/node/follow.go
@@ -112,7 +112,7 @@
 // reinstateEndpoints takes back what health checks said that no entry has confirmed. After an
 // outage the endpoints need as long to say so as to write their entries again.
 func (n *Node) reinstateEndpoints() {
-	if n.storeAway() || n.uptime.Doubt() > 0 {
+	if n.storeAway() || n.uptime.GraceRemaining() > 0 {
 		return
 	}
 	for _, id := range n.fleet.Reinstate(healthDoubt) {
@@ -129,7 +129,7 @@
 	asked := boottime.Now()
 	client := exchangev1.NewExchangeClient(n.peerClient, peer.BaseURL(address, nil))
 	resp, err := client.Snapshot(ctx, connect.NewRequest(&exchangev1.SnapshotRequest{
-		ConfigVersion:    known.Row,
+		ConfigVersion:    known.RowVersion,
 		EndpointsVersion: endpoints,
 		WaitMs:           uint32(wait.Milliseconds()),
 
@@ -142,9 +142,9 @@
 	// The peer's answer was made after the question was sent, so its age counts back
 	// from there; the way of the answer may have taken any time.
 	answered := boottime.Now()
-	seen := knowledge.Seen{
-		Certain:  asked - millis(resp.Msg.GetConfigAgeMs()),
-		Answered: answered - millis(resp.Msg.GetAnsweredAgeMs()),
+	seen := knowledge.Confirmation{
+		ConfirmedAt: asked - millis(resp.Msg.GetConfigAgeMs()),
+		AnsweredAt:  answered - millis(resp.Msg.GetAnsweredAgeMs()),
 	}
 	if c := resp.Msg.GetConfig(); c != nil {
 		data, err := inflate(resp.Msg.GetConfigPacked())
@@ -156,14 +156,14 @@
 	n.config.Confirm(resp.Msg.GetConfigVersion(), seen)
 	n.evacuationsFromPeer(resp.Msg.GetEvacuations(), address)
 	age := millis(resp.Msg.GetEndpointsAgeMs())
-	return n.endpointsFromPeer(resp.Msg, endpoints, knowledge.Seen{Certain: asked - age, Answered: answered - age})
+	return n.endpointsFromPeer(resp.Msg, endpoints, knowledge.Confirmation{ConfirmedAt: asked - age, AnsweredAt: answered - age})
 }
 
 func millis(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func (n *Node) endpointsFromPeer(resp *exchangev1.SnapshotResponse, known int64, seen knowledge.Seen) error {
+func (n *Node) endpointsFromPeer(resp *exchangev1.SnapshotResponse, known int64, seen knowledge.Confirmation) error {
 	n.awayPeer.Store(resp.GetAway())
-	proof := func() time.Duration { return n.uptime.Told(readUptime(resp.GetUptime())) }
+	proof := func() time.Duration { return n.uptime.MergeWithEntries(readUptime(resp.GetUptime())) }
 	if resp.GetEndpointsWhole() {
 		listing, err := wholeListing(resp)
 		if err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -61,10 +61,10 @@
 	started     time.Duration
 
 	store  *platform.Store
-	config *knowledge.Configuration
+	config *knowledge.ConfigurationTracker
 	// evacuations are the operator's, evacuated their names as they were last put in force
 	// under evacuationsMu.
-	evacuations   knowledge.Evacuations
+	evacuations   knowledge.EvacuationTracker
 	evacuationsMu sync.Mutex
 	evacuated     []string
 	population    population
@@ -80,7 +80,7 @@
 	follower      follower
 	news          news
 	// uptime is the store's, by its own clock.
-	uptime *knowledge.UptimeRecord
+	uptime *knowledge.UptimeTracker
 	// awayPeer is set while the store does not tell that node in time who leaves.
 	awayPeer     atomic.Bool
 	endpointFeed *feed
@@ -103,8 +103,8 @@
 		incarnation: uint64(time.Now().UnixNano()),
 		started:     boottime.Now(),
 		store:       platform.NewStore(s.StoreAddress, storeTimeout),
-		config:      knowledge.NewConfiguration(boottime.Now),
-		uptime:      knowledge.NewUptimeRecord(s.Heartbeat),
+		config:      knowledge.NewConfigurationTracker(boottime.Now),
+		uptime:      knowledge.NewUptimeTracker(s.Heartbeat),
 		fleet:       fleet.New(s.DataCentre, boottime.Now),
 		client:      h1.NewClient(),
 		gate:        entry.NewGate(),
@@ -124,7 +124,7 @@
 		Log:         log,
 	})
 	n.fleet.Name, n.fleet.Without = s.IP, without
-	n.evacuations.Known = n.knowsDataCentre
+	n.evacuations.IsKnown = n.knowsDataCentre
 	metrics.GaugeFunc("evacuations", func() any { return n.fleet.Evacuations() })
 	n.fleet.Regions = s.Regions
 	n.fleet.Population = n.population.current
@@ -166,7 +166,7 @@
 		store: n.store, table: platform.TableEndpoints, wait: endpointsWait, log: log,
 		listed: n.ownEndpoints(n.endpointsListed), changed: n.ownEndpoints(n.endpointsChanged),
 		learned: n.entries.known, patience: n.storePatience, linkChanged: n.gossip.TellAll, longest: n.settlingWait,
-		unanswered: n.uptime.Failed,
+		unanswered: n.uptime.RecordFailure,
 	}
 	n.endpointFeed.direct = func() bool { return n.asksStore(n.endpointFeed) }
 	return n
--- a/node/pack.go
+++ b/node/pack.go
@@ -63,8 +63,8 @@
 func (p *packedConfiguration) of(known knowledge.Snapshot) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.row != known.Row {
-		p.row, p.data = known.Row, deflate(known.Raw)
+	if p.row != known.RowVersion {
+		p.row, p.data = known.RowVersion, deflate(known.Raw)
 	}
 	return p.data
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -99,7 +99,7 @@
 	}
 	n.fleet.SetRemote(s.GetAddress(), loads, waiting)
 	if s.GetStore() == exchangev1.StoreLink_STORE_LINK_LOST {
-		n.uptime.Failed()
+		n.uptime.RecordFailure()
 	}
 	n.heardLeaving(s)
 	n.heardAnnounced(s)
--- a/node/serve.go
+++ b/node/serve.go
@@ -42,7 +42,7 @@
 // ready tells whether callers may be sent here.
 func (n *Node) ready() bool {
 	known, ages := n.config.Current()
-	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Certain < n.keysLimit()
+	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Confirmed < n.keysLimit()
 }
 
 // tellReadiness has all nodes told at once when callers may be sent here, or no longer. Nodes
--- a/node/uptime.go
+++ b/node/uptime.go
@@ -25,7 +25,7 @@
 // settlingWait is how long the store is to hold the next question: while entries are missing, no
 // longer than until its answer tells which endpoints are gone.
 func (n *Node) settlingWait() time.Duration {
-	if doubt := n.uptime.Doubt(); doubt > 0 && n.fleet.Missing() > 0 {
+	if doubt := n.uptime.GraceRemaining(); doubt > 0 && n.fleet.Missing() > 0 {
 		return min(doubt+time.Millisecond, endpointsWait)
 	}
 	return endpointsWait
@@ -34,11 +34,11 @@
 // heardUptime takes what a follower knows of the store's uptime. It may know of answers during a
 // time in which the store did not answer this node.
 func (n *Node) heardUptime(told knowledge.Uptime) {
-	if !n.uptime.Heard(told) {
+	if !n.uptime.MergeWithoutEntries(told) {
 		return
 	}
 	n.registry.mu.Lock()
 	defer n.registry.mu.Unlock()
-	n.log.Info("store answered others meanwhile", zap.Duration("since", told.Since), zap.Duration("doubt", n.uptime.Doubt()))
+	n.log.Info("store answered others meanwhile", zap.Duration("since", told.Since), zap.Duration("doubt", n.uptime.GraceRemaining()))
 	n.dropMissing()
 }
