--- a/knowledge/evacuations_test.go
+++ b/knowledge/evacuations_test.go
@@ -60,7 +60,7 @@
 // Guards against an order that a node loses or restores because it learns of it from several
 // sources at once. In any order of events, the set of a node equals that of the store at the node's
 // version, and versions never decrease.
-func TestEvacuationsAreThoseOfTheStore(t *testing.T) {
+func TestEvacuationsMatchTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &evacuationModel{version: 1}
 		for range 3 {
--- a/knowledge/uptime_test.go
+++ b/knowledge/uptime_test.go
@@ -84,7 +84,7 @@
 
 // Guards against giving up living endpoints whose entries expired in an outage, and against a grace
 // time that outlasts the time in which such entries are written again.
-func TestUptimeTellsWhichEntriesMayComeBack(t *testing.T) {
+func TestGraceTimeCoversExpiredEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &uptimeModel{now: 100 * time.Second, outages: []span{{from: 0, to: 50 * time.Second}}}
 		w.endpoint.phase = time.Duration(rapid.IntRange(0, 1199).Draw(t, "phase")) * time.Millisecond
@@ -150,7 +150,7 @@
 
 // Guards against a grace time at a node that alone got no responses for long, because it was cut
 // off, frozen or turned away by the store, while the store served other nodes.
-func TestUptimeOfOthersCoversAPause(t *testing.T) {
+func TestUptimeOfOtherNodesCoversAPause(t *testing.T) {
 	reader, other := knowledge.NewUptimeTracker(heartbeat), knowledge.NewUptimeTracker(heartbeat)
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
 		other.RecordAnswer(at)
@@ -169,7 +169,7 @@
 // Guards against a grace time that delays the removal of endpoints because the node that queries
 // the store has died, and against giving up living endpoints after an outage as short as the pause
 // of such a takeover.
-func TestUptimeTellsATakeoverFromAnOutage(t *testing.T) {
+func TestUptimeDistinguishesATakeoverFromAnOutage(t *testing.T) {
 	const pause = 2100 * time.Millisecond
 	for _, failed := range []bool{false, true} {
 		r := knowledge.NewUptimeTracker(heartbeat)
@@ -189,7 +189,7 @@
 
 // Guards against giving up living endpoints because a node that did not notice an outage sends the
 // span from before it.
-func TestUptimeOfOthersDoesNotCoverAnOutage(t *testing.T) {
+func TestUptimeOfOtherNodesDoesNotCoverAnOutage(t *testing.T) {
 	const before, after = 6 * time.Second, 8100 * time.Millisecond
 	told := knowledge.Uptime{Since: time.Second, Until: before}
 	r := knowledge.NewUptimeTracker(heartbeat)
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -74,11 +74,11 @@
 
 // Reset clears the occupancy for an engine with the given capacity. fixed is the memory already in
 // use whose growth is unknown. Both are in tokens.
-func (o *Occupancy) Reset(capacity, fixed float64) {
-	*o = Occupancy{binTokens: capacity / memoryBins, fixedTokens: fixed}
+func (o *Occupancy) Reset(capacity, fixedTokens float64) {
+	*o = Occupancy{binTokens: capacity / memoryBins, fixedTokens: fixedTokens}
 	for i := range o.tail {
 		o.tail[i][0] = 1
-		o.mean[i] = fixed
+		o.mean[i] = fixedTokens
 	}
 }
 
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -48,7 +48,7 @@
 	}
 	slices.Sort(j.rates)
 	median := j.rates[len(j.rates)/2]
-	ejected := 0
+	newlyEjected := 0
 	for _, e := range endpoints {
 		limitReached := float64(ejectedTotal+1) > maxEjectedShare*float64(len(endpoints))
 		if limitReached || e.Ejected || e.RateSamples < minRateSamples || e.Rate >= slowRateFactor*median {
@@ -56,9 +56,9 @@
 		}
 		e.Ejected, e.EjectedUntil = true, now+ejectionDuration
 		ejectedTotal++
-		ejected++
+		newlyEjected++
 	}
-	return ejected
+	return newlyEjected
 }
 
 const (
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -11,7 +11,7 @@
 
 // Guards against an engine that answers its polls but hardly decodes: it looks idle and attracts
 // work, and its callers get their tokens very slowly.
-func TestSlowEndpointIsEjectedAndTriedAgain(t *testing.T) {
+func TestSlowEndpointIsEjectedAndReadmitted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var pool []*Endpoint
 	for i := range 4 {
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestJoiningEndpointGetsItsShareByAndBy(t *testing.T) {
+func TestRampIsGradual(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(Ramp(0)).To(gomega.BeNumerically("==", rampInitialShare))
 	g.Expect(Ramp(rampDuration / 2)).To(gomega.BeNumerically("~", (1+rampInitialShare)/2, 1e-9))
--- a/policy/lengths_test.go
+++ b/policy/lengths_test.go
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestConditionalRemainingFallsWithTheHorizon(t *testing.T) {
+func TestRemainingProbabilityDecreasesWithTheHorizon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := NewEstimator()
 		recordRandomHistory(t, e, key("w"))
@@ -74,7 +74,7 @@
 // history. The variance is then negative and its root NaN, so that no comparison refuses a request.
 // In a trial, engines were filled to more than twice their memory, with hundreds of preemptions for
 // their callers.
-func TestDemandIsANumberAfterALongHistory(t *testing.T) {
+func TestDemandProbabilitiesStayValidAfterALongHistory(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := NewEstimator()
 	r := rand.New(rand.NewPCG(1, 1))
@@ -100,7 +100,7 @@
 	g.Expect(e.Survival(key("w")).Mean()).To(gomega.BeNumerically("~", 1900, 300))
 }
 
-func TestColdWorkspaceBorrowsFromItsModel(t *testing.T) {
+func TestNewWorkspaceUsesThePriorOfItsModel(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := NewEstimator()
 	cold := e.Survival(key("cold")).Mean()
@@ -132,7 +132,7 @@
 
 // Guards against an estimate made only from the answers that end first. Many answers start at once
 // in a new pool, and the short ones end first; engines would be filled as if all were short.
-func TestRunningAnswersKeepTheEstimateFromSeeingOnlyShortOnes(t *testing.T) {
+func TestRunningAnswersPreventABiasTowardsShortOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := NewEstimator()
 	for range 10 {
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -59,7 +59,7 @@
 	g.Expect(served["heavy"]).To(gomega.BeNumerically("~", 150, 2))
 }
 
-func TestIdleWorkspaceIsOwedNothing(t *testing.T) {
+func TestIdleWorkspaceEarnsNoCredit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := NewQueue[int]()
 	push(q, "late", 100, 1, 0)
@@ -87,7 +87,7 @@
 	g.Expect(late).To(gomega.BeNumerically("~", 10, 2))
 }
 
-func TestPriorityGivesWayToAge(t *testing.T) {
+func TestOldItemsOvertakeHigherPriority(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := NewQueue[int]()
 	old := push(q, "w", 1, 1, 0)
@@ -101,7 +101,7 @@
 	g.Expect(q.Next(20 * agingInterval)).To(gomega.BeIdenticalTo(old))
 }
 
-func TestQueueGivesUpTheLeastUrgentOfTheMostGreedy(t *testing.T) {
+func TestDropCandidateIsLeastUrgentOfLargestBacklog(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := NewQueue[int]()
 	push(q, "modest", 1, 1, 0)
@@ -112,7 +112,7 @@
 	g.Expect(q.DropCandidate(10 * time.Second)).To(gomega.BeIdenticalTo(last))
 }
 
-func TestPassedItemsComeUpInTheNextRound(t *testing.T) {
+func TestSkippedItemsReturnInTheNextRound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := NewQueue[int]()
 	i := push(q, "w", 1, 1, 0)
--- a/policy/reservation_test.go
+++ b/policy/reservation_test.go
@@ -154,7 +154,7 @@
 // Guards against counting answers that have ended as work of other schedulers. A load report is
 // some hundred milliseconds old and still lists them, which kept memory of engines idle; in a trial
 // that cost five per cent of goodput.
-func TestEndedAnswersInAnOldReportAreNoWorkOfOthers(t *testing.T) {
+func TestEndedAnswersInAnOldReportAreNotExternal(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := healthy("e", 10000)
 	e.Attach("1", &Answer{Key: key("w"), Prompt: 3000}, nil)
@@ -169,7 +169,7 @@
 
 // Guards against ignoring the answers of another scheduler. While two gateways schedule the same
 // engine for a moment, the work of the other one is visible only in the engine's load report.
-func TestEndpointCountsWhatOthersAdmitted(t *testing.T) {
+func TestEndpointCountsExternalAnswers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := healthy("e", 10000)
 	e.ReportedRunning, e.ReportedUsed = 3, 4000
@@ -177,7 +177,7 @@
 	g.Expect(e.Used()).To(gomega.BeNumerically("==", 4000))
 }
 
-func TestSuspectsRunApart(t *testing.T) {
+func TestSuspectsDoNotShareAnEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := healthy("a", 10000), healthy("b", 10000)
 	a.Attach("1", &Answer{Key: key("w"), Suspect: true}, nil)
@@ -189,7 +189,7 @@
 	g.Expect(a.Eligible(r)).To(gomega.BeTrue())
 }
 
-func TestEnginePriorityLetsTheLatestEndFallFirst(t *testing.T) {
+func TestEnginePriorityPreemptsTheLatestEndFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	generation := crocusreel.ClassGeneration
 	early := EnginePriority(time.Hour, time.Second, generation, 0)
--- a/policy/suspects_test.go
+++ b/policy/suspects_test.go
@@ -9,7 +9,7 @@
 
 const strikeLife = StrikeTTL
 
-func TestStrikesAddUpAndFade(t *testing.T) {
+func TestStrikesAddUpAndExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewSuspects(strikeLife)
 	s.Record(Strike{Fingerprint: 7, Death: 1, At: 0})
@@ -63,7 +63,7 @@
 	g.Expect(s.Count(maxSuspects, 0)).To(gomega.Equal(maxDeathsPerFingerprint))
 }
 
-func TestPrefixesFadeAndAreBounded(t *testing.T) {
+func TestPrefixesExpireAndAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPrefixIndex()
 	p.AddAll("a", []uint64{1, 2, 3, 4}, 0)
@@ -90,7 +90,7 @@
 	g.Expect(p.Len()).To(gomega.BeNumerically("<=", maxPrefixes))
 }
 
-func TestFeedbackFollowsTheSitesWeights(t *testing.T) {
+func TestRiskFollowsTheWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(NewRiskController(1, 10).Risk()).To(gomega.BeNumerically("<", NewRiskController(10, 1).Risk()))
 	f := NewRiskController(1, 1)
