--- a/knowledge/evacuations.go
+++ b/knowledge/evacuations.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// EvacuationTracker tracks the data centres that the operator has evacuated, so that no new work is sent
-// to endpoints there. It holds the exact set as of one version of the store; the set with the later
-// version is therefore right, whichever node it comes from. Its methods are safe for concurrent
-// use.
+// EvacuationTracker tracks the data centres that the operator has evacuated, so that no new work is
+// sent to endpoints there. It holds the exact set as of one version of the store; the set with the
+// later version is therefore right, whichever node it comes from. Its methods are safe for
+// concurrent use.
 type EvacuationTracker struct {
-	// IsKnown reports whether a data centre belongs to the deployment. At most maxUnknownEvacuations
-	// orders are kept for names for which it returns false. It must be set before use and is called
-	// with the lock held.
+	// IsKnown reports whether a data centre belongs to the deployment. At most
+	// maxUnknownEvacuations orders are kept for names for which it returns false. It must be set
+	// before use and is called with the lock held.
 	IsKnown func(dataCentre string) bool
 
 	mu      sync.Mutex
--- a/knowledge/evacuations_test.go
+++ b/knowledge/evacuations_test.go
@@ -21,8 +21,8 @@
 	version int64
 	changes []change
 	nodes   []*knowledge.EvacuationTracker
-	// asked is the store version up to which each node has read the store itself.
-	asked []int64
+	// readVersion is the store version up to which each node has read the store itself.
+	readVersion []int64
 }
 
 func (w *evacuationModel) at(version int64) map[string]int64 {
@@ -65,7 +65,7 @@
 		w := &evacuationModel{version: 1}
 		for range 3 {
 			w.nodes = append(w.nodes, &knowledge.EvacuationTracker{IsKnown: func(string) bool { return true }})
-			w.asked = append(w.asked, 0)
+			w.readVersion = append(w.readVersion, 0)
 		}
 		node := rapid.IntRange(0, len(w.nodes)-1)
 		check := func(i int, before int64) {
@@ -79,13 +79,13 @@
 		}
 		read := func(i int) {
 			before := w.nodes[i].Version()
-			since := max(w.asked[i], before)
+			since := max(w.readVersion[i], before)
 			if since == 0 {
 				w.nodes[i].Replace(knowledge.EvacuationSet{Version: w.version, Orders: w.at(w.version)})
 			} else {
 				w.nodes[i].Apply(w.since(since))
 			}
-			w.asked[i] = w.version
+			w.readVersion[i] = w.version
 			check(i, before)
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -104,7 +104,7 @@
 				i := node.Draw(t, "node")
 				before := w.nodes[i].Version()
 				w.nodes[i].Replace(knowledge.EvacuationSet{Version: w.version, Orders: w.at(w.version)})
-				w.asked[i] = w.version
+				w.readVersion[i] = w.version
 				check(i, before)
 			},
 			"tell": func(t *rapid.T) {
@@ -119,7 +119,7 @@
 			},
 			"start again": func(t *rapid.T) {
 				i := node.Draw(t, "node")
-				w.nodes[i], w.asked[i] = &knowledge.EvacuationTracker{IsKnown: func(string) bool { return true }}, 0
+				w.nodes[i], w.readVersion[i] = &knowledge.EvacuationTracker{IsKnown: func(string) bool { return true }}, 0
 			},
 		})
 		for i := range w.nodes {
--- a/knowledge/knowledge_test.go
+++ b/knowledge/knowledge_test.go
@@ -16,7 +16,7 @@
 	table := func(version int64) *routing.Table {
 		return routing.NewTable(&routing.Configuration{Version: version})
 	}
-	seen := func(at time.Duration) knowledge.Confirmation {
+	confirmedAt := func(at time.Duration) knowledge.Confirmation {
 		return knowledge.Confirmation{ConfirmedAt: at, AnsweredAt: at}
 	}
 
@@ -28,8 +28,8 @@
 	// A node learns version 9 from the store and then receives version 7 from a peer that lags
 	// behind. A caller whose key was revoked in version 9 must not be served again.
 	It("never goes back to an older version", func() {
-		Expect(c.Apply(table(9), 90, nil, seen(now))).To(BeTrue())
-		Expect(c.Apply(table(7), 70, nil, seen(now+time.Second))).To(BeFalse())
+		Expect(c.Apply(table(9), 90, nil, confirmedAt(now))).To(BeTrue())
+		Expect(c.Apply(table(7), 70, nil, confirmedAt(now+time.Second))).To(BeFalse())
 		known, _ := c.Current()
 		Expect(known.Table.Version).To(BeEquivalentTo(9))
 		Expect(known.ConfirmedAt).To(Equal(time.Minute))
@@ -38,9 +38,9 @@
 	// A peer that lags behind confirms its own older version. If this counted as a confirmation of
 	// the newer one, a node without connection to the store would consider itself up to date.
 	It("accepts a confirmation only for the known version", func() {
-		c.Apply(table(9), 90, nil, seen(now))
+		c.Apply(table(9), 90, nil, confirmedAt(now))
 		now += 3 * time.Second
-		c.Confirm(70, seen(now))
+		c.Confirm(70, confirmedAt(now))
 		_, ages := c.Current()
 		Expect(ages.Confirmed).To(Equal(3 * time.Second))
 		c.Confirm(90, knowledge.Confirmation{ConfirmedAt: now - time.Second, AnsweredAt: now})
@@ -49,8 +49,8 @@
 	})
 
 	It("does not become older through a late confirmation", func() {
-		c.Apply(table(9), 90, nil, seen(now))
-		c.Confirm(90, seen(now-10*time.Second))
+		c.Apply(table(9), 90, nil, confirmedAt(now))
+		c.Confirm(90, confirmedAt(now-10*time.Second))
 		_, ages := c.Current()
 		Expect(ages.Confirmed).To(BeZero())
 	})
--- a/knowledge/uptime.go
+++ b/knowledge/uptime.go
@@ -40,7 +40,7 @@
 	failed bool
 }
 
-// NewUptimeTracker returns an UptimeRecord without a known span. heartbeat is the interval between
+// NewUptimeTracker returns an UptimeTracker without a known span. heartbeat is the interval between
 // two writes of an endpoint's entry.
 func NewUptimeTracker(heartbeat time.Duration) *UptimeTracker {
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(heartbeat)) }
@@ -69,12 +69,13 @@
 	return r.mergeLocked(Uptime{Since: at, Until: at}, r.maxPause)
 }
 
-// MergeWithEntries merges the span known to another node, which sent all its entries as of told.Until with it.
-// It returns the length of the outage between the known span and this one, 0 if there was none.
-func (r *UptimeTracker) MergeWithEntries(told Uptime) (outage time.Duration) {
+// MergeWithEntries merges the span known to another node, which sent all its entries as of
+// span.Until with it. It returns the length of the outage between the known span and this one, 0 if
+// there was none.
+func (r *UptimeTracker) MergeWithEntries(span Uptime) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.mergeLocked(told, r.minOutage)
+	return r.mergeLocked(span, r.minOutage)
 }
 
 // mergeLocked joins a span that begins no later than pause after the end of the known one, and
@@ -96,13 +97,14 @@
 	return outage
 }
 
-// MergeWithoutEntries merges the span known to another node that did not send its entries. Such a span can show
-// that the store served others while this node got no responses, but not that an entry is still
-// missing. MergeWithoutEntries therefore only moves the start of the known span back, and reports whether it did.
-func (r *UptimeTracker) MergeWithoutEntries(told Uptime) bool {
+// MergeWithoutEntries merges the span known to another node that did not send its entries. Such a
+// span can show that the store served others while this node got no responses, but not that an
+// entry is still missing. MergeWithoutEntries therefore only moves the start of the known span
+// back, and reports whether it did.
+func (r *UptimeTracker) MergeWithoutEntries(span Uptime) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return told.valid() && r.extendBackLocked(told)
+	return span.valid() && r.extendBackLocked(span)
 }
 
 func (r *UptimeTracker) extendBackLocked(span Uptime) bool {
@@ -122,8 +124,9 @@
 	return r.known
 }
 
-// GraceRemaining returns how much longer the store must be up before missing entries are final: entries that
-// expired in an outage may still be written again until then. It is 0 if missing entries are final.
+// GraceRemaining returns how much longer the store must be up before missing entries are final:
+// entries that expired in an outage may still be written again until then. It is 0 if missing
+// entries are final.
 func (r *UptimeTracker) GraceRemaining() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/knowledge/uptime_test.go
+++ b/knowledge/uptime_test.go
@@ -181,8 +181,8 @@
 			r.RecordFailure()
 		}
 		r.RecordAnswer(at - time.Second + pause)
-		if doubted := r.GraceRemaining() > 0; doubted != failed {
-			t.Errorf("pause of %v, a request failed: %t, missing entries have a grace time: %t", pause, failed, doubted)
+		if hasGraceTime := r.GraceRemaining() > 0; hasGraceTime != failed {
+			t.Errorf("pause of %v, a request failed: %t, missing entries have a grace time: %t", pause, failed, hasGraceTime)
 		}
 	}
 }
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -33,8 +33,8 @@
 	return d
 }
 
-// DemandForLength predicts the demand of an answer whose length, in tokens, is known in advance. The
-// answer counts at a point of the horizon if it runs at any time since the previous point.
+// DemandForLength predicts the demand of an answer whose length, in tokens, is known in advance.
+// The answer counts at a point of the horizon if it runs at any time since the previous point.
 func DemandForLength(prompt, produced, length int) (d Demand) {
 	left := float64(length - produced)
 	before := 0.0
@@ -66,14 +66,14 @@
 	tail [horizonPoints][occupancyBins + 1]float32
 	// maxBin[i] is the highest bin that can be in use at point i.
 	maxBin [horizonPoints]int
-	// binTokens is the size of one binTokens in tokens.
+	// binTokens is the size of one bin in tokens.
 	binTokens float64
 	// fixedTokens is the memory in use, in tokens, whose growth is unknown; it counts as constant.
 	fixedTokens float64
 }
 
-// Reset clears the occupancy for an engine with the given capacity. fixed is the memory already in
-// use whose growth is unknown. Both are in tokens.
+// Reset clears the occupancy for an engine with the given capacity. fixedTokens is the memory
+// already in use whose growth is unknown. Both arguments are in tokens.
 func (o *Occupancy) Reset(capacity, fixedTokens float64) {
 	*o = Occupancy{binTokens: capacity / memoryBins, fixedTokens: fixedTokens}
 	for i := range o.tail {
@@ -176,8 +176,8 @@
 	return o.maxRisk(d, near, far, bound, 1)
 }
 
-// maxRisk implements Risk and Added. baselineShare is the share, 0 to 1, of the probability without
-// d that is subtracted from the result.
+// maxRisk implements Risk and AddedRisk. baselineShare is the share, 0 to 1, of the probability
+// without d that is subtracted from the result.
 func (o *Occupancy) maxRisk(d *Demand, near, far, bound, baselineShare float64) float64 {
 	if o.binTokens <= 0 {
 		return 1
@@ -200,8 +200,8 @@
 	return highest
 }
 
-// ExpectedPeak returns the highest expected use over the horizon, in tokens, of the answers together with
-// d.
+// ExpectedPeak returns the highest expected use over the horizon, in tokens, of the answers
+// together with d.
 func (o *Occupancy) ExpectedPeak(d *Demand) float64 {
 	peak := 0.0
 	for i := range d.size {
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -63,8 +63,9 @@
 	occupancy Occupancy
 	used      float64
 	suspects  int
-	// ended and endedBefore are the answers that ended in the current and in the previous period of
-	// length maxReportAge, which began at periodStart; load reports may still contain them.
+	// ended and endedBefore are the answers that ended in the current period of length
+	// maxReportAge, which began at periodStart, and in the previous one. Load reports may still
+	// contain them.
 	ended, endedBefore endedAnswers
 	periodStart        time.Duration
 }
@@ -201,7 +202,7 @@
 	Suspect  bool
 	// Demand is the predicted memory use of the answer.
 	Demand Demand
-	// Holders are the endpoints that probably have the fraction HeldShare, 0 to 1, of the prompt
+	// Holders are the endpoints that probably have the fraction CachedShare, 0 to 1, of the prompt
 	// cached.
 	Holders     [MaxPrefixHolders]string
 	CachedShare float64
--- a/policy/feedback.go
+++ b/policy/feedback.go
@@ -7,7 +7,7 @@
 	// riskExponent is the exponent with which the ratio of the weights changes it.
 	baseRisk     = 0.04
 	riskExponent = 0.3
-	// maxRiskFactor bounds the factor by which the feedback changes the risk, up or down.
+	// maxRiskFactor bounds the factor by which a RiskController changes the risk, up or down.
 	maxRiskFactor = 2
 	// riskStep is the amount by which one preemption lowers the logarithm of the risk, apart from
 	// the factor 1 - target.
@@ -23,10 +23,10 @@
 	maxWeightRatio = 100
 )
 
-// RiskController adjusts the risk accepted by a Reservation to the observed preemptions. A preemption
-// lowers the risk and a completed answer raises it; the steps are sized so that the risk settles
-// where the number of preemptions per answer meets the target. This corrects for a biased estimate
-// of answer lengths.
+// RiskController adjusts the risk accepted by a Reservation to the observed preemptions. A
+// preemption lowers the risk and a completed answer raises it; the steps are sized so that the risk
+// settles where the number of preemptions per answer meets the target. This corrects for a biased
+// estimate of answer lengths.
 type RiskController struct {
 	base, target float64
 	// logShift is the logarithm of the ratio of the risk to base.
@@ -34,50 +34,53 @@
 	fixed    bool
 }
 
-// NewRiskController returns a Feedback for the weights that the operator gives to one second of stall and
-// to one preemption.
+// NewRiskController returns a RiskController for the weights that the operator gives to one second
+// of stall and to one preemption.
 func NewRiskController(stall, preemption float64) *RiskController {
-	f := &RiskController{}
-	f.SetWeights(stall, preemption)
-	return f
+	c := &RiskController{}
+	c.SetWeights(stall, preemption)
+	return c
 }
 
-// NewFixedRisk returns a Feedback that always accepts the same risk, for comparison.
-func NewFixedRisk(risk float64) *RiskController { return &RiskController{base: risk, fixed: true} }
+// NewFixedRiskController returns a RiskController that always accepts the same risk, for
+// comparison.
+func NewFixedRiskController(risk float64) *RiskController {
+	return &RiskController{base: risk, fixed: true}
+}
 
 // SetWeights changes the weights of one second of stall and of one preemption. A higher weight of
 // preemption lowers the accepted risk.
-func (f *RiskController) SetWeights(stall, preemption float64) {
-	if f.fixed {
+func (c *RiskController) SetWeights(stall, preemption float64) {
+	if c.fixed {
 		return
 	}
 	ratio := float64(maxWeightRatio)
 	if preemption > 0 {
 		ratio = min(max(stall/preemption, minWeightRatio), maxWeightRatio)
 	}
-	f.base = baseRisk * math.Pow(ratio, riskExponent)
-	f.target = min(max(baseTarget*ratio, minTarget), maxTarget)
+	c.base = baseRisk * math.Pow(ratio, riskExponent)
+	c.target = min(max(baseTarget*ratio, minTarget), maxTarget)
 }
 
 // Risk returns the risk to accept, a probability.
-func (f *RiskController) Risk() float64 { return f.base * math.Exp(f.logShift) }
+func (c *RiskController) Risk() float64 { return c.base * math.Exp(c.logShift) }
 
-// RecordPreemptions records n preemptions at one engine since its last load report. Several preemptions in
-// one report stem from the same shortage of memory, so they count as one.
-func (f *RiskController) RecordPreemptions(n int) {
+// RecordPreemptions records n preemptions at one engine since its last load report. Several
+// preemptions in one report stem from the same shortage of memory, so they count as one.
+func (c *RiskController) RecordPreemptions(n int) {
 	if n > 0 {
-		f.adjust(-riskStep * (1 - f.target))
+		c.adjust(-riskStep * (1 - c.target))
 	}
 }
 
-// RecordCompletion records an answer that completed while other requests were waiting. The caller must not
-// report other answers: a higher risk admits more only if requests are waiting.
-func (f *RiskController) RecordCompletion() { f.adjust(riskStep * f.target) }
+// RecordCompletion records an answer that completed while other requests were waiting. The caller
+// must not report other answers: a higher risk admits more only if requests are waiting.
+func (c *RiskController) RecordCompletion() { c.adjust(riskStep * c.target) }
 
-func (f *RiskController) adjust(by float64) {
-	if f.fixed {
+func (c *RiskController) adjust(by float64) {
+	if c.fixed {
 		return
 	}
 	bound := math.Log(maxRiskFactor)
-	f.logShift = min(max(f.logShift+by, -bound), bound)
+	c.logShift = min(max(c.logShift+by, -bound), bound)
 }
--- a/policy/lengths.go
+++ b/policy/lengths.go
@@ -36,8 +36,8 @@
 
 // lengthCounts is a histogram of answer lengths with exponential decay.
 type lengthCounts struct {
-	// completed counts completed answers by their length; censored counts answers that were
-	// censored off, by the number of tokens produced until then.
+	// completed counts completed answers by their length; censored counts answers that were cut
+	// off, by the number of tokens produced until then.
 	completed, censored [lengthBuckets]float32
 }
 
@@ -76,8 +76,8 @@
 	return s.at[i-1] - s.at[i]
 }
 
-// ProbExceeds returns the probability that an answer is longer than n tokens. It interpolates linearly
-// within a bucket and assumes a Pareto tail beyond the last one.
+// ProbExceeds returns the probability that an answer is longer than n tokens. It interpolates
+// linearly within a bucket and assumes a Pareto tail beyond the last one.
 func (s *Survival) ProbExceeds(n float64) float64 {
 	if n <= 0 {
 		return 1
@@ -100,8 +100,8 @@
 // used; the Pareto tail replaces it.
 const minSurvival = 1e-3
 
-// ProbRemainingExceeds returns the conditional probability that an answer that has produced n tokens produces
-// more than h further ones.
+// ProbRemainingExceeds returns the conditional probability that an answer that has produced n
+// tokens produces more than h further ones.
 func (s *Survival) ProbRemainingExceeds(n, h float64) float64 {
 	now := s.ProbExceeds(n)
 	if now < minSurvival {
--- a/policy/prefixes.go
+++ b/policy/prefixes.go
@@ -11,8 +11,8 @@
 	prefixTTL = 60 * time.Second
 )
 
-// prefixHolder is an endpoint that probably has a prefix cached, as was last observed at the time
-// lastSeen.
+// prefixHolder is an endpoint that probably has a prefix cached; lastSeen is the time of the last
+// evidence of that.
 type prefixHolder struct {
 	endpoint string
 	lastSeen time.Duration
@@ -25,7 +25,7 @@
 	holders map[uint64]*[MaxPrefixHolders]prefixHolder
 }
 
-// NewPrefixIndex returns an empty Prefixes.
+// NewPrefixIndex returns an empty PrefixIndex.
 func NewPrefixIndex() *PrefixIndex {
 	return &PrefixIndex{holders: make(map[uint64]*[MaxPrefixHolders]prefixHolder)}
 }
@@ -37,8 +37,8 @@
 	}
 }
 
-// Add records that the endpoint has the prefix cached. If the maximum number of endpoints is
-// held already, it replaces the one with the oldest entry.
+// Add records that the endpoint has the prefix cached. If the maximum number of endpoints is held
+// already, it replaces the one with the oldest entry.
 func (p *PrefixIndex) Add(endpoint string, prefix uint64, now time.Duration) {
 	hs, ok := p.holders[prefix]
 	if !ok {
@@ -61,15 +61,15 @@
 	hs[oldest] = prefixHolder{endpoint: endpoint, lastSeen: now}
 }
 
-// AddIfKnown is like Stored, but ignores prefixes that no request routed here has had: engines also
-// report many others.
+// AddIfKnown is like Add, but ignores prefixes that are not in the index: engines also report many
+// that no request here has contained.
 func (p *PrefixIndex) AddIfKnown(endpoint string, prefix uint64, now time.Duration) {
 	if _, ok := p.holders[prefix]; ok {
 		p.Add(endpoint, prefix, now)
 	}
 }
 
-// Remove records that the endpoint no longer has the prefix cached.
+// Remove drops the endpoint as a holder of the prefix.
 func (p *PrefixIndex) Remove(endpoint string, prefix uint64) {
 	hs, ok := p.holders[prefix]
 	if !ok {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -44,7 +44,7 @@
 // work-conserving: a workspace without waiting items leaves its share to the others and earns no
 // credit for it. Within a workspace, items with higher priority and longer waits go first.
 //
-// Items are tried in rounds. Begin must be called before the first call of Next.
+// Items are tried in rounds. BeginRound must be called before the first call of Next.
 type Queue[V any] struct {
 	flows       map[string]*flow[V]
 	virtualTime float64
@@ -91,7 +91,7 @@
 	}
 }
 
-// BeginRound starts a new round, in which items passed over in earlier rounds are eligible again. It
+// BeginRound starts a new round, in which items skipped in earlier rounds are eligible again. It
 // also drops the state of workspaces that have neither waiting items nor outstanding charges.
 func (q *Queue[V]) BeginRound() {
 	q.round++
@@ -102,7 +102,7 @@
 	}
 }
 
-// Next returns the next item to serve among those not passed over in this round, or nil if there is
+// Next returns the next item to serve among those not skipped in this round, or nil if there is
 // none. It does not remove the item.
 func (q *Queue[V]) Next(now time.Duration) *Item[V] {
 	var best *Item[V]
@@ -145,8 +145,8 @@
 	f.nextStart += i.Cost / f.weight
 }
 
-// AdjustCharge corrects the charge of a workspace once the real cost of an item is known. extra is in
-// tokens and may be negative.
+// AdjustCharge corrects the charge of a workspace once the real cost of an item is known. extra is
+// in tokens and may be negative.
 func (q *Queue[V]) AdjustCharge(workspace string, extra float64) {
 	if f, ok := q.flows[workspace]; ok {
 		f.nextStart = max(f.nextStart+extra/f.weight, q.virtualTime)
@@ -173,8 +173,9 @@
 	return 0
 }
 
-// DropCandidate returns the item to drop first when the queue is full, or nil if the queue is empty: the
-// least urgent item of the workspace with the most waiting items in proportion to its weight.
+// DropCandidate returns the item to drop first when the queue is full, or nil if the queue is
+// empty: the least urgent item of the workspace with the most waiting items in proportion to its
+// weight.
 func (q *Queue[V]) DropCandidate(now time.Duration) *Item[V] {
 	var most *flow[V]
 	for _, f := range q.flows {
--- a/policy/suspects.go
+++ b/policy/suspects.go
@@ -12,8 +12,8 @@
 	// maxDeathsPerFingerprint bounds the number of deaths held per fingerprint. It is above any
 	// limit on strikes that an operator would set.
 	maxDeathsPerFingerprint = 16
-	// StrikeTTL is how long a strike counts in deployments whose callers keep resending a deadly
-	// request for minutes.
+	// StrikeTTL is how long a strike counts in deployments whose callers go on for several minutes
+	// to resend a request that kills endpoints.
 	StrikeTTL = 10 * time.Minute
 )
 
@@ -27,8 +27,9 @@
 	At time.Duration
 }
 
-// Suspects tracks which requests were running when endpoints died. Callers resend a deadly request
-// under new keys, so requests are identified by a fingerprint.
+// Suspects tracks which requests were running when endpoints died. Callers resend a request that
+// kills endpoints, and use new idempotency keys for it, so requests are identified by a
+// fingerprint.
 //
 // Deaths are kept as a set rather than as a count. While gateways disagree on which of them
 // schedules a pool, two schedulers each see only some of the deaths, and the maximum of two counts
@@ -108,8 +109,8 @@
 	}
 }
 
-// TimeUntilBelow returns the time until the request has fewer than bound strikes, which is when it may be
-// retried; 0 if it has fewer now.
+// TimeUntilBelow returns the time until the request has fewer than bound strikes, which is when it
+// may be retried; 0 if it has fewer now.
 func (s *Suspects) TimeUntilBelow(fingerprint uint64, bound int, now time.Duration) time.Duration {
 	over := s.Count(fingerprint, now) - bound
 	if over < 0 {
