--- a/knowledge/evacuations_test.go
+++ b/knowledge/evacuations_test.go
@@ -10,21 +10,22 @@
 	"github.com/crocusreel/crocusreel/knowledge"
 )
 
-// change is one row of the operator's table at the store.
+// change is one change of the operator's table in the store.
 type change struct {
 	knowledge.EvacuationOrder
 }
 
-// evacuationWorld is a store and nodes that learn of its evacuations in any order and way.
-type evacuationWorld struct {
+// evacuationModel models a store and nodes that learn of its evacuations in any order and from any
+// source.
+type evacuationModel struct {
 	version int64
 	changes []change
-	nodes   []*knowledge.Evacuations
-	// asked is the version up to which each node's own questions have gone.
-	asked []int64
+	nodes   []*knowledge.EvacuationTracker
+	// readVersion is the store version up to which each node has read the store itself.
+	readVersion []int64
 }
 
-func (w *evacuationWorld) at(version int64) map[string]int64 {
+func (w *evacuationModel) at(version int64) map[string]int64 {
 	orders := make(map[string]int64)
 	for _, c := range w.changes {
 		switch {
@@ -38,8 +39,8 @@
 	return orders
 }
 
-// since returns the last change of each row after a version, as the store tells them.
-func (w *evacuationWorld) since(version int64) []knowledge.EvacuationOrder {
+// since returns the last change of each row after a version, as the store lists them.
+func (w *evacuationModel) since(version int64) []knowledge.EvacuationOrder {
 	var orders []knowledge.EvacuationOrder
 	for i, c := range w.changes {
 		if c.Version <= version {
@@ -56,35 +57,35 @@
 	return orders
 }
 
-// Guards against an order that a node loses, or takes back to life, because it learns of it
-// by several ways at once. Whatever the order, a node's set is that of the store at its
-// version, and versions never go back.
-func TestEvacuationsAreThoseOfTheStore(t *testing.T) {
+// Guards against an order that a node loses or restores because it learns of it from several
+// sources at once. In any order of events, the set of a node equals that of the store at the node's
+// version, and versions never decrease.
+func TestEvacuationsMatchTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &evacuationWorld{version: 1}
+		w := &evacuationModel{version: 1}
 		for range 3 {
-			w.nodes = append(w.nodes, &knowledge.Evacuations{Known: func(string) bool { return true }})
-			w.asked = append(w.asked, 0)
+			w.nodes = append(w.nodes, &knowledge.EvacuationTracker{IsKnown: func(string) bool { return true }})
+			w.readVersion = append(w.readVersion, 0)
 		}
 		node := rapid.IntRange(0, len(w.nodes)-1)
 		check := func(i int, before int64) {
 			got := w.nodes[i].Current()
 			if got.Version < before {
-				t.Fatalf("node %d goes back from version %d to %d", i, before, got.Version)
+				t.Fatalf("node %d went back from version %d to %d", i, before, got.Version)
 			}
 			if got.Version > 0 && !maps.Equal(got.Orders, w.at(got.Version)) {
-				t.Fatalf("node %d at version %d: %v, the store has %v", i, got.Version, got.Orders, w.at(got.Version))
+				t.Fatalf("node %d at version %d has %v, but the store has %v", i, got.Version, got.Orders, w.at(got.Version))
 			}
 		}
 		read := func(i int) {
 			before := w.nodes[i].Version()
-			since := max(w.asked[i], before)
+			since := max(w.readVersion[i], before)
 			if since == 0 {
 				w.nodes[i].Replace(knowledge.EvacuationSet{Version: w.version, Orders: w.at(w.version)})
 			} else {
 				w.nodes[i].Apply(w.since(since))
 			}
-			w.asked[i] = w.version
+			w.readVersion[i] = w.version
 			check(i, before)
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -103,7 +104,7 @@
 				i := node.Draw(t, "node")
 				before := w.nodes[i].Version()
 				w.nodes[i].Replace(knowledge.EvacuationSet{Version: w.version, Orders: w.at(w.version)})
-				w.asked[i] = w.version
+				w.readVersion[i] = w.version
 				check(i, before)
 			},
 			"tell": func(t *rapid.T) {
@@ -111,28 +112,28 @@
 				before := w.nodes[to].Version()
 				w.nodes[to].Replace(w.nodes[from].Current())
 				check(to, before)
-				// Else the one would be told the same again at once, without end.
+				// Otherwise the peer would send the same set again in an endless loop.
 				if w.nodes[to].Version() < w.nodes[from].Version() {
-					t.Fatalf("node %d was told version %d and stays at %d", to, w.nodes[from].Version(), w.nodes[to].Version())
+					t.Fatalf("node %d received version %d but is still at version %d", to, w.nodes[from].Version(), w.nodes[to].Version())
 				}
 			},
 			"start again": func(t *rapid.T) {
 				i := node.Draw(t, "node")
-				w.nodes[i], w.asked[i] = &knowledge.Evacuations{Known: func(string) bool { return true }}, 0
+				w.nodes[i], w.readVersion[i] = &knowledge.EvacuationTracker{IsKnown: func(string) bool { return true }}, 0
 			},
 		})
 		for i := range w.nodes {
 			read(i)
 			if got := w.nodes[i].Current(); !maps.Equal(got.Orders, w.at(w.version)) {
-				t.Fatalf("node %d has read everything and knows %v, the store has %v", i, got.Orders, w.at(w.version))
+				t.Fatalf("node %d has %v after reading all changes, but the store has %v", i, got.Orders, w.at(w.version))
 			}
 		}
 	})
 }
 
-// Guards against rows written by mistake that fill the memory or keep out a real order.
+// Guards against rows written by mistake that exhaust memory or displace a real order.
 func TestUnknownEvacuationsAreBounded(t *testing.T) {
-	e := &knowledge.Evacuations{Known: func(name string) bool { return name == "dc1" }}
+	e := &knowledge.EvacuationTracker{IsKnown: func(name string) bool { return name == "dc1" }}
 	set := knowledge.EvacuationSet{Version: 1, Orders: make(map[string]int64)}
 	for i := range 1000 {
 		set.Orders[fmt.Sprintf("a%d", i)] = 1
@@ -141,9 +142,9 @@
 	e.Apply([]knowledge.EvacuationOrder{{DataCentre: "dc1", Version: 2}})
 	got := e.Current()
 	if _, is := got.Orders["dc1"]; !is {
-		t.Error("the real order is not known")
+		t.Error("the order for dc1 was not kept")
 	}
 	if len(got.Orders) > 300 {
-		t.Errorf("%d orders are kept", len(got.Orders))
+		t.Errorf("%d orders are kept, want at most 300", len(got.Orders))
 	}
 }
--- a/knowledge/knowledge.go
+++ b/knowledge/knowledge.go
@@ -1,5 +1,6 @@
-// Package knowledge holds what a node knows of the configuration: which version, and
-// at which moment that version was last confirmed as the newest.
+// Package knowledge tracks what a node knows of the state in the store: the configuration and when
+// its version was last confirmed to be the newest, the evacuated data centres, and the uptime of
+// the store.
 package knowledge
 
 import (
@@ -9,79 +10,82 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Snapshot is the knowledge at one moment. It is immutable.
+// Snapshot is the known configuration at one moment. It is immutable.
 type Snapshot struct {
 	Table *routing.Table
-	// Row is the version of the stored row, which rises with each change.
-	Row int64
-	// Raw is the row's content, for nodes that cannot reach the store.
+	// RowVersion is the version of the stored row, which increases with each change.
+	RowVersion int64
+	// Raw is the content of the row. It is passed on to nodes that cannot reach the store.
 	Raw []byte
-	Seen
+	Confirmation
 }
 
-// Seen tells when a version was the newest.
-type Seen struct {
-	// Certain is a moment at which it was certainly the newest: the question to which
-	// the answer confirmed it had not been sent before. Whatever was taken away earlier
-	// is known.
-	Certain time.Duration
-	// Answered is when the store last answered, here or at the node that was asked. A
-	// store that is silent for longer than its usual wait is out of reach.
-	Answered time.Duration
+// Confirmation records when a version was confirmed to be the newest.
+type Confirmation struct {
+	// ConfirmedAt is the latest time at which the version is certain to have been the newest: the
+	// time at which the request was sent whose response confirmed it. Every revocation made before
+	// that time is known.
+	ConfirmedAt time.Duration
+	// AnsweredAt is the time of the last response of the store, to this node or to the node that
+	// was asked. A store that stays silent for longer than its usual wait is unreachable.
+	AnsweredAt time.Duration
 }
 
-func (s Seen) or(other Seen) Seen {
-	return Seen{Certain: max(s.Certain, other.Certain), Answered: max(s.Answered, other.Answered)}
+func (c Confirmation) merge(other Confirmation) Confirmation {
+	return Confirmation{ConfirmedAt: max(c.ConfirmedAt, other.ConfirmedAt), AnsweredAt: max(c.AnsweredAt, other.AnsweredAt)}
 }
 
-// Ages are the times since the moments of Seen.
+// Ages holds the times elapsed since the times in Confirmation.
 type Ages struct {
-	Certain, Answered time.Duration
+	Confirmed, Answered time.Duration
 }
 
-// Configuration is the node's knowledge of the configuration. Time is that of a clock
-// that goes on while the machine is suspended: a machine that has slept must not
-// believe that it is up to date.
-type Configuration struct {
-	now func() time.Duration
-	mu  sync.RWMutex
-	at  Snapshot
+// ConfigurationTracker tracks the newest known configuration and when it was last confirmed. Its
+// methods are safe for concurrent use. Its clock must keep running while the machine is suspended,
+// or a machine that has resumed would consider an old configuration up to date.
+type ConfigurationTracker struct {
+	now     func() time.Duration
+	mu      sync.RWMutex
+	current Snapshot
 }
 
-// NewConfiguration returns a Configuration that knows nothing.
-func NewConfiguration(now func() time.Duration) *Configuration {
-	return &Configuration{now: now}
+// NewConfigurationTracker returns a ConfigurationTracker without a known version. now reads the
+// clock.
+func NewConfigurationTracker(now func() time.Duration) *ConfigurationTracker {
+	return &ConfigurationTracker{now: now}
 }
 
-// Apply takes a version that was the newest as seen says. An older version than the
-// known one is not applied; it returns whether the version is new.
-func (c *Configuration) Apply(table *routing.Table, row int64, raw []byte, seen Seen) bool {
+// Apply installs a version that was the newest at the times in confirmation, unless a newer one is
+// known. It reports whether the version is new. For the version that is known already, it only
+// records the confirmation.
+func (c *ConfigurationTracker) Apply(table *routing.Table, rowVersion int64, raw []byte, confirmation Confirmation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if row < c.at.Row {
+	if rowVersion < c.current.RowVersion {
 		return false
 	}
-	if row == c.at.Row {
-		c.at.Seen = c.at.or(seen)
+	if rowVersion == c.current.RowVersion {
+		c.current.Confirmation = c.current.merge(confirmation)
 		return false
 	}
-	c.at = Snapshot{Table: table, Row: row, Raw: raw, Seen: seen}
+	c.current = Snapshot{Table: table, RowVersion: rowVersion, Raw: raw, Confirmation: confirmation}
 	return true
 }
 
-// Confirm records that the version of the row was the newest.
-func (c *Configuration) Confirm(row int64, seen Seen) {
+// Confirm records that the known version was the newest at the times in confirmation. It does
+// nothing if rowVersion is not the known version.
+func (c *ConfigurationTracker) Confirm(rowVersion int64, confirmation Confirmation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if row == c.at.Row {
-		c.at.Seen = c.at.or(seen)
+	if rowVersion == c.current.RowVersion {
+		c.current.Confirmation = c.current.merge(confirmation)
 	}
 }
 
-// Current returns the knowledge and its ages. Without a configuration the table is nil.
-func (c *Configuration) Current() (Snapshot, Ages) {
+// Current returns the known configuration and its ages. The table is nil if none is known.
+func (c *ConfigurationTracker) Current() (Snapshot, Ages) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	now := c.now()
-	return c.at, Ages{Certain: now - c.at.Certain, Answered: now - c.at.Answered}
+	return c.current, Ages{Confirmed: now - c.current.ConfirmedAt, Answered: now - c.current.AnsweredAt}
 }
--- a/knowledge/uptime.go
+++ b/knowledge/uptime.go
@@ -5,124 +5,133 @@
 	"time"
 )
 
-// Uptime is a span of the store's clock in which the store is known to have served the
-// endpoints' table, with no pause so long that an entry could have expired in it.
+// Uptime is a span on the store's clock in which the store is known to have served the endpoint
+// table, without an outage long enough for an entry to expire.
 type Uptime struct {
-	// Since and Until are times of the store's clock; both are 0 if nothing is known.
+	// Since and Until are times on the store's clock; both are 0 if nothing is known.
 	Since, Until time.Duration
 }
 
 const (
-	// lapseHeartbeats is the least length of an outage, in heartbeats, in which entries of living
-	// endpoints expire: it takes three in a row, and they may come early.
-	lapseHeartbeats = 1.5
-	// unaskedHeartbeats is the longest pause between two answers, in heartbeats, that is no outage
-	// if no question has failed: the node that asks may have died, and another one takes over.
-	unaskedHeartbeats = 2
-	// entriesBack is the time from an outage's end after which the entries of living endpoints are
-	// back: the platform promises about two seconds.
-	entriesBack = 2100 * time.Millisecond
+	// minOutageHeartbeats is the minimum length, in heartbeats, of an outage in which entries of
+	// living endpoints can expire. An entry expires after three missed heartbeats in a row, and
+	// heartbeats may come early.
+	minOutageHeartbeats = 1.5
+	// maxPauseHeartbeats is the longest pause between two responses, in heartbeats, that does not
+	// count as an outage if no request has failed: the node that queries the store may have died,
+	// and another node takes over.
+	maxPauseHeartbeats = 2
+	// entryRecoveryTime is the time after the end of an outage by which the entries of living
+	// endpoints have been written again: the platform promises about two seconds.
+	entryRecoveryTime = 2100 * time.Millisecond
 )
 
-// UptimeRecord is a node's account of the store's uptime, from the store's answers to any node.
-// Its methods may be called from any goroutine.
-type UptimeRecord struct {
-	// lapse is the length of an outage from which entries may have expired, and unasked the pause
-	// from which it is one although no question has failed.
-	lapse, unasked time.Duration
+// UptimeTracker tracks the uptime of the store from its responses to this node and to others. Its
+// methods are safe for concurrent use.
+type UptimeTracker struct {
+	// minOutage is the pause that counts as an outage, because entries may have expired in it, if a
+	// request has failed or the span comes from another node; maxPause is the longer one that
+	// counts if no request has failed.
+	minOutage, maxPause time.Duration
 
 	mu    sync.Mutex
 	known Uptime
-	// failed is set if a question of some node has failed since known.Until.
+	// failed is set if a request of any node to the store has failed since known.Until.
 	failed bool
 }
 
-// NewUptimeRecord returns an empty account. Heartbeat is the time between two writes of an
-// endpoint's entry.
-func NewUptimeRecord(heartbeat time.Duration) *UptimeRecord {
+// NewUptimeTracker returns an UptimeTracker without a known span. heartbeat is the interval between
+// two writes of an endpoint's entry.
+func NewUptimeTracker(heartbeat time.Duration) *UptimeTracker {
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(heartbeat)) }
-	return &UptimeRecord{lapse: beats(lapseHeartbeats), unasked: beats(unaskedHeartbeats)}
+	return &UptimeTracker{minOutage: beats(minOutageHeartbeats), maxPause: beats(maxPauseHeartbeats)}
 }
 
-// Failed records that the store didn't answer a question of this node or of another one.
-func (r *UptimeRecord) Failed() {
+// RecordFailure records that a request to the store, by this node or another one, got no response.
+func (r *UptimeTracker) RecordFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failed = true
 }
 
-// Answered takes an answer of the store to this node, which was made at the given time of the
-// store's clock. It returns the length of the outage that the answer ends, 0 if there was none.
-func (r *UptimeRecord) Answered(at time.Duration) (outage time.Duration) {
+// RecordAnswer records a response of the store to this node. at is the time of the response on the
+// store's clock. It returns the length of the outage that the response ends, 0 if there was none.
+func (r *UptimeTracker) RecordAnswer(at time.Duration) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at < r.known.Until-r.unasked {
-		// Other nodes' answers are that far ahead only if the clock was set back.
+	if at < r.known.Until-r.maxPause {
+		// Responses to other nodes are this far ahead only if the store's clock was set back.
 		r.known = Uptime{}
 	}
 	if r.failed {
-		return r.serveLocked(Uptime{Since: at, Until: at}, r.lapse)
+		return r.mergeLocked(Uptime{Since: at, Until: at}, r.minOutage)
 	}
-	return r.serveLocked(Uptime{Since: at, Until: at}, r.unasked)
+	return r.mergeLocked(Uptime{Since: at, Until: at}, r.maxPause)
 }
 
-// Told takes the account of another node together with all entries as of told.Until.
-func (r *UptimeRecord) Told(told Uptime) (outage time.Duration) {
+// MergeWithEntries merges the span known to another node, which sent all its entries as of
+// span.Until with it. It returns the length of the outage between the known span and this one, 0 if
+// there was none.
+func (r *UptimeTracker) MergeWithEntries(span Uptime) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.serveLocked(told, r.lapse)
+	return r.mergeLocked(span, r.minOutage)
 }
 
-// serveLocked joins a span that begins within the given pause, and begins anew with a later one.
-func (r *UptimeRecord) serveLocked(told Uptime, pause time.Duration) (outage time.Duration) {
+// mergeLocked joins a span that begins no later than pause after the end of the known one, and
+// replaces the known span by one that begins later. It returns the length of the outage between the
+// two. The caller holds r.mu.
+func (r *UptimeTracker) mergeLocked(span Uptime, pause time.Duration) (outage time.Duration) {
 	switch {
-	case !told.valid():
+	case !span.valid():
 	case r.known == Uptime{}:
-		r.known = told
-	case told.Since > r.known.Until+pause:
-		outage = told.Since - r.known.Until
-		r.known, r.failed = told, false
+		r.known = span
+	case span.Since > r.known.Until+pause:
+		outage = span.Since - r.known.Until
+		r.known, r.failed = span, false
 	default:
-		r.extendBackLocked(told)
-		r.failed = r.failed && told.Until <= r.known.Until
-		r.known.Until = max(r.known.Until, told.Until)
+		r.extendBackLocked(span)
+		r.failed = r.failed && span.Until <= r.known.Until
+		r.known.Until = max(r.known.Until, span.Until)
 	}
 	return outage
 }
 
-// Heard takes the account of another node without its entries: it can show that the store served
-// others during a pause of its answers here, but not that an entry is still missing. It returns
-// whether it did.
-func (r *UptimeRecord) Heard(told Uptime) bool {
+// MergeWithoutEntries merges the span known to another node that did not send its entries. Such a
+// span can show that the store served others while this node got no responses, but not that an
+// entry is still missing. MergeWithoutEntries therefore only moves the start of the known span
+// back, and reports whether it did.
+func (r *UptimeTracker) MergeWithoutEntries(span Uptime) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return told.valid() && r.extendBackLocked(told)
+	return span.valid() && r.extendBackLocked(span)
 }
 
-func (r *UptimeRecord) extendBackLocked(told Uptime) bool {
-	if told.Since >= r.known.Since || told.Until < r.known.Since-r.lapse {
+func (r *UptimeTracker) extendBackLocked(span Uptime) bool {
+	if span.Since >= r.known.Since || span.Until < r.known.Since-r.minOutage {
 		return false
 	}
-	r.known.Since = told.Since
+	r.known.Since = span.Since
 	return true
 }
 
 func (u Uptime) valid() bool { return u.Since > 0 && u.Since <= u.Until }
 
-// Current returns what is known.
-func (r *UptimeRecord) Current() Uptime {
+// Current returns the known span; it is empty if nothing is known.
+func (r *UptimeTracker) Current() Uptime {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
 }
 
-// Doubt is how much longer the store has to serve until entries that are missing are so for
-// good: those that expired in an outage may still come back. It is 0 if they can't.
-func (r *UptimeRecord) Doubt() time.Duration {
+// GraceRemaining returns how much longer the store must be up before missing entries are final:
+// entries that expired in an outage may still be written again until then. It is 0 if missing
+// entries are final.
+func (r *UptimeTracker) GraceRemaining() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.known == (Uptime{}) {
 		return 0
 	}
-	return max(r.known.Since+entriesBack-r.known.Until, 0)
+	return max(r.known.Since+entryRecoveryTime-r.known.Until, 0)
 }
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -9,7 +9,7 @@
 )
 
 // applyConfigurationListing applies a full listing of the operator's table.
-func (n *Node) applyConfigurationListing(l platform.Listing, seen knowledge.Seen) {
+func (n *Node) applyConfigurationListing(l platform.Listing, seen knowledge.Confirmation) {
 	for _, row := range l.Rows {
 		if row.Key == platform.KeyConfiguration {
 			n.applyConfiguration(row.Value, row.Version, seen)
@@ -20,7 +20,7 @@
 
 // applyConfigurationChanges applies changes of the operator's table. If none of them is a new
 // configuration, it confirms the known version.
-func (n *Node) applyConfigurationChanges(l platform.Listing, seen knowledge.Seen) {
+func (n *Node) applyConfigurationChanges(l platform.Listing, seen knowledge.Confirmation) {
 	found := false
 	for _, row := range l.Rows {
 		if row.Key == platform.KeyConfiguration && !row.Deleted {
@@ -30,13 +30,13 @@
 	}
 	if !found {
 		known, _ := n.config.Current()
-		n.config.Confirm(known.Row, seen)
+		n.config.Confirm(known.RowVersion, seen)
 	}
 	n.applyEvacuationChanges(l.Rows)
 }
 
-func (n *Node) applyConfiguration(data []byte, row int64, seen knowledge.Seen) {
-	if known, _ := n.config.Current(); row <= known.Row {
+func (n *Node) applyConfiguration(data []byte, row int64, seen knowledge.Confirmation) {
+	if known, _ := n.config.Current(); row <= known.RowVersion {
 		n.config.Confirm(row, seen)
 		return
 	}
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -28,10 +28,10 @@
 
 // fromStore returns a callback for answers that this node gets from the store itself. Such an
 // answer clears peerStoreAway, the state of the store as reported by the node followed before.
-func (n *Node) fromStore(apply func(platform.Listing, knowledge.Seen, uptimeUpdate)) func(platform.Listing, knowledge.Seen) {
-	return func(l platform.Listing, seen knowledge.Seen) {
+func (n *Node) fromStore(apply func(platform.Listing, knowledge.Confirmation, uptimeUpdate)) func(platform.Listing, knowledge.Confirmation) {
+	return func(l platform.Listing, seen knowledge.Confirmation) {
 		n.peerStoreAway.Store(false)
-		apply(l, seen, func() time.Duration { return n.uptime.Answered(l.At) })
+		apply(l, seen, func() time.Duration { return n.uptime.RecordAnswer(l.At) })
 	}
 }
 
@@ -46,14 +46,14 @@
 		known := n.uptime.Current()
 		metrics.Count("store_outages")
 		n.log.Info("outage of the store is over", zap.Duration("length", outage), zap.Duration("store_time", known.Since),
-			zap.Duration("doubt", n.uptime.Doubt()))
+			zap.Duration("doubt", n.uptime.GraceRemaining()))
 	}
 }
 
-func (n *Node) applyEndpointListing(l platform.Listing, seen knowledge.Seen, updateUptime uptimeUpdate) {
+func (n *Node) applyEndpointListing(l platform.Listing, seen knowledge.Confirmation, updateUptime uptimeUpdate) {
 	n.endpointUpdates.mu.Lock()
 	defer n.endpointUpdates.mu.Unlock()
-	if !n.endpointTable.replace(l, seen.Answered) {
+	if !n.endpointTable.replace(l, seen.AnsweredAt) {
 		metrics.Count("endpoints_outdated")
 		return
 	}
@@ -64,7 +64,7 @@
 			instances = append(instances, in)
 		}
 	}
-	doubt := n.uptime.Doubt()
+	doubt := n.uptime.GraceRemaining()
 	added, removed := n.fleet.Replace(instances, doubt > 0)
 	n.log.Info("endpoints listed", zap.Int("count", len(instances)), zap.Strings("added", added),
 		zap.Strings("removed", removed), zap.Bool("tentative", doubt > 0), zap.Duration("doubt", doubt),
@@ -73,10 +73,10 @@
 	n.changes.notify()
 }
 
-func (n *Node) applyEndpointChanges(l platform.Listing, seen knowledge.Seen, updateUptime uptimeUpdate) {
+func (n *Node) applyEndpointChanges(l platform.Listing, seen knowledge.Confirmation, updateUptime uptimeUpdate) {
 	n.endpointUpdates.mu.Lock()
 	defer n.endpointUpdates.mu.Unlock()
-	fresh := n.endpointTable.update(l, seen.Answered)
+	fresh := n.endpointTable.update(l, seen.AnsweredAt)
 	n.recordUptime(updateUptime)
 	for _, row := range fresh {
 		n.applyEndpointRow(row, seen)
@@ -88,7 +88,7 @@
 // dropMissing drops the endpoints whose entries are still missing although the store has been up
 // long enough since the last outage for live endpoints to have written their entries again.
 func (n *Node) dropMissing() {
-	if n.uptime.Doubt() > 0 {
+	if n.uptime.GraceRemaining() > 0 {
 		return
 	}
 	known := n.uptime.Current()
@@ -98,9 +98,9 @@
 	}
 }
 
-func (n *Node) applyEndpointRow(row platform.Row, seen knowledge.Seen) {
+func (n *Node) applyEndpointRow(row platform.Row, seen knowledge.Confirmation) {
 	if row.Deleted {
-		doubt := n.uptime.Doubt()
+		doubt := n.uptime.GraceRemaining()
 		n.fleet.Remove(row.Key, doubt > 0)
 		n.log.Info("endpoint removed", zap.String("endpoint", row.Key), zap.Int64("version", row.Version),
 			zap.Bool("tentative", doubt > 0), zap.Duration("doubt", doubt))
@@ -118,7 +118,7 @@
 	}
 	n.log.Info("endpoint known", zap.String("endpoint", in.ID), zap.Int64("born", in.Born), zap.String("service", in.Service),
 		zap.String("address", in.Address), zap.Stringer("change", change), zap.Bool("leaving", in.Leaving),
-		zap.Int64("version", row.Version), zap.Duration("age", boottime.Now()-seen.Answered))
+		zap.Int64("version", row.Version), zap.Duration("age", boottime.Now()-seen.AnsweredAt))
 }
 
 // readEndpoint decodes an entry. It returns false if the entry does not describe an endpoint. The
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -17,7 +17,7 @@
 
 // NewFeed returns a feed that discards what it receives.
 func NewFeed(store *platform.Store, enabled func() bool) *Feed {
-	drop := func(platform.Listing, knowledge.Seen) {}
+	drop := func(platform.Listing, knowledge.Confirmation) {}
 	return &feed{
 		store: store, table: "t", wait: time.Second, log: zap.NewNop(), enabled: enabled, onListing: drop, onChanges: drop,
 		peerVersion:   func() int64 { return 0 },
@@ -37,7 +37,7 @@
 // NewListingFeed returns a feed that reports each listing of the full table.
 func NewListingFeed(store *platform.Store, listed func(platform.Listing)) *Feed {
 	f := NewFeed(store, func() bool { return true })
-	f.onListing = func(l platform.Listing, _ knowledge.Seen) { listed(l) }
+	f.onListing = func(l platform.Listing, _ knowledge.Confirmation) { listed(l) }
 	return f
 }
 
--- a/node/feed.go
+++ b/node/feed.go
@@ -74,8 +74,8 @@
 	// enabled reports whether this node is to poll the store now.
 	enabled func() bool
 	// onListing is called with each full listing, onChanges with each list of changed rows.
-	onListing func(l platform.Listing, seen knowledge.Seen)
-	onChanges func(l platform.Listing, seen knowledge.Seen)
+	onListing func(l platform.Listing, seen knowledge.Confirmation)
+	onChanges func(l platform.Listing, seen knowledge.Confirmation)
 
 	// onLinkChange is called when the store becomes unavailable or available again. It runs under
 	// mu and must not block.
@@ -157,7 +157,7 @@
 		if err != nil {
 			return err
 		}
-		f.onListing(listing, knowledge.Seen{Certain: sentAt, Answered: boottime.Now()})
+		f.onListing(listing, knowledge.Confirmation{ConfirmedAt: sentAt, AnsweredAt: boottime.Now()})
 		f.version, f.relist = listing.Version, false
 		if f.version == 0 {
 			// Nothing was ever written, so there is no version from which to wait for changes.
@@ -176,7 +176,7 @@
 	if len(listing.Rows) == 0 {
 		f.recordDelay(answered - sentAt - wait)
 	}
-	f.onChanges(listing, knowledge.Seen{Certain: sentAt, Answered: answered})
+	f.onChanges(listing, knowledge.Confirmation{ConfirmedAt: sentAt, AnsweredAt: answered})
 	f.version = max(f.version, listing.Version)
 	if len(listing.Rows) > 0 {
 		pause(ctx, coalescePause)
--- a/node/follow.go
+++ b/node/follow.go
@@ -118,7 +118,7 @@
 // confirmed. It does nothing while entries may be missing after an outage: endpoints need as long
 // to announce in their entries that they leave as to write their entries again.
 func (n *Node) reinstateEndpoints() {
-	if n.storeAway() || n.uptime.Doubt() > 0 {
+	if n.storeAway() || n.uptime.GraceRemaining() > 0 {
 		return
 	}
 	for _, id := range n.fleet.Reinstate(reinstateAfter) {
@@ -135,7 +135,7 @@
 	asked := boottime.Now()
 	client := exchangev1.NewExchangeClient(n.peerClient, peer.BaseURL(address, nil))
 	resp, err := client.Snapshot(ctx, connect.NewRequest(&exchangev1.SnapshotRequest{
-		ConfigVersion:    known.Row,
+		ConfigVersion:    known.RowVersion,
 		EndpointsVersion: endpoints,
 		WaitMs:           uint32(wait.Milliseconds()),
 
@@ -148,9 +148,9 @@
 	// The peer made its answer after the request was sent, so its ages count back from that moment:
 	// the time the answer spent in transit is unknown.
 	answered := boottime.Now()
-	seen := knowledge.Seen{
-		Certain:  asked - millis(resp.Msg.GetConfigAgeMs()),
-		Answered: answered - millis(resp.Msg.GetAnsweredAgeMs()),
+	seen := knowledge.Confirmation{
+		ConfirmedAt: asked - millis(resp.Msg.GetConfigAgeMs()),
+		AnsweredAt:  answered - millis(resp.Msg.GetAnsweredAgeMs()),
 	}
 	if c := resp.Msg.GetConfig(); c != nil {
 		data, err := inflate(resp.Msg.GetConfigPacked())
@@ -162,14 +162,14 @@
 	n.config.Confirm(resp.Msg.GetConfigVersion(), seen)
 	n.applyPeerEvacuations(resp.Msg.GetEvacuations(), address)
 	age := millis(resp.Msg.GetEndpointsAgeMs())
-	return n.applyPeerEndpoints(resp.Msg, endpoints, knowledge.Seen{Certain: asked - age, Answered: answered - age})
+	return n.applyPeerEndpoints(resp.Msg, endpoints, knowledge.Confirmation{ConfirmedAt: asked - age, AnsweredAt: answered - age})
 }
 
 func millis(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func (n *Node) applyPeerEndpoints(resp *exchangev1.SnapshotResponse, known int64, seen knowledge.Seen) error {
+func (n *Node) applyPeerEndpoints(resp *exchangev1.SnapshotResponse, known int64, seen knowledge.Confirmation) error {
 	n.peerStoreAway.Store(resp.GetAway())
-	updateUptime := func() time.Duration { return n.uptime.Told(readUptime(resp.GetUptime())) }
+	updateUptime := func() time.Duration { return n.uptime.MergeWithEntries(readUptime(resp.GetUptime())) }
 	if resp.GetEndpointsWhole() {
 		listing, err := fullListing(resp)
 		if err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -62,10 +62,10 @@
 	started     time.Duration
 
 	store  *platform.Store
-	config *knowledge.Configuration
+	config *knowledge.ConfigurationTracker
 	// evacuations holds the operator's evacuation orders. evacuatedNames holds the data centres
 	// last put into force, guarded by evacuationsMu.
-	evacuations     knowledge.Evacuations
+	evacuations     knowledge.EvacuationTracker
 	evacuationsMu   sync.Mutex
 	evacuatedNames  []string
 	population      population
@@ -81,7 +81,7 @@
 	follower        follower
 	changes         changeNotifier
 	// uptime records when the store was up, by the store's own clock.
-	uptime *knowledge.UptimeRecord
+	uptime *knowledge.UptimeTracker
 	// peerStoreAway is set while the node that this one follows reports that the store does not
 	// show in time which endpoints leave.
 	peerStoreAway atomic.Bool
@@ -105,8 +105,8 @@
 		incarnation: uint64(time.Now().UnixNano()),
 		started:     boottime.Now(),
 		store:       platform.NewStore(s.StoreAddress, storeTimeout),
-		config:      knowledge.NewConfiguration(boottime.Now),
-		uptime:      knowledge.NewUptimeRecord(s.Heartbeat),
+		config:      knowledge.NewConfigurationTracker(boottime.Now),
+		uptime:      knowledge.NewUptimeTracker(s.Heartbeat),
 		fleet:       fleet.New(s.DataCentre, boottime.Now),
 		client:      h1.NewClient(),
 		gate:        entry.NewGate(),
@@ -126,7 +126,7 @@
 		Log:         log,
 	})
 	n.fleet.Name, n.fleet.Without = s.IP, without
-	n.evacuations.Known = n.knowsDataCentre
+	n.evacuations.IsKnown = n.knowsDataCentre
 	metrics.GaugeFunc("evacuations", func() any { return n.fleet.Evacuations() })
 	n.fleet.Regions = s.Regions
 	n.fleet.Population = n.population.current
@@ -168,7 +168,7 @@
 		store: n.store, table: platform.TableEndpoints, wait: endpointsWait, log: log,
 		onListing: n.fromStore(n.applyEndpointListing), onChanges: n.fromStore(n.applyEndpointChanges),
 		peerVersion: n.endpointTable.knownVersion, backoffBounds: n.storeBackoffBounds, onLinkChange: n.gossip.TellAll, maxWait: n.endpointsMaxWait,
-		onFailure: n.uptime.Failed,
+		onFailure: n.uptime.RecordFailure,
 	}
 	n.endpointFeed.enabled = func() bool { return n.shouldPollStore(n.endpointFeed) }
 	return n
--- a/node/peers.go
+++ b/node/peers.go
@@ -101,7 +101,7 @@
 	}
 	n.fleet.SetRemote(s.GetAddress(), loads, waiting)
 	if s.GetStore() == exchangev1.StoreLink_STORE_LINK_LOST {
-		n.uptime.Failed()
+		n.uptime.RecordFailure()
 	}
 	n.applyPeerUnhealthy(s)
 	n.applyPeerLeaving(s)
--- a/node/serve.go
+++ b/node/serve.go
@@ -42,7 +42,7 @@
 // ready reports whether callers may be sent to this node.
 func (n *Node) ready() bool {
 	known, ages := n.config.Current()
-	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Certain < n.keysLimit()
+	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Confirmed < n.keysLimit()
 }
 
 // announceReadiness broadcasts a change of this node's readiness at once. Starting nodes wait for
--- a/node/uptime.go
+++ b/node/uptime.go
@@ -25,7 +25,7 @@
 // endpointsMaxWait returns the maximum wait of the next poll of the endpoints. While entries are
 // missing, it ends when the store's answer can show which endpoints are gone.
 func (n *Node) endpointsMaxWait() time.Duration {
-	if doubt := n.uptime.Doubt(); doubt > 0 && n.fleet.MissingCount() > 0 {
+	if doubt := n.uptime.GraceRemaining(); doubt > 0 && n.fleet.MissingCount() > 0 {
 		return min(doubt+time.Millisecond, endpointsWait)
 	}
 	return endpointsWait
@@ -34,11 +34,11 @@
 // mergePeerUptime merges a follower's record of the store's uptime. The store may have answered the
 // follower while it did not answer this node.
 func (n *Node) mergePeerUptime(reported knowledge.Uptime) {
-	if !n.uptime.Heard(reported) {
+	if !n.uptime.MergeWithoutEntries(reported) {
 		return
 	}
 	n.endpointUpdates.mu.Lock()
 	defer n.endpointUpdates.mu.Unlock()
-	n.log.Info("store answered others meanwhile", zap.Duration("since", reported.Since), zap.Duration("doubt", n.uptime.Doubt()))
+	n.log.Info("store answered others meanwhile", zap.Duration("since", reported.Since), zap.Duration("doubt", n.uptime.GraceRemaining()))
 	n.dropMissing()
 }
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -8,7 +8,7 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// benchmarkPool is a pool in which every engine runs some answers.
+// benchmarkPool returns a pool in which every engine runs 24 answers.
 func benchmarkPool(engines int) ([]*Endpoint, *Estimator) {
 	est := NewEstimator()
 	pool := make([]*Endpoint, engines)
@@ -24,16 +24,16 @@
 
 func benchmarkPick(b *testing.B, p Picker, engines int) {
 	pool, est := benchmarkPool(engines)
-	r := &Request{Class: crocusreel.ClassGeneration, Prompt: 300, HeldShare: 0.5}
+	r := &Request{Class: crocusreel.ClassGeneration, Prompt: 300, CachedShare: 0.5}
 	r.Holders[0] = "7"
-	r.Demand = AnswerDemand(est.Survival(key("w")), 300, 0, 0)
+	r.Demand = PredictDemand(est.Survival(key("w")), 300, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Pick(pool, r)
 	}
 }
 
-// BenchmarkDecision is the choice of an endpoint for one request.
+// BenchmarkDecision measures picking an endpoint for one request.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{257, 1800} {
 		b.Run(fmt.Sprintf("reservation/%d", n), func(b *testing.B) {
@@ -48,16 +48,16 @@
 	}
 }
 
-// BenchmarkDemand is the prediction for one new request.
+// BenchmarkDemand measures predicting the demand of one new request.
 func BenchmarkDemand(b *testing.B) {
 	est := NewEstimator()
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = AnswerDemand(est.Survival(key("w")), 300, 100, 0)
+		_ = PredictDemand(est.Survival(key("w")), 300, 100, 0)
 	}
 }
 
-// BenchmarkRefresh brings one engine with 24 answers up to date.
+// BenchmarkRefresh measures refreshing one engine with 24 answers.
 func BenchmarkRefresh(b *testing.B) {
 	pool, est := benchmarkPool(1)
 	b.ReportAllocs()
@@ -66,7 +66,7 @@
 	}
 }
 
-// BenchmarkObserve learns from one answer.
+// BenchmarkObserve measures recording one completed answer.
 func BenchmarkObserve(b *testing.B) {
 	est := NewEstimator()
 	b.ReportAllocs()
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -7,97 +7,99 @@
 )
 
 const (
-	// maxLengthKeys bounds the estimator's memory; 560 workspaces with seven
-	// models and two classes need 7,840.
+	// maxLengthKeys bounds the estimator's memory: 560 workspaces with seven models and two classes
+	// need 7,840 keys.
 	maxLengthKeys = 8192
-	// priorStrength is the number of answers that a prior counts for.
-	priorStrength = 16
-	// priorAge is the number of observations of a prior after which the estimates
-	// built on it are computed anew.
-	priorAge = 32
-	// Without any observation answers are taken as lognormal.
-	priorMedian = 300
-	priorSigma  = 1.0
-	// shortMedian is the same for short work.
-	shortMedian = 12
+	// priorWeight is the weight of a prior, as a number of answers.
+	priorWeight = 16
+	// priorRefreshObservations is the number of new observations of a prior after which the
+	// estimates derived from it are recomputed.
+	priorRefreshObservations = 32
+	// Without observations, the length of an answer is assumed to be lognormal with this median, in
+	// tokens, and this sigma.
+	priorMedianTokens = 300
+	priorSigma        = 1.0
+	// shortPriorMedianTokens is the median for short work, in tokens.
+	shortPriorMedianTokens = 12
 )
 
-// LengthKey names a stream of answers with one distribution of lengths.
+// LengthKey identifies a group of answers whose lengths follow one distribution.
 type LengthKey struct {
 	Workspace string
 	Class     crocusreel.Class
 	Model     string
 }
 
-// lengthEstimate is the estimate for one key.
+// lengthEstimate is the estimate for one key or prior.
 type lengthEstimate struct {
 	counts lengthCounts
-	// running counts the answers that run now, by what they have produced.
+	// running is a histogram of the answers in progress by the tokens that they have produced so
+	// far.
 	running  [lengthBuckets]float32
 	round    uint64
 	survival Survival
 	prior    *lengthEstimate
-	// version counts observations; priorVersion is the prior's version at which
-	// survival was computed.
+	// version counts observations; priorVersion is the version of the prior from which survival was
+	// computed.
 	version, priorVersion uint64
-	used                  uint64
+	lastUsed              uint64
 }
 
-// Estimator learns the lengths of answers from those that ended. A workspace
-// without history borrows from its model, and a model from its class.
+// Estimator learns the lengths of answers from completed, cut-off and running ones. A workspace
+// with little history falls back on the prior of its model, and a model on the prior of its class.
 type Estimator struct {
-	keys   map[LengthKey]*lengthEstimate
-	models map[LengthKey]*lengthEstimate
-	bases  map[crocusreel.Class]*lengthEstimate
-	clock  uint64
-	// round numbers the listings of running answers; listed are the estimates that
-	// had one in the current listing, before those of the one before.
-	round          uint64
-	listed, before []*lengthEstimate
+	keys        map[LengthKey]*lengthEstimate
+	modelPriors map[LengthKey]*lengthEstimate
+	classPriors map[crocusreel.Class]*lengthEstimate
+	useCounter  uint64
+	// round numbers the listings of running answers. listed holds the estimates that have a running
+	// answer in the current listing, previouslyListed holds those of the previous one.
+	round                    uint64
+	listed, previouslyListed []*lengthEstimate
 }
 
 // NewEstimator returns an estimator without observations.
 func NewEstimator() *Estimator {
 	return &Estimator{
-		keys:   make(map[LengthKey]*lengthEstimate),
-		models: make(map[LengthKey]*lengthEstimate),
-		bases:  make(map[crocusreel.Class]*lengthEstimate),
+		keys:        make(map[LengthKey]*lengthEstimate),
+		modelPriors: make(map[LengthKey]*lengthEstimate),
+		classPriors: make(map[crocusreel.Class]*lengthEstimate),
 	}
 }
 
-// Observe adds a whole answer of n tokens.
+// Observe records a completed answer of n tokens.
 func (e *Estimator) Observe(k LengthKey, n int) {
-	for _, l := range e.chain(k) {
+	for _, l := range e.withPriors(k) {
 		l.counts.observe(n)
 		l.version++
 		l.rebuild()
 	}
 }
 
-// ObserveCensored adds an answer that was cut off after n tokens.
+// ObserveCensored records an answer that was cut off after n tokens.
 func (e *Estimator) ObserveCensored(k LengthKey, n int) {
 	if n <= 0 {
 		return
 	}
-	for _, l := range e.chain(k) {
+	for _, l := range e.withPriors(k) {
 		l.counts.censor(n)
 		l.version++
 		l.rebuild()
 	}
 }
 
-// BeginRunning begins a listing of the running answers. Without them the estimate
-// would be biased after a start or a change of the mix: the answers that end first
-// are the short ones, and only those would be known.
-func (e *Estimator) BeginRunning() {
+// BeginListing begins a new listing of the running answers. Without them the estimate would be
+// biased after a start or a change of the mix: short answers end first, so only those would be
+// known.
+func (e *Estimator) BeginListing() {
 	e.round++
-	e.listed, e.before = e.before[:0], e.listed
+	e.listed, e.previouslyListed = e.previouslyListed[:0], e.listed
 }
 
-// Running lists an answer that runs and has produced n tokens.
-func (e *Estimator) Running(k LengthKey, n int) {
+// AddRunning adds an answer in progress that has produced n tokens to the listing.
+func (e *Estimator) AddRunning(k LengthKey, n int) {
 	b := bucketOf(float64(n))
-	for _, l := range e.chain(k) {
+	for _, l := range e.withPriors(k) {
 		if l.round != e.round {
 			l.round = e.round
 			l.running = [lengthBuckets]float32{}
@@ -107,9 +109,9 @@
 	}
 }
 
-// EndRunning ends the listing and brings the estimates up to date.
-func (e *Estimator) EndRunning() {
-	for _, l := range e.before {
+// EndListing ends the listing and recomputes the affected estimates.
+func (e *Estimator) EndListing() {
+	for _, l := range e.previouslyListed {
 		if l.round != e.round {
 			l.running = [lengthBuckets]float32{}
 			l.rebuild()
@@ -120,72 +122,72 @@
 	}
 }
 
-// Survival returns the distribution for k. It stays valid until the estimator
-// evicts k, and is updated in place.
+// Survival returns the length distribution for k. The result is updated in place and stays valid
+// until the estimator evicts k.
 func (e *Estimator) Survival(k LengthKey) *Survival {
 	l := e.estimate(k)
-	if l.prior.version >= l.priorVersion+priorAge {
+	if l.prior.version >= l.priorVersion+priorRefreshObservations {
 		l.rebuild()
 	}
 	return &l.survival
 }
 
-// Len returns the number of keys held, priors not counted.
+// Len returns the number of keys held, not counting priors.
 func (e *Estimator) Len() int { return len(e.keys) }
 
-// chain returns the estimates that an answer of k informs, priors first.
-func (e *Estimator) chain(k LengthKey) [3]*lengthEstimate {
+// withPriors returns the estimates that an answer of k updates, priors first.
+func (e *Estimator) withPriors(k LengthKey) [3]*lengthEstimate {
 	l := e.estimate(k)
 	return [3]*lengthEstimate{l.prior.prior, l.prior, l}
 }
 
 func (e *Estimator) estimate(k LengthKey) *lengthEstimate {
-	e.clock++
+	e.useCounter++
 	if l, ok := e.keys[k]; ok {
-		l.used = e.clock
+		l.lastUsed = e.useCounter
 		return l
 	}
 	if len(e.keys) >= maxLengthKeys {
 		e.evict()
 	}
-	l := newEstimate(e.model(k))
-	l.used = e.clock
+	l := newEstimate(e.modelPrior(k))
+	l.lastUsed = e.useCounter
 	e.keys[k] = l
 	return l
 }
 
-// evict drops the key that was unused for longest.
+// evict drops the least recently used key.
 func (e *Estimator) evict() {
 	var oldest LengthKey
 	least := uint64(math.MaxUint64)
 	for k, l := range e.keys {
-		if l.used < least {
-			least, oldest = l.used, k
+		if l.lastUsed < least {
+			least, oldest = l.lastUsed, k
 		}
 	}
 	delete(e.keys, oldest)
 }
 
-func (e *Estimator) model(k LengthKey) *lengthEstimate {
+func (e *Estimator) modelPrior(k LengthKey) *lengthEstimate {
 	k.Workspace = ""
-	l, ok := e.models[k]
+	l, ok := e.modelPriors[k]
 	if !ok {
-		l = newEstimate(e.base(k.Class))
-		e.models[k] = l
+		l = newEstimate(e.classPrior(k.Class))
+		e.modelPriors[k] = l
 	}
 	return l
 }
 
-func (e *Estimator) base(c crocusreel.Class) *lengthEstimate {
-	l, ok := e.bases[c]
+func (e *Estimator) classPrior(c crocusreel.Class) *lengthEstimate {
+	l, ok := e.classPriors[c]
 	if !ok {
-		median := float64(priorMedian)
+		median := float64(priorMedianTokens)
 		if c == crocusreel.ClassShort {
-			median = shortMedian
+			median = shortPriorMedianTokens
 		}
 		l = &lengthEstimate{counts: lognormalCounts(median, priorSigma)}
 		l.rebuild()
-		e.bases[c] = l
+		e.classPriors[c] = l
 	}
 	return l
 }
@@ -196,48 +198,48 @@
 	return l
 }
 
-// lognormalCounts is a histogram with the weight of a prior.
+// lognormalCounts returns a histogram of a lognormal distribution with the total weight of a prior.
 func lognormalCounts(median, sigma float64) (c lengthCounts) {
 	below := 0.0
 	for i, b := range bucketBound {
 		p := 0.5 * math.Erfc(-(math.Log(b)-math.Log(median))/(sigma*math.Sqrt2))
-		c.ended[i] = float32(priorStrength * (p - below))
+		c.completed[i] = float32(priorWeight * (p - below))
 		below = p
 	}
 	return c
 }
 
-// rebuild computes the survival from the counts and the prior by the product-limit
-// estimator (Kaplan and Meier): in each bucket, the share of the answers that ended
-// there among those that got so far. An answer that was cut off or still runs
-// counts as long as it is known to have gone on.
+// rebuild computes the survival function from the counts and the prior with the Kaplan-Meier
+// (product-limit) estimator: the hazard of a bucket is the number of answers that ended there
+// divided by the number that reached it. Answers that were cut off or still run are censored: they
+// count up to the last length that is known of them.
 //
-// Counts are summed anew each time. A total kept beside them drifts away by
-// rounding, and probabilities above 1 let every request seem to fit.
+// The sums are computed anew each time. A running total drifts away from the counts by rounding
+// errors, and the resulting probabilities above 1 make every request seem to fit.
 func (l *lengthEstimate) rebuild() {
 	weight := float32(0)
 	if l.prior != nil {
-		weight = priorStrength
+		weight = priorWeight
 		l.priorVersion = l.prior.version
 	}
 	var hazard [lengthBuckets]float32
-	reached := float32(0)
+	atRisk := float32(0)
 	for i := lengthBuckets - 1; i >= 0; i-- {
-		ended := l.counts.ended[i]
+		ended := l.counts.completed[i]
 		if l.prior != nil {
 			ended += weight * l.prior.survival.mass(i)
 		}
-		// Within a bucket an answer cut off there is at risk for half of it.
-		open := l.counts.cut[i] + l.running[i]
-		reached += ended + open/2
-		if reached > 0 {
-			hazard[i] = min(ended/reached, 1)
+		// An answer censored within a bucket is at risk for half of the bucket.
+		censored := l.counts.censored[i] + l.running[i]
+		atRisk += ended + censored/2
+		if atRisk > 0 {
+			hazard[i] = min(ended/atRisk, 1)
 		}
-		reached += open / 2
+		atRisk += censored / 2
 	}
-	left := float32(1)
+	surviving := float32(1)
 	for i := range hazard {
-		left *= 1 - hazard[i]
-		l.survival.at[i] = left
+		surviving *= 1 - hazard[i]
+		l.survival.at[i] = surviving
 	}
 }
--- a/policy/feedback.go
+++ b/policy/feedback.go
@@ -3,79 +3,84 @@
 import "math"
 
 const (
-	// baseRisk is the risk accepted where a second of stall and a preemption weigh
-	// the same; riskExponent is how strongly their ratio moves it.
+	// baseRisk is the accepted risk if one second of stall and one preemption have the same weight;
+	// riskExponent is the exponent with which the ratio of the weights changes it.
 	baseRisk     = 0.04
 	riskExponent = 0.3
-	// riskRange bounds how far the feedback moves the risk, as a factor.
-	riskRange = 2
-	// riskStep is by how much one preemption lowers the logarithm of the risk.
+	// maxRiskFactor bounds the factor by which a RiskController changes the risk, up or down.
+	maxRiskFactor = 2
+	// riskStep is the amount by which one preemption lowers the logarithm of the risk, apart from
+	// the factor 1 - target.
 	riskStep = 0.05
-	// baseTarget is the number of preemptions per answer accepted where a second
-	// of stall and a preemption weigh the same.
+	// baseTarget is the accepted number of preemptions per answer if one second of stall and one
+	// preemption have the same weight. minTarget and maxTarget bound the target.
 	baseTarget = 0.008
 	minTarget  = 0.004
 	maxTarget  = 0.02
-	// leastRatio and mostRatio bound the ratio of the weights.
-	leastRatio = 0.01
-	mostRatio  = 100
+	// minWeightRatio and maxWeightRatio bound the ratio of the weight of stall to that of
+	// preemption.
+	minWeightRatio = 0.01
+	maxWeightRatio = 100
 )
 
-// Feedback adjusts the risk that a reservation accepts by what happens. A
-// preemption lowers it and a finished answer raises it, in such proportion that it
-// settles where preemptions per answer meet the target. So a biased estimate of
-// lengths is corrected by its consequences.
-type Feedback struct {
+// RiskController adjusts the risk accepted by a Reservation to the observed preemptions. A
+// preemption lowers the risk and a completed answer raises it; the steps are sized so that the risk
+// settles where the number of preemptions per answer meets the target. This corrects for a biased
+// estimate of answer lengths.
+type RiskController struct {
 	base, target float64
-	// shift is the logarithm of the risk over base.
-	shift float64
-	fixed bool
+	// logShift is the logarithm of the ratio of the risk to base.
+	logShift float64
+	fixed    bool
 }
 
-// NewFeedback returns a feedback for a site's weights of a second of stall and of
-// one preemption.
-func NewFeedback(stall, preemption float64) *Feedback {
-	f := &Feedback{}
-	f.SetWeights(stall, preemption)
-	return f
+// NewRiskController returns a RiskController for the weights that the operator gives to one second
+// of stall and to one preemption.
+func NewRiskController(stall, preemption float64) *RiskController {
+	c := &RiskController{}
+	c.SetWeights(stall, preemption)
+	return c
 }
 
-// FixedRisk returns a feedback that stays at one risk, for comparison.
-func FixedRisk(risk float64) *Feedback { return &Feedback{base: risk, fixed: true} }
+// NewFixedRiskController returns a RiskController that always accepts the same risk, for
+// comparison.
+func NewFixedRiskController(risk float64) *RiskController {
+	return &RiskController{base: risk, fixed: true}
+}
 
-// SetWeights changes the site's weights. A preemption that weighs more lowers the
-// risk to accept.
-func (f *Feedback) SetWeights(stall, preemption float64) {
-	if f.fixed {
+// SetWeights changes the weights of one second of stall and of one preemption. A higher weight of
+// preemption lowers the accepted risk.
+func (c *RiskController) SetWeights(stall, preemption float64) {
+	if c.fixed {
 		return
 	}
-	ratio := float64(mostRatio)
+	ratio := float64(maxWeightRatio)
 	if preemption > 0 {
-		ratio = min(max(stall/preemption, leastRatio), mostRatio)
+		ratio = min(max(stall/preemption, minWeightRatio), maxWeightRatio)
 	}
-	f.base = baseRisk * math.Pow(ratio, riskExponent)
-	f.target = min(max(baseTarget*ratio, minTarget), maxTarget)
+	c.base = baseRisk * math.Pow(ratio, riskExponent)
+	c.target = min(max(baseTarget*ratio, minTarget), maxTarget)
 }
 
-// Risk returns the risk to accept.
-func (f *Feedback) Risk() float64 { return f.base * math.Exp(f.shift) }
+// Risk returns the risk to accept, a probability.
+func (c *RiskController) Risk() float64 { return c.base * math.Exp(c.logShift) }
 
-// Preempted tells of n preemptions at one engine since its last report. Several at
-// once come from one shortage, and say no more about the estimate than one.
-func (f *Feedback) Preempted(n int) {
+// RecordPreemptions records n preemptions at one engine since its last load report. Several
+// preemptions in one report stem from the same shortage of memory, so they count as one.
+func (c *RiskController) RecordPreemptions(n int) {
 	if n > 0 {
-		f.move(-riskStep * (1 - f.target))
+		c.adjust(-riskStep * (1 - c.target))
 	}
 }
 
-// Finished tells of an answer that ended while others were waiting; only then does
-// a higher risk admit more.
-func (f *Feedback) Finished() { f.move(riskStep * f.target) }
+// RecordCompletion records an answer that completed while other requests were waiting. The caller
+// must not report other answers: a higher risk admits more only if requests are waiting.
+func (c *RiskController) RecordCompletion() { c.adjust(riskStep * c.target) }
 
-func (f *Feedback) move(by float64) {
-	if f.fixed {
+func (c *RiskController) adjust(by float64) {
+	if c.fixed {
 		return
 	}
-	bound := math.Log(riskRange)
-	f.shift = min(max(f.shift+by, -bound), bound)
+	bound := math.Log(maxRiskFactor)
+	c.logShift = min(max(c.logShift+by, -bound), bound)
 }
--- a/policy/lengths_test.go
+++ b/policy/lengths_test.go
@@ -16,14 +16,15 @@
 	return LengthKey{Workspace: workspace, Class: crocusreel.ClassGeneration, Model: "m"}
 }
 
-// observations draws a history of whole and cut-off answers.
-func observations(t *rapid.T, e *Estimator, k LengthKey) {
+// recordRandomHistory draws a history of running, completed and cut-off answers and records it in
+// e.
+func recordRandomHistory(t *rapid.T, e *Estimator, k LengthKey) {
 	n := rapid.IntRange(0, 600).Draw(t, "answers")
-	e.BeginRunning()
+	e.BeginListing()
 	for _, produced := range rapid.SliceOfN(rapid.IntRange(0, 5000), 0, 40).Draw(t, "running") {
-		e.Running(k, produced)
+		e.AddRunning(k, produced)
 	}
-	e.EndRunning()
+	e.EndListing()
 	seed := rapid.Uint64().Draw(t, "seed")
 	r := rand.New(rand.NewPCG(seed, 0))
 	for range n {
@@ -39,47 +40,47 @@
 func TestSurvivalIsADistribution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := NewEstimator()
-		observations(t, e, key("w"))
+		recordRandomHistory(t, e, key("w"))
 		s := e.Survival(key("w"))
 		before := 1.0
 		for n := 0.0; n < 100000; n = n*1.3 + 1 {
-			p := s.Beyond(n)
+			p := s.ProbExceeds(n)
 			if !(p >= 0 && p <= before) {
-				t.Fatalf("survival beyond %v is %v, before it was %v", n, p, before)
+				t.Fatalf("survival at %v tokens is %v, want between 0 and %v", n, p, before)
 			}
 			before = p
 		}
 	})
 }
 
-func TestConditionalRemainingFallsWithTheHorizon(t *testing.T) {
+func TestRemainingProbabilityDecreasesWithTheHorizon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := NewEstimator()
-		observations(t, e, key("w"))
+		recordRandomHistory(t, e, key("w"))
 		s := e.Survival(key("w"))
 		produced := float64(rapid.IntRange(0, 20000).Draw(t, "produced"))
 		before := 1.0
 		for _, h := range horizon {
-			p := s.Remaining(produced, h)
+			p := s.ProbRemainingExceeds(produced, h)
 			if !(p >= 0 && p <= before+1e-9) {
-				t.Fatalf("remaining after %v and %v is %v, before it was %v", produced, h, p, before)
+				t.Fatalf("probability of more than the tokens produced (%v) plus %v is %v, want between 0 and %v", produced, h, p, before)
 			}
 			before = p
 		}
 	})
 }
 
-// Rounding makes the counts and their total drift apart over a long history. The
-// survival then exceeds 1, the variance is negative and its root not a number, so
-// that no comparison refuses a request: engines were filled to more than twice
-// their memory in a trial, and callers saw hundreds of preemptions.
-func TestDemandIsANumberAfterALongHistory(t *testing.T) {
+// Guards against a survival above 1: rounding lets counts and their total drift apart over a long
+// history. The variance is then negative and its root NaN, so that no comparison refuses a request.
+// In a trial, engines were filled to more than twice their memory, with hundreds of preemptions for
+// their callers.
+func TestDemandProbabilitiesStayValidAfterALongHistory(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := NewEstimator()
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 20000 {
 		e.Observe(key("w"), int(math.Exp(r.NormFloat64()*0.6+6.4)))
-		d := AnswerDemand(e.Survival(key("w")), 100, r.IntN(2000), 0)
+		d := PredictDemand(e.Survival(key("w")), 100, r.IntN(2000), 0)
 		for i := range d.prob {
 			g.Expect(d.prob[i]).To(gomega.And(gomega.BeNumerically(">=", 0), gomega.BeNumerically("<=", 1)))
 		}
@@ -93,13 +94,13 @@
 		e.Observe(key("w"), 100)
 	}
 	g.Expect(e.Survival(key("w")).Mean()).To(gomega.BeNumerically("~", 100, 25))
-	for range 3 * lengthMemory {
+	for range 3 * lengthDecayAnswers {
 		e.Observe(key("w"), 2000)
 	}
 	g.Expect(e.Survival(key("w")).Mean()).To(gomega.BeNumerically("~", 1900, 300))
 }
 
-func TestColdWorkspaceBorrowsFromItsModel(t *testing.T) {
+func TestNewWorkspaceUsesThePriorOfItsModel(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := NewEstimator()
 	cold := e.Survival(key("cold")).Mean()
@@ -109,19 +110,18 @@
 	g.Expect(e.Survival(key("cold")).Mean()).To(gomega.BeNumerically(">", 3*cold))
 }
 
-// Callers give up on the long answers. If those were left out, the estimate would
-// hold only the short ones, and engines would be filled with answers that outgrow
-// them.
+// Guards against an estimate that leaves out the long answers that callers give up on. It would
+// hold only the short ones, and engines would be filled with answers that outgrow them.
 func TestCutOffAnswersDoNotBiasTheEstimate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	all, cut := NewEstimator(), NewEstimator()
 	r := rand.New(rand.NewPCG(2, 2))
 	for range 4000 {
 		length := int(math.Exp(r.NormFloat64()*0.8 + 6))
-		patience := 200 + r.IntN(1000)
+		cutoff := 200 + r.IntN(1000)
 		all.Observe(key("w"), length)
-		if length > patience {
-			cut.ObserveCensored(key("w"), patience)
+		if length > cutoff {
+			cut.ObserveCensored(key("w"), cutoff)
 		} else {
 			cut.Observe(key("w"), length)
 		}
@@ -130,24 +130,24 @@
 	g.Expect(cut.Survival(key("w")).Mean()).To(gomega.BeNumerically("~", truth, 0.25*truth))
 }
 
-// A pool starts with many answers at once. Those that end first are the short ones;
-// if only they were counted, the engines would be filled as if all were short.
-func TestRunningAnswersKeepTheEstimateFromSeeingOnlyShortOnes(t *testing.T) {
+// Guards against an estimate made only from the answers that end first. Many answers start at once
+// in a new pool, and the short ones end first; engines would be filled as if all were short.
+func TestRunningAnswersPreventABiasTowardsShortOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := NewEstimator()
 	for range 10 {
 		e.Observe(key("w"), 50)
 	}
-	naive := e.Survival(key("w")).Beyond(500)
-	e.BeginRunning()
+	naive := e.Survival(key("w")).ProbExceeds(500)
+	e.BeginListing()
 	for range 90 {
-		e.Running(key("w"), 450)
+		e.AddRunning(key("w"), 450)
 	}
-	e.EndRunning()
-	g.Expect(e.Survival(key("w")).Beyond(400)).To(gomega.BeNumerically(">", 0.7))
-	e.BeginRunning()
-	e.EndRunning()
-	g.Expect(e.Survival(key("w")).Beyond(500)).To(gomega.BeNumerically("~", naive, 1e-3))
+	e.EndListing()
+	g.Expect(e.Survival(key("w")).ProbExceeds(400)).To(gomega.BeNumerically(">", 0.7))
+	e.BeginListing()
+	e.EndListing()
+	g.Expect(e.Survival(key("w")).ProbExceeds(500)).To(gomega.BeNumerically("~", naive, 1e-3))
 }
 
 func TestEstimatorIsBounded(t *testing.T) {
@@ -157,6 +157,6 @@
 		e.Observe(key(fmt.Sprint(i)), 100)
 	}
 	g.Expect(e.Len()).To(gomega.Equal(maxLengthKeys))
-	g.Expect(e.keys).To(gomega.HaveKey(key(fmt.Sprint(maxLengthKeys+99))), "the newest is kept")
-	g.Expect(e.keys).NotTo(gomega.HaveKey(key("0")), "the oldest is dropped")
+	g.Expect(e.keys).To(gomega.HaveKey(key(fmt.Sprint(maxLengthKeys+99))), "the newest key is kept")
+	g.Expect(e.keys).NotTo(gomega.HaveKey(key("0")), "the oldest key is evicted")
 }
--- a/policy/prefixes.go
+++ b/policy/prefixes.go
@@ -3,98 +3,103 @@
 import "time"
 
 const (
-	// maxPrefixes bounds the prefixes remembered.
+	// maxPrefixes bounds the number of prefixes held.
 	maxPrefixes = 16384
-	// PrefixHolders is the number of endpoints remembered for each.
-	PrefixHolders = 4
-	// prefixLife is how long a prefix is taken to stay cached after its last use.
-	prefixLife = 60 * time.Second
+	// MaxPrefixHolders is the maximum number of endpoints held for each prefix.
+	MaxPrefixHolders = 4
+	// prefixTTL is how long a prefix is assumed to stay cached after its last use.
+	prefixTTL = 60 * time.Second
 )
 
-// holder is one endpoint that probably has a prefix cached.
-type holder struct {
+// prefixHolder is an endpoint that probably has a prefix cached; lastSeen is the time of the last
+// evidence of that.
+type prefixHolder struct {
 	endpoint string
-	at       time.Duration
+	lastSeen time.Duration
 }
 
-// Prefixes remembers which endpoints have prompt prefixes cached, from the work
-// that was sent to them and from their cache events. Events come late and with
-// gaps, so every entry is a hint that fades.
-type Prefixes struct {
-	holders map[uint64]*[PrefixHolders]holder
+// PrefixIndex maps hashes of prompt prefixes to the endpoints that probably have them cached. It
+// learns from the requests sent to endpoints and from their cache events. Cache events arrive late
+// and with gaps, so every entry is a hint that expires.
+type PrefixIndex struct {
+	holders map[uint64]*[MaxPrefixHolders]prefixHolder
 }
 
-// NewPrefixes returns an empty memory.
-func NewPrefixes() *Prefixes { return &Prefixes{holders: make(map[uint64]*[PrefixHolders]holder)} }
+// NewPrefixIndex returns an empty PrefixIndex.
+func NewPrefixIndex() *PrefixIndex {
+	return &PrefixIndex{holders: make(map[uint64]*[MaxPrefixHolders]prefixHolder)}
+}
 
-// Routed notes that work with these prefixes was sent to an endpoint.
-func (p *Prefixes) Routed(endpoint string, prefixes []uint64, now time.Duration) {
+// AddAll records that a request with these prefixes was sent to the endpoint.
+func (p *PrefixIndex) AddAll(endpoint string, prefixes []uint64, now time.Duration) {
 	for _, h := range prefixes {
-		p.Stored(endpoint, h, now)
+		p.Add(endpoint, h, now)
 	}
 }
 
-// Stored notes that the endpoint holds the prefix.
-func (p *Prefixes) Stored(endpoint string, prefix uint64, now time.Duration) {
+// Add records that the endpoint has the prefix cached. If the maximum number of endpoints is held
+// already, it replaces the one with the oldest entry.
+func (p *PrefixIndex) Add(endpoint string, prefix uint64, now time.Duration) {
 	hs, ok := p.holders[prefix]
 	if !ok {
 		if len(p.holders) >= maxPrefixes {
-			p.expire(now)
+			p.evict(now)
 		}
-		hs = new([PrefixHolders]holder)
+		hs = new([MaxPrefixHolders]prefixHolder)
 		p.holders[prefix] = hs
 	}
 	oldest := 0
 	for i := range hs {
 		if hs[i].endpoint == endpoint {
-			hs[i].at = now
+			hs[i].lastSeen = now
 			return
 		}
-		if hs[i].at < hs[oldest].at {
+		if hs[i].lastSeen < hs[oldest].lastSeen {
 			oldest = i
 		}
 	}
-	hs[oldest] = holder{endpoint: endpoint, at: now}
+	hs[oldest] = prefixHolder{endpoint: endpoint, lastSeen: now}
 }
 
-// Confirm notes that the endpoint holds the prefix if that was ever part of a request
-// here; engines tell of many more.
-func (p *Prefixes) Confirm(endpoint string, prefix uint64, now time.Duration) {
+// AddIfKnown is like Add, but ignores prefixes that are not in the index: engines also report many
+// that no request here has contained.
+func (p *PrefixIndex) AddIfKnown(endpoint string, prefix uint64, now time.Duration) {
 	if _, ok := p.holders[prefix]; ok {
-		p.Stored(endpoint, prefix, now)
+		p.Add(endpoint, prefix, now)
 	}
 }
 
-// Removed notes that the endpoint no longer holds the prefix.
-func (p *Prefixes) Removed(endpoint string, prefix uint64) {
+// Remove drops the endpoint as a holder of the prefix.
+func (p *PrefixIndex) Remove(endpoint string, prefix uint64) {
 	hs, ok := p.holders[prefix]
 	if !ok {
 		return
 	}
 	for i := range hs {
 		if hs[i].endpoint == endpoint {
-			hs[i] = holder{}
+			hs[i] = prefixHolder{}
 		}
 	}
 }
 
-// Forget drops all that is known of an endpoint.
-func (p *Prefixes) Forget(endpoint string) {
+// RemoveEndpoint drops all entries of the endpoint.
+func (p *PrefixIndex) RemoveEndpoint(endpoint string) {
 	for h := range p.holders {
-		p.Removed(endpoint, h)
+		p.Remove(endpoint, h)
 	}
 }
 
-// Holders returns the endpoints that probably hold the longest known one of a
-// prompt's prefixes, and the share of the prefixes that this is.
-func (p *Prefixes) Holders(prefixes []uint64, now time.Duration) (names [PrefixHolders]string, share float64) {
+// Holders returns the endpoints that probably have the longest known prefix of a prompt cached, and
+// that prefix as a fraction of all given prefixes. prefixes lists the prefixes of the prompt from
+// the shortest to the longest. Unused elements of names are empty.
+func (p *PrefixIndex) Holders(prefixes []uint64, now time.Duration) (names [MaxPrefixHolders]string, share float64) {
 	for n := len(prefixes); n > 0; n-- {
 		hs, ok := p.holders[prefixes[n-1]]
 		if !ok {
 			continue
 		}
 		for i := range hs {
-			if hs[i].endpoint != "" && now-hs[i].at < prefixLife {
+			if hs[i].endpoint != "" && now-hs[i].lastSeen < prefixTTL {
 				names[i] = hs[i].endpoint
 				share = float64(n) / float64(len(prefixes))
 			}
@@ -106,17 +111,18 @@
 	return names, 0
 }
 
-// Len returns the number of prefixes remembered.
-func (p *Prefixes) Len() int { return len(p.holders) }
+// Len returns the number of prefixes held.
+func (p *PrefixIndex) Len() int { return len(p.holders) }
 
-// expire makes room: faded entries go first, and then any.
-func (p *Prefixes) expire(now time.Duration) {
+// evict frees space for a new prefix: it drops expired entries, and then arbitrary ones while there
+// are still too many.
+func (p *PrefixIndex) evict(now time.Duration) {
 	for h, hs := range p.holders {
 		latest := time.Duration(0)
 		for i := range hs {
-			latest = max(latest, hs[i].at)
+			latest = max(latest, hs[i].lastSeen)
 		}
-		if now-latest >= prefixLife {
+		if now-latest >= prefixTTL {
 			delete(p.holders, h)
 		}
 	}
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,49 +6,50 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// ageStep is the wait that is worth one step of priority, so that work of low
-// priority is not passed over for ever.
-const ageStep = 2 * time.Second
+// agingInterval is the waiting time that is worth one step of priority, so that work of low
+// priority does not starve.
+const agingInterval = 2 * time.Second
 
-// Item is one waiting request.
+// Item is a request waiting in a Queue.
 type Item[V any] struct {
 	Workspace string
 	Priority  crocusreel.Priority
-	// Cost is the expected work, in tokens.
+	// Cost is the expected work in tokens.
 	Cost float64
-	// Enqueued is when it came.
+	// Enqueued is the time at which the request arrived.
 	Enqueued time.Duration
 	Value    V
 
-	passed uint64
-	queued bool
+	skippedRound uint64
+	queued       bool
 }
 
-// Queued tells whether the item is still waiting.
+// Queued reports whether the item is still waiting.
 func (i *Item[V]) Queued() bool { return i.queued }
 
-// urgency orders the items of one workspace.
+// urgency orders the items of one workspace; the highest goes first.
 func (i *Item[V]) urgency(now time.Duration) float64 {
-	return float64(i.Priority) + float64(now-i.Enqueued)/float64(ageStep)
+	return float64(i.Priority) + float64(now-i.Enqueued)/float64(agingInterval)
 }
 
-// flow is one workspace's part of the queue.
+// flow holds the waiting items of one workspace.
 type flow[V any] struct {
 	items []*Item[V]
-	// start is the virtual time at which its next item begins.
-	start  float64
-	weight float64
+	// nextStart is the virtual time at which the next item of the flow starts.
+	nextStart float64
+	weight    float64
 }
 
-// Queue is a weighted fair queue over workspaces (start-time fair queueing). It is
-// work-conserving: a workspace that waits for nothing leaves its share to others,
-// and is owed nothing for it later. Within a workspace higher priorities and
-// longer waits go first.
+// Queue is a weighted fair queue over workspaces that uses start-time fair queueing. It is
+// work-conserving: a workspace without waiting items leaves its share to the others and earns no
+// credit for it. Within a workspace, items with higher priority and longer waits go first.
+//
+// Items are tried in rounds. BeginRound must be called before the first call of Next.
 type Queue[V any] struct {
-	flows  map[string]*flow[V]
-	clock  float64
-	round  uint64
-	length int
+	flows       map[string]*flow[V]
+	virtualTime float64
+	round       uint64
+	length      int
 }
 
 // NewQueue returns an empty queue.
@@ -57,15 +58,15 @@
 // Len returns the number of waiting items.
 func (q *Queue[V]) Len() int { return q.length }
 
-// Push adds an item for a workspace of the given weight.
+// Push enqueues an item. weight is the weight of its workspace from now on.
 func (q *Queue[V]) Push(i *Item[V], weight float64) {
 	f, ok := q.flows[i.Workspace]
 	if !ok {
-		f = &flow[V]{start: q.clock}
+		f = &flow[V]{nextStart: q.virtualTime}
 		q.flows[i.Workspace] = f
 	}
 	if len(f.items) == 0 {
-		f.start = max(f.start, q.clock)
+		f.nextStart = max(f.nextStart, q.virtualTime)
 	}
 	f.weight = weight
 	f.items = append(f.items, i)
@@ -73,7 +74,8 @@
 	q.length++
 }
 
-// Remove takes an item out without serving it.
+// Remove removes an item without charging its workspace. It does nothing if the item is not
+// waiting.
 func (q *Queue[V]) Remove(i *Item[V]) {
 	f, ok := q.flows[i.Workspace]
 	if !ok || !i.queued {
@@ -89,36 +91,37 @@
 	}
 }
 
-// Begin starts a round: items passed over in earlier rounds come up again.
-func (q *Queue[V]) Begin() {
+// BeginRound starts a new round, in which items skipped in earlier rounds are eligible again. It
+// also drops the state of workspaces that have neither waiting items nor outstanding charges.
+func (q *Queue[V]) BeginRound() {
 	q.round++
 	for name, f := range q.flows {
-		if len(f.items) == 0 && f.start <= q.clock {
+		if len(f.items) == 0 && f.nextStart <= q.virtualTime {
 			delete(q.flows, name)
 		}
 	}
 }
 
-// Next returns the item whose turn it is among those not passed over in this
-// round, nil if there is none.
+// Next returns the next item to serve among those not skipped in this round, or nil if there is
+// none. It does not remove the item.
 func (q *Queue[V]) Next(now time.Duration) *Item[V] {
 	var best *Item[V]
 	start := 0.0
 	for _, f := range q.flows {
-		if best != nil && f.start >= start {
+		if best != nil && f.nextStart >= start {
 			continue
 		}
-		if i := q.first(f, now); i != nil {
-			best, start = i, f.start
+		if i := q.mostUrgent(f, now); i != nil {
+			best, start = i, f.nextStart
 		}
 	}
 	return best
 }
 
-func (q *Queue[V]) first(f *flow[V], now time.Duration) *Item[V] {
+func (q *Queue[V]) mostUrgent(f *flow[V], now time.Duration) *Item[V] {
 	var best *Item[V]
 	for _, i := range f.items {
-		if i.passed == q.round {
+		if i.skippedRound == q.round {
 			continue
 		}
 		if best == nil || i.urgency(now) > best.urgency(now) {
@@ -128,30 +131,30 @@
 	return best
 }
 
-// Pass passes an item over for the rest of the round.
-func (q *Queue[V]) Pass(i *Item[V]) { i.passed = q.round }
+// Skip excludes an item from the rest of the round.
+func (q *Queue[V]) Skip(i *Item[V]) { i.skippedRound = q.round }
 
-// Serve takes an item out and charges its cost to its workspace.
+// Serve removes an item and charges its cost to its workspace.
 func (q *Queue[V]) Serve(i *Item[V]) {
 	f, ok := q.flows[i.Workspace]
 	if !ok || !i.queued {
 		return
 	}
 	q.Remove(i)
-	q.clock = max(q.clock, f.start)
-	f.start += i.Cost / f.weight
+	q.virtualTime = max(q.virtualTime, f.nextStart)
+	f.nextStart += i.Cost / f.weight
 }
 
-// Charge corrects what a workspace was charged once the real cost is known; extra
-// is in tokens and may be negative.
-func (q *Queue[V]) Charge(workspace string, extra float64) {
+// AdjustCharge corrects the charge of a workspace once the real cost of an item is known. extra is
+// in tokens and may be negative.
+func (q *Queue[V]) AdjustCharge(workspace string, extra float64) {
 	if f, ok := q.flows[workspace]; ok {
-		f.start = max(f.start+extra/f.weight, q.clock)
+		f.nextStart = max(f.nextStart+extra/f.weight, q.virtualTime)
 	}
 }
 
-// Share returns the part of the service that the workspace gets, over 0 to 1, if
-// it waits with the given weight beside those that wait now.
+// Share returns the fraction of the service, between 0 and 1, that a workspace of the given weight
+// gets in competition with the workspaces that have waiting items now.
 func (q *Queue[V]) Share(workspace string, weight float64) float64 {
 	sum := weight
 	for name, f := range q.flows {
@@ -162,7 +165,7 @@
 	return weight / sum
 }
 
-// Waiting returns the number of items of a workspace.
+// Waiting returns the number of waiting items of a workspace.
 func (q *Queue[V]) Waiting(workspace string) int {
 	if f, ok := q.flows[workspace]; ok {
 		return len(f.items)
@@ -170,31 +173,31 @@
 	return 0
 }
 
-// Least returns the item to give up first when the queue is full: from the
-// workspace that waits with most in proportion to its weight, the one with the
-// least urgency.
-func (q *Queue[V]) Least(now time.Duration) *Item[V] {
+// DropCandidate returns the item to drop first when the queue is full, or nil if the queue is
+// empty: the least urgent item of the workspace with the most waiting items in proportion to its
+// weight.
+func (q *Queue[V]) DropCandidate(now time.Duration) *Item[V] {
 	var most *flow[V]
 	for _, f := range q.flows {
-		if len(f.items) > 0 && (most == nil || f.excess() > most.excess()) {
+		if len(f.items) > 0 && (most == nil || f.backlogPerWeight() > most.backlogPerWeight()) {
 			most = f
 		}
 	}
 	if most == nil {
 		return nil
 	}
-	least := most.items[0]
+	candidate := most.items[0]
 	for _, i := range most.items[1:] {
-		if i.urgency(now) <= least.urgency(now) {
-			least = i
+		if i.urgency(now) <= candidate.urgency(now) {
+			candidate = i
 		}
 	}
-	return least
+	return candidate
 }
 
-func (f *flow[V]) excess() float64 { return float64(len(f.items)) / f.weight }
+func (f *flow[V]) backlogPerWeight() float64 { return float64(len(f.items)) / f.weight }
 
-// Each calls fn for every waiting item; fn may remove the item.
+// Each calls fn for every waiting item; fn may remove that item.
 func (q *Queue[V]) Each(fn func(*Item[V])) {
 	for _, f := range q.flows {
 		for n := len(f.items) - 1; n >= 0; n-- {
--- a/policy/reservation_test.go
+++ b/policy/reservation_test.go
@@ -20,13 +20,13 @@
 	return e
 }
 
-// admitAll offers answers to one endpoint and attaches those that are admitted.
+// admitAll offers answers to an endpoint and attaches those that the picker admits.
 func admitAll(t *rapid.T, e *Endpoint, p Picker, est *Estimator) {
 	n := rapid.IntRange(1, 80).Draw(t, "offers")
 	for i := range n {
 		prompt := rapid.IntRange(1, 2000).Draw(t, "prompt")
 		r := &Request{Class: crocusreel.ClassGeneration, Prompt: prompt}
-		r.Demand = AnswerDemand(est.Survival(key("w")), prompt, 0, 0)
+		r.Demand = PredictDemand(est.Survival(key("w")), prompt, 0, 0)
 		if p.Pick([]*Endpoint{e}, r) == 0 {
 			e.Attach(fmt.Sprint(i), &Answer{Key: key("w"), Prompt: prompt}, &r.Demand)
 		}
@@ -36,7 +36,7 @@
 func TestReservationNeverAdmitsBeyondThePredictedPeak(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		est := NewEstimator()
-		observations(t, est, key("w"))
+		recordRandomHistory(t, est, key("w"))
 		e := healthy("e", rapid.IntRange(1000, 100000).Draw(t, "capacity"))
 		p := &Reservation{
 			Risk:         rapid.Float64Range(0, 0.5).Draw(t, "risk"),
@@ -48,14 +48,14 @@
 		far := float64(e.Capacity) * p.Share
 		near := far * (1 - p.ShortReserve)
 		risk := e.occupancy.Risk(&Demand{}, near, far, 1)
-		if e.Open() > 1 && !(risk <= p.Risk+1e-3) {
-			t.Fatalf("%d answers run out of memory with probability %v, accepted was %v", e.Open(), risk, p.Risk)
+		if e.NumAnswers() > 1 && !(risk <= p.Risk+1e-3) {
+			t.Fatalf("%d answers run out of memory with probability %v, want at most %v", e.NumAnswers(), risk, p.Risk)
 		}
 	})
 }
 
-// The distribution of the sum is counted in bins; a coarse or one-sided count would
-// waste an engine's memory or fill it too far.
+// Guards against an error of the binned distribution of memory use: a coarse or biased count would
+// waste the memory of an engine or overfill it.
 func TestOccupancyAgreesWithDrawnAnswers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	est := NewEstimator()
@@ -65,13 +65,13 @@
 	o.Reset(capacity, 0)
 	demands := make([]Demand, answers)
 	for i := range demands {
-		demands[i] = AnswerDemand(s, 200+100*i, 60*i, 0)
+		demands[i] = PredictDemand(s, 200+100*i, 60*i, 0)
 		o.Add(&demands[i])
 	}
 	r := rand.New(rand.NewPCG(3, 3))
 	for _, limit := range []float64{2000, 4000, 6000} {
 		for point := range horizon {
-			// Counting in bins shifts a limit by up to two of them.
+			// Binning shifts a limit by up to two bins.
 			low, high := 0, 0
 			for range draws {
 				sum := 0.0
@@ -80,14 +80,14 @@
 						sum += demands[i].size[point]
 					}
 				}
-				if sum > limit+2*o.bin {
+				if sum > limit+2*o.binTokens {
 					low++
 				}
-				if sum > limit-2*o.bin {
+				if sum > limit-2*o.binTokens {
 					high++
 				}
 			}
-			got := o.exceeds(point, limit/o.bin)
+			got := o.exceeds(point, limit/o.binTokens)
 			g.Expect(got).To(gomega.BeNumerically(">=", float64(low)/draws-0.02), "point %d, limit %v", point, limit)
 			g.Expect(got).To(gomega.BeNumerically("<=", float64(high)/draws+0.02), "point %d, limit %v", point, limit)
 		}
@@ -101,7 +101,7 @@
 		w := rapid.Float64Range(0.1, 1).Draw(t, "watermark")
 		admitAll(t, e, &LeastOutstanding{Watermark: Watermark(w)}, est)
 		if e.Used() > w*float64(e.Capacity) {
-			t.Fatalf("%v tokens of %d in use at watermark %v", e.Used(), e.Capacity, w)
+			t.Fatalf("%v of %d tokens are in use, above the watermark of %v", e.Used(), e.Capacity, w)
 		}
 	})
 }
@@ -112,12 +112,12 @@
 	e := healthy("e", 10000)
 	p := &Reservation{ShortReserve: 0.2, Share: 1, Risk: 0.05}
 	long := &Request{Class: crocusreel.ClassGeneration, Prompt: 500}
-	long.Demand = AnswerDemand(est.Survival(key("w")), 500, 0, 0)
+	long.Demand = PredictDemand(est.Survival(key("w")), 500, 0, 0)
 	for i := 0; p.Pick([]*Endpoint{e}, long) == 0; i++ {
 		e.Attach(fmt.Sprint(i), &Answer{Key: key("w"), Prompt: 500}, &long.Demand)
 	}
 	short := &Request{Class: crocusreel.ClassShort, Prompt: 100}
-	short.Demand = AnswerDemand(est.Survival(LengthKey{Class: crocusreel.ClassShort}), 100, 0, 0)
+	short.Demand = PredictDemand(est.Survival(LengthKey{Class: crocusreel.ClassShort}), 100, 0, 0)
 	g.Expect(p.Pick([]*Endpoint{e}, short)).To(gomega.BeZero())
 }
 
@@ -125,9 +125,9 @@
 	g := gomega.NewWithT(t)
 	est := NewEstimator()
 	a, b := healthy("a", 10000), healthy("b", 10000)
-	r := &Request{Class: crocusreel.ClassGeneration, Prompt: 200, HeldShare: 1}
+	r := &Request{Class: crocusreel.ClassGeneration, Prompt: 200, CachedShare: 1}
 	r.Holders[0] = "b"
-	r.Demand = AnswerDemand(est.Survival(key("w")), 200, 0, 0)
+	r.Demand = PredictDemand(est.Survival(key("w")), 200, 0, 0)
 	p := &Reservation{Share: 1, Risk: 0.05}
 	g.Expect(p.Pick([]*Endpoint{a, b}, r)).To(gomega.Equal(1))
 	for i := range 3 {
@@ -140,21 +140,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := rapid.IntRange(1, 4000).Draw(t, "prompt")
 		length := rapid.IntRange(1, 8000).Draw(t, "length")
-		d := KnownDemand(prompt, 0, length)
+		d := DemandForLength(prompt, 0, length)
 		peak := 0.0
 		for i := range d.size {
 			peak = max(peak, d.size[i]*d.prob[i])
 		}
 		if peak < float64(prompt+length) {
-			t.Fatalf("peak %v is under %d", peak, prompt+length)
+			t.Fatalf("predicted peak is %v tokens, want at least %d", peak, prompt+length)
 		}
 	})
 }
 
-// A load report is some hundred milliseconds old and still lists answers that have
-// ended since. Counted as work of others they would keep an engine's memory idle;
-// in a trial that cost five per cent of goodput.
-func TestEndedAnswersInAnOldReportAreNoWorkOfOthers(t *testing.T) {
+// Guards against counting answers that have ended as work of other schedulers. A load report is
+// some hundred milliseconds old and still lists them, which kept memory of engines idle; in a trial
+// that cost five per cent of goodput.
+func TestEndedAnswersInAnOldReportAreNotExternal(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := healthy("e", 10000)
 	e.Attach("1", &Answer{Key: key("w"), Prompt: 3000}, nil)
@@ -167,9 +167,9 @@
 	g.Expect(e.Used()).To(gomega.BeNumerically("==", 3000))
 }
 
-// Two gateways schedule the same engine for a moment. What the other one admitted
-// shows only in the engine's load report.
-func TestEndpointCountsWhatOthersAdmitted(t *testing.T) {
+// Guards against ignoring the answers of another scheduler. While two gateways schedule the same
+// engine for a moment, the work of the other one is visible only in the engine's load report.
+func TestEndpointCountsExternalAnswers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := healthy("e", 10000)
 	e.ReportedRunning, e.ReportedUsed = 3, 4000
@@ -177,7 +177,7 @@
 	g.Expect(e.Used()).To(gomega.BeNumerically("==", 4000))
 }
 
-func TestSuspectsRunApart(t *testing.T) {
+func TestSuspectsDoNotShareAnEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := healthy("a", 10000), healthy("b", 10000)
 	a.Attach("1", &Answer{Key: key("w"), Suspect: true}, nil)
@@ -189,7 +189,7 @@
 	g.Expect(a.Eligible(r)).To(gomega.BeTrue())
 }
 
-func TestEnginePriorityLetsTheLatestEndFallFirst(t *testing.T) {
+func TestEnginePriorityPreemptsTheLatestEndFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	generation := crocusreel.ClassGeneration
 	early := EnginePriority(time.Hour, time.Second, generation, 0)
--- a/relay/strikes.go
+++ b/relay/strikes.go
@@ -72,7 +72,7 @@
 func (s *Strikes) UntilBelow(work Fingerprint, limit int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.suspects.Below(uint64(work), limit, s.now())
+	return s.suspects.TimeUntilBelow(uint64(work), limit, s.now())
 }
 
 // Add records a death seen by this node and returns the number of strikes against the work.
@@ -81,7 +81,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	strike := Strike{Work: work, Endpoint: endpoint, At: s.now()}
-	s.suspects.Strike(strike.toPolicy())
+	s.suspects.Record(strike.toPolicy())
 	s.own = append(s.own, strike)
 	return s.suspects.Count(uint64(work), strike.At)
 }
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -74,12 +74,12 @@
 	pc     poolConfig
 	hooks  hooks
 	est    *policy.Estimator
-	prefix *policy.Prefixes
+	prefix *policy.PrefixIndex
 	queues map[crocusreel.Class]*policy.Queue[*waiting]
 	// backlogs holds the service rate of each class.
 	backlogs  map[crocusreel.Class]*backlog
 	suspects  *policy.Suspects
-	feedback  *policy.Feedback
+	feedback  *policy.RiskController
 	picker    policy.Picker
 	reserve   *policy.Reservation
 	engines   map[string]*engine
@@ -122,7 +122,7 @@
 	return &core{
 		vm: vm, hooks: h,
 		est:    policy.NewEstimator(),
-		prefix: policy.NewPrefixes(),
+		prefix: policy.NewPrefixIndex(),
 		queues: map[crocusreel.Class]*policy.Queue[*waiting]{
 			crocusreel.ClassShort:      policy.NewQueue[*waiting](),
 			crocusreel.ClassGeneration: policy.NewQueue[*waiting](),
@@ -131,8 +131,8 @@
 			crocusreel.ClassShort:      {},
 			crocusreel.ClassGeneration: {},
 		},
-		suspects:  policy.NewSuspects(policy.StrikeLife),
-		feedback:  policy.NewFeedback(1, 1),
+		suspects:  policy.NewSuspects(policy.StrikeTTL),
+		feedback:  policy.NewRiskController(1, 1),
 		engines:   make(map[string]*engine),
 		permits:   make(map[string]*grant),
 		ended:     make(map[string]time.Duration),
@@ -177,7 +177,7 @@
 	}
 	for name := range c.engines {
 		if _, ok := engines[name]; !ok {
-			c.prefix.Forget(name)
+			c.prefix.RemoveEndpoint(name)
 		}
 	}
 	c.engines = engines
@@ -255,11 +255,11 @@
 		return
 	}
 	c.listedAt = now
-	c.est.BeginRunning()
+	c.est.BeginListing()
 	for _, e := range c.order {
-		e.view.EachRunning(now, c.est.Running)
+		e.view.EachRunning(now, c.est.AddRunning)
 	}
-	c.est.EndRunning()
+	c.est.EndListing()
 }
 
 // judgeInterval is the time between two looks for slow engines.
@@ -275,7 +275,7 @@
 	for i, e := range c.order {
 		views[i] = e.view
 	}
-	if n := c.ejector.Judge(views, now); n > 0 {
+	if n := c.ejector.Update(views, now); n > 0 {
 		c.hooks.count("engines_ejected", int64(n))
 	}
 }
--- a/scheduler/permits.go
+++ b/scheduler/permits.go
@@ -26,7 +26,7 @@
 	}
 	p.EnginePriority = policy.EnginePriority(now, c.duration(e, w.expected), w.req.Class, w.req.Priority)
 	c.open(&grant{Permit: p, gateway: w.req.Gateway, grantedAt: now, reportedAt: now, expected: w.expected}, &w.place.Demand, now)
-	c.prefix.Routed(e.spec.Name, w.req.Prefixes, now)
+	c.prefix.AddAll(e.spec.Name, w.req.Prefixes, now)
 	w.done, w.granted = true, p.ID
 	c.paced(e, now)
 	c.logGrant(w, &p, now)
@@ -54,7 +54,7 @@
 		return
 	}
 	e.view.Attach(g.ID, &policy.Answer{
-		Key: lengthKey(&g.Permit), Prompt: g.PromptTokens, MaxTokens: g.MaxTokens, Hint: g.LengthHint,
+		Key: lengthKey(&g.Permit), Prompt: g.PromptTokens, MaxTokens: g.MaxTokens, LengthHint: g.LengthHint,
 		Produced: g.Produced, ProducedAt: now,
 		Suspect: c.isolated(g.Fingerprint, now),
 	}, d)
@@ -116,10 +116,10 @@
 	c.suspects.Clear(p.Fingerprint, now)
 	q := c.queue(p.Class)
 	if q.Len() > 0 {
-		c.feedback.Finished()
+		c.feedback.RecordCompletion()
 	}
 	if g != nil {
-		q.Charge(p.Workspace, float64(p.Produced)-g.expected)
+		q.AdjustCharge(p.Workspace, float64(p.Produced)-g.expected)
 	}
 }
 
@@ -144,7 +144,7 @@
 			c.drop(id)
 		}
 	}
-	return c.suspects.All(nil, strikesInReport, now)
+	return c.suspects.AppendStrikes(nil, strikesInReport, now)
 }
 
 // reported brings one permit up to date, or adopts it from an earlier scheduler.
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -30,11 +30,11 @@
 	w.expected = survival.Mean()
 	w.place = policy.Request{
 		Class: w.req.Class, Prompt: w.req.PromptTokens,
-		Demand: policy.AnswerDemand(survival, w.req.PromptTokens, 0, w.req.MaxTokens),
+		Demand: policy.PredictDemand(survival, w.req.PromptTokens, 0, w.req.MaxTokens),
 	}
 	if c.oracle() && w.req.LengthHint > 0 {
 		w.expected = float64(w.req.LengthHint)
-		w.place.Demand = policy.KnownDemand(w.req.PromptTokens, 0, w.req.LengthHint)
+		w.place.Demand = policy.DemandForLength(w.req.PromptTokens, 0, w.req.LengthHint)
 	}
 	w.item = &policy.Item[*waiting]{
 		Workspace: w.req.Workspace, Priority: w.req.Priority,
@@ -75,7 +75,7 @@
 		return nil
 	}
 	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun,
-		c.suspects.Below(w.req.Fingerprint, c.pc.cfg.Limits.Strikes, now), "endpoints died while they ran this request")
+		c.suspects.TimeUntilBelow(w.req.Fingerprint, c.pc.cfg.Limits.Strikes, now), "endpoints died while they ran this request")
 }
 
 // refuseUnserved refuses if no engine serves the model: waiting would not help.
@@ -119,7 +119,7 @@
 	q := c.queue(w.req.Class)
 	limit := c.pc.cfg.Limits.QueueLength
 	for limit > 0 && q.Len() > limit*max(1, len(c.pc.spec.models)) {
-		i := q.Least(now)
+		i := q.DropCandidate(now)
 		if i == nil {
 			return
 		}
@@ -235,7 +235,7 @@
 	if q.Len() == 0 {
 		return
 	}
-	q.Begin()
+	q.BeginRound()
 	c.blocked = c.blocked[:0]
 	for passed := 0; passed < lookahead; {
 		i := q.Next(now)
@@ -250,7 +250,7 @@
 		}
 		model := i.Value.req.Model
 		if slices.Contains(c.blocked, model) {
-			q.Pass(i)
+			q.Skip(i)
 			continue
 		}
 		if c.place(i.Value, now) {
@@ -258,7 +258,7 @@
 			c.backlog(i.Value.req.Class).served()
 			continue
 		}
-		q.Pass(i)
+		q.Skip(i)
 		passed++
 		if c.starving(i.Value, now) {
 			c.blocked = append(c.blocked, model)
@@ -282,7 +282,7 @@
 		return false
 	}
 	w.place.Suspect = c.isolated(w.req.Fingerprint, now)
-	w.place.Holders, w.place.HeldShare = c.prefix.Holders(w.req.Prefixes, now)
+	w.place.Holders, w.place.CachedShare = c.prefix.Holders(w.req.Prefixes, now)
 	endpoints := c.byModel[w.req.Model]
 	w.place.Excluded = w.req.Excluded
 	if c.allExcluded(endpoints, w.req.Excluded) {
