--- a/fleet/benchmark_test.go
+++ b/fleet/benchmark_test.go
@@ -10,8 +10,7 @@
 	"github.com/crocusreel/crocusreel/fleet"
 )
 
-// Sizes of what is measured: a fleet of three hundred nodes before three thousand engines,
-// with eight runs a node.
+// Size of the benchmark: 300 nodes with eight runs each, and 3,000 engines in six data centres.
 const (
 	benchNodes   = 300
 	benchEngines = 3000
@@ -19,7 +18,7 @@
 	benchCentres = 6
 )
 
-// benchFleet is a node's view of such a fleet.
+// benchFleet is the fleet of one node in a deployment of that size.
 type benchFleet struct {
 	*world
 	keys   []fleet.EndpointKey
@@ -46,7 +45,7 @@
 
 func benchNode(i int) string { return fmt.Sprintf("10.0.%d.%d", i/200, i%200) }
 
-// loads are those of a node with a few runs.
+// loads returns random loads as one node reports them.
 func (b *benchFleet) loads() []fleet.Load {
 	var loads []fleet.Load
 	for range benchRuns {
@@ -55,7 +54,7 @@
 	return loads
 }
 
-// hear takes over datagrams of the other nodes in turn.
+// hear applies reports of the other nodes in rotation.
 func (b *benchFleet) hear(t *testing.B) {
 	told := make([][]fleet.Load, 64)
 	for i := range told {
@@ -67,13 +66,14 @@
 	}
 }
 
-// BenchmarkSetRemote takes over one datagram of another node.
+// BenchmarkSetRemote measures applying one load report of another node.
 func BenchmarkSetRemote(b *testing.B) {
 	f := newBenchFleet()
 	f.hear(b)
 }
 
-// BenchmarkSetRemoteWaiting does so while work waits here and all engines are full.
+// BenchmarkSetRemoteWaiting measures the same while work waits on this node and all engines are
+// full.
 func BenchmarkSetRemoteWaiting(b *testing.B) {
 	f := newBenchFleet()
 	var full []fleet.Load
@@ -92,7 +92,7 @@
 	f.hear(b)
 }
 
-// BenchmarkPlace places one generation and ends it.
+// BenchmarkPlace measures placing one generation and releasing it.
 func BenchmarkPlace(b *testing.B) {
 	f := newBenchFleet()
 	b.ReportAllocs()
@@ -105,7 +105,7 @@
 	}
 }
 
-// BenchmarkOwnLoads makes the part of a datagram that tells of this node's runs.
+// BenchmarkOwnLoads measures collecting the load of this node for a datagram.
 func BenchmarkOwnLoads(b *testing.B) {
 	f := newBenchFleet()
 	for range benchRuns {
@@ -119,7 +119,7 @@
 	}
 }
 
-// BenchmarkReplace takes over a whole listing in which nothing has changed.
+// BenchmarkReplace measures applying a complete listing in which nothing has changed.
 func BenchmarkReplace(b *testing.B) {
 	f := newBenchFleet()
 	listing := make([]fleet.Instance, benchEngines)
--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -7,34 +7,35 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// A cold endpoint bears few requests a second, from all nodes together, and crashes above
-// that. Nodes do not agree on who sends: each has turns of its own at each cold endpoint. A lost
-// datagram or a late one changes nothing, as long as a node does not take the others for fewer
-// than they are.
+// A cold endpoint can serve only a few requests per second from all nodes together, and crashes
+// above that rate. Nodes do not coordinate who sends: each node has its own turns at each cold
+// endpoint. Lost or late datagrams have no effect, as long as no node underestimates the number of
+// nodes.
 //
-// Generations take so long that few of them at a time are few a second. While nodes hear each
-// other, a cold engine gets them without turns up to a small number, which they tell each other
-// as they do all loads: the nodes on which work waits are few, and their turns would leave the
-// engine idle.
+// Generations take so long that a small number of concurrent ones amounts to only a few per second.
+// While nodes receive each other's reports, a cold engine gets generations without turns up to a
+// small number, which is counted over all nodes by their load reports. Only few nodes have waiting
+// work, and turns would leave the engine idle.
 
 const (
-	// coldShare is the part of what a cold endpoint bears that nodes send it. The rest is for
-	// requests that were sent before its sender knew, and for late ones.
+	// coldShare is the share of a cold endpoint's rate that nodes use. The rest is a reserve for
+	// requests that were sent before their sender knew that the endpoint is cold, and for late
+	// ones.
 	coldShare = 0.8
-	// leastGeneration is the least time that a generation takes.
+	// leastGeneration is the minimum duration of a generation.
 	leastGeneration = 250 * time.Millisecond
 )
 
-// Population is how many nodes there are.
+// Population is the number of nodes in the deployment.
 type Population struct {
-	// Nodes is their number, this one included, or more; 0 if it is not known.
+	// Nodes is an upper bound of the number of nodes, including this one, or 0 if it is not known.
 	Nodes int
-	// Heard tells whether this node hears at least half of them.
+	// Heard is set if at least half of the nodes are live from the point of view of this node.
 	Heard bool
 }
 
-// coldUntilLocked returns until when the endpoint gets a bounded number of requests; 0 if it
-// is not cold or its service has no bound.
+// coldUntilLocked returns the time until which the rate of requests to the endpoint is limited
+// because it is cold. It returns 0 if the endpoint is not cold or its service has no such limit.
 func (f *Fleet) coldUntilLocked(e *Endpoint, s *routing.Service, now time.Duration) time.Duration {
 	if s.ColdPerSecond <= 0 || f.Without[ColdTurns] {
 		return 0
@@ -49,13 +50,14 @@
 	return until
 }
 
-// coldLocked tells whether the endpoint gets a bounded number of requests.
+// coldLocked reports whether the rate of requests to the endpoint is limited because it is cold.
 func (f *Fleet) coldLocked(e *Endpoint, s *routing.Service, now time.Duration) bool {
 	return f.coldUntilLocked(e, s, now) != 0
 }
 
-// takesColdLocked tells whether this node may send a request to the endpoint now, as far as
-// that is cold. If not, it has waiting work looked at again when that changes.
+// takesColdLocked reports whether this node may send a request to the endpoint now under the limit
+// for cold endpoints. If not, it schedules a dispatch of waiting work for the time at which that
+// changes.
 func (f *Fleet) takesColdLocked(e *Endpoint, s *routing.Service, load *Load, now time.Duration) bool {
 	until := f.coldUntilLocked(e, s, now)
 	if until == 0 {
@@ -76,7 +78,7 @@
 	return false
 }
 
-// wakeLocked has waiting work looked at after the given time at the latest.
+// wakeLocked schedules a dispatch of waiting work after the given time at the latest.
 func (f *Fleet) wakeLocked(now, after time.Duration) {
 	at := now + after
 	if f.wakeAt > now && f.wakeAt <= at {
@@ -86,8 +88,8 @@
 	f.Wake(after)
 }
 
-// SetCold records that an endpoint said that it stays cold for the given time; it returns
-// false for an endpoint that is not known.
+// SetCold records that an endpoint has announced to stay cold for the given time. It returns false
+// if the endpoint is not known.
 func (f *Fleet) SetCold(key EndpointKey, remaining time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -13,21 +13,22 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Figures of a cold endpoint: what it bears a second, and what it may get at most.
+// coldRate is the number of requests per second that a cold endpoint can serve. At most half as
+// many again plus coldSlack are allowed in any second.
 const (
 	coldRate  = 31
-	coldSlack = 5 // beside half as much again
+	coldSlack = 5
 	coldFor   = 4 * time.Second
 	coldSeeds = 6
 	coldStep  = 10 * time.Millisecond
 )
 
-// sender decides at one node whether a request goes to the cold endpoint.
+// sender decides on one node whether to send a request to the cold endpoint.
 type sender interface {
 	sends(now time.Duration) bool
 }
 
-// turns is the fleet's own way.
+// turns is the method of package fleet.
 type turns struct {
 	f       *fleet.Fleet
 	now     time.Duration
@@ -49,7 +50,7 @@
 	return p != nil
 }
 
-// bucket is the same part for each node, kept while it is not used.
+// bucket gives each node an equal share of the rate; an unused permission is kept.
 type bucket struct {
 	every, next time.Duration
 }
@@ -62,7 +63,7 @@
 	return true
 }
 
-// owner lets a few nodes send, which all agree on by a hash.
+// owner lets only a few nodes send. All nodes agree on these by a hash of the node names.
 type owner struct {
 	bucket
 	owns bool
@@ -87,24 +88,25 @@
 	return &owner{bucket: bucket{every: owners * time.Second / coldRate}, owns: ahead < owners}
 }
 
-// freely is no bound at all.
+// freely applies no limit.
 type freely struct{}
 
 func (freely) sends(time.Duration) bool { return true }
 
-// coldCase is nodes before an endpoint that turns cold.
+// coldCase is a number of nodes that send to one cold endpoint.
 type coldCase struct {
 	nodes int
-	// heard is the number of nodes that each takes the others for.
+	// heard is the number of nodes that each node assumes.
 	heard int
-	// busy is the part of the nodes that have requests.
+	// busy is the share of nodes that have requests.
 	busy float64
-	// everyMS is the time between two requests of a busy node; 0 for as many as can be sent.
+	// everyMS is the mean time in milliseconds between two requests of a busy node; 0 sends as many
+	// as the method allows.
 	everyMS float64
 }
 
-// peak plays the case and returns the most requests that the endpoint gets in a second, and
-// how many it gets in its first.
+// peak simulates the case. It returns the largest number of requests that the endpoint gets within
+// one second, and the number that it gets in the first second.
 func (c coldCase) peak(random *rand.Rand, make func(name string, all []string, heard int) sender) (most, first int) {
 	names := []string{}
 	for i := range c.nodes {
@@ -117,7 +119,7 @@
 	var busy []*node
 	for _, name := range names {
 		if random.Float64() < c.busy {
-			// Nodes' clocks began at different times.
+			// The monotonic clocks of the nodes have different origins.
 			offset := time.Hour + time.Duration(random.Int64N(int64(time.Hour)))
 			busy = append(busy, &node{sender: make(name, names, c.heard), offset: offset})
 		}
@@ -138,7 +140,7 @@
 	return mostInASecond(sent), first
 }
 
-// mostInASecond returns the most of the times, in order, that lie within one second.
+// mostInASecond returns the largest number of the given times that lie within one second.
 func mostInASecond(sent []time.Duration) int {
 	slices.Sort(sent)
 	most, from := 0, 0
@@ -155,8 +157,8 @@
 	return newTurns(name, heard, coldRate)
 }
 
-// Guards against nodes that together send a cold endpoint more than it bears, with no word
-// between them: all have work for it at the same moment.
+// Guards against nodes that together send a cold endpoint more requests than it can serve: all
+// nodes have work for it at the same moment and do not communicate.
 func TestColdEndpointIsNotOverrun(t *testing.T) {
 	const bound = int(coldRate*3/2 + coldSlack)
 	for _, c := range []coldCase{
@@ -167,31 +169,32 @@
 		{nodes: 300, heard: 300, busy: 1},
 		{nodes: 410, heard: 410, busy: 1},
 		{nodes: 75, heard: 75, busy: 0.1},
-		// A node that does not know how many others there are sends nothing.
+		// A node that does not know the number of nodes sends nothing.
 		{nodes: 75, heard: 0, busy: 1},
 	} {
-		t.Run(fmt.Sprintf("%d nodes, %d heard, %g busy", c.nodes, c.heard, c.busy), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d nodes, %d assumed, %g busy", c.nodes, c.heard, c.busy), func(t *testing.T) {
 			for seed := range uint64(coldSeeds) {
 				most, _ := c.peak(rand.New(rand.NewPCG(seed, 1)), senderOfTurns)
 				if most > bound {
-					t.Errorf("seed %d: %d requests in a second, %d are allowed", seed, most, bound)
+					t.Errorf("seed %d: got %d requests within one second, want at most %d", seed, most, bound)
 				}
 				if c.heard == 0 && most > 0 {
-					t.Errorf("seed %d: %d requests of nodes that know no number", seed, most)
+					t.Errorf("seed %d: got %d requests from nodes that do not know the number of nodes, want none", seed, most)
 				}
 			}
 		})
 	}
 }
 
-// TestWaysToBoundColdEndpoints prints what each way gives a cold endpoint; it decides nothing.
+// TestWaysToBoundColdEndpoints logs the requests to a cold endpoint under each method of limiting
+// them, for comparison. It has no pass criterion.
 func TestWaysToBoundColdEndpoints(t *testing.T) {
 	ways := []struct {
 		name string
 		make func(name string, all []string, heard int) sender
 	}{
-		{"no bound", func(string, []string, int) sender { return freely{} }},
-		{"equal parts", func(_ string, _ []string, heard int) sender {
+		{"no limit", func(string, []string, int) sender { return freely{} }},
+		{"equal shares", func(_ string, _ []string, heard int) sender {
 			return &bucket{every: time.Duration(float64(heard) / coldRate * float64(time.Second))}
 		}},
 		{"three owners", func(name string, all []string, _ int) sender { return newOwner(name, all) }},
@@ -207,7 +210,7 @@
 		{nodes: 300, heard: 300, busy: 1, everyMS: 1100},
 	} {
 		for _, way := range ways {
-			if way.name == "no bound" && c.everyMS == 0 {
+			if way.name == "no limit" && c.everyMS == 0 {
 				continue
 			}
 			var most, first int
@@ -215,7 +218,7 @@
 				m, f := c.peak(rand.New(rand.NewPCG(seed, 1)), way.make)
 				most, first = max(most, m), first+f
 			}
-			t.Logf("%3d nodes (%3d heard, %3.0f%% busy, a request each %4.0f ms): %-12s most in a second %3d, in the first %5.1f",
+			t.Logf("%3d nodes (%3d assumed, %3.0f%% busy, one request per %4.0f ms): %-12s at most %3d in one second, %5.1f in the first second",
 				c.nodes, c.heard, 100*c.busy, c.everyMS, way.name, most, float64(first)/coldSeeds)
 		}
 	}
--- a/fleet/coldreturn_test.go
+++ b/fleet/coldreturn_test.go
@@ -14,29 +14,29 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Load that comes back onto a data centre whose endpoints have turned cold while it was
-// evacuated: all nodes find a quarter of the engines empty at the same moment, with work
-// that has waited for room.
+// Simulation of a data centre that returns from an evacuation with cold endpoints: all nodes find a
+// quarter of the engines empty at the same moment, while work is waiting for capacity.
 const (
 	returnNodes   = 75
 	returnCentres = 4
-	// returnAt is when the evacuation ends, returnFor how long the case is played.
+	// returnAt is the time at which the evacuation ends, returnFor the length of the simulation.
 	returnAt  = 4 * time.Second
 	returnFor = 8 * time.Second
-	// returnNews is the time in which news of a node or of an evacuation is everywhere.
+	// returnNews is the delay with which load reports arrive at the other nodes, returnLate the
+	// maximum delay with which a node learns of the end of the evacuation.
 	returnNews = 20 * time.Millisecond
 	returnLate = 300 * time.Millisecond
 )
 
-// returnLoad is the work of one service.
+// returnLoad describes the requests of one service.
 type returnLoad struct {
 	name string
-	// perCentre is the number of endpoints in each data centre, rate that of requests a second
-	// at all nodes together.
+	// perCentre is the number of endpoints in each data centre. rate is the number of requests per
+	// second at all nodes together.
 	perCentre int
 	rate      float64
 	service   routing.Service
-	// size draws the prompt and the output of a request; nil for lookups.
+	// size draws the demand of a request; nil for lookups.
 	size func(random *rand.Rand) fleet.Demand
 }
 
@@ -65,7 +65,7 @@
 	began  time.Time
 	fleets []*fleet.Fleet
 	mu     sync.Mutex
-	// sent are the times at which requests went to each endpoint.
+	// sent holds the times at which requests were sent to each endpoint.
 	sent   map[string][]time.Duration
 	served int
 }
@@ -91,7 +91,7 @@
 	return w
 }
 
-// tell tells all other nodes what a node runs.
+// tell reports the load and the waiting work of a node to all other nodes.
 func (w *returnWorld) tell(f *fleet.Fleet) {
 	loads, waiting := f.OwnLoads(), f.OwnWaiting()
 	for _, other := range w.fleets {
@@ -101,7 +101,7 @@
 	}
 }
 
-// request runs one request at a node.
+// request runs one request through a node.
 func (w *returnWorld) request(f *fleet.Fleet, demand fleet.Demand) {
 	want := fleet.Want{Service: &w.service, Demand: demand, Longest: demand.Output}
 	p, refusal := f.Acquire(context.Background(), want, 3*time.Second)
@@ -140,7 +140,8 @@
 	running.Wait()
 }
 
-// Guards against a data centre that is crushed at the moment at which it is taken back.
+// Guards against overloading the cold endpoints of a data centre when its evacuation ends and all
+// nodes send to them at once.
 func TestLoadThatReturnsOntoAColdDataCentre(t *testing.T) {
 	const bound = coldRate*3/2 + coldSlack
 	for _, load := range returnLoads {
@@ -158,16 +159,16 @@
 						cold := slices.DeleteFunc(slices.Clone(sent), func(at time.Duration) bool { return at > returnAt+w.service.ColdStart })
 						most = max(most, mostInASecond(cold))
 						if len(sent) > 0 && sent[0] < returnAt {
-							t.Errorf("%s got a request %v before the end of the evacuation", id, returnAt-sent[0])
+							t.Errorf("endpoint %s got a request %v before the end of the evacuation", id, returnAt-sent[0])
 						}
 					}
 					if most > bound {
-						t.Errorf("%d requests to one endpoint in a second, %d are allowed", most, bound)
+						t.Errorf("got %d requests to one endpoint within one second, want at most %d", most, bound)
 					}
 					if returned == 0 {
-						t.Error("no request went to the data centre after its evacuation")
+						t.Error("no request was sent to the data centre after its evacuation, want at least one")
 					}
-					t.Logf("%d served, %d of them there, at most %d a second at one endpoint", w.served, returned, most)
+					t.Logf("%d requests served, %d of them in the returned data centre, at most %d per second at one endpoint", w.served, returned, most)
 				})
 			})
 		}
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -1,5 +1,5 @@
-// Package fleet knows the endpoints of the services, what runs on them, and decides
-// where work goes and which work waits. It does no I/O; its clock is given.
+// Package fleet tracks the endpoints of the services and their load, places work on them and queues
+// work that has to wait. It does no I/O, and its clock is injected.
 package fleet
 
 import (
@@ -10,39 +10,38 @@
 	"time"
 )
 
-// Incarnation is one start of an endpoint. An endpoint that crashed may start again
-// under the ID that it had; what ran there, was held there or was measured there belongs
-// to the start before.
+// Incarnation identifies one start of an endpoint. An endpoint that crashed can start again under
+// the same ID; its runs, backups and measurements from before belong to the previous incarnation.
 type Incarnation struct {
 	ID string
-	// Born is the Unix millisecond of the start; 0 if the endpoint does not tell.
+	// Born is the time of the start in Unix milliseconds, or 0 if the endpoint does not report it.
 	Born int64
 }
 
-// Instance is one start of an endpoint, as it registered itself.
+// Instance describes one incarnation of an endpoint as it has registered.
 type Instance struct {
-	// ID and Born are those of the Incarnation.
+	// ID and Born are the fields of the Incarnation.
 	ID         string
 	Born       int64
 	Service    string
 	Address    string
 	DataCentre string
-	// Slots is the number of requests that run at the same time.
+	// Slots is the number of requests that the endpoint runs concurrently.
 	Slots int
-	// Leaving tells that the endpoint is about to stop.
+	// Leaving is set if the endpoint is about to stop.
 	Leaving bool
-	// Warming is how much longer the endpoint is slow after its start.
+	// Warming is the remaining time for which the endpoint is slow after its start.
 	Warming time.Duration
 }
 
-// Incarnation tells which start of the endpoint this is.
+// Incarnation returns the incarnation of the endpoint.
 func (in Instance) Incarnation() Incarnation { return Incarnation{ID: in.ID, Born: in.Born} }
 
 // EndpointKey identifies an incarnation in messages between nodes.
 type EndpointKey uint32
 
-// Key returns the key of an incarnation. Two live ones share a key with a chance of one
-// in millions; their loads are then counted together.
+// Key returns the key of the incarnation, a 32-bit hash. Two live incarnations share a key with a
+// probability of one in millions; their loads are not told apart then.
 func (i Incarnation) Key() EndpointKey {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(i.ID))
@@ -52,62 +51,64 @@
 	return EndpointKey(h.Sum32())
 }
 
-// ErrRestarted is why the life of an incarnation ended: its endpoint has started again.
-var ErrRestarted = errors.New("the endpoint has started again")
+// ErrRestarted is the cancellation cause of an incarnation whose endpoint has restarted.
+var ErrRestarted = errors.New("endpoint has restarted")
 
-// Load is what one node runs on one endpoint.
+// Load is the load that one node puts on one endpoint.
 type Load struct {
 	Key   EndpointKey
 	Count int
-	// Tokens is the memory that the runs are expected to need.
+	// Tokens is the memory, in tokens, that the runs are expected to need.
 	Tokens int
-	// Unread is the number of prompt tokens that wait to be read.
+	// Unread is the number of prompt tokens pending prefill.
 	Unread int
-	// Held is the memory, in tokens, of backups of runs elsewhere.
+	// Held is the memory, in tokens, reserved for backups of runs on other endpoints.
 	Held int
-	// Arriving is the memory, in tokens, of runs whose copies are on their way there.
+	// Arriving is the memory, in tokens, of runs that are being copied to the endpoint.
 	Arriving int
 }
 
-// Endpoint is an instance with its load and health. Its fields belong to the Fleet's
-// lock.
+// Endpoint is an instance with its load and health. Its fields are protected by the lock of the
+// Fleet.
 type Endpoint struct {
 	Instance
 	key       EndpointKey
 	warmUntil time.Duration
-	// life ends once the instance has certainly died; end ends it.
+	// life is cancelled by end once the instance is known to have died.
 	life context.Context
 	end  context.CancelCauseFunc
-	// leaving is closed once the instance is about to stop or was removed.
+	// leaving is closed once the instance is about to stop or has been removed.
 	leaving   chan struct{}
 	isLeaving bool
-	// entryLeaving is set once its entry has said that it is about to stop.
+	// entryLeaving is set once the store entry has announced that the instance is about to stop.
 	entryLeaving bool
 	// unusable is closed while the instance is leaving or its data centre is evacuated.
 	unusable    chan struct{}
 	isEvacuated bool
-	// returnedAt is when the evacuation of its data centre ended; 0 if there was none.
+	// returnedAt is the time at which the evacuation of the data centre ended, or 0 if there was
+	// none.
 	returnedAt time.Duration
-	// coldUsedAt is when this node last sent it a request.
+	// coldUsedAt is the time of the last request from this node.
 	coldUsedAt time.Duration
-	// answeredAt is when it last answered this node and said nothing, before it ever said anything.
+	// answeredAt is the time of the last answer without a notice to this node, before the instance
+	// has sent any notice.
 	answeredAt time.Duration
-	// noticed is what it has said of itself; nil for nothing.
+	// noticed holds the notices that the instance has sent, or nil if there are none.
 	noticed *noticed
-	// missingAt is when the entry vanished although the instance may be alive; 0 if
-	// it is there.
+	// missingAt is the time at which the store entry disappeared although the instance may be
+	// alive, or 0 if the entry exists.
 	missingAt time.Duration
-	// vouched is set once it has said at a health check, while its entry was missing, that it
-	// goes on.
+	// vouched is set once the instance has confirmed at a health check, while its store entry was
+	// missing, that it is not about to stop.
 	vouched bool
 	own     Load
-	// remote is what other nodes run on it, and others the sum of that.
+	// remote holds the load from each other node, and others is their sum.
 	remote map[string]Load
 	others Load
 	health health
-	// byHealth is set while it counts as leaving by its health check alone.
+	// byHealth is set while the instance counts as leaving by its health check alone.
 	byHealth bool
-	// left is when the endpoint was found to be leaving.
+	// left is the time at which the instance was found to be leaving.
 	left time.Duration
 }
 
@@ -123,10 +124,10 @@
 	return e
 }
 
-// total is what all nodes run there.
+// total returns the load from all nodes.
 func (e *Endpoint) total() Load { return e.own.plus(e.others) }
 
-// setRemote takes what another node runs there, and returns whether that has become less.
+// setRemote replaces the load from another node. It reports whether that load has decreased.
 func (e *Endpoint) setRemote(node string, l Load) (less bool) {
 	before := e.remote[node]
 	e.others = e.others.minus(before).plus(l)
@@ -156,7 +157,7 @@
 	return l
 }
 
-// none tells whether the load is empty.
+// none reports whether the load is empty, regardless of its key.
 func (l Load) none() bool {
 	l.Key = 0
 	return l == Load{}
@@ -172,7 +173,7 @@
 	e.markUnusable()
 }
 
-// markUnusable closes the channel of that name once.
+// markUnusable closes the unusable channel unless it is already closed.
 func (e *Endpoint) markUnusable() {
 	select {
 	case <-e.unusable:
@@ -181,7 +182,7 @@
 	}
 }
 
-// stay takes back that the endpoint is leaving.
+// stay reverts markLeaving.
 func (e *Endpoint) stay() {
 	e.isLeaving, e.byHealth = false, false
 	e.leaving = make(chan struct{})
--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -1,10 +1,10 @@
 package fleet
 
-// LongLine returns the key of the line of a service's long answers.
+// LongLine returns the key of the queue of a service's long answers.
 func LongLine(service string) LineKey { return line{service: service}.key() }
 
-// Totals returns what runs on each endpoint by its kept sum, and counted anew from what
-// each node told.
+// Totals returns the load of each endpoint, once from the maintained sums and once recomputed from
+// the reports of all nodes.
 func (f *Fleet) Totals() (kept, counted map[string]Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -6,56 +6,61 @@
 	"time"
 )
 
-// Fleet is the set of all endpoints. Its methods may be called from any goroutine.
+// Fleet tracks all known endpoints, their load and their health, and places work on them. Its
+// methods are safe for concurrent use.
 type Fleet struct {
-	// Name is this node's name as the others know it.
+	// Name is the name of this node as the other nodes know it.
 	Name string
-	// Without are the mechanisms that are left out.
+	// Without is the set of disabled mechanisms.
 	Without    Without
 	dataCentre string
 	now        func() time.Duration
 
 	mu sync.Mutex
-	// byID and byKey hold the endpoints in service, and services the same in lists.
+	// byID and byKey index the endpoints in service; services lists the same endpoints by service.
 	byID     map[string]*Endpoint
 	byKey    map[EndpointKey]*Endpoint
 	services map[string][]*Endpoint
-	// used are the endpoints on which this node runs something or holds room.
+	// used holds the endpoints on which this node has running work or reserved backup memory.
 	used map[*Endpoint]struct{}
-	// doubted are the endpoints that are missing, or leave by their health check alone.
+	// doubted holds the endpoints whose store entry is missing, and those that count as leaving by
+	// their health check alone.
 	doubted map[*Endpoint]struct{}
 	queues  map[line]*queue
 	remote  map[string]remoteNode
-	// notices hold what endpoints say of themselves, by incarnation.
+	// notices holds the notices that endpoints have sent, by incarnation.
 	notices map[EndpointKey]*noticed
-	// evacuated holds since when each evacuated data centre is known to be one.
+	// evacuated maps each evacuated data centre to the time at which this node learned of its
+	// evacuation.
 	evacuated map[string]time.Duration
-	// wakeAt is when Wake was last asked for a call.
+	// wakeAt is the time of the next call of Tick that was requested through Wake.
 	wakeAt time.Duration
 	random *rand.Rand
-	// Regions maps data centres to their regions, for work that is bound to some.
+	// Regions maps data centres to their regions, for work that is restricted to regions.
 	Regions map[string]string
-	// Population returns how many nodes share cold endpoints; it must not block.
+	// Population returns the number of nodes that share the rate of cold endpoints. It must not
+	// block.
 	Population func() Population
-	// Roster returns the nodes that share the limits of endpoints; nil if it is not known who they
-	// are. It must not block.
+	// Roster returns the nodes that share the rate limits of endpoints, or nil if they are not
+	// known. It must not block.
 	Roster func() *Roster
-	// Wall reads the time of day.
+	// Wall returns the wall-clock time.
 	Wall func() time.Time
-	// Changed is called when other nodes should be told at once what this one runs and
-	// what waits on it: the nodes of the given data centre, or all if it is empty. It
-	// must not block.
+	// Changed is called when the load and the waiting work of this node should be sent to other
+	// nodes at once: to the nodes of the given data centre, or to all nodes if it is empty. It must
+	// not block.
 	Changed func(dataCentre string)
-	// Believed is told of each endpoint that is left out or taken back; it must not block.
+	// Believed is called for each endpoint that is excluded from new work or readmitted. It must
+	// not block.
 	Believed func(Exclusion)
-	// Noticed is told of each change of what an endpoint says of itself; it must not block.
+	// Noticed is called for each change of an endpoint's notice. It must not block.
 	Noticed func(NoticeChange)
-	// Wake is asked to call Tick after the given time; it must not block.
+	// Wake schedules a call of Tick after the given time. It must not block.
 	Wake func(after time.Duration)
 }
 
-// New returns a fleet without endpoints, as seen from a data centre. Now reads a
-// monotonic clock.
+// New returns a fleet without endpoints for a node in the given data centre. The function now reads
+// a monotonic clock.
 func New(dataCentre string, now func() time.Duration) *Fleet {
 	return &Fleet{
 		dataCentre: dataCentre,
@@ -79,8 +84,9 @@
 	}
 }
 
-// Replace takes a whole listing. Endpoints that it lacks are removed as Remove does.
-// It returns the IDs that are new, and those that are gone or missing.
+// Replace applies a complete listing of endpoints. Endpoints that are not listed are removed as by
+// Remove. It returns the IDs of the endpoints that were added or restarted, and of those that were
+// removed or are now missing.
 func (f *Fleet) Replace(listing []Instance, tentative bool) (added, removed []string) {
 	present := make(map[string]bool, len(listing))
 	for _, in := range listing {
@@ -104,17 +110,17 @@
 	return added, removed
 }
 
-// Change is what an entry told of an endpoint.
+// Change is the effect of a store entry on the set of endpoints.
 type Change int
 
 const (
-	// Known is an entry of an incarnation that was there before.
+	// Known is an entry of an incarnation that is already in service.
 	Known Change = iota
-	// Added is a new endpoint.
+	// Added is an entry of a new endpoint.
 	Added
-	// Restarted is a known endpoint that has started again.
+	// Restarted is an entry of a later incarnation of an endpoint in service.
 	Restarted
-	// Outdated is an entry of an earlier incarnation than the known one; it is not taken.
+	// Outdated is an entry of an earlier incarnation than the one in service; it is ignored.
 	Outdated
 )
 
@@ -123,9 +129,9 @@
 // String implements fmt.Stringer.
 func (c Change) String() string { return changeNames[c] }
 
-// Update takes an entry. The entry of a later incarnation ends the one before at once,
-// also where no removal came in between: its runs are over, and what was counted,
-// measured and believed of it says nothing of the new one.
+// Update applies a store entry. An entry of a later incarnation ends the previous incarnation at
+// once, even if no removal came in between: the runs of the previous one are lost, and its load,
+// measurements and health do not apply to the new one.
 func (f *Fleet) Update(in Instance) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,7 +157,7 @@
 			e.isEvacuated = true
 			e.markUnusable()
 		}
-		// Other nodes may have used it before this one heard of it.
+		// Other nodes may have placed work on it before this node received its entry.
 		for node, told := range f.remote {
 			if l, ok := told.loads[e.key]; ok {
 				e.setRemote(node, l)
@@ -174,9 +180,9 @@
 	return change
 }
 
-// Remove takes the removal of an entry. A tentative removal, as after an outage of
-// the store in which entries expire although their endpoints live, keeps the endpoint
-// in use until DropMissing.
+// Remove applies the removal of a store entry. A tentative removal keeps the endpoint in use until
+// DropMissing; it is meant for the time after an outage of the store, in which entries of live
+// endpoints expire.
 func (f *Fleet) Remove(id string, tentative bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,7 +198,8 @@
 	f.dropLocked(e)
 }
 
-// dropLocked forgets an endpoint. Runs on it go on; they learn that it is leaving.
+// dropLocked removes an endpoint from service. Its runs continue, and its leaving channel is
+// closed.
 func (f *Fleet) dropLocked(e *Endpoint) {
 	e.markLeaving(f.now())
 	delete(f.byID, e.ID)
@@ -207,7 +214,7 @@
 	}
 }
 
-// SetRemote replaces what another node runs and which work waits there.
+// SetRemote replaces the load and the waiting work that another node has reported.
 func (f *Fleet) SetRemote(node string, loads []Load, waiting []WaitingWork) {
 	byKey := make(map[EndpointKey]Load, len(loads))
 	for _, l := range loads {
@@ -224,7 +231,7 @@
 	f.remoteChangedLocked(node, before)
 }
 
-// Forget drops what a node told that is no longer heard.
+// Forget drops the state reported by a node that is no longer reachable.
 func (f *Fleet) Forget(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -233,7 +240,7 @@
 	f.remoteChangedLocked(node, before)
 }
 
-// OwnLoads returns what this node runs, for the other nodes.
+// OwnLoads returns the load that this node puts on each endpoint, to be sent to the other nodes.
 func (f *Fleet) OwnLoads() []Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -251,7 +258,7 @@
 	return loads
 }
 
-// Tick dispatches waiting work, for capacity that comes back with time alone.
+// Tick dispatches waiting work to capacity that becomes available by the passage of time alone.
 func (f *Fleet) Tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 )
 
 var (
-	// pool is an engine service of the size of the users' engines.
+	// pool is an engine service with engines of the size that users run.
 	pool = &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Slots: 24, Memory: 34_000, BytesPerToken: 18_432, LinkMbps: 2700}}
 	app  = &routing.Service{Name: "app"}
 )
@@ -48,7 +48,7 @@
 	return p
 }
 
-// running places a generation whose prompt the engine has read.
+// running places a generation and marks its prompt as read.
 func (w *world) running(want fleet.Want) *fleet.Placement {
 	GinkgoHelper()
 	p := w.place(want)
@@ -56,8 +56,8 @@
 	return p
 }
 
-// waits makes a request wait. Its name comes on order once it has a place, which it then
-// gives back.
+// waits starts a request that has to wait. Once the request is placed, it sends its name to order
+// and releases the placement.
 func (w *world) waits(order chan<- string, name string, want fleet.Want) {
 	GinkgoHelper()
 	waiting := w.Waiting("pool")
@@ -79,9 +79,9 @@
 }
 
 var _ = Describe("placement on engines", func() {
-	// Answers whose memory does not fit together are preempted in the middle; their
-	// callers see a stall.
-	It("promises no more memory than an engine has, of all nodes together", func() {
+	// Guards against reserving more memory than an engine has: answers that do not fit together are
+	// preempted midway, and their callers see a stall.
+	It("reserves no more memory than an engine has, over all nodes together", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		w.SetRemote("node2", []fleet.Load{{Key: fleet.Incarnation{ID: "e1"}.Key(), Count: 3, Tokens: 20_000}}, nil)
@@ -95,10 +95,10 @@
 		w.place(generation(3000, 4000))
 	})
 
-	// Five callers of different nodes come within a tenth of a second. Were their
-	// prompts to queue on one engine, the last would wait two seconds for its first
-	// event while other engines read nothing.
-	It("spreads prompts that wait to be read", func() {
+	// Guards against prompts that queue on one engine while others are idle: five callers of
+	// different nodes arrive within 100 ms, and the last would wait two seconds for its first
+	// event.
+	It("spreads prompts that are pending prefill", func() {
 		w := newWorld()
 		for _, id := range []string{"e1", "e2", "e3"} {
 			w.engine(id, "dc1")
@@ -110,7 +110,7 @@
 		Expect(w.place(generation(3000, 500)).Instance().ID).To(Equal("e3"))
 	})
 
-	It("keeps work in its data centre while loads are equal, and leaves it when they are not", func() {
+	It("prefers the local data centre while loads are equal, and another one when they are not", func() {
 		w := newWorld()
 		w.engine("near", "dc1")
 		w.engine("far", "dc2")
@@ -119,7 +119,7 @@
 		Expect(w.place(generation(1000, 100)).Instance().ID).To(Equal("far"))
 	})
 
-	It("gives nothing to an engine that is leaving", func() {
+	It("places nothing on an engine that is leaving", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		p := w.place(generation(1000, 100))
@@ -128,7 +128,7 @@
 		Expect(w.refused(generation(1000, 100)).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 	})
 
-	It("gives memory back exactly once", func() {
+	It("releases memory exactly once", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		p := w.place(generation(20_000, 8000))
@@ -140,11 +140,10 @@
 	})
 })
 
-var _ = Describe("engines that read prompts", func() {
-	// Several long prompts come to an engine with much free memory, as to one that has
-	// just started. What waits to be read there has its first event late, while it could
-	// have gone to the next engine that has read its prompts.
-	It("are given no further prompt while half a second of reading waits", func() {
+var _ = Describe("engines with pending prefill", func() {
+	// Guards against long prompts that pile up on an engine with much free memory, such as one that
+	// has just started: their first events are late although another engine could prefill them.
+	It("get no further prompt while half a second of prefill is pending", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		first := w.place(generation(4000, 500))
@@ -157,9 +156,9 @@
 })
 
 var _ = Describe("waiting work", func() {
-	// A burst fills all engines. Who waits gets the next room, the most urgent first,
-	// whenever it came.
-	It("gets room in the order of its rank", func() {
+	// A burst fills all engines. Freed capacity goes to the most urgent request, regardless of the
+	// order of arrival.
+	It("is placed in the order of its rank", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		holder := w.place(generation(30_000, 1000))
@@ -186,9 +185,9 @@
 		Expect(refusal).To(BeNil())
 	})
 
-	// More long answers come than there is memory for. Served by age alone, each would
-	// wait until it is late. The one that can still be in time goes first.
-	It("that is late already lets pass what can be in time", func() {
+	// Guards against an overload in which a queue ordered by age alone makes every answer late.
+	// Work that can still start in time goes first.
+	It("that is already late is served after work that can still start in time", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		holder := w.running(generation(30_000, 1000))
@@ -206,8 +205,8 @@
 		Expect(<-order).To(Equal("late"))
 	})
 
-	// Every engine is filled up with long answers, and more of them wait. Short ones, which
-	// need their place for half a second, must not wait behind them.
+	// Guards against short answers, which need a placement for half a second, that wait behind long
+	// ones while every engine is filled with long answers.
 	It("with a short answer passes long ones", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
@@ -219,7 +218,7 @@
 		Expect(refusal).To(BeNil())
 	})
 
-	It("is refused when its patience ends, and holds no place then", func() {
+	It("is refused after its maximum wait and holds no placement then", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		holder := w.place(generation(30_000, 1000))
@@ -234,9 +233,9 @@
 var _ = Describe("endpoints that fail", func() {
 	call := fleet.Want{Service: app}
 
-	// An endpoint fails most of its requests while its health check is good. Without
-	// ejection a third of all calls would go on failing.
-	It("are left out for a while and tried again", func() {
+	// Guards against an endpoint that fails most of its requests while its health check passes.
+	// Without ejection a third of all calls would keep failing.
+	It("are ejected for some time and tried again", func() {
 		w := newWorld()
 		w.plain("grey")
 		w.plain("good")
@@ -263,9 +262,9 @@
 		Expect(seen).To(HaveKey("grey"))
 	})
 
-	// An engineer on call asks why an endpoint got no work. One line tells when it was left
-	// out and why, one when it was taken back; a line for each failure would be a flood.
-	It("are told of when they are left out, and when they are taken back", func() {
+	// An on-call engineer needs to see when and why an endpoint was excluded and when it was
+	// readmitted. A report of each failure would flood the log.
+	It("are reported when they are excluded and when they are readmitted", func() {
 		w := newWorld()
 		var told []fleet.Exclusion
 		w.Believed = func(e fleet.Exclusion) { told = append(told, e) }
@@ -285,7 +284,7 @@
 		Expect(told[1].Excluded).To(BeFalse())
 	})
 
-	// All endpoints of a service fail at once. Leaving all of them out would refuse
+	// Guards against excluding all endpoints of a service that fail at once, which would refuse
 	// every call although some would succeed.
 	It("stay in use when no other is left", func() {
 		w := newWorld()
@@ -296,7 +295,7 @@
 		Expect(w.place(call).Instance().ID).To(Equal("only"))
 	})
 
-	It("are left out at once when they refuse connections", func() {
+	It("are excluded at once when they refuse connections", func() {
 		w := newWorld()
 		w.plain("dead")
 		w.plain("good")
@@ -312,10 +311,10 @@
 	})
 })
 
-var _ = Describe("entries that vanish", func() {
-	// The store was down for longer than heartbeats may be missing: it has dropped the
-	// entries of endpoints that live. Taking them for gone would leave no endpoint.
-	It("after an outage stay in use until they are known to be gone", func() {
+var _ = Describe("endpoints whose store entries disappear", func() {
+	// Guards against dropping live endpoints after the store was down for longer than the heartbeat
+	// timeout and has expired their entries: no endpoint would be left.
+	It("stay in use after an outage until they are known to be gone", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		w.Replace(nil, true)
@@ -331,7 +330,7 @@
 		Expect(p.Leaving()).NotTo(BeClosed())
 	})
 
-	It("and stay away are taken for gone, and their runs learn of it", func() {
+	It("are dropped once DropMissing is called, and their runs are notified", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		p := w.place(generation(1000, 100))
@@ -342,7 +341,7 @@
 		Expect(w.refused(generation(1000, 100)).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 	})
 
-	It("at other times are gone at once", func() {
+	It("are dropped at once if the removal is not tentative", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		p := w.place(generation(1000, 100))
@@ -352,9 +351,9 @@
 })
 
 var _ = Describe("targets of moves", func() {
-	// A move to another data centre takes twice as long, and all other runs of the
-	// leaving engine wait behind it: near engines come first even when they are fuller.
-	It("are near unless no near engine has room", func() {
+	// Guards against needless copies to another data centre: they take twice as long, and all other
+	// runs of the leaving engine wait behind them. Near engines come first even if they are fuller.
+	It("are in the same data centre unless no engine there has capacity", func() {
 		w := newWorld()
 		w.engine("source", "dc2")
 		p := w.place(generation(3000, 500))
@@ -369,7 +368,7 @@
 		Expect(w.Target(p, generation(3000, 500)).Instance().ID).To(Equal("far"))
 	})
 
-	It("are not where the run already is", func() {
+	It("exclude the engine of the run", func() {
 		w := newWorld()
 		w.engine("source", "dc1")
 		p := w.place(generation(3000, 500))
--- a/fleet/holding.go
+++ b/fleet/holding.go
@@ -7,8 +7,9 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Holding is room on an endpoint for the backup of a run elsewhere: a copy of its memory
-// that grows with it, and from which it goes on when its own endpoint is gone.
+// Holding is a reservation of memory on an endpoint for the backup of a run on another endpoint.
+// The backup is a copy of the run's memory that grows with the run, and from which the run resumes
+// if its endpoint dies.
 type Holding struct {
 	fleet    *Fleet
 	endpoint *Endpoint
@@ -18,19 +19,20 @@
 }
 
 const (
-	// backupShare is the part of an engine's memory up to which it is given backups. What
-	// is left serves new answers, which must not wait for memory that is only there in
-	// case another engine dies.
+	// backupShare is the share of an engine's memory up to which it accepts backups. The rest is
+	// kept for new answers, which must not wait for memory that is reserved only in case another
+	// engine dies.
 	backupShare = 0.7
-	// backupUpTo is the part of the memory of all engines that may be promised to answers for
-	// there to be backups at all. Where memory decides how many answers are on time, backups
-	// cost more than they save.
+	// backupUpTo is the share of the total memory of all engines that can be reserved for answers
+	// before no more backups are made. When memory limits the number of answers that are on time,
+	// backups cost more than they save.
 	backupUpTo = 0.5
-	// backupSpread is the range of a random addition, as for moves.
+	// backupSpread is the range of the random part of the cost, as moveSpread is for moves.
 	backupSpread = 0.1
 )
 
-// Hold returns room for a backup of the run at p, nil if no engine has it to spare.
+// Hold reserves memory for a backup of the run at p. It returns nil if no engine has memory to
+// spare.
 func (f *Fleet) Hold(p *Placement, w Want) *Holding {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +71,7 @@
 	return h
 }
 
-// promisedLocked is the part of the memory of a service's engines that is promised to
+// promisedLocked returns the share of the memory of a service's engines that is reserved for
 // answers.
 func (f *Fleet) promisedLocked(s *routing.Service) float64 {
 	tokens, memory := 0, 0
@@ -86,19 +88,21 @@
 // Instance returns the endpoint that holds the backup.
 func (h *Holding) Instance() Instance { return h.endpoint.Instance }
 
-// Life ends once the endpoint has certainly died, and the backup with it.
+// Life returns a context that is cancelled once the endpoint is known to have died, and the backup
+// is lost with it.
 func (h *Holding) Life() context.Context { return h.endpoint.life }
 
-// Unusable is closed once the endpoint is about to stop or its data centre is evacuated.
+// Unusable returns a channel that is closed once the endpoint is about to stop or its data centre
+// is evacuated.
 func (h *Holding) Unusable() <-chan struct{} {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	return h.endpoint.unusable
 }
 
-// Take turns the room into the place of the run, which goes on there with so many tokens
-// made; nil if the room was given back, the endpoint leaves or takes no request now, or its data
-// centre is evacuated.
+// Take turns the reservation into the placement of the run, which resumes there with the given
+// number of tokens produced. It returns nil if the reservation was released, the endpoint is
+// leaving or does not accept a request now, or its data centre is evacuated.
 func (h *Holding) Take(produced int) *Placement {
 	f := h.fleet
 	f.mu.Lock()
@@ -117,8 +121,8 @@
 	return p
 }
 
-// Release gives the room back after the given time: an engine keeps a backup for a while
-// whose run has not ended well.
+// Release releases the reservation after the given time: an engine keeps the backup for some time
+// if the run has not ended well.
 func (h *Holding) Release(after time.Duration) {
 	if after > 0 {
 		time.AfterFunc(after, func() { h.Release(0) })
--- a/fleet/mechanism.go
+++ b/fleet/mechanism.go
@@ -7,52 +7,52 @@
 	"github.com/rotisserie/eris"
 )
 
-// Mechanism is a part of the decisions that can be left out: to measure what it is worth,
-// or to keep a deployment going while it is at fault.
+// Mechanism names a part of the placement logic that can be disabled, either to measure its effect
+// or to keep a deployment running while that part is faulty.
 type Mechanism string
 
 const (
-	// Moves copy runs away from engines that leave.
+	// Moves copies runs away from engines that are leaving.
 	Moves Mechanism = "moves"
-	// MoveTurns let the runs of an engine be copied one after another.
+	// MoveTurns copies the runs of an engine one after another.
 	MoveTurns Mechanism = "move-turns"
-	// Backups keep a copy of each long answer at another engine.
+	// Backups keeps a copy of each long answer on another engine.
 	Backups Mechanism = "backups"
-	// Turns let waiting work take its turn over all nodes.
+	// Turns serves waiting work in order across all nodes.
 	Turns Mechanism = "turns"
-	// ShortLine gives short answers a line and a part of the memory of their own.
+	// ShortLine gives short answers their own queue and their own share of memory.
 	ShortLine Mechanism = "short-line"
-	// LateBehind lets work that is late pass what can be in time.
+	// LateBehind serves work that is already late after work that can still start in time.
 	LateBehind Mechanism = "late-behind"
-	// UnreadBound keeps prompts from engines on which much waits to be read.
+	// UnreadBound keeps prompts away from engines with many prompt tokens pending prefill.
 	UnreadBound Mechanism = "unread-bound"
-	// Ejection keeps work from endpoints that fail.
+	// Ejection keeps work away from endpoints that fail.
 	Ejection Mechanism = "ejection"
-	// HealthChecks ask engines whether they leave while the store does not tell.
+	// HealthChecks asks engines whether they are leaving while the store is unavailable.
 	HealthChecks Mechanism = "health-checks"
-	// OneReader lets one node read the store for all.
+	// OneReader lets one node read the store for all nodes.
 	OneReader Mechanism = "one-reader"
-	// ColdTurns bound what a cold endpoint gets from all nodes together.
+	// ColdTurns limits the rate of requests from all nodes together to a cold endpoint.
 	ColdTurns Mechanism = "cold-turns"
-	// Retries repeat work that is safe to repeat, or certainly has not run.
+	// Retries repeats work that is safe to repeat or has certainly not run.
 	Retries Mechanism = "retries"
 )
 
-// Mechanisms are all that can be left out.
+// Mechanisms lists all mechanisms that can be disabled.
 var Mechanisms = []Mechanism{
 	Moves, MoveTurns, Backups, Turns, ShortLine, LateBehind, UnreadBound, Ejection, HealthChecks, OneReader, ColdTurns, Retries,
 }
 
-// Without is a set of mechanisms that are left out. It does not change while it is in use.
+// Without is a set of disabled mechanisms. It must not be changed while it is in use.
 type Without map[Mechanism]bool
 
-// ParseWithout reads names of mechanisms.
+// ParseWithout converts names of mechanisms to a set. It returns an error for an unknown name.
 func ParseWithout(names []string) (Without, error) {
 	w := make(Without, len(names))
 	for _, name := range names {
 		m := Mechanism(name)
 		if !slices.Contains(Mechanisms, m) {
-			return nil, eris.Errorf("%q is no mechanism; there are %s", name, allMechanisms())
+			return nil, eris.Errorf("unknown mechanism %q, known mechanisms are %s", name, allMechanisms())
 		}
 		w[m] = true
 	}
--- a/fleet/move.go
+++ b/fleet/move.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Target returns a place to which the run at p can be moved, nil if none has room. The
-// caller ends the copying with Arrived.
+// Target returns a placement to which the run at p can be moved, or nil if no endpoint has
+// capacity. The caller must call Arrived on it when the memory copy has ended.
 func (f *Fleet) Target(p *Placement, w Want) *Placement {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -23,7 +23,7 @@
 	return target
 }
 
-// Arrived ends the copying of memory to a target.
+// Arrived records the end of the memory copy to a move target.
 func (p *Placement) Arrived() {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
@@ -31,13 +31,13 @@
 	p.arriving = 0
 }
 
-// Departure is what is known of an endpoint that is leaving.
+// Departure describes an endpoint that is leaving.
 type Departure struct {
-	// Since is the time since it was found to be leaving.
+	// Since is the time that has passed since it was found to be leaving.
 	Since time.Duration
 }
 
-// Departure tells of the leaving endpoint of p.
+// Departure returns what is known of the leaving endpoint of p.
 func (p *Placement) Departure() Departure {
 	f := p.fleet
 	f.mu.Lock()
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -7,93 +7,96 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Demand is what a piece of work is expected to need.
+// Demand is the expected size of a piece of work.
 type Demand struct {
-	// Prompt and Output are tokens; both are 0 for work at a plain service.
+	// Prompt and Output are numbers of tokens. Both are 0 for work of a plain service.
 	Prompt int
 	Output int
 }
 
-// Tokens is the memory at the end of the run.
+// Tokens returns the memory, in tokens, that the run occupies at its end.
 func (d Demand) Tokens() int { return d.Prompt + d.Output }
 
-// Weights of the choice among endpoints. The unit is the share of an engine's memory
-// in use; for plain services the share of slots.
+// Cost weights for the choice among endpoints. A cost of 1 corresponds to the whole memory of an
+// engine or, for plain services, to all slots of an endpoint.
 const (
-	// otherDataCentreCost keeps work in its data centre while loads are about equal.
+	// otherDataCentreCost keeps work in the data centre of this node while loads are about equal.
 	otherDataCentreCost = 0.08
-	// unreadCost is for each second of prompts that wait to be read before this one.
+	// unreadCost is the cost of each second of prefill that is pending ahead of this prompt.
 	unreadCost = 1.0
-	// readRate is the number of prompt tokens that a busy engine reads in a second.
+	// readRate is the prefill rate of a busy engine in prompt tokens per second.
 	readRate = 7500.0
-	// maxUnread is the number of unread prompt tokens on an engine beyond which it gets no
-	// further prompt: waiting prompts hold memory and cannot go elsewhere.
+	// maxUnread is the number of prompt tokens pending prefill above which an engine gets no
+	// further prompt: pending prompts occupy memory and cannot be moved to another engine.
 	maxUnread = 4500
-	// failureCost applies in full if all recent results are failures.
+	// failureCost is the cost of an endpoint whose recent results are all failures.
 	failureCost = 2.0
-	// warmingCost keeps work from an endpoint that has just started.
+	// warmingCost is the cost of an endpoint that has just started.
 	warmingCost = 0.25
-	// missingCost keeps work from an endpoint whose entry is missing.
+	// missingCost is the cost of an endpoint whose store entry is missing.
 	missingCost = 0.5
-	// spread is the range of a random addition: nodes choose from the same reports and
-	// would otherwise all choose the same endpoint.
+	// spread is the range of the random part of the cost. Nodes choose from the same load reports
+	// and would otherwise all choose the same endpoint.
 	spread = 0.04
-	// copyCost is for each second that a copy takes to a target, behind the copies of all
-	// nodes that are on their way there. It outweighs the other costs: a far copy holds up all
-	// others of its engine.
+	// copyCost is the cost of each second that a memory copy to a target takes, including the wait
+	// for copies of all nodes that are in progress to the same target. It outweighs the other costs
+	// because a slow copy delays all other copies of the same source engine.
 	copyCost = 10.0
-	// farCopy is how many times longer a copy to another data centre takes.
+	// farCopy is the factor by which a copy to another data centre takes longer.
 	farCopy = 2.0
-	// moveSpread replaces spread for moves, whose nodes choose at the same moment.
+	// moveSpread replaces spread for moves, because the nodes choose move targets at the same
+	// moment.
 	moveSpread = 0.25
-	// memoryShare is the part of an engine's memory that may be promised to long answers. A
-	// run is promised what it needs at its end, and runs end at different times.
+	// memoryShare is the share of an engine's memory that can be reserved for long answers. It
+	// exceeds 1 because each run reserves the memory that it needs at its end, and runs end at
+	// different times.
 	memoryShare = 1.06
-	// shortShare is that part for short answers, which hold their memory briefly.
+	// shortShare is the same share for short answers, which occupy their memory briefly.
 	shortShare = 1.14
-	// moveShare is that part for runs that move: without a target they are lost.
+	// moveShare is the same share for runs that move: without a target they are lost.
 	moveShare = 1.10
-	// lateShare is that part for work that is late already; the rest is kept for work that
-	// can be in time.
+	// lateShare is the same share for work that is already late; the rest is kept for work that can
+	// still start in time.
 	lateShare = 0.70
-	// shortOutput is the length in tokens up to which an answer is short.
+	// shortOutput is the maximum length, in tokens, of a short answer.
 	shortOutput = 64
-	// plainOvercommit is how many requests, in multiples of its slots, an endpoint of a plain
-	// service is given; those beyond its slots wait in its own queue.
+	// plainOvercommit is the number of requests that an endpoint of a plain service gets, as a
+	// multiple of its slots. Requests beyond its slots wait in its own queue.
 	plainOvercommit = 2.0
 )
 
-// Want describes work to be placed.
+// Want describes a piece of work to be placed.
 type Want struct {
 	Service *routing.Service
 	Demand  Demand
-	// Longest is the length in tokens that the answer may have at most; 0 if that is not
-	// known.
+	// Longest is the maximum length of the answer in tokens, or 0 if it is not known.
 	Longest int
-	// Rank orders waiting work, lowest first.
+	// Rank is the priority of waiting work; lower values are served first.
 	Rank int
-	// StartWithin is the time within which the work must start to be on time; 0 if there
-	// is no such time.
+	// StartWithin is the time within which the work must start to be on time, or 0 if it has no
+	// such limit.
 	StartWithin time.Duration
-	// Exclude are IDs of endpoints that were tried.
+	// Exclude holds the IDs of endpoints that were already tried.
 	Exclude []string
-	// Bound is set for work that may run in Regions only.
+	// Bound restricts the work to endpoints in Regions.
 	Bound   bool
 	Regions []string
-	// late is set once StartWithin is over.
+	// late is set once StartWithin has elapsed.
 	late bool
-	// from is the endpoint that a move leaves; nil for new work. moving is the memory that
-	// is moved, in tokens.
+	// from is the source endpoint of a move, or nil for new work. moving is the memory to be
+	// copied, in tokens.
 	from   *Endpoint
 	moving int
 }
 
-// pickLocked returns the best endpoint with room, nil if there is none.
+// pickLocked returns the endpoint with capacity and the lowest cost, or nil if none has capacity.
 func (f *Fleet) pickLocked(w *Want) *Endpoint {
 	return f.pickAmongLocked(w, f.services[w.Service.Name])
 }
 
-// pickAmongLocked returns the best of some endpoints of the work's service.
+// pickAmongLocked returns the endpoint with capacity and the lowest cost among some endpoints of
+// the work's service, or nil. Ejected endpoints are considered only if every eligible endpoint is
+// ejected.
 func (f *Fleet) pickAmongLocked(w *Want, endpoints []*Endpoint) *Endpoint {
 	var best *Endpoint
 	bestCost := 0.0
@@ -121,8 +124,8 @@
 	return best
 }
 
-// anyInServiceLocked tells whether some endpoint is neither leaving nor ejected. If
-// none is, ejection is no longer a choice among endpoints and is ignored.
+// anyInServiceLocked reports whether some eligible endpoint is not ejected. If all are ejected,
+// ejection is ignored, as it no longer helps to choose among them.
 func (f *Fleet) anyInServiceLocked(w *Want, now time.Duration) bool {
 	for _, e := range f.services[w.Service.Name] {
 		if f.eligibleLocked(e, w) && !f.ejectedLocked(e, now) {
@@ -132,17 +135,17 @@
 	return false
 }
 
-// eligibleLocked tells whether the work may be sent to the endpoint, whatever its load.
+// eligibleLocked reports whether the work can be sent to the endpoint now, regardless of load.
 func (f *Fleet) eligibleLocked(e *Endpoint, w *Want) bool {
 	return f.mayServeLocked(e, w) && !f.pausedLocked(e)
 }
 
-// mayServeLocked tells whether the work may be sent to the endpoint, now or once its pause is over.
+// mayServeLocked reports whether the work can be sent to the endpoint now or after its pause.
 func (f *Fleet) mayServeLocked(e *Endpoint, w *Want) bool {
 	return !e.isLeaving && !e.isEvacuated && !slices.Contains(w.Exclude, e.ID) && f.inRegionsLocked(e, w)
 }
 
-// inRegionsLocked tells whether the endpoint is in a region to which the work is bound.
+// inRegionsLocked reports whether the endpoint is in a region to which the work is restricted.
 func (f *Fleet) inRegionsLocked(e *Endpoint, w *Want) bool {
 	return !w.Bound || slices.Contains(w.Regions, f.Regions[e.DataCentre])
 }
@@ -151,7 +154,7 @@
 	return now < e.health.ejectedUntil && !f.Without[Ejection]
 }
 
-// fitsLocked tells whether the endpoint, which bears the load, has room for the work.
+// fitsLocked reports whether the endpoint has capacity for the work in addition to the given load.
 func (f *Fleet) fitsLocked(e *Endpoint, w *Want, load *Load) bool {
 	spec := w.Service.Engine
 	if spec == nil {
@@ -165,7 +168,7 @@
 		(w.from != nil || load.Unread <= maxUnread || f.Without[UnreadBound])
 }
 
-// costLocked returns the cost of one more run.
+// costLocked returns the cost of placing one more run on the endpoint.
 func (f *Fleet) costLocked(e *Endpoint, w *Want, load *Load, now time.Duration) float64 {
 	cost := f.distanceCostLocked(e, w)
 	if !f.Without[Ejection] {
@@ -184,7 +187,8 @@
 	return cost + float64(load.Count)/float64(max(e.Slots, 1))
 }
 
-// distanceCostLocked is the cost of the way to the endpoint, with its random part.
+// distanceCostLocked returns the cost of the distance to the endpoint, including its random part.
+// For a move this is the expected time of the memory copy.
 func (f *Fleet) distanceCostLocked(e *Endpoint, w *Want) float64 {
 	if w.from == nil {
 		cost := f.random.Float64() * spread
--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Placement is the right to run one piece of work on one endpoint. It must be
-// released exactly once.
+// Placement is a reservation to run one piece of work on one endpoint. It must be released exactly
+// once.
 type Placement struct {
 	fleet    *Fleet
 	endpoint *Endpoint
 	demand   Demand
 	produced int
-	// reading is set until the first event.
+	// reading is set until the prompt has been read, that is, until the first event.
 	reading  bool
 	released bool
-	// arriving is the memory that is being copied here, in tokens.
+	// arriving is the memory, in tokens, that is being copied to the endpoint for this run.
 	arriving int
-	// Waited is the time that the work waited for its place.
+	// Waited is the time that the work spent in the queue.
 	Waited time.Duration
 }
 
-// Result is how the work on an endpoint ended, as far as it tells of its health.
+// Result is the outcome of work on an endpoint as far as it concerns the endpoint's health.
 type Result int
 
 const (
-	// Neutral says nothing about the endpoint.
+	// Neutral says nothing about the health of the endpoint.
 	Neutral Result = iota
-	// Good is a whole answer.
+	// Good is a complete answer.
 	Good
-	// Failed is a failure that the endpoint is at fault for.
+	// Failed is a failure that is attributed to the endpoint.
 	Failed
-	// Busy is a refusal by an endpoint that is full.
+	// Busy is a refusal by an endpoint without capacity.
 	Busy
-	// Unreachable is a connection that could not be made.
+	// Unreachable is a failed connection attempt.
 	Unreachable
-	// Silent is an endpoint that took work and answered nothing in time.
+	// Silent is the lack of any answer to accepted work within the time limit.
 	Silent
 )
 
@@ -46,7 +46,7 @@
 // String implements fmt.Stringer.
 func (r Result) String() string { return resultNames[r] }
 
-// Weights of results in health, in failures.
+// Weights of results, as fractions or multiples of one failure.
 const (
 	busyWeight   = 0.3
 	silentWeight = 1.5
@@ -67,29 +67,30 @@
 	return p
 }
 
-// Instance returns the endpoint as it registered itself.
+// Instance returns the endpoint as it has registered.
 func (p *Placement) Instance() Instance { return p.endpoint.Instance }
 
-// Life ends, with its cause, once the incarnation has certainly died. What still seems to
-// run there is lost.
+// Life returns a context that is cancelled, with a cause, once the incarnation is known to have
+// died. Runs on it are lost then.
 func (p *Placement) Life() context.Context { return p.endpoint.life }
 
-// Leaving is closed once the endpoint is about to stop.
+// Leaving returns a channel that is closed once the endpoint is about to stop.
 func (p *Placement) Leaving() <-chan struct{} {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	return p.endpoint.leaving
 }
 
-// Usable tells whether a run may go on at the endpoint.
+// Usable reports whether the run can continue on the endpoint: its data centre is not evacuated and
+// it has not requested a pause.
 func (p *Placement) Usable() bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	return !p.endpoint.isEvacuated && !p.fleet.pausedLocked(p.endpoint)
 }
 
-// tokens is the memory that the run is expected to need. An answer that has outgrown
-// its expectation is expected to go on for a while.
+// tokens returns the memory, in tokens, that the run is expected to need. An answer that exceeds
+// its expected length is assumed to continue for a while.
 func (p *Placement) tokens() int {
 	if p.demand.Prompt == 0 {
 		return 0
@@ -99,14 +100,14 @@
 	return p.demand.Prompt + int(output)
 }
 
-// Memory is the number of tokens that the run has in memory by now.
+// Memory returns the number of tokens that the run has in memory now.
 func (p *Placement) Memory() int {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	return p.tokensNow()
 }
 
-// tokensNow is the memory that the run has by now.
+// tokensNow returns the memory, in tokens, that the run occupies now.
 func (p *Placement) tokensNow() int { return p.demand.Prompt + p.produced }
 
 func (p *Placement) unread() int {
@@ -116,7 +117,7 @@
 	return 0
 }
 
-// Produced records the number of tokens that the run has made.
+// Produced records the number of tokens that the run has generated so far.
 func (p *Placement) Produced(tokens int) {
 	f := p.fleet
 	f.mu.Lock()
@@ -132,7 +133,7 @@
 	own.Tokens += p.tokens()
 }
 
-// Release ends the placement with its result.
+// Release ends the placement and records its result.
 func (p *Placement) Release(r Result) {
 	f := p.fleet
 	f.mu.Lock()
@@ -148,12 +149,13 @@
 	f.recordLocked(e, r)
 	f.dispatchLocked(e.Service)
 	if p.demand.Prompt > 0 && f.othersWaitLocked(e.Service) {
-		// They would otherwise learn of the room with the next regular datagram.
+		// The waiting nodes would otherwise learn of the capacity only with the next regular
+		// datagram.
 		f.Changed("")
 	}
 }
 
-// Report records a result without an end of the placement.
+// Report records a result without ending the placement.
 func (p *Placement) Report(r Result) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
@@ -181,21 +183,22 @@
 	f.tellOfHealthLocked(e, r, now)
 }
 
-// Exclusion is a change of what this node believes of an endpoint's health.
+// Exclusion is a change of this node's view of an endpoint's health.
 type Exclusion struct {
 	Instance Instance
-	// Excluded is set if the endpoint gets no new work for a while, and not if it is
-	// taken back after a whole answer.
+	// Excluded is set if the endpoint gets no new work for some time, and unset if it is readmitted
+	// after a complete answer.
 	Excluded bool
-	// Cause is the result that led to it, For the time for which work is kept away.
+	// Cause is the result that led to the change. For is the time for which the endpoint gets no
+	// new work.
 	Cause Result
 	For   time.Duration
-	// Failures is the number of recent failures, as they are weighed.
+	// Failures is the weighted number of recent failures.
 	Failures float64
 }
 
-// tellOfHealthLocked tells of an endpoint that is left out from now on, and of one that is
-// good again; what lies between would be a line for each request.
+// tellOfHealthLocked reports an endpoint that is excluded from now on, and one that is healthy
+// again. The results in between are not reported, as they would give a log line for each request.
 func (f *Fleet) tellOfHealthLocked(e *Endpoint, r Result, now time.Duration) {
 	h := &e.health
 	excluded := now < h.ejectedUntil
--- a/fleet/queue.go
+++ b/fleet/queue.go
@@ -8,35 +8,34 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// waiter is one piece of work that waits for a place.
+// waiter is a piece of work that waits for a placement.
 type waiter struct {
 	want  *Want
 	since time.Duration
-	// until is when the wait ends without a place.
+	// until is the time at which the wait ends without a placement.
 	until time.Duration
-	// ended gets the end of the wait.
+	// ended receives the outcome of the wait. It has a buffer of one.
 	ended chan waitEnd
 	turn  turn
 }
 
-// waitEnd is a place, or a refusal once no endpoint may run the work.
+// waitEnd is the outcome of a wait: a placement, or a refusal once no endpoint can run the work.
 type waitEnd struct {
 	place   *Placement
 	refusal *crocusreel.Refusal
 }
 
-// lateRank is added to the rank of work that can no longer start in time. Room that it
-// took would make work late that is still in time, and so on with each that follows: as
-// soon as more comes than there is room for, a line that is served by age alone is one
-// in which every answer is late. Work that is late is served when nothing else waits.
+// lateRank is added to the rank of work that can no longer start in time, so that such work is
+// served only when nothing else waits. Capacity spent on late work would delay work that can still
+// start in time: under overload, a queue that is ordered by age alone makes every answer late.
 const lateRank = 1 << 16
 
-// late tells whether the work can no longer start in time.
+// late reports whether the work can no longer start in time.
 func (w *waiter) late(now time.Duration) bool {
 	return w.want.StartWithin > 0 && now-w.since > w.want.StartWithin
 }
 
-// rank is the work's rank among all that waits.
+// rank returns the current rank of the work, including the penalty for late work.
 func (w *waiter) rank(now time.Duration) int {
 	if w.late(now) {
 		return w.want.Rank + lateRank
@@ -44,7 +43,7 @@
 	return w.want.Rank
 }
 
-// queue holds the waiting work of one line, ordered by rank and arrival.
+// queue holds the waiting work of one line, ordered by rank and then by arrival.
 type queue struct {
 	waiting []*waiter
 }
@@ -64,16 +63,16 @@
 }
 
 const (
-	// maxWaiting bounds the work that waits for one service on one node: at the rate of
-	// a burst it is several seconds' worth, beyond which callers have left.
+	// maxWaiting limits the length of each queue on one node. At the rate of a burst it holds
+	// several seconds of work; callers further back would have given up.
 	maxWaiting = 256
-	// lookAhead is how many waiting requests are tried for a place when the first does
-	// not fit: a large answer must not keep small ones from memory that it cannot use.
+	// lookAhead is the number of waiters that are tried if the first does not fit, so that a large
+	// answer does not keep small ones from memory that it cannot use itself.
 	lookAhead = 8
 )
 
-// Acquire returns a place for the work. It waits for room at most for the time
-// patience, or until ctx ends. With patience 0 it does not wait.
+// Acquire returns a placement for the work. It waits for capacity for at most patience, or until
+// ctx ends. If patience is 0, it does not wait.
 func (f *Fleet) Acquire(ctx context.Context, w Want, patience time.Duration) (*Placement, *crocusreel.Refusal) {
 	f.mu.Lock()
 	if refusal := f.unservableLocked(&w); refusal != nil {
@@ -97,7 +96,7 @@
 		return nil, refusal
 	}
 	waiting, refusal := f.enqueueLocked(&w, patience)
-	// What waits ahead may be too large for the room that there is.
+	// The waiters ahead may be too large for the free capacity.
 	f.dispatchLineLocked(f.line(&w))
 	if w.Service.Engine != nil {
 		f.Changed("")
@@ -129,7 +128,7 @@
 	}
 	select {
 	case end := <-w.ended:
-		// The place was granted while the wait ended.
+		// The placement was granted while the wait ended.
 		if end.place == nil || ctx.Err() == nil {
 			return end.place, end.refusal
 		}
@@ -161,7 +160,7 @@
 	return entry, nil
 }
 
-// ahead tells whether work of this or a more urgent rank is waiting.
+// ahead reports whether work of the same or a more urgent rank is waiting.
 func (q *queue) ahead(rank int, now time.Duration) bool {
 	first := q.first(now, 1)
 	return len(first) > 0 && first[0].rank(now) <= rank
@@ -176,8 +175,8 @@
 	}
 }
 
-// dispatchLocked gives places to the waiting work of a service while there is room.
-// Long answers come first: what they cannot use is left for the short ones.
+// dispatchLocked grants placements to the waiting work of a service while there is capacity. Long
+// answers are served first; short ones can use the memory share that is closed to long ones.
 func (f *Fleet) dispatchLocked(service string) {
 	f.dispatchLineLocked(line{service: service})
 	f.dispatchLineLocked(line{service: service, short: true})
@@ -196,7 +195,7 @@
 	}
 }
 
-// dispatchLineLocked gives places to the waiting work of a line while there is room.
+// dispatchLineLocked grants placements to the waiting work of a line while there is capacity.
 func (f *Fleet) dispatchLineLocked(l line) {
 	q := f.queues[l]
 	if q == nil {
@@ -214,10 +213,10 @@
 	}
 }
 
-// dispatchToLocked gives waiting work of a line the room that came free on a few
-// endpoints. Work that waits has found no room anywhere, so the others need not be looked
-// through once more: with thousands of engines and hundreds of nodes that tell of theirs,
-// that would take more than the nodes' processors.
+// dispatchToLocked grants capacity that was freed on a few endpoints to the waiting work of a line.
+// Waiting work has found no capacity on any endpoint, so the others are not searched again: with
+// thousands of engines and hundreds of nodes that report their load, a full search on each report
+// would take more CPU time than the nodes have.
 func (f *Fleet) dispatchToLocked(l line, freed []*Endpoint) {
 	q := f.queues[l]
 	if q == nil {
@@ -232,9 +231,9 @@
 	}
 }
 
-// grantLocked gives a waiter the place if it is its turn.
+// grantLocked grants the placement to a waiter if it is its turn.
 func (f *Fleet) grantLocked(q *queue, w *waiter, e *Endpoint) {
-	// The turns at a cold or limited endpoint keep nodes apart already.
+	// The turns at a cold or limited endpoint already prevent simultaneous claims by several nodes.
 	apart := e.limited() || (w.want.Service.Engine == nil && f.coldLocked(e, w.want.Service, f.now()))
 	if !apart && !f.mayClaimLocked(w) {
 		return
@@ -243,14 +242,14 @@
 	w.ended <- waitEnd{place: f.placeLocked(e, w.want.Demand)}
 }
 
-// Bounds of the time after which refused callers are asked to come back.
+// Bounds of the retry-after time in refusals.
 const (
 	shortestRetry = 300 * time.Millisecond
 	longestRetry  = 3 * time.Second
-	// noEndpointRetry is for a service without any endpoint: new ones register
-	// within seconds.
+	// noEndpointRetry applies to a service without any endpoint: new endpoints register within
+	// seconds.
 	noEndpointRetry = time.Second
-	// waitPerRequest is about the time in which one place comes free.
+	// waitPerRequest is the approximate time in which one placement becomes free.
 	waitPerRequest = 100 * time.Millisecond
 )
 
@@ -274,7 +273,7 @@
 		"%d endpoints of service %q have no room, %d requests wait here", alive, w.Service.Name, waiting)
 }
 
-// Waiting returns the number of requests that wait for a service.
+// Waiting returns the number of requests that wait for a service on this node.
 func (f *Fleet) Waiting(service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/remote.go
+++ b/fleet/remote.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Other nodes tell of their runs and of their waiting work several times a second. What
-// has changed since is worked out from what each node told last, so that a datagram costs
-// as much as it says, whatever the number of endpoints.
+// Other nodes report their runs and their waiting work several times per second. Changes are
+// computed from the difference to the previous report of each node, so that the cost of a datagram
+// depends on its size and not on the number of endpoints.
 
-// remoteNode is what another node last told. What it told of waiting work counts until
-// it tells otherwise or is lost: where that is out of date, it delays work by one turn.
+// remoteNode is the last report of another node. Its waiting work counts until the next report or
+// the loss of the node; an outdated report delays work by one turn.
 type remoteNode struct {
 	heard   time.Duration
 	loads   map[EndpointKey]Load
 	waiting map[LineKey]WaitingWork
 }
 
-// since is when the first request in the line began to wait, by this node's clock.
+// since returns the time at which the first request of the queue began to wait, by this node's
+// clock.
 func (r remoteNode) since(head WaitingWork) time.Duration { return r.heard - head.Waited }
 
-// remoteChangedLocked takes over what a node tells now in place of what it told before.
+// remoteChangedLocked applies the current report of a node in place of its previous one.
 func (f *Fleet) remoteChangedLocked(node string, before remoteNode) {
 	after := f.remote[node]
 	var freed []*Endpoint
@@ -38,8 +39,8 @@
 	}
 }
 
-// setRemoteLocked sets what a node runs on an endpoint, and adds the endpoint to those
-// that have more room than before.
+// setRemoteLocked sets the load of a node on an endpoint. It appends the endpoint to freed if that
+// load has decreased.
 func (f *Fleet) setRemoteLocked(freed []*Endpoint, node string, key EndpointKey, l Load) []*Endpoint {
 	if e := f.byKey[key]; e != nil && e.setRemote(node, l) {
 		return append(freed, e)
@@ -47,9 +48,8 @@
 	return freed
 }
 
-// dispatchAfterLocked looks for room for the work of a line after a node has told of its
-// own: anywhere if that work may have come to its turn, else on the endpoints that have
-// more room now.
+// dispatchAfterLocked dispatches the waiting work of a queue after the report of another node: to
+// any endpoint if that work may now have its turn, else to the endpoints with more free capacity.
 func (f *Fleet) dispatchAfterLocked(l line, before, after remoteNode, freed []*Endpoint) {
 	if len(f.queues[l].waiting) == 0 {
 		return
@@ -69,8 +69,8 @@
 	}
 }
 
-// turnsChanged tells whether a node that goes first in the line no longer has the request
-// that it told of before.
+// turnsChanged reports whether the first request of the queue that the node reported before is no
+// longer its first one.
 func (l line) turnsChanged(before, after remoteNode) bool {
 	key := l.key()
 	was, waited := before.waiting[key]
--- a/fleet/remote_test.go
+++ b/fleet/remote_test.go
@@ -12,11 +12,11 @@
 	"github.com/crocusreel/crocusreel/fleet"
 )
 
-var _ = Describe("what other nodes tell of their runs", func() {
-	// Sums are kept from one datagram to the next. One that drifts makes an engine look
-	// full that is empty, and callers wait for room that is there, or the other way round.
+var _ = Describe("load reports of other nodes", func() {
+	// The sums are updated with each datagram. A sum that drifts makes an empty engine look full,
+	// so that callers wait for capacity that is free, or a full one look empty.
 	for seed := range uint64(20) {
-		It(fmt.Sprintf("adds up whatever comes in which order, seed %d", seed), func() {
+		It(fmt.Sprintf("add up to the maintained sums in any order of events, seed %d", seed), func() {
 			w, random := newWorld(), rand.New(rand.NewPCG(seed, 1))
 			var runs []*fleet.Placement
 			instance := func() fleet.Instance {
@@ -63,9 +63,9 @@
 		})
 	}
 
-	// Another node ends a run on an engine while a caller waits here for its room, and no
-	// engine told of has any. The caller must have it with that datagram.
-	It("gives work that waits the room that comes free", func() {
+	// Another node ends a run on an engine while a caller waits here and all engines are full. The
+	// caller must be placed with that datagram.
+	It("give freed capacity to waiting work", func() {
 		w := newWorld()
 		w.engine("e1", "dc1")
 		key := fleet.Instance{ID: "e1"}.Incarnation().Key()
--- a/fleet/turn.go
+++ b/fleet/turn.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// Nodes learn of new room at the same moment: an engine registers, or a node tells that
-// a run has ended. If every node with waiting work took that room at once, an engine
-// would be given several times the work that it holds, whose callers wait and give up while
-// other engines stay half empty. So waiting work takes its turn. Nodes
-// tell which request is first in their line, and the node whose request is the most
-// urgent and the oldest takes room at once. The others hear of it within milliseconds and
-// look again. A node that is silent, or whose request is too large for the room, holds
-// them up for claimSpacing.
+// Nodes learn of free capacity at the same moment: an engine registers, or a node reports that a
+// run has ended. If every node with waiting work claimed that capacity at once, an engine would be
+// given several times the work that it can hold; those callers would wait and give up while other
+// engines stay half empty. Waiting work is therefore served in turns. Each node reports the first
+// request of each of its queues. The node whose request is the most urgent, and among equals the
+// oldest, claims capacity at once; the other nodes receive its new load within milliseconds and
+// check again. A node that is silent, or whose request is too large for the free capacity, delays
+// the others by claimSpacing.
 
 const (
-	// claimSpacing is the time given to each node that is ahead: 10 ms between two rounds
-	// of datagrams, 5 to 9 ms in which news of an engine reaches all nodes, and the way.
+	// claimSpacing is the time that is allowed to each node that is ahead. It covers the 10 ms
+	// between two rounds of datagrams, the 5 to 9 ms in which the registration of an engine reaches
+	// all nodes, and the network delay.
 	claimSpacing = 20 * time.Millisecond
-	// longestTurn is the time after which work takes room that it has seen all along
-	// although others are ahead, who cannot use it then. Up to turnJitter is added, so
-	// that not all end their turn together.
+	// longestTurn is the time after which work claims capacity that has been free for it all along
+	// although other nodes are ahead: these cannot use it then. Up to turnJitter is added, so that
+	// not all nodes claim at the same time.
 	longestTurn = 200 * time.Millisecond
 	turnJitter  = 200 * time.Millisecond
-	// sameAge is the difference in age up to which two requests count as equally old: the
-	// time by which a datagram may be late. Their nodes' names then decide, so that not
-	// each takes itself for the first.
+	// sameAge is the difference in age up to which two requests count as equally old: the possible
+	// delay of a datagram. The names of their nodes then decide, so that not each node considers
+	// itself the first.
 	sameAge = 20 * time.Millisecond
 )
 
-// line is the work of one service that competes for the same room. Short answers have
-// a part of an engine's memory that long ones must leave free; behind long ones that
-// wait for more they would never come to use it.
+// line identifies the waiting work of one service that competes for the same capacity. Short
+// answers have a queue of their own because they can use a share of an engine's memory that is
+// closed to long ones. Queued behind long answers that wait for more memory, they would never get
+// to use it.
 type line struct {
 	service string
 	short   bool
@@ -41,11 +43,12 @@
 	return line{service: w.Service.Name, short: w.Service.Engine != nil && w.Short() && !f.Without[ShortLine]}
 }
 
-// Short tells whether the answer is short.
+// Short reports whether the answer is short.
 func (w *Want) Short() bool { return w.longest() <= shortOutput }
 
-// longest is the length that the answer may have. What a caller expects is often far too
-// low: 1 long answer in 30 was taken for a short one by it, and had no backup.
+// longest returns the maximum length of the answer in tokens. The length that the caller expects is
+// only the fallback, as it is often far too low: by that length, 1 long answer in 30 was classified
+// as short and had no backup.
 func (w *Want) longest() int {
 	if w.Longest > 0 {
 		return w.Longest
@@ -53,15 +56,15 @@
 	return w.Demand.Output
 }
 
-// WaitingWork is a line in which work waits on a node.
+// WaitingWork describes a queue with waiting work on a node.
 type WaitingWork struct {
 	Line LineKey
-	// Rank and Waited describe the request that is first in line.
+	// Rank and Waited describe the first request of the queue.
 	Rank   int
 	Waited time.Duration
 }
 
-// LineKey identifies a line in messages between nodes.
+// LineKey identifies a queue in messages between nodes.
 type LineKey uint32
 
 func (l line) key() LineKey {
@@ -73,7 +76,7 @@
 	return LineKey(h.Sum32())
 }
 
-// OwnWaiting returns the work that waits on this node, for the other nodes.
+// OwnWaiting returns the waiting work of this node, to be sent to the other nodes.
 func (f *Fleet) OwnWaiting() []WaitingWork {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,9 +92,9 @@
 	return waiting
 }
 
-// aheadLocked counts the nodes on which more urgent or older work of the line waits.
-// Plain services have no turns: their room comes free every few milliseconds, and what
-// exceeds it waits in an endpoint's own queue for no longer than a turn.
+// aheadLocked returns the number of nodes on which more urgent or older work of the same queue
+// waits. Plain services have no turns: their capacity becomes free every few milliseconds, and work
+// beyond it waits in an endpoint's own queue for no longer than a turn.
 func (f *Fleet) aheadLocked(w *Want, rank int, since time.Duration) int {
 	if w.Service.Engine == nil || f.Without[Turns] {
 		return 0
@@ -107,8 +110,8 @@
 	return ahead
 }
 
-// olderAt tells whether work that waits on another node since the given time goes before
-// work that waits here.
+// olderAt reports whether work that waits on another node since the given time precedes work that
+// waits here.
 func (f *Fleet) olderAt(node string, since, here time.Duration) bool {
 	if diff := here - since; diff > sameAge || diff < -sameAge {
 		return diff > 0
@@ -116,7 +119,7 @@
 	return node < f.Name
 }
 
-// othersWaitLocked tells whether work of the service waits on another node.
+// othersWaitLocked reports whether work of the service waits on another node.
 func (f *Fleet) othersWaitLocked(service string) bool {
 	long, short := line{service: service}.key(), line{service: service, short: true}.key()
 	for _, node := range f.remote {
@@ -130,9 +133,10 @@
 	return false
 }
 
-// tellLocked has the nodes told of new work on an endpoint: all while work waits
-// anywhere, else those of the endpoint's data centre at least. Others use it when their
-// own are full, and may hear of it with the next regular datagram.
+// tellLocked requests that new work on an endpoint is reported to other nodes: to all nodes while
+// work of the service waits on any node, else only to the nodes in the endpoint's data centre.
+// Nodes in other data centres use the endpoint only when their own are full, and can learn of the
+// work with the next regular datagram.
 func (f *Fleet) tellLocked(e *Endpoint) {
 	if f.waitingLocked(e.Service) > 0 || f.othersWaitLocked(e.Service) {
 		f.Changed("")
@@ -141,17 +145,18 @@
 	f.Changed(e.DataCentre)
 }
 
-// turn is a waiter's place among those of all nodes that see the same room.
+// turn is the position of a waiter among the nodes that compete for the same capacity.
 type turn struct {
-	// sees is set while there is room for the work.
+	// sees is set while there is capacity for the work.
 	sees bool
 	// ahead is the number of nodes that go first.
 	ahead int
-	// claimAt is when the work takes the room in any case, latest the bound for that.
+	// claimAt is the time at which the work claims the capacity even if other nodes are ahead.
+	// latest is the upper bound of claimAt.
 	claimAt, latest time.Duration
 }
 
-// mayClaimLocked tells whether a waiter that sees room may take it.
+// mayClaimLocked reports whether a waiter for which there is capacity may claim it now.
 func (f *Fleet) mayClaimLocked(w *waiter) bool {
 	now := f.now()
 	ahead := f.aheadLocked(w.want, w.rank(now), w.since)
@@ -163,7 +168,7 @@
 		w.turn = turn{sees: true, ahead: -1, latest: now + longestTurn + jitter}
 	}
 	if ahead != w.turn.ahead {
-		// One of those ahead has found its place, or another has come.
+		// A node ahead has placed its request, or another node has joined.
 		w.turn.ahead = ahead
 		w.turn.claimAt = min(now+time.Duration(ahead)*claimSpacing, w.turn.latest)
 		f.Wake(w.turn.claimAt - now)
--- a/fleet/turn_test.go
+++ b/fleet/turn_test.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// crowdNodes is the size of the users' grown deployments.
+	// crowdNodes is the number of nodes in the large deployments of users.
 	crowdNodes = 64
 	// crowdMemory is the memory of one of their engines in tokens.
 	crowdMemory = 21_834
-	// way is the time of a datagram between two data centres, and roundGap the least
-	// time between two of one node.
+	// way is the network delay of a datagram between two data centres. roundGap is the minimum time
+	// between two datagrams of one node.
 	way      = 1400 * time.Microsecond
 	roundGap = 10 * time.Millisecond
-	// regularly is the time between two datagrams of a node on which nothing happens.
+	// regularly is the interval between two datagrams of a node without changes.
 	regularly = 600 * time.Millisecond
 )
 
 var crowdPool = &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Slots: 24, Memory: crowdMemory}}
 
-// crowd is many nodes with one clock and datagrams that take their time.
+// crowd simulates many nodes with a common clock and a network delay.
 type crowd struct {
-	// clock is read by the waiting requests as well.
+	// clock is also read by the goroutines of waiting requests.
 	clock  atomic.Int64
 	nodes  []*crowdNode
 	events []crowdEvent
@@ -65,7 +65,7 @@
 	return c
 }
 
-// repeat tells a node's state regularly.
+// repeat sends the state of a node at regular intervals.
 func (c *crowd) repeat(n *crowdNode) {
 	c.after(regularly, func() {
 		c.tell(n)
@@ -79,7 +79,7 @@
 	c.events = append(c.events, crowdEvent{at: c.now() + d, do: do})
 }
 
-// tell sends the state of a node to all others, at most once in roundGap.
+// tell schedules a datagram with the state of a node to all others, at most one per roundGap.
 func (c *crowd) tell(n *crowdNode) {
 	if n.promised {
 		return
@@ -98,7 +98,7 @@
 	})
 }
 
-// run plays events in their order until the given time has passed.
+// run processes events in order until the given time has passed.
 func (c *crowd) run(d time.Duration) {
 	end := c.now() + d
 	for {
@@ -120,7 +120,7 @@
 	most    = fleet.Demand{Prompt: 1000, Output: 14_000}
 )
 
-// wait makes a request wait on a node.
+// wait starts a request that has to wait on a node.
 func (c *crowd) wait(n *crowdNode, demand fleet.Demand) {
 	GinkgoHelper()
 	waiting := n.Waiting("pool")
@@ -131,7 +131,7 @@
 	Eventually(func() int { return n.Waiting("pool") }).Should(Equal(waiting + 1))
 }
 
-// promised is the memory that all nodes together gave away on an engine.
+// promised returns the memory, in tokens, that all nodes together have reserved on an engine.
 func (c *crowd) promised(engine string) int {
 	sum := 0
 	for _, n := range c.nodes {
@@ -152,8 +152,7 @@
 	return sum
 }
 
-// register makes an engine known to all nodes within some milliseconds, as the nodes
-// hear of it one after another.
+// register adds an engine on all nodes, each with a random delay of up to 5 ms.
 func (c *crowd) register(engine string) {
 	for _, n := range c.nodes {
 		c.after(time.Duration(rand.IntN(5000))*time.Microsecond, func() {
@@ -162,12 +161,11 @@
 	}
 }
 
-var _ = Describe("room that many nodes wait for", func() {
-	// All engines are full and requests wait on twelve of 64 nodes. An engine registers,
-	// and every node hears of it within 5 ms. Were all to send their requests there, it
-	// would have three times the work that it holds: most callers would see no first
-	// event for seconds and give up.
-	It("is not given away more than once", func() {
+var _ = Describe("capacity that many nodes wait for", func() {
+	// Guards against all nodes claiming a new engine at once. Requests wait on 12 of 64 nodes, and
+	// all nodes learn of the engine within 5 ms: it would get three times the work that it can
+	// hold, and most callers would see no first event for seconds and give up.
+	It("is not granted more than once", func() {
 		c := newCrowd(crowdNodes)
 		for i := range 12 {
 			c.wait(c.nodes[5*i], quarter)
@@ -184,9 +182,9 @@
 		Expect(c.waiting()).To(BeZero())
 	})
 
-	// The same with a request on each of 64 nodes, as in a long burst. A bound on the
-	// time that a node lets others pass must not make the last forty come together.
-	It("is not given away more than once while work waits on every node", func() {
+	// The same with a waiting request on each of 64 nodes, as in a long burst. The limit on the
+	// time for which a node lets others go first must not make the last forty claim together.
+	It("is not granted more than once while work waits on every node", func() {
 		c := newCrowd(crowdNodes)
 		for i, n := range c.nodes {
 			c.wait(n, quarter)
@@ -204,8 +202,9 @@
 		}
 	})
 
-	// A run ends while requests wait on other nodes. Only its own node knows of the
-	// room at once; the others must hear of it before their next regular datagram.
+	// Guards against capacity that is freed while requests wait on other nodes. At first only the
+	// node of the ended run knows of it; the others must learn of it before their next regular
+	// datagram.
 	It("goes to the request that has waited longest, on any node", func() {
 		c := newCrowd(3)
 		first, second, holder := c.nodes[0], c.nodes[1], c.nodes[2]
@@ -228,9 +227,9 @@
 		Expect(holder.Waiting("pool")).To(Equal(1))
 	})
 
-	// An engine that was just registered is used by a node before another has heard of
-	// it. The other must count that work once it hears of the engine.
-	It("is known to be taken before the engine is known", func() {
+	// Guards against ignoring the load of an engine that another node uses before this node learns
+	// of the engine.
+	It("counts as used if the load report arrives before the engine's entry", func() {
 		c := newCrowd(2)
 		c.nodes[0].SetRemote("node1", []fleet.Load{{Key: fleet.Incarnation{ID: "new"}.Key(), Count: 5, Tokens: 20_000}}, nil)
 		c.nodes[0].Update(fleet.Instance{ID: "new", Service: "pool", DataCentre: "dc1", Slots: 24})
