--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -18,12 +18,12 @@
 // work, and turns would leave the engine idle.
 
 const (
-	// coldShare is the share of a cold endpoint's rate that nodes use. The rest is a reserve for
-	// requests that were sent before their sender knew that the endpoint is cold, and for late
+	// coldRateShare is the share of a cold endpoint's rate that nodes use. The rest is a reserve
+	// for requests that were sent before their sender knew that the endpoint is cold, and for late
 	// ones.
-	coldShare = 0.8
-	// leastGeneration is the minimum duration of a generation.
-	leastGeneration = 250 * time.Millisecond
+	coldRateShare = 0.8
+	// minGenerationTime is the minimum duration of a generation.
+	minGenerationTime = 250 * time.Millisecond
 )
 
 // Population is the number of nodes in the deployment.
@@ -40,9 +40,9 @@
 	if s.ColdPerSecond <= 0 || f.Without[ColdTurns] {
 		return 0
 	}
-	until := e.warmUntil
-	if e.returnedAt != 0 {
-		until = max(until, e.returnedAt+s.ColdStart)
+	until := e.warmingUntil
+	if e.evacuationEndedAt != 0 {
+		until = max(until, e.evacuationEndedAt+s.ColdStart)
 	}
 	if now >= until {
 		return 0
@@ -50,8 +50,8 @@
 	return until
 }
 
-// coldLocked reports whether the rate of requests to the endpoint is limited because it is cold.
-func (f *Fleet) coldLocked(e *Endpoint, s *routing.Service, now time.Duration) bool {
+// isColdLocked reports whether the rate of requests to the endpoint is limited because it is cold.
+func (f *Fleet) isColdLocked(e *Endpoint, s *routing.Service, now time.Duration) bool {
 	return f.coldUntilLocked(e, s, now) != 0
 }
 
@@ -67,24 +67,24 @@
 	if population.Nodes <= 0 {
 		return false
 	}
-	if s.Engine != nil && population.Heard && float64(load.Count) < s.ColdPerSecond*leastGeneration.Seconds() {
+	if s.Engine != nil && population.Heard && float64(load.Count) < s.ColdPerSecond*minGenerationTime.Seconds() {
 		return true
 	}
-	began, next := pace.Turn(f.Name, uint32(e.key), population.Nodes, coldShare*s.ColdPerSecond, now)
-	if now-began < pace.Length && e.coldUsedAt < began {
+	began, next := pace.Turn(f.Name, uint32(e.key), population.Nodes, coldRateShare*s.ColdPerSecond, now)
+	if now-began < pace.Length && e.lastRequestAt < began {
 		return true
 	}
-	f.wakeLocked(now, min(next, until)-now)
+	f.scheduleTickLocked(now, min(next, until)-now)
 	return false
 }
 
-// wakeLocked schedules a dispatch of waiting work after the given time at the latest.
-func (f *Fleet) wakeLocked(now, after time.Duration) {
+// scheduleTickLocked schedules a dispatch of waiting work after the given time at the latest.
+func (f *Fleet) scheduleTickLocked(now, after time.Duration) {
 	at := now + after
-	if f.wakeAt > now && f.wakeAt <= at {
+	if f.nextTickAt > now && f.nextTickAt <= at {
 		return
 	}
-	f.wakeAt = at
+	f.nextTickAt = at
 	f.Wake(after)
 }
 
@@ -97,6 +97,6 @@
 	if e == nil {
 		return false
 	}
-	e.warmUntil = max(e.warmUntil, f.now()+remaining)
+	e.warmingUntil = max(e.warmingUntil, f.now()+remaining)
 	return true
 }
--- a/fleet/doubt.go
+++ b/fleet/doubt.go
@@ -41,9 +41,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var stayed []string
-	for e := range f.doubted {
-		if e.byHealth && e.missingAt == 0 && f.now()-e.left >= after {
-			e.stay()
+	for e := range f.unconfirmed {
+		if e.leavingByHealth && e.missingSince == 0 && f.now()-e.leavingSince >= after {
+			e.cancelLeaving()
 			stayed = append(stayed, e.ID)
 			f.dispatchLocked(e.Service)
 		}
@@ -59,8 +59,8 @@
 	if e == nil || e.isLeaving {
 		return false
 	}
-	e.byHealth = true
-	f.doubted[e] = struct{}{}
+	e.leavingByHealth = true
+	f.unconfirmed[e] = struct{}{}
 	e.markLeaving(f.now())
 	return true
 }
@@ -70,8 +70,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var keys []EndpointKey
-	for e := range f.doubted {
-		if e.byHealth {
+	for e := range f.unconfirmed {
+		if e.leavingByHealth {
 			keys = append(keys, e.key)
 		}
 	}
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -41,7 +41,7 @@
 type EndpointKey uint32
 
 // Key returns the key of the incarnation, a 32-bit hash. Two live incarnations share a key with a
-// probability of one in millions; their loads are not told apart then.
+// probability of one in millions; their loads cannot be distinguished then.
 func (i Incarnation) Key() EndpointKey {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(i.ID))
@@ -72,11 +72,11 @@
 // Fleet.
 type Endpoint struct {
 	Instance
-	key       EndpointKey
-	warmUntil time.Duration
-	// life is cancelled by end once the instance is known to have died.
-	life context.Context
-	end  context.CancelCauseFunc
+	key          EndpointKey
+	warmingUntil time.Duration
+	// ctx is cancelled by end once the instance is known to have died.
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 	// leaving is closed once the instance is about to stop or has been removed.
 	leaving   chan struct{}
 	isLeaving bool
@@ -85,31 +85,31 @@
 	// unusable is closed while the instance is leaving or its data centre is evacuated.
 	unusable    chan struct{}
 	isEvacuated bool
-	// returnedAt is the time at which the evacuation of the data centre ended, or 0 if there was
-	// none.
-	returnedAt time.Duration
-	// coldUsedAt is the time of the last request from this node.
-	coldUsedAt time.Duration
+	// evacuationEndedAt is the time at which the evacuation of the data centre ended, or 0 if there
+	// was none.
+	evacuationEndedAt time.Duration
+	// lastRequestAt is the time of the last request from this node.
+	lastRequestAt time.Duration
 	// answeredAt is the time of the last answer without a notice to this node, before the instance
 	// has sent any notice.
 	answeredAt time.Duration
 	// noticed holds the notices that the instance has sent, or nil if there are none.
 	noticed *noticed
-	// missingAt is the time at which the store entry disappeared although the instance may be
+	// missingSince is the time at which the store entry disappeared although the instance may be
 	// alive, or 0 if the entry exists.
-	missingAt time.Duration
-	// vouched is set once the instance has confirmed at a health check, while its store entry was
-	// missing, that it is not about to stop.
-	vouched bool
-	own     Load
+	missingSince time.Duration
+	// confirmedAlive is set once the instance has confirmed at a health check, while its store
+	// entry was missing, that it is not about to stop.
+	confirmedAlive bool
+	own            Load
 	// remote holds the load from each other node, and others is their sum.
-	remote map[string]Load
-	others Load
-	health health
-	// byHealth is set while the instance counts as leaving by its health check alone.
-	byHealth bool
-	// left is the time at which the instance was found to be leaving.
-	left time.Duration
+	remote      map[string]Load
+	remoteTotal Load
+	health      health
+	// leavingByHealth is set while the instance counts as leaving by its health check alone.
+	leavingByHealth bool
+	// leavingSince is the time at which the instance was found to be leaving.
+	leavingSince time.Duration
 }
 
 func newEndpoint(in Instance) *Endpoint {
@@ -120,18 +120,18 @@
 		unusable: make(chan struct{}),
 		remote:   make(map[string]Load),
 	}
-	e.life, e.end = context.WithCancelCause(context.Background())
+	e.ctx, e.cancel = context.WithCancelCause(context.Background())
 	return e
 }
 
 // total returns the load from all nodes.
-func (e *Endpoint) total() Load { return e.own.plus(e.others) }
+func (e *Endpoint) total() Load { return e.own.plus(e.remoteTotal) }
 
 // setRemote replaces the load from another node. It reports whether that load has decreased.
-func (e *Endpoint) setRemote(node string, l Load) (less bool) {
+func (e *Endpoint) setRemote(node string, l Load) (decreased bool) {
 	before := e.remote[node]
-	e.others = e.others.minus(before).plus(l)
-	if l.none() {
+	e.remoteTotal = e.remoteTotal.minus(before).plus(l)
+	if l.isZero() {
 		delete(e.remote, node)
 	} else {
 		e.remote[node] = l
@@ -157,8 +157,8 @@
 	return l
 }
 
-// none reports whether the load is empty, regardless of its key.
-func (l Load) none() bool {
+// isZero reports whether the load is empty, regardless of its key.
+func (l Load) isZero() bool {
 	l.Key = 0
 	return l == Load{}
 }
@@ -167,7 +167,7 @@
 	if e.isLeaving {
 		return
 	}
-	e.left = now
+	e.leavingSince = now
 	e.isLeaving = true
 	close(e.leaving)
 	e.markUnusable()
@@ -182,9 +182,9 @@
 	}
 }
 
-// stay reverts markLeaving.
-func (e *Endpoint) stay() {
-	e.isLeaving, e.byHealth = false, false
+// cancelLeaving reverts markLeaving.
+func (e *Endpoint) cancelLeaving() {
+	e.isLeaving, e.leavingByHealth = false, false
 	e.leaving = make(chan struct{})
 	if !e.isEvacuated {
 		e.unusable = make(chan struct{})
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -55,7 +55,7 @@
 		return
 	}
 	// It had nothing to do and may have become cold, which its entry tells with a delay.
-	e.returnedAt = now
+	e.evacuationEndedAt = now
 	if !e.isLeaving {
 		e.unusable = make(chan struct{})
 	}
@@ -115,16 +115,16 @@
 	for _, q := range f.queues {
 		ahead := 0
 		for _, w := range slices.Clone(q.waiting) {
-			refusal := f.unservableLocked(w.want)
+			refusal := f.unservableLocked(w.work)
 			if refusal == nil {
-				refusal = f.beyondLocked(w.want, ahead, w.until-now)
+				refusal = f.beyondLocked(w.work, ahead, w.deadline-now)
 			}
 			if refusal == nil {
 				ahead++
 				continue
 			}
 			q.remove(w)
-			w.ended <- waitEnd{refusal: refusal}
+			w.done <- waitResult{refusal: refusal}
 		}
 	}
 }
--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -1,7 +1,7 @@
 package fleet
 
 // LongLine returns the key of the queue of a service's long answers.
-func LongLine(service string) LineKey { return line{service: service}.key() }
+func LongLine(service string) LineKey { return queueID{service: service}.key() }
 
 // Totals returns the load of each endpoint, once from the maintained sums and once recomputed from
 // the reports of all nodes.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -23,19 +23,19 @@
 	services map[string][]*Endpoint
 	// used holds the endpoints on which this node has running work or reserved backup memory.
 	used map[*Endpoint]struct{}
-	// doubted holds the endpoints whose store entry is missing, and those that count as leaving by
-	// their health check alone.
-	doubted map[*Endpoint]struct{}
-	queues  map[line]*queue
-	remote  map[string]remoteNode
+	// unconfirmed holds the endpoints whose store entry is missing, and those that count as leaving
+	// by their health check alone.
+	unconfirmed map[*Endpoint]struct{}
+	queues      map[queueID]*queue
+	remote      map[string]remoteState
 	// notices holds the notices that endpoints have sent, by incarnation.
 	notices map[EndpointKey]*noticed
 	// evacuated maps each evacuated data centre to the time at which this node learned of its
 	// evacuation.
 	evacuated map[string]time.Duration
-	// wakeAt is the time of the next call of Tick that was requested through Wake.
-	wakeAt time.Duration
-	random *rand.Rand
+	// nextTickAt is the time of the next call of Tick that was requested through Wake.
+	nextTickAt time.Duration
+	random     *rand.Rand
 	// Regions maps data centres to their regions, for work that is restricted to regions.
 	Regions map[string]string
 	// Population returns the number of nodes that share the rate of cold endpoints. It must not
@@ -63,24 +63,24 @@
 // a monotonic clock.
 func New(dataCentre string, now func() time.Duration) *Fleet {
 	return &Fleet{
-		dataCentre: dataCentre,
-		now:        now,
-		byID:       make(map[string]*Endpoint),
-		byKey:      make(map[EndpointKey]*Endpoint),
-		used:       make(map[*Endpoint]struct{}),
-		doubted:    make(map[*Endpoint]struct{}),
-		services:   make(map[string][]*Endpoint),
-		queues:     make(map[line]*queue),
-		remote:     make(map[string]remoteNode),
-		notices:    make(map[EndpointKey]*noticed),
-		Changed:    func(string) {},
-		Believed:   func(Exclusion) {},
-		Noticed:    func(NoticeChange) {},
-		Wake:       func(time.Duration) {},
-		Population: func() Population { return Population{Nodes: 1, Heard: true} },
-		Roster:     func() *Roster { return nil },
-		Wall:       time.Now,
-		random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		dataCentre:  dataCentre,
+		now:         now,
+		byID:        make(map[string]*Endpoint),
+		byKey:       make(map[EndpointKey]*Endpoint),
+		used:        make(map[*Endpoint]struct{}),
+		unconfirmed: make(map[*Endpoint]struct{}),
+		services:    make(map[string][]*Endpoint),
+		queues:      make(map[queueID]*queue),
+		remote:      make(map[string]remoteState),
+		notices:     make(map[EndpointKey]*noticed),
+		Changed:     func(string) {},
+		Believed:    func(Exclusion) {},
+		Noticed:     func(NoticeChange) {},
+		Wake:        func(time.Duration) {},
+		Population:  func() Population { return Population{Nodes: 1, Heard: true} },
+		Roster:      func() *Roster { return nil },
+		Wall:        time.Now,
+		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
@@ -96,14 +96,14 @@
 		}
 	}
 	f.mu.Lock()
-	var lacking []string
+	var absent []string
 	for id, e := range f.byID {
-		if !present[id] && e.missingAt == 0 {
-			lacking = append(lacking, id)
+		if !present[id] && e.missingSince == 0 {
+			absent = append(absent, id)
 		}
 	}
 	f.mu.Unlock()
-	for _, id := range lacking {
+	for _, id := range absent {
 		f.Remove(id, tentative)
 		removed = append(removed, id)
 	}
@@ -142,7 +142,7 @@
 	change := Known
 	if known && in.Born > e.Born {
 		f.dropLocked(e)
-		e.end(ErrRestarted)
+		e.cancel(ErrRestarted)
 		known, change = false, Restarted
 	} else if !known {
 		change = Added
@@ -153,13 +153,13 @@
 		if e.noticed != nil && e.noticed.leaving {
 			e.announceLeaving(f.now())
 		}
-		if _, is := f.evacuated[in.DataCentre]; is {
+		if _, evacuated := f.evacuated[in.DataCentre]; evacuated {
 			e.isEvacuated = true
 			e.markUnusable()
 		}
 		// Other nodes may have placed work on it before this node received its entry.
-		for node, told := range f.remote {
-			if l, ok := told.loads[e.key]; ok {
+		for node, state := range f.remote {
+			if l, ok := state.loads[e.key]; ok {
 				e.setRemote(node, l)
 			}
 		}
@@ -167,15 +167,15 @@
 		f.services[in.Service] = append(f.services[in.Service], e)
 	}
 	e.Slots = in.Slots
-	e.missingAt = 0
-	e.warmUntil = f.now() + in.Warming
+	e.missingSince = 0
+	e.warmingUntil = f.now() + in.Warming
 	if in.Leaving {
-		e.byHealth, e.entryLeaving = false, true
+		e.leavingByHealth, e.entryLeaving = false, true
 		e.markLeaving(f.now())
-	} else if e.byHealth {
-		e.stay()
+	} else if e.leavingByHealth {
+		e.cancelLeaving()
 	}
-	delete(f.doubted, e)
+	delete(f.unconfirmed, e)
 	f.dispatchLocked(in.Service)
 	return change
 }
@@ -191,8 +191,8 @@
 		return
 	}
 	if tentative {
-		e.missingAt, e.vouched = f.now(), false
-		f.doubted[e] = struct{}{}
+		e.missingSince, e.confirmedAlive = f.now(), false
+		f.unconfirmed[e] = struct{}{}
 		return
 	}
 	f.dropLocked(e)
@@ -204,7 +204,7 @@
 	e.markLeaving(f.now())
 	delete(f.byID, e.ID)
 	delete(f.byKey, e.key)
-	delete(f.doubted, e)
+	delete(f.unconfirmed, e)
 	all := f.services[e.Service]
 	for i, other := range all {
 		if other == e {
@@ -227,8 +227,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.remote[node]
-	f.remote[node] = remoteNode{heard: f.now(), loads: byKey, waiting: heads}
-	f.remoteChangedLocked(node, before)
+	f.remote[node] = remoteState{receivedAt: f.now(), loads: byKey, waiting: heads}
+	f.applyRemoteLocked(node, before)
 }
 
 // Forget drops the state reported by a node that is no longer reachable.
@@ -237,7 +237,7 @@
 	defer f.mu.Unlock()
 	before := f.remote[node]
 	delete(f.remote, node)
-	f.remoteChangedLocked(node, before)
+	f.applyRemoteLocked(node, before)
 }
 
 // OwnLoads returns the load that this node puts on each endpoint, to be sent to the other nodes.
@@ -247,7 +247,7 @@
 	var loads []Load
 	for e := range f.used {
 		switch {
-		case e.own.none():
+		case e.own.isZero():
 			delete(f.used, e)
 		case f.byKey[e.key] == e && (e.own.Count > 0 || e.own.Held > 0):
 			l := e.own
--- a/fleet/holding.go
+++ b/fleet/holding.go
@@ -19,16 +19,16 @@
 }
 
 const (
-	// backupShare is the share of an engine's memory up to which it accepts backups. The rest is
-	// kept for new answers, which must not wait for memory that is reserved only in case another
+	// backupMemoryShare is the share of an engine's memory up to which it accepts backups. The rest
+	// is kept for new answers, which must not wait for memory that is reserved only in case another
 	// engine dies.
-	backupShare = 0.7
-	// backupUpTo is the share of the total memory of all engines that can be reserved for answers
-	// before no more backups are made. When memory limits the number of answers that are on time,
-	// backups cost more than they save.
-	backupUpTo = 0.5
-	// backupSpread is the range of the random part of the cost, as moveSpread is for moves.
-	backupSpread = 0.1
+	backupMemoryShare = 0.7
+	// maxReservedShareForBackups is the share of the total memory of all engines that can be
+	// reserved for answers before no more backups are made. When memory limits the number of
+	// answers that are on time, backups cost more than they save.
+	maxReservedShareForBackups = 0.5
+	// backupCostJitter is the range of the random part of the cost, as moveSpread is for moves.
+	backupCostJitter = 0.1
 )
 
 // Hold reserves memory for a backup of the run at p. It returns nil if no engine has memory to
@@ -40,24 +40,24 @@
 	if spec == nil || !spec.CanBackUp || f.Without[Backups] {
 		return nil
 	}
-	if f.waitingLocked(w.Service.Name) > 0 || f.promisedLocked(w.Service) > backupUpTo {
+	if f.waitingLocked(w.Service.Name) > 0 || f.reservedShareLocked(w.Service) > maxReservedShareForBackups {
 		return nil
 	}
 	now := f.now()
-	need := p.tokens()
+	need := p.expectedTokens()
 	var best *Endpoint
 	bestCost := 0.0
 	for _, e := range f.services[w.Service.Name] {
-		if e == p.endpoint || !f.eligibleLocked(e, &w) || e.missingAt != 0 || now < e.health.ejectedUntil ||
-			e.limited() || f.coldLocked(e, w.Service, now) {
+		if e == p.endpoint || !f.eligibleLocked(e, &w) || e.missingSince != 0 || now < e.health.ejectedUntil ||
+			e.limited() || f.isColdLocked(e, w.Service, now) {
 			continue
 		}
 		load := e.total()
 		used := load.Tokens + load.Held
-		if float64(used+need) > backupShare*float64(spec.Memory) {
+		if float64(used+need) > backupMemoryShare*float64(spec.Memory) {
 			continue
 		}
-		cost := float64(used)/float64(spec.Memory) + f.random.Float64()*backupSpread
+		cost := float64(used)/float64(spec.Memory) + f.random.Float64()*backupCostJitter
 		if best == nil || cost < bestCost {
 			best, bestCost = e, cost
 		}
@@ -71,9 +71,9 @@
 	return h
 }
 
-// promisedLocked returns the share of the memory of a service's engines that is reserved for
+// reservedShareLocked returns the share of the memory of a service's engines that is reserved for
 // answers.
-func (f *Fleet) promisedLocked(s *routing.Service) float64 {
+func (f *Fleet) reservedShareLocked(s *routing.Service) float64 {
 	tokens, memory := 0, 0
 	for _, e := range f.services[s.Name] {
 		if e.isLeaving || e.isEvacuated {
@@ -90,7 +90,7 @@
 
 // Life returns a context that is cancelled once the endpoint is known to have died, and the backup
 // is lost with it.
-func (h *Holding) Life() context.Context { return h.endpoint.life }
+func (h *Holding) Life() context.Context { return h.endpoint.ctx }
 
 // Unusable returns a channel that is closed once the endpoint is about to stop or its data centre
 // is evacuated.
@@ -113,11 +113,11 @@
 	}
 	h.releaseLocked()
 	p := f.placeLocked(h.endpoint, h.demand)
-	h.endpoint.own.Unread -= p.unread()
-	p.reading = false
-	h.endpoint.own.Tokens -= p.tokens()
+	h.endpoint.own.Unread -= p.pendingPrefill()
+	p.prefilling = false
+	h.endpoint.own.Tokens -= p.expectedTokens()
 	p.produced = produced
-	h.endpoint.own.Tokens += p.tokens()
+	h.endpoint.own.Tokens += p.expectedTokens()
 	return p
 }
 
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -80,7 +80,7 @@
 	}
 	at, known := f.limitTurnLocked(e, now)
 	if known && at > now {
-		f.wakeLocked(now, at-now)
+		f.scheduleTickLocked(now, at-now)
 	}
 	return known && at <= now
 }
@@ -154,5 +154,5 @@
 	if wait <= patience {
 		return nil
 	}
-	return refuseBeyond(w, min(max(wait, shortestRetry), longestBeyond))
+	return refuseBeyond(w, min(max(wait, minRetryAfter), longestBeyond))
 }
--- a/fleet/mechanism.go
+++ b/fleet/mechanism.go
@@ -52,14 +52,14 @@
 	for _, name := range names {
 		m := Mechanism(name)
 		if !slices.Contains(Mechanisms, m) {
-			return nil, eris.Errorf("unknown mechanism %q, known mechanisms are %s", name, allMechanisms())
+			return nil, eris.Errorf("unknown mechanism %q, known mechanisms are %s", name, mechanismNames())
 		}
 		w[m] = true
 	}
 	return w, nil
 }
 
-func allMechanisms() string {
+func mechanismNames() string {
 	names := make([]string, len(Mechanisms))
 	for i, m := range Mechanisms {
 		names[i] = string(m)
--- a/fleet/missing.go
+++ b/fleet/missing.go
@@ -19,9 +19,9 @@
 	defer f.mu.Unlock()
 	var gone []Gone
 	now := f.now()
-	for e := range f.doubted {
-		if e.missingAt != 0 {
-			gone = append(gone, Gone{ID: e.ID, Missing: now - e.missingAt})
+	for e := range f.unconfirmed {
+		if e.missingSince != 0 {
+			gone = append(gone, Gone{ID: e.ID, Missing: now - e.missingSince})
 			f.dropLocked(e)
 		}
 	}
@@ -33,8 +33,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	missing := 0
-	for e := range f.doubted {
-		if e.missingAt != 0 {
+	for e := range f.unconfirmed {
+		if e.missingSince != 0 {
 			missing++
 		}
 	}
@@ -48,8 +48,8 @@
 	defer f.mu.Unlock()
 	var unvouched []Instance
 	now := f.now()
-	for e := range f.doubted {
-		missing := e.missingAt != 0 && !e.vouched && e.Service == service && e.DataCentre == dataCentre
+	for e := range f.unconfirmed {
+		missing := e.missingSince != 0 && !e.confirmedAlive && e.Service == service && e.DataCentre == dataCentre
 		if missing && f.takesCheckLocked(e, now) {
 			unvouched = append(unvouched, e.Instance)
 		}
@@ -62,6 +62,6 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e := f.byKey[key]; e != nil {
-		e.vouched = true
+		e.confirmedAlive = true
 	}
 }
--- a/fleet/move.go
+++ b/fleet/move.go
@@ -8,18 +8,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w.Exclude = append(w.Exclude, p.endpoint.ID)
-	w.from, w.moving = p.endpoint, p.tokensNow()
-	w.Demand = Demand{Prompt: p.demand.Prompt, Output: p.tokens() - p.demand.Prompt}
+	w.moveSource, w.moveTokens = p.endpoint, p.currentTokensLocked()
+	w.Demand = Demand{Prompt: p.demand.Prompt, Output: p.expectedTokens() - p.demand.Prompt}
 	e := f.pickLocked(&w)
 	if e == nil {
 		return nil
 	}
 	target := f.placeLocked(e, w.Demand)
-	e.own.Unread -= target.unread()
-	target.reading = false
+	e.own.Unread -= target.pendingPrefill()
+	target.prefilling = false
 	target.produced = p.produced
-	target.arriving = target.tokensNow()
-	e.own.Arriving += target.arriving
+	target.incomingTokens = target.currentTokensLocked()
+	e.own.Arriving += target.incomingTokens
 	return target
 }
 
@@ -27,8 +27,8 @@
 func (p *Placement) Arrived() {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	p.endpoint.own.Arriving -= p.arriving
-	p.arriving = 0
+	p.endpoint.own.Arriving -= p.incomingTokens
+	p.incomingTokens = 0
 }
 
 // Departure describes an endpoint that is leaving.
@@ -42,5 +42,5 @@
 	f := p.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Departure{Since: f.now() - p.endpoint.left}
+	return Departure{Since: f.now() - p.endpoint.leavingSince}
 }
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -145,7 +145,7 @@
 
 // announceLeaving marks an endpoint that has said in an answer that it is about to stop.
 func (e *Endpoint) announceLeaving(now time.Duration) {
-	e.byHealth = false
+	e.leavingByHealth = false
 	e.markLeaving(now)
 }
 
--- a/fleet/pause.go
+++ b/fleet/pause.go
@@ -32,6 +32,6 @@
 	if !f.pausedLocked(e) {
 		return false
 	}
-	f.wakeLocked(now, e.noticed.pausedUntil-now)
+	f.scheduleTickLocked(now, e.noticed.pausedUntil-now)
 	return true
 }
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -22,44 +22,45 @@
 const (
 	// otherDataCentreCost keeps work in the data centre of this node while loads are about equal.
 	otherDataCentreCost = 0.08
-	// unreadCost is the cost of each second of prefill that is pending ahead of this prompt.
-	unreadCost = 1.0
-	// readRate is the prefill rate of a busy engine in prompt tokens per second.
-	readRate = 7500.0
-	// maxUnread is the number of prompt tokens pending prefill above which an engine gets no
-	// further prompt: pending prompts occupy memory and cannot be moved to another engine.
-	maxUnread = 4500
+	// prefillCostPerSecond is the cost of each second of prefill that is pending ahead of this
+	// prompt.
+	prefillCostPerSecond = 1.0
+	// prefillTokensPerSecond is the prefill rate of a busy engine in prompt tokens per second.
+	prefillTokensPerSecond = 7500.0
+	// maxPendingPrefillTokens is the number of prompt tokens pending prefill above which an engine
+	// gets no further prompt: pending prompts occupy memory and cannot be moved to another engine.
+	maxPendingPrefillTokens = 4500
 	// failureCost is the cost of an endpoint whose recent results are all failures.
 	failureCost = 2.0
 	// warmingCost is the cost of an endpoint that has just started.
 	warmingCost = 0.25
 	// missingCost is the cost of an endpoint whose store entry is missing.
 	missingCost = 0.5
-	// spread is the range of the random part of the cost. Nodes choose from the same load reports
-	// and would otherwise all choose the same endpoint.
-	spread = 0.04
-	// copyCost is the cost of each second that a memory copy to a target takes, including the wait
-	// for copies of all nodes that are in progress to the same target. It outweighs the other costs
-	// because a slow copy delays all other copies of the same source engine.
-	copyCost = 10.0
-	// farCopy is the factor by which a copy to another data centre takes longer.
-	farCopy = 2.0
-	// moveSpread replaces spread for moves, because the nodes choose move targets at the same
-	// moment.
-	moveSpread = 0.25
-	// memoryShare is the share of an engine's memory that can be reserved for long answers. It
+	// costJitter is the range of the random part of the cost. Nodes choose from the same load
+	// reports and would otherwise all choose the same endpoint.
+	costJitter = 0.04
+	// copyCostPerSecond is the cost of each second that a memory copy to a target takes, including
+	// the wait for copies of all nodes that are in progress to the same target. It outweighs the
+	// other costs because a slow copy delays all other copies of the same source engine.
+	copyCostPerSecond = 10.0
+	// remoteCopyFactor is the factor by which a copy to another data centre takes longer.
+	remoteCopyFactor = 2.0
+	// moveCostJitter replaces costJitter for moves, because the nodes choose move targets at the
+	// same moment.
+	moveCostJitter = 0.25
+	// longMemoryShare is the share of an engine's memory that can be reserved for long answers. It
 	// exceeds 1 because each run reserves the memory that it needs at its end, and runs end at
 	// different times.
-	memoryShare = 1.06
-	// shortShare is the same share for short answers, which occupy their memory briefly.
-	shortShare = 1.14
-	// moveShare is the same share for runs that move: without a target they are lost.
-	moveShare = 1.10
-	// lateShare is the same share for work that is already late; the rest is kept for work that can
-	// still start in time.
-	lateShare = 0.70
-	// shortOutput is the maximum length, in tokens, of a short answer.
-	shortOutput = 64
+	longMemoryShare = 1.06
+	// shortMemoryShare is the same share for short answers, which occupy their memory briefly.
+	shortMemoryShare = 1.14
+	// moveMemoryShare is the same share for runs that move: without a target they are lost.
+	moveMemoryShare = 1.10
+	// lateMemoryShare is the same share for work that is already late; the rest is kept for work
+	// that can still start in time.
+	lateMemoryShare = 0.70
+	// maxShortOutputTokens is the maximum length, in tokens, of a short answer.
+	maxShortOutputTokens = 64
 	// plainOvercommit is the number of requests that an endpoint of a plain service gets, as a
 	// multiple of its slots. Requests beyond its slots wait in its own queue.
 	plainOvercommit = 2.0
@@ -83,10 +84,10 @@
 	Regions []string
 	// late is set once StartWithin has elapsed.
 	late bool
-	// from is the source endpoint of a move, or nil for new work. moving is the memory to be
+	// moveSource is the source endpoint of a move, or nil for new work. moving is the memory to be
 	// copied, in tokens.
-	from   *Endpoint
-	moving int
+	moveSource *Endpoint
+	moveTokens int
 }
 
 // pickLocked returns the endpoint with capacity and the lowest cost, or nil if none has capacity.
@@ -101,12 +102,12 @@
 	var best *Endpoint
 	bestCost := 0.0
 	now := f.now()
-	for _, ejectedToo := range []bool{false, true} {
+	for _, includeEjected := range []bool{false, true} {
 		for _, e := range endpoints {
 			if !f.mayServeLocked(e, w) || f.waitsForPauseLocked(e, now) {
 				continue
 			}
-			if !ejectedToo && f.ejectedLocked(e, now) {
+			if !includeEjected && f.ejectedLocked(e, now) {
 				continue
 			}
 			load := e.total()
@@ -164,8 +165,8 @@
 		return false
 	}
 	need := float64(load.Tokens + load.Held + w.Demand.Tokens())
-	return (need <= f.memoryShare(w)*float64(spec.Memory) || load.Count == 0) &&
-		(w.from != nil || load.Unread <= maxUnread || f.Without[UnreadBound])
+	return (need <= f.memoryShareFor(w)*float64(spec.Memory) || load.Count == 0) &&
+		(w.moveSource != nil || load.Unread <= maxPendingPrefillTokens || f.Without[UnreadBound])
 }
 
 // costLocked returns the cost of placing one more run on the endpoint.
@@ -174,15 +175,15 @@
 	if !f.Without[Ejection] {
 		cost += failureCost * e.health.penalty(now)
 	}
-	if now < e.warmUntil {
+	if now < e.warmingUntil {
 		cost += warmingCost
 	}
-	if e.missingAt != 0 {
+	if e.missingSince != 0 {
 		cost += missingCost
 	}
 	if spec := w.Service.Engine; spec != nil {
 		share := float64(load.Tokens) / float64(max(spec.Memory, 1))
-		return cost + share + unreadCost*float64(load.Unread)/readRate
+		return cost + share + prefillCostPerSecond*float64(load.Unread)/prefillTokensPerSecond
 	}
 	return cost + float64(load.Count)/float64(max(e.Slots, 1))
 }
@@ -190,30 +191,30 @@
 // distanceCostLocked returns the cost of the distance to the endpoint, including its random part.
 // For a move this is the expected time of the memory copy.
 func (f *Fleet) distanceCostLocked(e *Endpoint, w *Want) float64 {
-	if w.from == nil {
-		cost := f.random.Float64() * spread
+	if w.moveSource == nil {
+		cost := f.random.Float64() * costJitter
 		if e.DataCentre != f.dataCentre {
 			cost += otherDataCentreCost
 		}
 		return cost
 	}
-	copying := w.Service.Engine.CopyTime(w.moving).Seconds()
-	if e.DataCentre != w.from.DataCentre {
-		copying *= farCopy
+	copying := w.Service.Engine.CopyTime(w.moveTokens).Seconds()
+	if e.DataCentre != w.moveSource.DataCentre {
+		copying *= remoteCopyFactor
 	}
 	queued := w.Service.Engine.CopyTime(e.total().Arriving).Seconds()
-	return f.random.Float64()*moveSpread + copyCost*(queued+copying)
+	return f.random.Float64()*moveCostJitter + copyCostPerSecond*(queued+copying)
 }
 
-func (f *Fleet) memoryShare(w *Want) float64 {
+func (f *Fleet) memoryShareFor(w *Want) float64 {
 	if w.late {
-		return lateShare
+		return lateMemoryShare
 	}
-	if f.line(w).short {
-		return shortShare
+	if f.queueIDFor(w).short {
+		return shortMemoryShare
 	}
-	if w.from != nil {
-		return moveShare
+	if w.moveSource != nil {
+		return moveMemoryShare
 	}
-	return memoryShare
+	return longMemoryShare
 }
--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -12,11 +12,11 @@
 	endpoint *Endpoint
 	demand   Demand
 	produced int
-	// reading is set until the prompt has been read, that is, until the first event.
-	reading  bool
-	released bool
-	// arriving is the memory, in tokens, that is being copied to the endpoint for this run.
-	arriving int
+	// prefilling is set until the prompt has been read, that is, until the first event.
+	prefilling bool
+	released   bool
+	// incomingTokens is the memory, in tokens, that is being copied to the endpoint for this run.
+	incomingTokens int
 	// Waited is the time that the work spent in the queue.
 	Waited time.Duration
 }
@@ -53,16 +53,16 @@
 )
 
 func (f *Fleet) placeLocked(e *Endpoint, d Demand) *Placement {
-	p := &Placement{fleet: f, endpoint: e, demand: d, reading: d.Prompt > 0}
+	p := &Placement{fleet: f, endpoint: e, demand: d, prefilling: d.Prompt > 0}
 	f.used[e] = struct{}{}
 	now := f.now()
-	e.coldUsedAt = now
+	e.lastRequestAt = now
 	f.useTurnLocked(e, now)
 	e.own.Count++
-	e.own.Tokens += p.tokens()
-	e.own.Unread += p.unread()
+	e.own.Tokens += p.expectedTokens()
+	e.own.Unread += p.pendingPrefill()
 	if d.Prompt > 0 {
-		f.tellLocked(e)
+		f.broadcastLoadLocked(e)
 	}
 	return p
 }
@@ -72,7 +72,7 @@
 
 // Life returns a context that is cancelled, with a cause, once the incarnation is known to have
 // died. Runs on it are lost then.
-func (p *Placement) Life() context.Context { return p.endpoint.life }
+func (p *Placement) Life() context.Context { return p.endpoint.ctx }
 
 // Leaving returns a channel that is closed once the endpoint is about to stop.
 func (p *Placement) Leaving() <-chan struct{} {
@@ -89,14 +89,14 @@
 	return !p.endpoint.isEvacuated && !p.fleet.pausedLocked(p.endpoint)
 }
 
-// tokens returns the memory, in tokens, that the run is expected to need. An answer that exceeds
-// its expected length is assumed to continue for a while.
-func (p *Placement) tokens() int {
+// expectedTokens returns the memory, in expectedTokens, that the run is expected to need. An answer
+// that exceeds its expected length is assumed to continue for a while.
+func (p *Placement) expectedTokens() int {
 	if p.demand.Prompt == 0 {
 		return 0
 	}
-	const outgrown = 1.25
-	output := max(float64(p.demand.Output), float64(p.produced)*outgrown)
+	const outgrownFactor = 1.25
+	output := max(float64(p.demand.Output), float64(p.produced)*outgrownFactor)
 	return p.demand.Prompt + int(output)
 }
 
@@ -104,14 +104,14 @@
 func (p *Placement) Memory() int {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	return p.tokensNow()
+	return p.currentTokensLocked()
 }
 
-// tokensNow returns the memory, in tokens, that the run occupies now.
-func (p *Placement) tokensNow() int { return p.demand.Prompt + p.produced }
+// currentTokensLocked returns the memory, in tokens, that the run occupies now.
+func (p *Placement) currentTokensLocked() int { return p.demand.Prompt + p.produced }
 
-func (p *Placement) unread() int {
-	if p.reading {
+func (p *Placement) pendingPrefill() int {
+	if p.prefilling {
 		return p.demand.Prompt
 	}
 	return 0
@@ -126,11 +126,11 @@
 		return
 	}
 	own := &p.endpoint.own
-	own.Tokens -= p.tokens()
-	own.Unread -= p.unread()
+	own.Tokens -= p.expectedTokens()
+	own.Unread -= p.pendingPrefill()
 	p.produced = tokens
-	p.reading = false
-	own.Tokens += p.tokens()
+	p.prefilling = false
+	own.Tokens += p.expectedTokens()
 }
 
 // Release ends the placement and records its result.
@@ -144,11 +144,11 @@
 	p.released = true
 	e := p.endpoint
 	e.own.Count--
-	e.own.Tokens -= p.tokens()
-	e.own.Unread -= p.unread()
+	e.own.Tokens -= p.expectedTokens()
+	e.own.Unread -= p.pendingPrefill()
 	f.recordLocked(e, r)
 	f.dispatchLocked(e.Service)
-	if p.demand.Prompt > 0 && f.othersWaitLocked(e.Service) {
+	if p.demand.Prompt > 0 && f.othersWaitingLocked(e.Service) {
 		// The waiting nodes would otherwise learn of the capacity only with the next regular
 		// datagram.
 		f.Changed("")
@@ -180,7 +180,7 @@
 		h.avoid(now, unreachableFor)
 	case Neutral:
 	}
-	f.tellOfHealthLocked(e, r, now)
+	f.reportExclusionLocked(e, r, now)
 }
 
 // Exclusion is a change of this node's view of an endpoint's health.
@@ -197,9 +197,9 @@
 	Failures float64
 }
 
-// tellOfHealthLocked reports an endpoint that is excluded from now on, and one that is healthy
+// reportExclusionLocked reports an endpoint that is excluded from now on, and one that is healthy
 // again. The results in between are not reported, as they would give a log line for each request.
-func (f *Fleet) tellOfHealthLocked(e *Endpoint, r Result, now time.Duration) {
+func (f *Fleet) reportExclusionLocked(e *Endpoint, r Result, now time.Duration) {
 	h := &e.health
 	excluded := now < h.ejectedUntil
 	back := r == Good && !excluded
--- a/fleet/queue.go
+++ b/fleet/queue.go
@@ -10,46 +10,47 @@
 
 // waiter is a piece of work that waits for a placement.
 type waiter struct {
-	want  *Want
-	since time.Duration
-	// until is the time at which the wait ends without a placement.
-	until time.Duration
-	// ended receives the outcome of the wait. It has a buffer of one.
-	ended chan waitEnd
-	turn  turn
+	work       *Want
+	enqueuedAt time.Duration
+	// deadline is the time at which the wait ends without a placement.
+	deadline time.Duration
+	// done receives the outcome of the wait. It has a buffer of one.
+	done chan waitResult
+	turn turn
 }
 
-// waitEnd is the outcome of a wait: a placement, or a refusal once no endpoint can run the work.
-type waitEnd struct {
+// waitResult is the outcome of a wait: a placement, or a refusal once no endpoint can run the work.
+type waitResult struct {
 	place   *Placement
 	refusal *crocusreel.Refusal
 }
 
-// lateRank is added to the rank of work that can no longer start in time, so that such work is
-// served only when nothing else waits. Capacity spent on late work would delay work that can still
-// start in time: under overload, a queue that is ordered by age alone makes every answer late.
-const lateRank = 1 << 16
+// lateRankPenalty is added to the rank of work that can no longer start in time, so that such work
+// is served only when nothing else waits. Capacity spent on late work would delay work that can
+// still start in time: under overload, a queue that is ordered by age alone makes every answer
+// late.
+const lateRankPenalty = 1 << 16
 
 // late reports whether the work can no longer start in time.
 func (w *waiter) late(now time.Duration) bool {
-	return w.want.StartWithin > 0 && now-w.since > w.want.StartWithin
+	return w.work.StartWithin > 0 && now-w.enqueuedAt > w.work.StartWithin
 }
 
 // rank returns the current rank of the work, including the penalty for late work.
 func (w *waiter) rank(now time.Duration) int {
 	if w.late(now) {
-		return w.want.Rank + lateRank
+		return w.work.Rank + lateRankPenalty
 	}
-	return w.want.Rank
+	return w.work.Rank
 }
 
-// queue holds the waiting work of one line, ordered by rank and then by arrival.
+// queue holds the waiting work of one queueID, ordered by rank and then by arrival.
 type queue struct {
 	waiting []*waiter
 }
 
-// first returns up to n waiters in the order in which they are served.
-func (q *queue) first(now time.Duration, n int) []*waiter {
+// head returns up to n waiters in the order in which they are served.
+func (q *queue) head(now time.Duration, n int) []*waiter {
 	var inTime, late []*waiter
 	for _, w := range q.waiting {
 		if w.late(now) {
@@ -63,41 +64,41 @@
 }
 
 const (
-	// maxWaiting limits the length of each queue on one node. At the rate of a burst it holds
+	// maxQueueLength limits the length of each queue on one node. At the rate of a burst it holds
 	// several seconds of work; callers further back would have given up.
-	maxWaiting = 256
-	// lookAhead is the number of waiters that are tried if the first does not fit, so that a large
-	// answer does not keep small ones from memory that it cannot use itself.
-	lookAhead = 8
+	maxQueueLength = 256
+	// dispatchLookahead is the number of waiters that are tried if the first does not fit, so that
+	// a large answer does not keep small ones from memory that it cannot use itself.
+	dispatchLookahead = 8
 )
 
-// Acquire returns a placement for the work. It waits for capacity for at most patience, or until
-// ctx ends. If patience is 0, it does not wait.
-func (f *Fleet) Acquire(ctx context.Context, w Want, patience time.Duration) (*Placement, *crocusreel.Refusal) {
+// Acquire returns a placement for the work. It waits for capacity for at most maxWait, or until
+// ctx ends. If maxWait is 0, it does not wait.
+func (f *Fleet) Acquire(ctx context.Context, w Want, maxWait time.Duration) (*Placement, *crocusreel.Refusal) {
 	f.mu.Lock()
 	if refusal := f.unservableLocked(&w); refusal != nil {
 		defer f.mu.Unlock()
 		return nil, refusal
 	}
-	inTurn := patience <= 0 || f.aheadLocked(&w, w.Rank, f.now()) == 0
-	if q := f.queues[f.line(&w)]; inTurn && (q == nil || !q.ahead(w.Rank, f.now())) {
+	inTurn := maxWait <= 0 || f.nodesAheadLocked(&w, w.Rank, f.now()) == 0
+	if q := f.queues[f.queueIDFor(&w)]; inTurn && (q == nil || !q.hasAhead(w.Rank, f.now())) {
 		if e := f.pickLocked(&w); e != nil {
 			p := f.placeLocked(e, w.Demand)
 			f.mu.Unlock()
 			return p, nil
 		}
 	}
-	if patience <= 0 {
+	if maxWait <= 0 {
 		defer f.mu.Unlock()
 		return nil, f.refuseLocked(&w)
 	}
-	if refusal := f.beyondLocked(&w, f.waitingInLineLocked(&w), patience); refusal != nil {
+	if refusal := f.beyondLocked(&w, f.queueLengthLocked(&w), maxWait); refusal != nil {
 		defer f.mu.Unlock()
 		return nil, refusal
 	}
-	waiting, refusal := f.enqueueLocked(&w, patience)
+	waiting, refusal := f.enqueueLocked(&w, maxWait)
 	// The waiters ahead may be too large for the free capacity.
-	f.dispatchLineLocked(f.line(&w))
+	f.dispatchQueueLocked(f.queueIDFor(&w))
 	if w.Service.Engine != nil {
 		f.Changed("")
 	}
@@ -105,16 +106,16 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	return f.await(ctx, waiting, patience)
+	return f.await(ctx, waiting, maxWait)
 }
 
-func (f *Fleet) await(ctx context.Context, w *waiter, patience time.Duration) (*Placement, *crocusreel.Refusal) {
-	timer := time.NewTimer(patience)
+func (f *Fleet) await(ctx context.Context, w *waiter, maxWait time.Duration) (*Placement, *crocusreel.Refusal) {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
-	case end := <-w.ended:
+	case end := <-w.done:
 		if end.place != nil {
-			end.place.Waited = f.now() - w.since
+			end.place.Waited = f.now() - w.enqueuedAt
 		}
 		return end.place, end.refusal
 	case <-timer.C:
@@ -122,12 +123,12 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.queues[f.line(w.want)].remove(w)
-	if w.want.Service.Engine != nil {
+	f.queues[f.queueIDFor(w.work)].remove(w)
+	if w.work.Service.Engine != nil {
 		f.Changed("")
 	}
 	select {
-	case end := <-w.ended:
+	case end := <-w.done:
 		// The placement was granted while the wait ended.
 		if end.place == nil || ctx.Err() == nil {
 			return end.place, end.refusal
@@ -135,34 +136,34 @@
 		go end.place.Release(Neutral)
 	default:
 	}
-	return nil, f.refuseLocked(w.want)
+	return nil, f.refuseLocked(w.work)
 }
 
-func (f *Fleet) enqueueLocked(w *Want, patience time.Duration) (*waiter, *crocusreel.Refusal) {
-	l := f.line(w)
-	q := f.queues[l]
+func (f *Fleet) enqueueLocked(w *Want, maxWait time.Duration) (*waiter, *crocusreel.Refusal) {
+	id := f.queueIDFor(w)
+	q := f.queues[id]
 	if q == nil {
 		q = &queue{}
-		f.queues[l] = q
+		f.queues[id] = q
 	}
-	if len(q.waiting) >= maxWaiting {
+	if len(q.waiting) >= maxQueueLength {
 		return nil, f.refuseLocked(w)
 	}
 	if f.Without[LateBehind] {
 		w.StartWithin = 0
 	}
 	now := f.now()
-	entry := &waiter{want: w, since: now, until: now + patience, ended: make(chan waitEnd, 1)}
-	at := sort.Search(len(q.waiting), func(i int) bool { return q.waiting[i].want.Rank > w.Rank })
+	entry := &waiter{work: w, enqueuedAt: now, deadline: now + maxWait, done: make(chan waitResult, 1)}
+	at := sort.Search(len(q.waiting), func(i int) bool { return q.waiting[i].work.Rank > w.Rank })
 	q.waiting = append(q.waiting, nil)
 	copy(q.waiting[at+1:], q.waiting[at:])
 	q.waiting[at] = entry
 	return entry, nil
 }
 
-// ahead reports whether work of the same or a more urgent rank is waiting.
-func (q *queue) ahead(rank int, now time.Duration) bool {
-	first := q.first(now, 1)
+// hasAhead reports whether work of the same or a more urgent rank is waiting.
+func (q *queue) hasAhead(rank int, now time.Duration) bool {
+	first := q.head(now, 1)
 	return len(first) > 0 && first[0].rank(now) <= rank
 }
 
@@ -178,54 +179,54 @@
 // dispatchLocked grants placements to the waiting work of a service while there is capacity. Long
 // answers are served first; short ones can use the memory share that is closed to long ones.
 func (f *Fleet) dispatchLocked(service string) {
-	f.dispatchLineLocked(line{service: service})
-	f.dispatchLineLocked(line{service: service, short: true})
+	f.dispatchQueueLocked(queueID{service: service})
+	f.dispatchQueueLocked(queueID{service: service, short: true})
 }
 
 func (f *Fleet) dispatchAllLocked() {
-	for l := range f.queues {
-		if !l.short {
-			f.dispatchLineLocked(l)
+	for id := range f.queues {
+		if !id.short {
+			f.dispatchQueueLocked(id)
 		}
 	}
-	for l := range f.queues {
-		if l.short {
-			f.dispatchLineLocked(l)
+	for id := range f.queues {
+		if id.short {
+			f.dispatchQueueLocked(id)
 		}
 	}
 }
 
-// dispatchLineLocked grants placements to the waiting work of a line while there is capacity.
-func (f *Fleet) dispatchLineLocked(l line) {
-	q := f.queues[l]
+// dispatchQueueLocked grants placements to the waiting work of a queue while there is capacity.
+func (f *Fleet) dispatchQueueLocked(id queueID) {
+	q := f.queues[id]
 	if q == nil {
 		return
 	}
 	now := f.now()
-	for _, w := range q.first(now, lookAhead) {
-		w.want.late = w.late(now)
-		e := f.pickLocked(w.want)
+	for _, w := range q.head(now, dispatchLookahead) {
+		w.work.late = w.late(now)
+		e := f.pickLocked(w.work)
 		if e == nil {
-			w.turn.sees = false
+			w.turn.hasCapacity = false
 			continue
 		}
 		f.grantLocked(q, w, e)
 	}
 }
 
-// dispatchToLocked grants capacity that was freed on a few endpoints to the waiting work of a line.
-// Waiting work has found no capacity on any endpoint, so the others are not searched again: with
-// thousands of engines and hundreds of nodes that report their load, a full search on each report
-// would take more CPU time than the nodes have.
-func (f *Fleet) dispatchToLocked(l line, freed []*Endpoint) {
-	q := f.queues[l]
+// dispatchToEndpointsLocked grants capacity that was freed on a few endpoints to the waiting work
+// of a queue. Waiting work has found no capacity on any endpoint, so the others are not searched
+// again: with thousands of engines and hundreds of nodes that report their load, a full search on
+// each report would take more CPU time than the nodes have.
+func (f *Fleet) dispatchToEndpointsLocked(id queueID, freed []*Endpoint) {
+	q := f.queues[id]
 	if q == nil {
 		return
 	}
 	now := f.now()
-	for _, w := range q.first(now, lookAhead) {
-		w.want.late = w.late(now)
-		if e := f.pickAmongLocked(w.want, freed); e != nil {
+	for _, w := range q.head(now, dispatchLookahead) {
+		w.work.late = w.late(now)
+		if e := f.pickAmongLocked(w.work, freed); e != nil {
 			f.grantLocked(q, w, e)
 		}
 	}
@@ -234,18 +235,18 @@
 // grantLocked grants the placement to a waiter if it is its turn.
 func (f *Fleet) grantLocked(q *queue, w *waiter, e *Endpoint) {
 	// The turns at a cold or limited endpoint already prevent simultaneous claims by several nodes.
-	apart := e.limited() || (w.want.Service.Engine == nil && f.coldLocked(e, w.want.Service, f.now()))
-	if !apart && !f.mayClaimLocked(w) {
+	pacedByEndpoint := e.limited() || (w.work.Service.Engine == nil && f.isColdLocked(e, w.work.Service, f.now()))
+	if !pacedByEndpoint && !f.mayClaimLocked(w) {
 		return
 	}
 	q.remove(w)
-	w.ended <- waitEnd{place: f.placeLocked(e, w.want.Demand)}
+	w.done <- waitResult{place: f.placeLocked(e, w.work.Demand)}
 }
 
 // Bounds of the retry-after time in refusals.
 const (
-	shortestRetry = 300 * time.Millisecond
-	longestRetry  = 3 * time.Second
+	minRetryAfter = 300 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 	// noEndpointRetry applies to a service without any endpoint: new endpoints register within
 	// seconds.
 	noEndpointRetry = time.Second
@@ -268,7 +269,7 @@
 			"no endpoint of service %q is in service", w.Service.Name)
 	}
 	waiting := f.waitingLocked(w.Service.Name)
-	retry := min(shortestRetry+time.Duration(waiting)*waitPerRequest, longestRetry)
+	retry := min(minRetryAfter+time.Duration(waiting)*waitPerRequest, maxRetryAfter)
 	return crocusreel.Refuse(crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, retry,
 		"%d endpoints of service %q have no room, %d requests wait here", alive, w.Service.Name, waiting)
 }
@@ -280,8 +281,8 @@
 	return f.waitingLocked(service)
 }
 
-func (f *Fleet) waitingInLineLocked(w *Want) int {
-	if q := f.queues[f.line(w)]; q != nil {
+func (f *Fleet) queueLengthLocked(w *Want) int {
+	if q := f.queues[f.queueIDFor(w)]; q != nil {
 		return len(q.waiting)
 	}
 	return 0
@@ -289,8 +290,8 @@
 
 func (f *Fleet) waitingLocked(service string) int {
 	waiting := 0
-	for l, q := range f.queues {
-		if l.service == service {
+	for id, q := range f.queues {
+		if id.service == service {
 			waiting += len(q.waiting)
 		}
 	}
--- a/fleet/remote.go
+++ b/fleet/remote.go
@@ -6,20 +6,20 @@
 // computed from the difference to the previous report of each node, so that the cost of a datagram
 // depends on its size and not on the number of endpoints.
 
-// remoteNode is the last report of another node. Its waiting work counts until the next report or
+// remoteState is the last report of another node. Its waiting work counts until the next report or
 // the loss of the node; an outdated report delays work by one turn.
-type remoteNode struct {
-	heard   time.Duration
-	loads   map[EndpointKey]Load
-	waiting map[LineKey]WaitingWork
+type remoteState struct {
+	receivedAt time.Duration
+	loads      map[EndpointKey]Load
+	waiting    map[LineKey]WaitingWork
 }
 
-// since returns the time at which the first request of the queue began to wait, by this node's
+// enqueuedAt returns the time at which the first request of the queue began to wait, by this node's
 // clock.
-func (r remoteNode) since(head WaitingWork) time.Duration { return r.heard - head.Waited }
+func (r remoteState) enqueuedAt(head WaitingWork) time.Duration { return r.receivedAt - head.Waited }
 
-// remoteChangedLocked applies the current report of a node in place of its previous one.
-func (f *Fleet) remoteChangedLocked(node string, before remoteNode) {
+// applyRemoteLocked applies the current report of a node in place of its previous one.
+func (f *Fleet) applyRemoteLocked(node string, before remoteState) {
 	after := f.remote[node]
 	var freed []*Endpoint
 	for key, l := range after.loads {
@@ -31,9 +31,9 @@
 		}
 	}
 	for _, short := range []bool{false, true} {
-		for l := range f.queues {
-			if l.short == short {
-				f.dispatchAfterLocked(l, before, after, freed)
+		for id := range f.queues {
+			if id.short == short {
+				f.dispatchAfterReportLocked(id, before, after, freed)
 			}
 		}
 	}
@@ -48,39 +48,40 @@
 	return freed
 }
 
-// dispatchAfterLocked dispatches the waiting work of a queue after the report of another node: to
-// any endpoint if that work may now have its turn, else to the endpoints with more free capacity.
-func (f *Fleet) dispatchAfterLocked(l line, before, after remoteNode, freed []*Endpoint) {
-	if len(f.queues[l].waiting) == 0 {
+// dispatchAfterReportLocked dispatches the waiting work of a queue after the report of another
+// node: to any endpoint if that work may now have its turn, else to the endpoints with more free
+// capacity.
+func (f *Fleet) dispatchAfterReportLocked(id queueID, before, after remoteState, freed []*Endpoint) {
+	if len(f.queues[id].waiting) == 0 {
 		return
 	}
-	if l.turnsChanged(before, after) {
-		f.dispatchLineLocked(l)
+	if id.headChanged(before, after) {
+		f.dispatchQueueLocked(id)
 		return
 	}
 	var ofService []*Endpoint
 	for _, e := range freed {
-		if e.Service == l.service {
+		if e.Service == id.service {
 			ofService = append(ofService, e)
 		}
 	}
 	if len(ofService) > 0 {
-		f.dispatchToLocked(l, ofService)
+		f.dispatchToEndpointsLocked(id, ofService)
 	}
 }
 
-// turnsChanged reports whether the first request of the queue that the node reported before is no
+// headChanged reports whether the first request of the queue that the node reported before is no
 // longer its first one.
-func (l line) turnsChanged(before, after remoteNode) bool {
-	key := l.key()
-	was, waited := before.waiting[key]
-	if !waited {
+func (id queueID) headChanged(before, after remoteState) bool {
+	key := id.key()
+	oldHead, hadHead := before.waiting[key]
+	if !hadHead {
 		return false
 	}
-	is, waits := after.waiting[key]
-	if !waits || is.Rank != was.Rank {
+	newHead, hasHead := after.waiting[key]
+	if !hasHead || newHead.Rank != oldHead.Rank {
 		return true
 	}
-	age := after.since(is) - before.since(was)
-	return age > sameAge || age < -sameAge
+	age := after.enqueuedAt(newHead) - before.enqueuedAt(oldHead)
+	return age > sameAgeTolerance || age < -sameAgeTolerance
 }
--- a/fleet/turn.go
+++ b/fleet/turn.go
@@ -19,32 +19,32 @@
 	// between two rounds of datagrams, the 5 to 9 ms in which the registration of an engine reaches
 	// all nodes, and the network delay.
 	claimSpacing = 20 * time.Millisecond
-	// longestTurn is the time after which work claims capacity that has been free for it all along
+	// maxTurnWait is the time after which work claims capacity that has been free for it all along
 	// although other nodes are ahead: these cannot use it then. Up to turnJitter is added, so that
 	// not all nodes claim at the same time.
-	longestTurn = 200 * time.Millisecond
+	maxTurnWait = 200 * time.Millisecond
 	turnJitter  = 200 * time.Millisecond
-	// sameAge is the difference in age up to which two requests count as equally old: the possible
-	// delay of a datagram. The names of their nodes then decide, so that not each node considers
-	// itself the first.
-	sameAge = 20 * time.Millisecond
+	// sameAgeTolerance is the difference in age up to which two requests count as equally old: the
+	// possible delay of a datagram. The names of their nodes then decide, so that not each node
+	// considers itself the first.
+	sameAgeTolerance = 20 * time.Millisecond
 )
 
-// line identifies the waiting work of one service that competes for the same capacity. Short
+// queueID identifies the waiting work of one service that competes for the same capacity. Short
 // answers have a queue of their own because they can use a share of an engine's memory that is
 // closed to long ones. Queued behind long answers that wait for more memory, they would never get
 // to use it.
-type line struct {
+type queueID struct {
 	service string
 	short   bool
 }
 
-func (f *Fleet) line(w *Want) line {
-	return line{service: w.Service.Name, short: w.Service.Engine != nil && w.Short() && !f.Without[ShortLine]}
+func (f *Fleet) queueIDFor(w *Want) queueID {
+	return queueID{service: w.Service.Name, short: w.Service.Engine != nil && w.Short() && !f.Without[ShortLine]}
 }
 
 // Short reports whether the answer is short.
-func (w *Want) Short() bool { return w.longest() <= shortOutput }
+func (w *Want) Short() bool { return w.longest() <= maxShortOutputTokens }
 
 // longest returns the maximum length of the answer in tokens. The length that the caller expects is
 // only the fallback, as it is often far too low: by that length, 1 long answer in 30 was classified
@@ -67,10 +67,10 @@
 // LineKey identifies a queue in messages between nodes.
 type LineKey uint32
 
-func (l line) key() LineKey {
+func (id queueID) key() LineKey {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(l.service))
-	if l.short {
+	_, _ = h.Write([]byte(id.service))
+	if id.short {
 		_, _ = h.Write([]byte{0})
 	}
 	return LineKey(h.Sum32())
@@ -82,46 +82,46 @@
 	defer f.mu.Unlock()
 	var waiting []WaitingWork
 	now := f.now()
-	for l, q := range f.queues {
-		for _, head := range q.first(now, 1) {
+	for id, q := range f.queues {
+		for _, head := range q.head(now, 1) {
 			waiting = append(waiting, WaitingWork{
-				Line: l.key(), Rank: head.rank(now), Waited: now - head.since,
+				Line: id.key(), Rank: head.rank(now), Waited: now - head.enqueuedAt,
 			})
 		}
 	}
 	return waiting
 }
 
-// aheadLocked returns the number of nodes on which more urgent or older work of the same queue
+// nodesAheadLocked returns the number of nodes on which more urgent or older work of the same queue
 // waits. Plain services have no turns: their capacity becomes free every few milliseconds, and work
 // beyond it waits in an endpoint's own queue for no longer than a turn.
-func (f *Fleet) aheadLocked(w *Want, rank int, since time.Duration) int {
+func (f *Fleet) nodesAheadLocked(w *Want, rank int, since time.Duration) int {
 	if w.Service.Engine == nil || f.Without[Turns] {
 		return 0
 	}
-	key := f.line(w).key()
+	key := f.queueIDFor(w).key()
 	ahead := 0
 	for name, node := range f.remote {
 		head, waits := node.waiting[key]
-		if waits && (head.Rank < rank || (head.Rank == rank && f.olderAt(name, node.since(head), since))) {
+		if waits && (head.Rank < rank || (head.Rank == rank && f.remoteGoesFirst(name, node.enqueuedAt(head), since))) {
 			ahead++
 		}
 	}
 	return ahead
 }
 
-// olderAt reports whether work that waits on another node since the given time precedes work that
-// waits here.
-func (f *Fleet) olderAt(node string, since, here time.Duration) bool {
-	if diff := here - since; diff > sameAge || diff < -sameAge {
+// remoteGoesFirst reports whether work that waits on another node since the given time precedes
+// work that waits here.
+func (f *Fleet) remoteGoesFirst(node string, since, localSince time.Duration) bool {
+	if diff := localSince - since; diff > sameAgeTolerance || diff < -sameAgeTolerance {
 		return diff > 0
 	}
 	return node < f.Name
 }
 
-// othersWaitLocked reports whether work of the service waits on another node.
-func (f *Fleet) othersWaitLocked(service string) bool {
-	long, short := line{service: service}.key(), line{service: service, short: true}.key()
+// othersWaitingLocked reports whether work of the service waits on another node.
+func (f *Fleet) othersWaitingLocked(service string) bool {
+	long, short := queueID{service: service}.key(), queueID{service: service, short: true}.key()
 	for _, node := range f.remote {
 		if _, waits := node.waiting[long]; waits {
 			return true
@@ -133,12 +133,12 @@
 	return false
 }
 
-// tellLocked requests that new work on an endpoint is reported to other nodes: to all nodes while
-// work of the service waits on any node, else only to the nodes in the endpoint's data centre.
-// Nodes in other data centres use the endpoint only when their own are full, and can learn of the
-// work with the next regular datagram.
-func (f *Fleet) tellLocked(e *Endpoint) {
-	if f.waitingLocked(e.Service) > 0 || f.othersWaitLocked(e.Service) {
+// broadcastLoadLocked requests that new work on an endpoint is reported to other nodes: to all
+// nodes while work of the service waits on any node, else only to the nodes in the endpoint's data
+// centre. Nodes in other data centres use the endpoint only when their own are full, and can learn
+// of the work with the next regular datagram.
+func (f *Fleet) broadcastLoadLocked(e *Endpoint) {
+	if f.waitingLocked(e.Service) > 0 || f.othersWaitingLocked(e.Service) {
 		f.Changed("")
 		return
 	}
@@ -147,30 +147,30 @@
 
 // turn is the position of a waiter among the nodes that compete for the same capacity.
 type turn struct {
-	// sees is set while there is capacity for the work.
-	sees bool
-	// ahead is the number of nodes that go first.
-	ahead int
+	// hasCapacity is set while there is capacity for the work.
+	hasCapacity bool
+	// nodesAhead is the number of nodes that go first.
+	nodesAhead int
 	// claimAt is the time at which the work claims the capacity even if other nodes are ahead.
-	// latest is the upper bound of claimAt.
-	claimAt, latest time.Duration
+	// latestClaim is the upper bound of claimAt.
+	claimAt, latestClaim time.Duration
 }
 
 // mayClaimLocked reports whether a waiter for which there is capacity may claim it now.
 func (f *Fleet) mayClaimLocked(w *waiter) bool {
 	now := f.now()
-	ahead := f.aheadLocked(w.want, w.rank(now), w.since)
+	ahead := f.nodesAheadLocked(w.work, w.rank(now), w.enqueuedAt)
 	if ahead == 0 {
 		return true
 	}
-	if !w.turn.sees {
+	if !w.turn.hasCapacity {
 		jitter := time.Duration(f.random.Int64N(int64(turnJitter)))
-		w.turn = turn{sees: true, ahead: -1, latest: now + longestTurn + jitter}
+		w.turn = turn{hasCapacity: true, nodesAhead: -1, latestClaim: now + maxTurnWait + jitter}
 	}
-	if ahead != w.turn.ahead {
+	if ahead != w.turn.nodesAhead {
 		// A node ahead has placed its request, or another node has joined.
-		w.turn.ahead = ahead
-		w.turn.claimAt = min(now+time.Duration(ahead)*claimSpacing, w.turn.latest)
+		w.turn.nodesAhead = ahead
+		w.turn.claimAt = min(now+time.Duration(ahead)*claimSpacing, w.turn.latestClaim)
 		f.Wake(w.turn.claimAt - now)
 	}
 	return now >= w.turn.claimAt
