--- a/fleet/benchmark_test.go
+++ b/fleet/benchmark_test.go
@@ -20,13 +20,13 @@
 
 // benchFleet is the fleet of one node in a deployment of that size.
 type benchFleet struct {
-	*world
+	*fixture
 	keys   []fleet.EndpointKey
 	random *rand.Rand
 }
 
 func newBenchFleet() *benchFleet {
-	b := &benchFleet{world: newWorld(), random: rand.New(rand.NewPCG(1, 2))}
+	b := &benchFleet{fixture: newFixture(), random: rand.New(rand.NewPCG(1, 2))}
 	for i := range benchEngines {
 		in := benchEngine(i)
 		b.Update(in)
@@ -54,22 +54,22 @@
 	return loads
 }
 
-// hear applies reports of the other nodes in rotation.
-func (b *benchFleet) hear(t *testing.B) {
-	told := make([][]fleet.Load, 64)
-	for i := range told {
-		told[i] = b.loads()
+// applyReports applies reports of the other nodes in rotation.
+func (b *benchFleet) applyReports(t *testing.B) {
+	reports := make([][]fleet.Load, 64)
+	for i := range reports {
+		reports[i] = b.loads()
 	}
 	t.ReportAllocs()
 	for i := 0; t.Loop(); i++ {
-		b.SetRemote(benchNode(i%benchNodes), told[i%len(told)], nil)
+		b.SetRemote(benchNode(i%benchNodes), reports[i%len(reports)], nil)
 	}
 }
 
 // BenchmarkSetRemote measures applying one load report of another node.
 func BenchmarkSetRemote(b *testing.B) {
 	f := newBenchFleet()
-	f.hear(b)
+	f.applyReports(b)
 }
 
 // BenchmarkSetRemoteWaiting measures the same while work waits on this node and all engines are
@@ -89,7 +89,7 @@
 	for f.Waiting("pool") < 4 {
 		time.Sleep(time.Millisecond)
 	}
-	f.hear(b)
+	f.applyReports(b)
 }
 
 // BenchmarkPlace measures placing one generation and releasing it.
--- a/fleet/coldreturn_test.go
+++ b/fleet/coldreturn_test.go
@@ -19,17 +19,18 @@
 const (
 	returnNodes   = 75
 	returnCentres = 4
-	// returnAt is the time at which the evacuation ends, returnFor the length of the simulation.
-	returnAt  = 4 * time.Second
-	returnFor = 8 * time.Second
-	// returnNews is the delay with which load reports arrive at the other nodes, returnLate the
-	// maximum delay with which a node learns of the end of the evacuation.
-	returnNews = 20 * time.Millisecond
-	returnLate = 300 * time.Millisecond
+	// returnAt is the time at which the evacuation ends, returnDuration the length of the
+	// simulation.
+	returnAt       = 4 * time.Second
+	returnDuration = 8 * time.Second
+	// reportDelay is the delay with which load reports arrive at the other nodes,
+	// maxEvacuationDelay the maximum delay with which a node learns of the end of the evacuation.
+	reportDelay        = 20 * time.Millisecond
+	maxEvacuationDelay = 300 * time.Millisecond
 )
 
-// returnLoad describes the requests of one service.
-type returnLoad struct {
+// serviceLoad describes the requests of one service.
+type serviceLoad struct {
 	name string
 	// perCentre is the number of endpoints in each data centre. rate is the number of requests per
 	// second at all nodes together.
@@ -40,7 +41,7 @@
 	size func(random *rand.Rand) fleet.Demand
 }
 
-var returnLoads = []returnLoad{
+var serviceLoads = []serviceLoad{
 	{
 		name: "generations", perCentre: 12, rate: 66,
 		service: routing.Service{
@@ -60,28 +61,28 @@
 	},
 }
 
-type returnWorld struct {
-	returnLoad
-	began  time.Time
-	fleets []*fleet.Fleet
-	mu     sync.Mutex
+type returnSimulation struct {
+	serviceLoad
+	startedAt time.Time
+	fleets    []*fleet.Fleet
+	mu        sync.Mutex
 	// sent holds the times at which requests were sent to each endpoint.
 	sent   map[string][]time.Duration
 	served int
 }
 
-func (w *returnWorld) now() time.Duration { return time.Since(w.began) }
+func (w *returnSimulation) now() time.Duration { return time.Since(w.startedAt) }
 
 func centre(i int) string { return fmt.Sprintf("dc%d", i) }
 
-func newReturnWorld(load returnLoad, random *rand.Rand) *returnWorld {
-	w := &returnWorld{returnLoad: load, began: time.Now(), sent: make(map[string][]time.Duration)}
+func newReturnSimulation(load serviceLoad, random *rand.Rand) *returnSimulation {
+	w := &returnSimulation{serviceLoad: load, startedAt: time.Now(), sent: make(map[string][]time.Duration)}
 	for i := range returnNodes {
 		f := fleet.New(centre(i%returnCentres), w.now)
 		f.Name = fmt.Sprintf("10.0.0.%d-%d", i, random.Uint32())
 		f.Population = func() fleet.Population { return fleet.Population{Nodes: returnNodes, Heard: true} }
 		f.Wake = func(after time.Duration) { time.AfterFunc(after, f.Tick) }
-		f.Changed = func(string) { time.AfterFunc(returnNews, func() { w.tell(f) }) }
+		f.Changed = func(string) { time.AfterFunc(reportDelay, func() { w.broadcast(f) }) }
 		for e := range returnCentres * w.perCentre {
 			f.Update(fleet.Instance{ID: fmt.Sprintf("e%d", e), Service: "s", DataCentre: centre(e / w.perCentre), Slots: 24})
 		}
@@ -91,8 +92,8 @@
 	return w
 }
 
-// tell reports the load and the waiting work of a node to all other nodes.
-func (w *returnWorld) tell(f *fleet.Fleet) {
+// broadcast reports the load and the waiting work of a node to all other nodes.
+func (w *returnSimulation) broadcast(f *fleet.Fleet) {
 	loads, waiting := f.OwnLoads(), f.OwnWaiting()
 	for _, other := range w.fleets {
 		if other != f {
@@ -102,7 +103,7 @@
 }
 
 // request runs one request through a node.
-func (w *returnWorld) request(f *fleet.Fleet, demand fleet.Demand) {
+func (w *returnSimulation) request(f *fleet.Fleet, demand fleet.Demand) {
 	want := fleet.Want{Service: &w.service, Demand: demand, Longest: demand.Output}
 	p, refusal := f.Acquire(context.Background(), want, 3*time.Second)
 	if refusal != nil {
@@ -122,14 +123,14 @@
 	p.Release(fleet.Good)
 }
 
-func (w *returnWorld) play(random *rand.Rand, times float64) {
+func (w *returnSimulation) run(random *rand.Rand, rateFactor float64) {
 	for _, f := range w.fleets {
-		late := time.Duration(random.Int64N(int64(returnLate)))
+		late := time.Duration(random.Int64N(int64(maxEvacuationDelay)))
 		time.AfterFunc(returnAt+late, func() { f.Evacuate(nil) })
 	}
 	var running sync.WaitGroup
-	for w.now() < returnFor {
-		time.Sleep(time.Duration(random.ExpFloat64() / (times * w.rate) * float64(time.Second)))
+	for w.now() < returnDuration {
+		time.Sleep(time.Duration(random.ExpFloat64() / (rateFactor * w.rate) * float64(time.Second)))
 		var demand fleet.Demand
 		if w.size != nil {
 			demand = w.size(random)
@@ -144,13 +145,13 @@
 // nodes send to them at once.
 func TestLoadThatReturnsOntoAColdDataCentre(t *testing.T) {
 	const bound = coldRate*3/2 + coldSlack
-	for _, load := range returnLoads {
+	for _, load := range serviceLoads {
 		for _, times := range []float64{1, 5} {
 			t.Run(fmt.Sprintf("%s at %g times the rate", load.name, times), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					random := rand.New(rand.NewPCG(1, 2))
-					w := newReturnWorld(load, random)
-					w.play(random, times)
+					w := newReturnSimulation(load, random)
+					w.run(random, times)
 					returned, most := 0, 0
 					for e := range w.perCentre {
 						id := fmt.Sprintf("e%d", e)
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -74,7 +74,7 @@
 	Instance
 	key          EndpointKey
 	warmingUntil time.Duration
-	// ctx is cancelled by end once the instance is known to have died.
+	// ctx is cancelled by cancel once the instance is known to have died.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	// leaving is closed once the instance is about to stop or has been removed.
@@ -102,7 +102,7 @@
 	// entry was missing, that it is not about to stop.
 	confirmedAlive bool
 	own            Load
-	// remote holds the load from each other node, and others is their sum.
+	// remote holds the load from each other node, and remoteTotal is their sum.
 	remote      map[string]Load
 	remoteTotal Load
 	health      health
--- a/fleet/evacuation_test.go
+++ b/fleet/evacuation_test.go
@@ -12,21 +12,21 @@
 )
 
 var _ = Describe("an evacuated data centre", func() {
-	var w *world
+	var w *fixture
 
 	BeforeEach(func() {
-		w = newWorld()
-		w.engine("near", "dc1")
-		w.engine("far", "dc2")
+		w = newFixture()
+		w.addEngine("near", "dc1")
+		w.addEngine("far", "dc2")
 	})
 
 	// Guards against new work, also for lack of any other room, at endpoints that are to be emptied.
 	It("gets no work, however full the others are", func() {
 		w.Evacuate([]string{"dc1"})
 		for range 8 {
-			Expect(w.running(generation(3000, 500)).Instance().ID).To(Equal("far"))
+			Expect(w.placeRunning(generation(3000, 500)).Instance().ID).To(Equal("far"))
 		}
-		Expect(w.refused(generation(30_000, 500)).Reason).To(Equal(crocusreel.ReasonQueueFull))
+		Expect(w.mustRefuse(generation(30_000, 500)).Reason).To(Equal(crocusreel.ReasonQueueFull))
 	})
 
 	// Guards against a copy, a backup or a resumed run, which is a request too.
@@ -36,7 +36,7 @@
 		engine.CanBackUp = true
 		backed.Engine = &engine
 		want := fleet.Want{Service: &backed, Demand: fleet.Demand{Prompt: 1000, Output: 400}, Longest: 400}
-		p := w.running(want)
+		p := w.placeRunning(want)
 		Expect(p.Instance().ID).To(Equal("near"))
 		held := w.Hold(p, want)
 		Expect(held.Instance().ID).To(Equal("far"))
@@ -58,8 +58,8 @@
 
 	// Guards against callers who wait for room that cannot come.
 	It("ends the wait of work that could run nowhere else at once", func() {
-		w.place(generation(33_000, 500))
-		w.place(generation(33_000, 500))
+		w.mustPlace(generation(33_000, 500))
+		w.mustPlace(generation(33_000, 500))
 		refusals := make(chan *crocusreel.Refusal, 1)
 		go func() {
 			defer GinkgoRecover()
@@ -76,15 +76,15 @@
 		Expect(refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 		Expect(w.Waiting("pool")).To(BeZero())
-		Expect(w.refused(generation(3000, 500)).Reason).To(Equal(crocusreel.ReasonEvacuated))
+		Expect(w.mustRefuse(generation(3000, 500)).Reason).To(Equal(crocusreel.ReasonEvacuated))
 	})
 
 	It("includes endpoints that register while it is evacuated, and is told with what runs there", func() {
-		running := w.place(generation(3000, 500))
+		running := w.mustPlace(generation(3000, 500))
 		w.Evacuate([]string{"dc1", "dc3"})
 		w.now += 2 * time.Second
-		w.engine("new", "dc3")
-		Expect(w.place(generation(3000, 500)).Instance().ID).To(Equal("far"))
+		w.addEngine("new", "dc3")
+		Expect(w.mustPlace(generation(3000, 500)).Instance().ID).To(Equal("far"))
 		Expect(w.Evacuations()).To(Equal([]fleet.Evacuation{
 			{DataCentre: "dc1", Since: 2 * time.Second, Endpoints: 1, Running: 1},
 			{DataCentre: "dc3", Since: 2 * time.Second, Endpoints: 1},
@@ -94,7 +94,7 @@
 })
 
 var _ = Describe("work that is bound to regions", func() {
-	var w *world
+	var w *fixture
 
 	bound := func(regions ...string) fleet.Want {
 		want := generation(3000, 500)
@@ -103,44 +103,44 @@
 	}
 
 	BeforeEach(func() {
-		w = newWorld()
+		w = newFixture()
 		w.Regions = map[string]string{"dc1": "north", "dc2": "south", "dc3": "south"}
-		w.engine("e1", "dc1")
-		w.engine("e2", "dc2")
-		w.engine("elsewhere", "unknown")
+		w.addEngine("e1", "dc1")
+		w.addEngine("e2", "dc2")
+		w.addEngine("elsewhere", "unknown")
 	})
 
 	// Guards against data that leaves the regions to which its owner has bound it.
 	It("runs there only, however full they are", func() {
 		for range 8 {
-			Expect(w.running(bound("south")).Instance().ID).To(Equal("e2"))
+			Expect(w.placeRunning(bound("south")).Instance().ID).To(Equal("e2"))
 		}
 		large := bound("south")
 		large.Demand = fleet.Demand{Prompt: 30_000, Output: 500}
-		Expect(w.refused(large).Reason).To(Equal(crocusreel.ReasonQueueFull))
+		Expect(w.mustRefuse(large).Reason).To(Equal(crocusreel.ReasonQueueFull))
 	})
 
 	It("has no copy or backup outside of them", func() {
-		p := w.running(bound("north"))
+		p := w.placeRunning(bound("north"))
 		Expect(w.Target(p, bound("north"))).To(BeNil())
 		Expect(w.Target(p, bound("north", "south")).Instance().ID).To(Equal("e2"))
 	})
 
 	It("is refused where no region is left, is known or is in service", func() {
 		for _, regions := range [][]string{nil, {"west"}} {
-			refusal := w.refused(bound(regions...))
+			refusal := w.mustRefuse(bound(regions...))
 			Expect(refusal.Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 			Expect(refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 		}
 		w.Remove("e2", false)
-		Expect(w.refused(bound("south")).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
+		Expect(w.mustRefuse(bound("south")).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 	})
 
 	// Guards against work that goes to another region because its own is evacuated.
 	It("is refused at once while its regions are evacuated", func() {
 		w.Evacuate([]string{"dc2"})
-		Expect(w.refused(bound("south")).Reason).To(Equal(crocusreel.ReasonEvacuated))
-		w.engine("e3", "dc3")
-		Expect(w.place(bound("south")).Instance().ID).To(Equal("e3"))
+		Expect(w.mustRefuse(bound("south")).Reason).To(Equal(crocusreel.ReasonEvacuated))
+		w.addEngine("e3", "dc3")
+		Expect(w.mustPlace(bound("south")).Instance().ID).To(Equal("e3"))
 	})
 })
--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -1,22 +1,22 @@
 package fleet
 
-// LongLine returns the key of the queue of a service's long answers.
-func LongLine(service string) LineKey { return queueID{service: service}.key() }
+// LongQueue returns the key of the queue of a service's long answers.
+func LongQueue(service string) LineKey { return queueID{service: service}.key() }
 
 // Totals returns the load of each endpoint, once from the maintained sums and once recomputed from
 // the reports of all nodes.
-func (f *Fleet) Totals() (kept, counted map[string]Load) {
+func (f *Fleet) Totals() (maintained, recomputed map[string]Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	kept, counted = make(map[string]Load), make(map[string]Load)
+	maintained, recomputed = make(map[string]Load), make(map[string]Load)
 	for id, e := range f.byID {
-		kept[id] = e.total()
+		maintained[id] = e.total()
 		sum := e.own
 		for _, node := range f.remote {
 			sum = sum.plus(node.loads[e.key])
 		}
 		sum.Key = 0
-		counted[id] = sum
+		recomputed[id] = sum
 	}
-	return kept, counted
+	return maintained, recomputed
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -18,22 +18,22 @@
 	app  = &routing.Service{Name: "app"}
 )
 
-type world struct {
+type fixture struct {
 	*fleet.Fleet
 	now time.Duration
 }
 
-func newWorld() *world {
-	w := &world{now: time.Hour}
+func newFixture() *fixture {
+	w := &fixture{now: time.Hour}
 	w.Fleet = fleet.New("dc1", func() time.Duration { return w.now })
 	return w
 }
 
-func (w *world) engine(id, dataCentre string) {
+func (w *fixture) addEngine(id, dataCentre string) {
 	w.Update(fleet.Instance{ID: id, Service: "pool", Address: id, DataCentre: dataCentre, Slots: 24})
 }
 
-func (w *world) plain(id string) {
+func (w *fixture) addPlain(id string) {
 	w.Update(fleet.Instance{ID: id, Service: "app", Address: id, DataCentre: "dc1", Slots: 6})
 }
 
@@ -41,24 +41,24 @@
 	return fleet.Want{Service: pool, Demand: fleet.Demand{Prompt: prompt, Output: output}}
 }
 
-func (w *world) place(want fleet.Want) *fleet.Placement {
+func (w *fixture) mustPlace(want fleet.Want) *fleet.Placement {
 	GinkgoHelper()
 	p, refusal := w.Acquire(context.Background(), want, 0)
 	Expect(refusal).To(BeNil())
 	return p
 }
 
-// running places a generation and marks its prompt as read.
-func (w *world) running(want fleet.Want) *fleet.Placement {
+// placeRunning places a generation and marks its prompt as read.
+func (w *fixture) placeRunning(want fleet.Want) *fleet.Placement {
 	GinkgoHelper()
-	p := w.place(want)
+	p := w.mustPlace(want)
 	p.Produced(1)
 	return p
 }
 
-// waits starts a request that has to wait. Once the request is placed, it sends its name to order
+// enqueue starts a request that has to wait. Once the request is placed, it sends its name to order
 // and releases the placement.
-func (w *world) waits(order chan<- string, name string, want fleet.Want) {
+func (w *fixture) enqueue(order chan<- string, name string, want fleet.Want) {
 	GinkgoHelper()
 	waiting := w.Waiting("pool")
 	go func() {
@@ -71,7 +71,7 @@
 	Eventually(func() int { return w.Waiting("pool") }).Should(Equal(waiting + 1))
 }
 
-func (w *world) refused(want fleet.Want) *crocusreel.Refusal {
+func (w *fixture) mustRefuse(want fleet.Want) *crocusreel.Refusal {
 	GinkgoHelper()
 	p, refusal := w.Acquire(context.Background(), want, 0)
 	Expect(p).To(BeNil())
@@ -82,61 +82,61 @@
 	// Guards against reserving more memory than an engine has: answers that do not fit together are
 	// preempted midway, and their callers see a stall.
 	It("reserves no more memory than an engine has, over all nodes together", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
+		w := newFixture()
+		w.addEngine("e1", "dc1")
 		w.SetRemote("node2", []fleet.Load{{Key: fleet.Incarnation{ID: "e1"}.Key(), Count: 3, Tokens: 20_000}}, nil)
-		w.running(generation(3000, 2000))
-		w.running(generation(3000, 2000))
-		refusal := w.refused(generation(3000, 4000))
+		w.placeRunning(generation(3000, 2000))
+		w.placeRunning(generation(3000, 2000))
+		refusal := w.mustRefuse(generation(3000, 4000))
 		Expect(refusal.Reason).To(Equal(crocusreel.ReasonQueueFull))
 		Expect(refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 		w.SetRemote("node2", nil, nil)
-		w.place(generation(3000, 4000))
+		w.mustPlace(generation(3000, 4000))
 	})
 
 	// Guards against prompts that queue on one engine while others are idle: five callers of
 	// different nodes arrive within 100 ms, and the last would wait two seconds for its first
 	// event.
 	It("spreads prompts that are pending prefill", func() {
-		w := newWorld()
+		w := newFixture()
 		for _, id := range []string{"e1", "e2", "e3"} {
-			w.engine(id, "dc1")
+			w.addEngine(id, "dc1")
 		}
 		w.SetRemote("node2", []fleet.Load{
 			{Key: fleet.Incarnation{ID: "e1"}.Key(), Count: 1, Tokens: 3000, Unread: 3000},
 			{Key: fleet.Incarnation{ID: "e2"}.Key(), Count: 1, Tokens: 3000, Unread: 3000},
 		}, nil)
-		Expect(w.place(generation(3000, 500)).Instance().ID).To(Equal("e3"))
+		Expect(w.mustPlace(generation(3000, 500)).Instance().ID).To(Equal("e3"))
 	})
 
 	It("prefers the local data centre while loads are equal, and another one when they are not", func() {
-		w := newWorld()
-		w.engine("near", "dc1")
-		w.engine("far", "dc2")
-		Expect(w.place(generation(1000, 100)).Instance().ID).To(Equal("near"))
+		w := newFixture()
+		w.addEngine("near", "dc1")
+		w.addEngine("far", "dc2")
+		Expect(w.mustPlace(generation(1000, 100)).Instance().ID).To(Equal("near"))
 		w.SetRemote("node2", []fleet.Load{{Key: fleet.Incarnation{ID: "near"}.Key(), Count: 4, Tokens: 16_000}}, nil)
-		Expect(w.place(generation(1000, 100)).Instance().ID).To(Equal("far"))
+		Expect(w.mustPlace(generation(1000, 100)).Instance().ID).To(Equal("far"))
 	})
 
 	It("places nothing on an engine that is leaving", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		p := w.place(generation(1000, 100))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		p := w.mustPlace(generation(1000, 100))
 		w.Update(fleet.Instance{ID: "e1", Service: "pool", Leaving: true, Slots: 24})
 		Expect(p.Leaving()).To(BeClosed())
-		Expect(w.refused(generation(1000, 100)).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
+		Expect(w.mustRefuse(generation(1000, 100)).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 	})
 
 	It("releases memory exactly once", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		p := w.place(generation(20_000, 8000))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		p := w.mustPlace(generation(20_000, 8000))
 		p.Produced(12_000)
 		p.Release(fleet.Good)
 		p.Release(fleet.Good)
 		Expect(w.OwnLoads()).To(BeEmpty())
-		w.place(generation(20_000, 8000))
+		w.mustPlace(generation(20_000, 8000))
 	})
 })
 
@@ -144,13 +144,13 @@
 	// Guards against long prompts that pile up on an engine with much free memory, such as one that
 	// has just started: their first events are late although another engine could prefill them.
 	It("get no further prompt while half a second of prefill is pending", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		first := w.place(generation(4000, 500))
-		second := w.place(generation(4000, 500))
-		Expect(w.refused(generation(1000, 500)).Reason).To(Equal(crocusreel.ReasonQueueFull))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		first := w.mustPlace(generation(4000, 500))
+		second := w.mustPlace(generation(4000, 500))
+		Expect(w.mustRefuse(generation(1000, 500)).Reason).To(Equal(crocusreel.ReasonQueueFull))
 		first.Produced(1)
-		w.place(generation(1000, 500))
+		w.mustPlace(generation(1000, 500))
 		second.Produced(1)
 	})
 })
@@ -159,14 +159,14 @@
 	// A burst fills all engines. Freed capacity goes to the most urgent request, regardless of the
 	// order of arrival.
 	It("is placed in the order of its rank", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		holder := w.place(generation(30_000, 1000))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		holder := w.mustPlace(generation(30_000, 1000))
 		order := make(chan string, 2)
 		wait := func(name string, rank int) {
 			want := generation(25_000, 1000)
 			want.Rank = rank
-			w.waits(order, name, want)
+			w.enqueue(order, name, want)
 		}
 		wait("second", 2)
 		wait("first", 1)
@@ -176,9 +176,9 @@
 	})
 
 	It("lets a small request pass a large one that does not fit", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		w.running(generation(20_000, 0))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		w.placeRunning(generation(20_000, 0))
 		go func() { _, _ = w.Acquire(context.Background(), generation(30_000, 0), 2*time.Second) }()
 		Eventually(func() int { return w.Waiting("pool") }).Should(Equal(1))
 		_, refusal := w.Acquire(context.Background(), generation(2000, 100), time.Second)
@@ -188,14 +188,14 @@
 	// Guards against an overload in which a queue ordered by age alone makes every answer late.
 	// Work that can still start in time goes first.
 	It("that is already late is served after work that can still start in time", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		holder := w.running(generation(30_000, 1000))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		holder := w.placeRunning(generation(30_000, 1000))
 		order := make(chan string, 2)
 		wait := func(name string, within time.Duration) {
 			want := generation(15_000, 1000)
 			want.StartWithin = within
-			w.waits(order, name, want)
+			w.enqueue(order, name, want)
 		}
 		wait("late", time.Second)
 		w.now += 2 * time.Second
@@ -208,25 +208,25 @@
 	// Guards against short answers, which need a placement for half a second, that wait behind long
 	// ones while every engine is filled with long answers.
 	It("with a short answer passes long ones", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		w.running(generation(32_000, 2000))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		w.placeRunning(generation(32_000, 2000))
 		go func() { _, _ = w.Acquire(context.Background(), generation(5000, 1000), 2*time.Second) }()
 		Eventually(func() int { return w.Waiting("pool") }).Should(Equal(1))
-		w.SetRemote("node2", nil, []fleet.WaitingWork{{Line: fleet.LongLine("pool"), Rank: 0, Waited: time.Second}})
+		w.SetRemote("node2", nil, []fleet.WaitingWork{{Line: fleet.LongQueue("pool"), Rank: 0, Waited: time.Second}})
 		_, refusal := w.Acquire(context.Background(), generation(2500, 30), time.Second)
 		Expect(refusal).To(BeNil())
 	})
 
 	It("is refused after its maximum wait and holds no placement then", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		holder := w.place(generation(30_000, 1000))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		holder := w.mustPlace(generation(30_000, 1000))
 		_, refusal := w.Acquire(context.Background(), generation(30_000, 1000), 10*time.Millisecond)
 		Expect(refusal.Reason).To(Equal(crocusreel.ReasonQueueFull))
 		holder.Release(fleet.Good)
 		Expect(w.Waiting("pool")).To(BeZero())
-		w.place(generation(30_000, 1000))
+		w.mustPlace(generation(30_000, 1000))
 	})
 })
 
@@ -236,11 +236,11 @@
 	// Guards against an endpoint that fails most of its requests while its health check passes.
 	// Without ejection a third of all calls would keep failing.
 	It("are ejected for some time and tried again", func() {
-		w := newWorld()
-		w.plain("grey")
-		w.plain("good")
+		w := newFixture()
+		w.addPlain("grey")
+		w.addPlain("good")
 		for range 20 {
-			p := w.place(call)
+			p := w.mustPlace(call)
 			if p.Instance().ID == "grey" {
 				p.Release(fleet.Failed)
 			} else {
@@ -248,14 +248,14 @@
 			}
 		}
 		for range 50 {
-			p := w.place(call)
+			p := w.mustPlace(call)
 			Expect(p.Instance().ID).To(Equal("good"))
 			p.Release(fleet.Good)
 		}
 		w.now += 10 * time.Second
 		seen := map[string]bool{}
 		for range 50 {
-			p := w.place(call)
+			p := w.mustPlace(call)
 			seen[p.Instance().ID] = true
 			p.Release(fleet.Good)
 		}
@@ -265,48 +265,48 @@
 	// An on-call engineer needs to see when and why an endpoint was excluded and when it was
 	// readmitted. A report of each failure would flood the log.
 	It("are reported when they are excluded and when they are readmitted", func() {
-		w := newWorld()
-		var told []fleet.Exclusion
-		w.Believed = func(e fleet.Exclusion) { told = append(told, e) }
-		w.plain("grey")
+		w := newFixture()
+		var exclusions []fleet.Exclusion
+		w.Believed = func(e fleet.Exclusion) { exclusions = append(exclusions, e) }
+		w.addPlain("grey")
 		for range 8 {
-			w.place(call).Release(fleet.Failed)
+			w.mustPlace(call).Release(fleet.Failed)
 		}
-		Expect(told).To(HaveLen(1))
-		Expect(told[0].Excluded).To(BeTrue())
-		Expect(told[0].Instance.ID).To(Equal("grey"))
-		Expect(told[0].Cause.String()).To(Equal("failed"))
-		Expect(told[0].For).To(BeNumerically(">", time.Second))
+		Expect(exclusions).To(HaveLen(1))
+		Expect(exclusions[0].Excluded).To(BeTrue())
+		Expect(exclusions[0].Instance.ID).To(Equal("grey"))
+		Expect(exclusions[0].Cause.String()).To(Equal("failed"))
+		Expect(exclusions[0].For).To(BeNumerically(">", time.Second))
 		w.now += 10 * time.Second
-		w.place(call).Release(fleet.Good)
-		w.place(call).Release(fleet.Good)
-		Expect(told).To(HaveLen(2))
-		Expect(told[1].Excluded).To(BeFalse())
+		w.mustPlace(call).Release(fleet.Good)
+		w.mustPlace(call).Release(fleet.Good)
+		Expect(exclusions).To(HaveLen(2))
+		Expect(exclusions[1].Excluded).To(BeFalse())
 	})
 
 	// Guards against excluding all endpoints of a service that fail at once, which would refuse
 	// every call although some would succeed.
 	It("stay in use when no other is left", func() {
-		w := newWorld()
-		w.plain("only")
+		w := newFixture()
+		w.addPlain("only")
 		for range 10 {
-			w.place(call).Release(fleet.Failed)
+			w.mustPlace(call).Release(fleet.Failed)
 		}
-		Expect(w.place(call).Instance().ID).To(Equal("only"))
+		Expect(w.mustPlace(call).Instance().ID).To(Equal("only"))
 	})
 
 	It("are excluded at once when they refuse connections", func() {
-		w := newWorld()
-		w.plain("dead")
-		w.plain("good")
-		for w.place(call).Instance().ID != "dead" {
+		w := newFixture()
+		w.addPlain("dead")
+		w.addPlain("good")
+		for w.mustPlace(call).Instance().ID != "dead" {
 		}
-		w = newWorld()
-		w.plain("dead")
-		w.place(call).Release(fleet.Unreachable)
-		w.plain("good")
+		w = newFixture()
+		w.addPlain("dead")
+		w.mustPlace(call).Release(fleet.Unreachable)
+		w.addPlain("good")
 		for range 10 {
-			Expect(w.place(call).Instance().ID).To(Equal("good"))
+			Expect(w.mustPlace(call).Instance().ID).To(Equal("good"))
 		}
 	})
 })
@@ -315,15 +315,15 @@
 	// Guards against dropping live endpoints after the store was down for longer than the heartbeat
 	// timeout and has expired their entries: no endpoint would be left.
 	It("stay in use after an outage until they are known to be gone", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
+		w := newFixture()
+		w.addEngine("e1", "dc1")
 		w.Replace(nil, true)
-		p := w.place(generation(1000, 100))
+		p := w.mustPlace(generation(1000, 100))
 		Expect(p.Leaving()).NotTo(BeClosed())
 		w.now += 2 * time.Second
 		Expect(w.Missing()).To(Equal(1))
 		Expect(p.Leaving()).NotTo(BeClosed())
-		w.engine("e1", "dc1")
+		w.addEngine("e1", "dc1")
 		w.now += time.Minute
 		Expect(w.Missing()).To(BeZero())
 		Expect(w.DropMissing()).To(BeEmpty())
@@ -331,20 +331,20 @@
 	})
 
 	It("are dropped once DropMissing is called, and their runs are notified", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		p := w.place(generation(1000, 100))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		p := w.mustPlace(generation(1000, 100))
 		w.Remove("e1", true)
 		w.now += 2200 * time.Millisecond
 		Expect(w.DropMissing()).To(Equal([]fleet.Gone{{ID: "e1", Missing: 2200 * time.Millisecond}}))
 		Expect(p.Leaving()).To(BeClosed())
-		Expect(w.refused(generation(1000, 100)).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
+		Expect(w.mustRefuse(generation(1000, 100)).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 	})
 
 	It("are dropped at once if the removal is not tentative", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		p := w.place(generation(1000, 100))
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		p := w.mustPlace(generation(1000, 100))
 		w.Remove("e1", false)
 		Expect(p.Leaving()).To(BeClosed())
 	})
@@ -354,11 +354,11 @@
 	// Guards against needless copies to another data centre: they take twice as long, and all other
 	// runs of the leaving engine wait behind them. Near engines come first even if they are fuller.
 	It("are in the same data centre unless no engine there has capacity", func() {
-		w := newWorld()
-		w.engine("source", "dc2")
-		p := w.place(generation(3000, 500))
-		w.engine("near", "dc2")
-		w.engine("far", "dc1")
+		w := newFixture()
+		w.addEngine("source", "dc2")
+		p := w.mustPlace(generation(3000, 500))
+		w.addEngine("near", "dc2")
+		w.addEngine("far", "dc1")
 		w.SetRemote("node2", []fleet.Load{{Key: fleet.Incarnation{ID: "near"}.Key(), Count: 5, Tokens: 20_000}}, nil)
 		t := w.Target(p, generation(3000, 500))
 		Expect(t.Instance().ID).To(Equal("near"))
@@ -369,9 +369,9 @@
 	})
 
 	It("exclude the engine of the run", func() {
-		w := newWorld()
-		w.engine("source", "dc1")
-		p := w.place(generation(3000, 500))
+		w := newFixture()
+		w.addEngine("source", "dc1")
+		p := w.mustPlace(generation(3000, 500))
 		Expect(w.Target(p, generation(3000, 500))).To(BeNil())
 	})
 })
--- a/fleet/holding.go
+++ b/fleet/holding.go
@@ -27,7 +27,7 @@
 	// reserved for answers before no more backups are made. When memory limits the number of
 	// answers that are on time, backups cost more than they save.
 	maxReservedShareForBackups = 0.5
-	// backupCostJitter is the range of the random part of the cost, as moveSpread is for moves.
+	// backupCostJitter is the range of the random part of the cost, as moveCostJitter is for moves.
 	backupCostJitter = 0.1
 )
 
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -21,16 +21,16 @@
 	// ran there is lost. Callers would wait for it until the connection times out, and the
 	// new engine would count as full, or as failing, for what the old one did.
 	It("ends what ran there and begins with nothing", func() {
-		w := newWorld()
+		w := newFixture()
 		Expect(w.Update(start(1000))).To(Equal(fleet.Added))
-		p := w.running(generation(20_000, 8000))
+		p := w.placeRunning(generation(20_000, 8000))
 		p.Report(fleet.Failed)
 		p.Report(fleet.Failed)
 		p.Report(fleet.Failed)
 		Expect(w.Update(start(2000))).To(Equal(fleet.Restarted))
 		Expect(context.Cause(p.Life())).To(MatchError(fleet.ErrRestarted))
 		Expect(p.Leaving()).To(BeClosed())
-		fresh := w.place(generation(20_000, 8000))
+		fresh := w.mustPlace(generation(20_000, 8000))
 		Expect(fresh.Instance().Born).To(BeEquivalentTo(2000))
 		Expect(fresh.Life().Err()).NotTo(HaveOccurred())
 		p.Release(fleet.Failed)
@@ -38,9 +38,9 @@
 	})
 
 	It("is not ended by what its earlier start still has to say", func() {
-		w := newWorld()
+		w := newFixture()
 		w.Update(start(2000))
-		p := w.running(generation(1000, 100))
+		p := w.placeRunning(generation(1000, 100))
 		late := start(1000)
 		late.Leaving = true
 		Expect(w.Update(late)).To(Equal(fleet.Outdated))
@@ -53,30 +53,30 @@
 	// A node tells of its work on the new start before the entry has come here. It counts
 	// for that start, and what was told of the one before does not.
 	It("takes the load that other nodes told of that start alone", func() {
-		w := newWorld()
+		w := newFixture()
 		w.Update(start(1000))
 		w.SetRemote("node2", []fleet.Load{{Key: start(1000).Incarnation().Key(), Count: 20, Tokens: 30_000}}, nil)
 		w.SetRemote("node3", []fleet.Load{{Key: start(2000).Incarnation().Key(), Count: 1, Tokens: 10_000}}, nil)
 		w.Update(start(2000))
-		w.place(generation(15_000, 5000)).Produced(1)
-		w.refused(generation(10_000, 1000))
+		w.mustPlace(generation(15_000, 5000)).Produced(1)
+		w.mustRefuse(generation(10_000, 1000))
 	})
 
 	It("may come with another address, and leaves no place at the old one", func() {
-		w := newWorld()
+		w := newFixture()
 		w.Update(start(1000))
 		moved := start(2000)
 		moved.Address = "10.0.0.2:80"
 		w.Update(moved)
 		for range 5 {
-			Expect(w.place(generation(100, 10)).Instance().Address).To(Equal("10.0.0.2:80"))
+			Expect(w.mustPlace(generation(100, 10)).Instance().Address).To(Equal("10.0.0.2:80"))
 		}
 	})
 
 	// The store is away, entries expire, and the endpoint's entry comes back as that of a
 	// new start.
 	It("is no longer missing", func() {
-		w := newWorld()
+		w := newFixture()
 		w.Update(start(1000))
 		w.Remove("e1", true)
 		w.now += time.Second
@@ -90,19 +90,19 @@
 	// A health check says that an engine leaves, and its entry never does: the answer was
 	// false. The engine would get no work again for as long as it lives.
 	It("is taken back after a while, unless its entry says so too", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		w.engine("e2", "dc1")
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		w.addEngine("e2", "dc1")
 		Expect(w.Unhealthy(fleet.Incarnation{ID: "e1"}.Key())).To(BeTrue())
 		Expect(w.Unhealthy(fleet.Incarnation{ID: "e2"}.Key())).To(BeTrue())
 		leaving := fleet.Instance{ID: "e2", Service: "pool", Address: "e2", DataCentre: "dc1", Slots: 24, Leaving: true}
 		w.Update(leaving)
-		w.refused(generation(1000, 100))
+		w.mustRefuse(generation(1000, 100))
 		w.now += 3 * time.Second
 		Expect(w.Reinstate(4 * time.Second)).To(BeEmpty())
 		w.now += 2 * time.Second
 		Expect(w.Reinstate(4 * time.Second)).To(Equal([]string{"e1"}))
-		Expect(w.place(generation(1000, 100)).Instance().ID).To(Equal("e1"))
+		Expect(w.mustPlace(generation(1000, 100)).Instance().ID).To(Equal("e1"))
 	})
 })
 
@@ -135,11 +135,11 @@
 		backed.CanBackUp = true
 		want := fleet.Want{Service: &routing.Service{Name: "pool", Engine: &backed}, Demand: fleet.Demand{Prompt: 1000, Output: 500}}
 		for _, without := range []fleet.Without{nil, {fleet.Backups: true}} {
-			w := newWorld()
+			w := newFixture()
 			w.Without = without
-			w.engine("e1", "dc1")
-			w.engine("e2", "dc1")
-			Expect(w.Hold(w.place(want), want) == nil).To(Equal(without[fleet.Backups]))
+			w.addEngine("e1", "dc1")
+			w.addEngine("e2", "dc1")
+			Expect(w.Hold(w.mustPlace(want), want) == nil).To(Equal(without[fleet.Backups]))
 		}
 	})
 })
@@ -152,31 +152,31 @@
 	// Many long answers run, and each has a backup. What is kept for the case that an engine
 	// dies must not keep new answers waiting.
 	It("is given while an engine has three tenths of its memory to spare, and counts for what comes", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		w.engine("e2", "dc2")
-		p := w.place(want)
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		w.addEngine("e2", "dc2")
+		p := w.mustPlace(want)
 		var held []*fleet.Holding
 		for h := w.Hold(p, want); h != nil; h = w.Hold(p, want) {
 			held = append(held, h)
 		}
 		Expect(held).To(HaveLen(4))
 		w.Update(fleet.Instance{ID: "e1", Service: "pool", Leaving: true, Slots: 24})
-		w.running(generation(7000, 7000))
-		w.refused(generation(2000, 1000))
+		w.placeRunning(generation(7000, 7000))
+		w.mustRefuse(generation(2000, 1000))
 		for _, h := range held {
 			h.Release(0)
 			h.Release(0)
 		}
-		w.running(generation(2000, 1000))
+		w.placeRunning(generation(2000, 1000))
 		Expect(w.Hold(p, want)).NotTo(BeNil())
 	})
 
 	It("becomes the place of the run when its engine is gone", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
-		p := w.place(want)
-		w.engine("e2", "dc1")
+		w := newFixture()
+		w.addEngine("e1", "dc1")
+		p := w.mustPlace(want)
+		w.addEngine("e2", "dc1")
 		h := w.Hold(p, want)
 		place := h.Take(400)
 		Expect(place.Instance().ID).To(Equal("e2"))
--- a/fleet/missing_test.go
+++ b/fleet/missing_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("an endpoint whose entry is missing", func() {
 	const service = "pool"
-	var w *world
+	var w *fixture
 	missing := func(dataCentre string) fleet.Instance {
 		in := fleet.Instance{ID: "e1", Service: service, Address: "10.0.0.1:80", DataCentre: dataCentre, Slots: 24}
 		w.Update(in)
@@ -25,7 +25,7 @@
 		}
 		return ids
 	}
-	BeforeEach(func() { w = newWorld() })
+	BeforeEach(func() { w = newFixture() })
 
 	// Guards against health checks without end of all endpoints whose entries an outage took.
 	It("is asked for its health until it has said once that it goes on", func() {
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -84,8 +84,8 @@
 	Regions []string
 	// late is set once StartWithin has elapsed.
 	late bool
-	// moveSource is the source endpoint of a move, or nil for new work. moving is the memory to be
-	// copied, in tokens.
+	// moveSource is the source endpoint of a move, or nil for new work. moveTokens is the memory to
+	// be copied, in tokens.
 	moveSource *Endpoint
 	moveTokens int
 }
--- a/fleet/remote_test.go
+++ b/fleet/remote_test.go
@@ -17,7 +17,7 @@
 	// so that callers wait for capacity that is free, or a full one look empty.
 	for seed := range uint64(20) {
 		It(fmt.Sprintf("add up to the maintained sums in any order of events, seed %d", seed), func() {
-			w, random := newWorld(), rand.New(rand.NewPCG(seed, 1))
+			w, random := newFixture(), rand.New(rand.NewPCG(seed, 1))
 			var runs []*fleet.Placement
 			instance := func() fleet.Instance {
 				id := fmt.Sprintf("e%d", random.IntN(8))
@@ -66,8 +66,8 @@
 	// Another node ends a run on an engine while a caller waits here and all engines are full. The
 	// caller must be placed with that datagram.
 	It("give freed capacity to waiting work", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
+		w := newFixture()
+		w.addEngine("e1", "dc1")
 		key := fleet.Instance{ID: "e1"}.Incarnation().Key()
 		w.SetRemote("n1", []fleet.Load{{Key: key, Count: 24, Tokens: 30_000}}, nil)
 		granted := make(chan *fleet.Placement, 1)
--- a/fleet/turn_test.go
+++ b/fleet/turn_test.go
@@ -16,79 +16,80 @@
 )
 
 const (
-	// crowdNodes is the number of nodes in the large deployments of users.
-	crowdNodes = 64
-	// crowdMemory is the memory of one of their engines in tokens.
-	crowdMemory = 21_834
-	// way is the network delay of a datagram between two data centres. roundGap is the minimum time
-	// between two datagrams of one node.
-	way      = 1400 * time.Microsecond
-	roundGap = 10 * time.Millisecond
-	// regularly is the interval between two datagrams of a node without changes.
-	regularly = 600 * time.Millisecond
+	// clusterNodes is the number of nodes in the large deployments of users.
+	clusterNodes = 64
+	// clusterEngineTokens is the memory of one of their engines in tokens.
+	clusterEngineTokens = 21_834
+	// networkDelay is the network delay of a datagram between two data centres. minDatagramGap is
+	// the minimum time between two datagrams of one node.
+	networkDelay   = 1400 * time.Microsecond
+	minDatagramGap = 10 * time.Millisecond
+	// datagramInterval is the interval between two datagrams of a node without changes.
+	datagramInterval = 600 * time.Millisecond
 )
 
-var crowdPool = &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Slots: 24, Memory: crowdMemory}}
+var clusterPool = &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Slots: 24, Memory: clusterEngineTokens}}
 
-// crowd simulates many nodes with a common clock and a network delay.
-type crowd struct {
+// cluster simulates many nodes with a common clock and a network delay.
+type cluster struct {
 	// clock is also read by the goroutines of waiting requests.
 	clock  atomic.Int64
-	nodes  []*crowdNode
-	events []crowdEvent
+	nodes  []*clusterNode
+	events []clusterEvent
 }
 
-type crowdNode struct {
+type clusterNode struct {
 	*fleet.Fleet
-	name     string
-	told     time.Duration
-	promised bool
+	name          string
+	lastSent      time.Duration
+	sendScheduled bool
 }
 
-type crowdEvent struct {
+type clusterEvent struct {
 	at time.Duration
 	do func()
 }
 
-func newCrowd(size int) *crowd {
-	c := &crowd{}
+func newCluster(size int) *cluster {
+	c := &cluster{}
 	c.clock.Store(int64(time.Hour))
 	for i := range size {
-		n := &crowdNode{name: fmt.Sprintf("node%d", i), told: -time.Hour}
+		n := &clusterNode{name: fmt.Sprintf("node%d", i), lastSent: -time.Hour}
 		n.Fleet = fleet.New("dc1", c.now)
 		n.Name = n.name
-		n.Changed = func(string) { c.tell(n) }
+		n.Changed = func(string) { c.broadcast(n) }
 		n.Wake = func(after time.Duration) { c.after(after, n.Tick) }
 		c.nodes = append(c.nodes, n)
-		c.repeat(n)
+		c.broadcastRegularly(n)
 	}
 	return c
 }
 
-// repeat sends the state of a node at regular intervals.
-func (c *crowd) repeat(n *crowdNode) {
-	c.after(regularly, func() {
-		c.tell(n)
-		c.repeat(n)
+// broadcastRegularly sends the state of a node at regular intervals.
+func (c *cluster) broadcastRegularly(n *clusterNode) {
+	c.after(datagramInterval, func() {
+		c.broadcast(n)
+		c.broadcastRegularly(n)
 	})
 }
 
-func (c *crowd) now() time.Duration { return time.Duration(c.clock.Load()) }
+func (c *cluster) now() time.Duration { return time.Duration(c.clock.Load()) }
 
-func (c *crowd) after(d time.Duration, do func()) {
-	c.events = append(c.events, crowdEvent{at: c.now() + d, do: do})
+func (c *cluster) after(d time.Duration, do func()) {
+	c.events = append(c.events, clusterEvent{at: c.now() + d, do: do})
 }
 
-// tell schedules a datagram with the state of a node to all others, at most one per roundGap.
-func (c *crowd) tell(n *crowdNode) {
-	if n.promised {
+// broadcast schedules a datagram with the state of a node to all others, at most one per
+// minDatagramGap.
+func (c *cluster) broadcast(n *clusterNode) {
+	if n.sendScheduled {
 		return
 	}
-	n.promised = true
-	c.after(max(0, n.told+roundGap-c.now()), func() {
-		n.promised, n.told = false, c.now()
+	n.sendScheduled = true
+	c.after(max(0, n.lastSent+minDatagramGap-c.now()), func() {
+		n.sendScheduled, n.lastSent = false, c.now()
 		loads, waiting := n.OwnLoads(), n.OwnWaiting()
-		c.after(way, func() {
+		c.after(networkDelay, func() {
 			for _, other := range c.nodes {
 				if other != n {
 					other.SetRemote(n.name, loads, waiting)
@@ -99,10 +100,10 @@
 }
 
 // run processes events in order until the given time has passed.
-func (c *crowd) run(d time.Duration) {
+func (c *cluster) run(d time.Duration) {
 	end := c.now() + d
 	for {
-		slices.SortStableFunc(c.events, func(a, b crowdEvent) int { return int(a.at - b.at) })
+		slices.SortStableFunc(c.events, func(a, b clusterEvent) int { return int(a.at - b.at) })
 		if len(c.events) == 0 || c.events[0].at > end {
 			c.clock.Store(int64(end))
 			return
@@ -114,25 +115,25 @@
 	}
 }
 
-// Four quarters fill an engine.
+// Four requests of quarterOfEngine fill an engine.
 var (
-	quarter = fleet.Demand{Prompt: 1100, Output: 4000}
-	most    = fleet.Demand{Prompt: 1000, Output: 14_000}
+	quarterOfEngine = fleet.Demand{Prompt: 1100, Output: 4000}
+	mostOfEngine    = fleet.Demand{Prompt: 1000, Output: 14_000}
 )
 
-// wait starts a request that has to wait on a node.
-func (c *crowd) wait(n *crowdNode, demand fleet.Demand) {
+// enqueue starts a request that has to wait on a node.
+func (c *cluster) enqueue(n *clusterNode, demand fleet.Demand) {
 	GinkgoHelper()
 	waiting := n.Waiting("pool")
 	go func() {
-		want := fleet.Want{Service: crowdPool, Demand: demand}
+		want := fleet.Want{Service: clusterPool, Demand: demand}
 		_, _ = n.Acquire(context.Background(), want, time.Minute)
 	}()
 	Eventually(func() int { return n.Waiting("pool") }).Should(Equal(waiting + 1))
 }
 
-// promised returns the memory, in tokens, that all nodes together have reserved on an engine.
-func (c *crowd) promised(engine string) int {
+// reservedTokens returns the memory, in tokens, that all nodes together have reserved on an engine.
+func (c *cluster) reservedTokens(engine string) int {
 	sum := 0
 	for _, n := range c.nodes {
 		for _, l := range n.OwnLoads() {
@@ -144,7 +145,7 @@
 	return sum
 }
 
-func (c *crowd) waiting() int {
+func (c *cluster) waiting() int {
 	sum := 0
 	for _, n := range c.nodes {
 		sum += n.Waiting("pool")
@@ -153,7 +154,7 @@
 }
 
 // register adds an engine on all nodes, each with a random delay of up to 5 ms.
-func (c *crowd) register(engine string) {
+func (c *cluster) register(engine string) {
 	for _, n := range c.nodes {
 		c.after(time.Duration(rand.IntN(5000))*time.Microsecond, func() {
 			n.Update(fleet.Instance{ID: engine, Service: "pool", DataCentre: "dc1", Slots: 24})
@@ -166,15 +167,15 @@
 	// all nodes learn of the engine within 5 ms: it would get three times the work that it can
 	// hold, and most callers would see no first event for seconds and give up.
 	It("is not granted more than once", func() {
-		c := newCrowd(crowdNodes)
+		c := newCluster(clusterNodes)
 		for i := range 12 {
-			c.wait(c.nodes[5*i], quarter)
+			c.enqueue(c.nodes[5*i], quarterOfEngine)
 		}
 		c.run(50 * time.Millisecond)
 		c.register("new")
 		c.run(time.Second)
-		Expect(c.promised("new")).To(BeNumerically(">", 0.6*crowdMemory))
-		Expect(c.promised("new")).To(BeNumerically("<=", crowdMemory))
+		Expect(c.reservedTokens("new")).To(BeNumerically(">", 0.6*clusterEngineTokens))
+		Expect(c.reservedTokens("new")).To(BeNumerically("<=", clusterEngineTokens))
 		for i := range 4 {
 			c.register(fmt.Sprintf("more%d", i))
 		}
@@ -185,9 +186,9 @@
 	// The same with a waiting request on each of 64 nodes, as in a long burst. The limit on the
 	// time for which a node lets others go first must not make the last forty claim together.
 	It("is not granted more than once while work waits on every node", func() {
-		c := newCrowd(crowdNodes)
+		c := newCluster(clusterNodes)
 		for i, n := range c.nodes {
-			c.wait(n, quarter)
+			c.enqueue(n, quarterOfEngine)
 			if i%8 == 0 {
 				c.run(100 * time.Millisecond)
 			}
@@ -197,8 +198,8 @@
 			engine := fmt.Sprintf("new%d", i)
 			c.register(engine)
 			c.run(time.Second)
-			Expect(c.promised(engine)).To(BeNumerically(">", 0.6*crowdMemory))
-			Expect(c.promised(engine)).To(BeNumerically("<=", crowdMemory))
+			Expect(c.reservedTokens(engine)).To(BeNumerically(">", 0.6*clusterEngineTokens))
+			Expect(c.reservedTokens(engine)).To(BeNumerically("<=", clusterEngineTokens))
 		}
 	})
 
@@ -206,19 +207,19 @@
 	// node of the ended run knows of it; the others must learn of it before their next regular
 	// datagram.
 	It("goes to the request that has waited longest, on any node", func() {
-		c := newCrowd(3)
+		c := newCluster(3)
 		first, second, holder := c.nodes[0], c.nodes[1], c.nodes[2]
 		c.register("only")
 		c.run(50 * time.Millisecond)
 		held, refusal := holder.Acquire(context.Background(), fleet.Want{
-			Service: crowdPool, Demand: fleet.Demand{Prompt: 1000, Output: 19_000},
+			Service: clusterPool, Demand: fleet.Demand{Prompt: 1000, Output: 19_000},
 		}, 0)
 		Expect(refusal).To(BeNil())
 		c.run(50 * time.Millisecond)
-		c.wait(first, most)
+		c.enqueue(first, mostOfEngine)
 		c.run(50 * time.Millisecond)
-		c.wait(second, most)
-		c.wait(holder, most)
+		c.enqueue(second, mostOfEngine)
+		c.enqueue(holder, mostOfEngine)
 		c.run(50 * time.Millisecond)
 		held.Release(fleet.Good)
 		c.run(150 * time.Millisecond)
@@ -230,11 +231,11 @@
 	// Guards against ignoring the load of an engine that another node uses before this node learns
 	// of the engine.
 	It("counts as used if the load report arrives before the engine's entry", func() {
-		c := newCrowd(2)
+		c := newCluster(2)
 		c.nodes[0].SetRemote("node1", []fleet.Load{{Key: fleet.Incarnation{ID: "new"}.Key(), Count: 5, Tokens: 20_000}}, nil)
 		c.nodes[0].Update(fleet.Instance{ID: "new", Service: "pool", DataCentre: "dc1", Slots: 24})
 		_, refusal := c.nodes[0].Acquire(context.Background(), fleet.Want{
-			Service: crowdPool, Demand: fleet.Demand{Prompt: 4000, Output: 600},
+			Service: clusterPool, Demand: fleet.Demand{Prompt: 4000, Output: 600},
 		}, 0)
 		Expect(refusal).NotTo(BeNil())
 	})
