--- a/cmd/crocusreel-node/main.go
+++ b/cmd/crocusreel-node/main.go
@@ -37,7 +37,7 @@
 func serve() int {
 	var cli commandLine
 	kong.Parse(&cli, kong.Name("crocusreel-node"), kong.Description(description))
-	without, err := fleet.ParseWithout(cli.Without)
+	without, err := fleet.ParseDisabledMechanisms(cli.Without)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "crocusreel-node:", err)
 		return exitSettings
--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -26,18 +26,18 @@
 	minGenerationTime = 250 * time.Millisecond
 )
 
-// Population is the number of nodes in the deployment.
-type Population struct {
+// ClusterSize is the number of nodes in the deployment.
+type ClusterSize struct {
 	// Nodes is an upper bound of the number of nodes, including this one, or 0 if it is not known.
 	Nodes int
-	// Heard is set if at least half of the nodes are live from the point of view of this node.
-	Heard bool
+	// HalfLive is set if at least half of the nodes are live from the point of view of this node.
+	HalfLive bool
 }
 
 // coldUntilLocked returns the time until which the rate of requests to the endpoint is limited
 // because it is cold. It returns 0 if the endpoint is not cold or its service has no such limit.
 func (f *Fleet) coldUntilLocked(e *Endpoint, s *routing.Service, now time.Duration) time.Duration {
-	if s.ColdPerSecond <= 0 || f.Without[ColdTurns] {
+	if s.ColdPerSecond <= 0 || f.Disabled[ColdTurns] {
 		return 0
 	}
 	until := e.warmingUntil
@@ -63,14 +63,14 @@
 	if until == 0 {
 		return true
 	}
-	population := f.Population()
-	if population.Nodes <= 0 {
+	size := f.ClusterSize()
+	if size.Nodes <= 0 {
 		return false
 	}
-	if s.Engine != nil && population.Heard && float64(load.Count) < s.ColdPerSecond*minGenerationTime.Seconds() {
+	if s.Engine != nil && size.HalfLive && float64(load.Count) < s.ColdPerSecond*minGenerationTime.Seconds() {
 		return true
 	}
-	began, next := pace.Turn(f.Name, uint32(e.key), population.Nodes, coldRateShare*s.ColdPerSecond, now)
+	began, next := pace.Turn(f.Name, uint32(e.key), size.Nodes, coldRateShare*s.ColdPerSecond, now)
 	if now-began < pace.Length && e.lastRequestAt < began {
 		return true
 	}
@@ -85,7 +85,7 @@
 		return
 	}
 	f.nextTickAt = at
-	f.Wake(after)
+	f.ScheduleTick(after)
 }
 
 // SetCold records that an endpoint has announced to stay cold for the given time. It returns false
--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -39,14 +39,14 @@
 	t := &turnSender{service: &routing.Service{Name: "app", ColdPerSecond: rate, ColdStart: time.Minute}}
 	t.f = fleet.New("dc1", func() time.Duration { return t.now })
 	t.f.Name = name
-	t.f.Population = func() fleet.Population { return fleet.Population{Nodes: assumedNodes, Heard: true} }
+	t.f.ClusterSize = func() fleet.ClusterSize { return fleet.ClusterSize{Nodes: assumedNodes, HalfLive: true} }
 	t.f.Update(fleet.Instance{ID: "cold", Service: "app", DataCentre: "dc1", Slots: 1 << 20, Warming: 24 * time.Hour})
 	return t
 }
 
 func (t *turnSender) sends(now time.Duration) bool {
 	t.now = now
-	p, _ := t.f.Acquire(context.Background(), fleet.Want{Service: t.service}, 0)
+	p, _ := t.f.Acquire(context.Background(), fleet.Work{Service: t.service}, 0)
 	return p != nil
 }
 
--- a/fleet/coldreturn_test.go
+++ b/fleet/coldreturn_test.go
@@ -80,9 +80,9 @@
 	for i := range returnNodes {
 		f := fleet.New(centre(i%returnCentres), w.now)
 		f.Name = fmt.Sprintf("10.0.0.%d-%d", i, random.Uint32())
-		f.Population = func() fleet.Population { return fleet.Population{Nodes: returnNodes, Heard: true} }
-		f.Wake = func(after time.Duration) { time.AfterFunc(after, f.Tick) }
-		f.Changed = func(string) { time.AfterFunc(reportDelay, func() { w.broadcast(f) }) }
+		f.ClusterSize = func() fleet.ClusterSize { return fleet.ClusterSize{Nodes: returnNodes, HalfLive: true} }
+		f.ScheduleTick = func(after time.Duration) { time.AfterFunc(after, f.Tick) }
+		f.Broadcast = func(string) { time.AfterFunc(reportDelay, func() { w.broadcast(f) }) }
 		for e := range returnCentres * w.perCentre {
 			f.Update(fleet.Instance{ID: fmt.Sprintf("e%d", e), Service: "s", DataCentre: centre(e / w.perCentre), Slots: 24})
 		}
@@ -104,7 +104,7 @@
 
 // request runs one request through a node.
 func (w *returnSimulation) request(f *fleet.Fleet, demand fleet.Demand) {
-	want := fleet.Want{Service: &w.service, Demand: demand, Longest: demand.Output}
+	want := fleet.Work{Service: &w.service, Demand: demand, MaxOutput: demand.Output}
 	p, refusal := f.Acquire(context.Background(), want, 3*time.Second)
 	if refusal != nil {
 		return
@@ -117,7 +117,7 @@
 		time.Sleep(60 * time.Millisecond)
 	} else {
 		time.Sleep(time.Duration(demand.Prompt) * time.Second / 7500)
-		p.Produced(1)
+		p.SetProduced(1)
 		time.Sleep(time.Duration(demand.Output) * 9 * time.Millisecond)
 	}
 	p.Release(fleet.Good)
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -14,18 +14,19 @@
 // the same ID; its runs, backups and measurements from before belong to the previous incarnation.
 type Incarnation struct {
 	ID string
-	// Born is the time of the start in Unix milliseconds, or 0 if the endpoint does not report it.
-	Born int64
+	// StartedAtMS is the time of the start in Unix milliseconds, or 0 if the endpoint does not
+	// report it.
+	StartedAtMS int64
 }
 
 // Instance describes one incarnation of an endpoint as it has registered.
 type Instance struct {
-	// ID and Born are the fields of the Incarnation.
-	ID         string
-	Born       int64
-	Service    string
-	Address    string
-	DataCentre string
+	// ID and StartedAtMS are the fields of the Incarnation.
+	ID          string
+	StartedAtMS int64
+	Service     string
+	Address     string
+	DataCentre  string
 	// Slots is the number of requests that the endpoint runs concurrently.
 	Slots int
 	// Leaving is set if the endpoint is about to stop.
@@ -35,7 +36,9 @@
 }
 
 // Incarnation returns the incarnation of the endpoint.
-func (in Instance) Incarnation() Incarnation { return Incarnation{ID: in.ID, Born: in.Born} }
+func (in Instance) Incarnation() Incarnation {
+	return Incarnation{ID: in.ID, StartedAtMS: in.StartedAtMS}
+}
 
 // EndpointKey identifies an incarnation in messages between nodes.
 type EndpointKey uint32
@@ -45,8 +48,8 @@
 func (i Incarnation) Key() EndpointKey {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(i.ID))
-	if i.Born != 0 {
-		_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(i.Born)))
+	if i.StartedAtMS != 0 {
+		_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(i.StartedAtMS)))
 	}
 	return EndpointKey(h.Sum32())
 }
@@ -60,12 +63,12 @@
 	Count int
 	// Tokens is the memory, in tokens, that the runs are expected to need.
 	Tokens int
-	// Unread is the number of prompt tokens pending prefill.
-	Unread int
-	// Held is the memory, in tokens, reserved for backups of runs on other endpoints.
-	Held int
-	// Arriving is the memory, in tokens, of runs that are being copied to the endpoint.
-	Arriving int
+	// PendingPrefill is the number of prompt tokens pending prefill.
+	PendingPrefill int
+	// BackupTokens is the memory, in tokens, reserved for backups of runs on other endpoints.
+	BackupTokens int
+	// IncomingTokens is the memory, in tokens, of runs that are being copied to the endpoint.
+	IncomingTokens int
 }
 
 // Endpoint is an instance with its load and health. Its fields are protected by the lock of the
@@ -136,24 +139,24 @@
 	} else {
 		e.remote[node] = l
 	}
-	return l.Count < before.Count || l.Tokens < before.Tokens || l.Unread < before.Unread || l.Held < before.Held
+	return l.Count < before.Count || l.Tokens < before.Tokens || l.PendingPrefill < before.PendingPrefill || l.BackupTokens < before.BackupTokens
 }
 
 func (l Load) plus(other Load) Load {
 	l.Count += other.Count
 	l.Tokens += other.Tokens
-	l.Unread += other.Unread
-	l.Arriving += other.Arriving
-	l.Held += other.Held
+	l.PendingPrefill += other.PendingPrefill
+	l.IncomingTokens += other.IncomingTokens
+	l.BackupTokens += other.BackupTokens
 	return l
 }
 
 func (l Load) minus(other Load) Load {
 	l.Count -= other.Count
 	l.Tokens -= other.Tokens
-	l.Unread -= other.Unread
-	l.Arriving -= other.Arriving
-	l.Held -= other.Held
+	l.PendingPrefill -= other.PendingPrefill
+	l.IncomingTokens -= other.IncomingTokens
+	l.BackupTokens -= other.BackupTokens
 	return l
 }
 
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -85,8 +85,8 @@
 
 // unservableLocked returns the refusal of work that no endpoint may run: those in its regions
 // are all in evacuated data centres, or there is none; nil for other work.
-func (f *Fleet) unservableLocked(w *Want) *crocusreel.Refusal {
-	if len(f.evacuated) == 0 && !w.Bound {
+func (f *Fleet) unservableLocked(w *Work) *crocusreel.Refusal {
+	if len(f.evacuated) == 0 && !w.RegionBound {
 		return nil
 	}
 	evacuated := 0
@@ -102,7 +102,7 @@
 	switch {
 	case evacuated > 0:
 		return refuseEvacuated(w)
-	case w.Bound:
+	case w.RegionBound:
 		return refuseNoneInRegions(w)
 	default:
 		return nil
@@ -129,12 +129,12 @@
 	}
 }
 
-func refuseEvacuated(w *Want) *crocusreel.Refusal {
+func refuseEvacuated(w *Work) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonEvacuated, crocusreel.OutcomeNotRun, evacuatedRetry,
 		"all endpoints of service %q are in evacuated data centres", w.Service.Name)
 }
 
-func refuseNoneInRegions(w *Want) *crocusreel.Refusal {
+func refuseNoneInRegions(w *Work) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, noEndpointRetry,
 		"no endpoint of service %q is in service in regions %q", w.Service.Name, w.Regions)
 }
--- a/fleet/evacuation_test.go
+++ b/fleet/evacuation_test.go
@@ -35,25 +35,25 @@
 		engine := *pool.Engine
 		engine.CanBackUp = true
 		backed.Engine = &engine
-		want := fleet.Want{Service: &backed, Demand: fleet.Demand{Prompt: 1000, Output: 400}, Longest: 400}
+		want := fleet.Work{Service: &backed, Demand: fleet.Demand{Prompt: 1000, Output: 400}, MaxOutput: 400}
 		p := w.placeRunning(want)
 		Expect(p.Instance().ID).To(Equal("near"))
-		held := w.Hold(p, want)
+		held := w.ReserveBackup(p, want)
 		Expect(held.Instance().ID).To(Equal("far"))
-		target := w.Target(p, want)
+		target := w.ReserveMoveTarget(p, want)
 		Expect(target.Instance().ID).To(Equal("far"))
 
 		w.Evacuate([]string{"dc2"})
 		Expect(held.Unusable()).To(BeClosed())
-		Expect(held.Take(10)).To(BeNil())
+		Expect(held.Promote(10)).To(BeNil())
 		Expect(target.Usable()).To(BeFalse())
-		Expect(w.Target(p, want)).To(BeNil())
-		Expect(w.Hold(p, want)).To(BeNil())
+		Expect(w.ReserveMoveTarget(p, want)).To(BeNil())
+		Expect(w.ReserveBackup(p, want)).To(BeNil())
 
 		w.Evacuate(nil)
 		Expect(target.Usable()).To(BeTrue())
 		Expect(held.Unusable()).NotTo(BeClosed())
-		Expect(held.Take(10)).NotTo(BeNil())
+		Expect(held.Promote(10)).NotTo(BeNil())
 	})
 
 	// Guards against callers who wait for room that cannot come.
@@ -96,9 +96,9 @@
 var _ = Describe("work that is bound to regions", func() {
 	var w *fixture
 
-	bound := func(regions ...string) fleet.Want {
+	bound := func(regions ...string) fleet.Work {
 		want := generation(3000, 500)
-		want.Bound, want.Regions = true, regions
+		want.RegionBound, want.Regions = true, regions
 		return want
 	}
 
@@ -122,8 +122,8 @@
 
 	It("has no copy or backup outside of them", func() {
 		p := w.placeRunning(bound("north"))
-		Expect(w.Target(p, bound("north"))).To(BeNil())
-		Expect(w.Target(p, bound("north", "south")).Instance().ID).To(Equal("e2"))
+		Expect(w.ReserveMoveTarget(p, bound("north"))).To(BeNil())
+		Expect(w.ReserveMoveTarget(p, bound("north", "south")).Instance().ID).To(Equal("e2"))
 	})
 
 	It("is refused where no region is left, is known or is in service", func() {
--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -1,7 +1,7 @@
 package fleet
 
 // LongQueue returns the key of the queue of a service's long answers.
-func LongQueue(service string) LineKey { return queueID{service: service}.key() }
+func LongQueue(service string) QueueKey { return queueID{service: service}.key() }
 
 // Totals returns the load of each endpoint, once from the maintained sums and once recomputed from
 // the reports of all nodes.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -11,8 +11,8 @@
 type Fleet struct {
 	// Name is the name of this node as the other nodes know it.
 	Name string
-	// Without is the set of disabled mechanisms.
-	Without    Without
+	// Disabled is the set of disabled mechanisms.
+	Disabled   DisabledMechanisms
 	dataCentre string
 	now        func() time.Duration
 
@@ -33,54 +33,54 @@
 	// evacuated maps each evacuated data centre to the time at which this node learned of its
 	// evacuation.
 	evacuated map[string]time.Duration
-	// nextTickAt is the time of the next call of Tick that was requested through Wake.
+	// nextTickAt is the time of the next call of Tick that was requested through ScheduleTick.
 	nextTickAt time.Duration
 	random     *rand.Rand
 	// Regions maps data centres to their regions, for work that is restricted to regions.
 	Regions map[string]string
-	// Population returns the number of nodes that share the rate of cold endpoints. It must not
+	// ClusterSize returns the number of nodes that share the rate of cold endpoints. It must not
 	// block.
-	Population func() Population
+	ClusterSize func() ClusterSize
 	// Roster returns the nodes that share the rate limits of endpoints, or nil if they are not
 	// known. It must not block.
 	Roster func() *Roster
-	// Wall returns the wall-clock time.
-	Wall func() time.Time
-	// Changed is called when the load and the waiting work of this node should be sent to other
+	// WallClock returns the wall-clock time.
+	WallClock func() time.Time
+	// Broadcast is called when the load and the waiting work of this node should be sent to other
 	// nodes at once: to the nodes of the given data centre, or to all nodes if it is empty. It must
 	// not block.
-	Changed func(dataCentre string)
-	// Believed is called for each endpoint that is excluded from new work or readmitted. It must
+	Broadcast func(dataCentre string)
+	// OnExclusion is called for each endpoint that is excluded from new work or readmitted. It must
 	// not block.
-	Believed func(Exclusion)
-	// Noticed is called for each change of an endpoint's notice. It must not block.
-	Noticed func(NoticeChange)
-	// Wake schedules a call of Tick after the given time. It must not block.
-	Wake func(after time.Duration)
+	OnExclusion func(Exclusion)
+	// OnNotice is called for each change of an endpoint's notice. It must not block.
+	OnNotice func(NoticeChange)
+	// ScheduleTick schedules a call of Tick after the given time. It must not block.
+	ScheduleTick func(after time.Duration)
 }
 
 // New returns a fleet without endpoints for a node in the given data centre. The function now reads
 // a monotonic clock.
 func New(dataCentre string, now func() time.Duration) *Fleet {
 	return &Fleet{
-		dataCentre:  dataCentre,
-		now:         now,
-		byID:        make(map[string]*Endpoint),
-		byKey:       make(map[EndpointKey]*Endpoint),
-		used:        make(map[*Endpoint]struct{}),
-		unconfirmed: make(map[*Endpoint]struct{}),
-		services:    make(map[string][]*Endpoint),
-		queues:      make(map[queueID]*queue),
-		remote:      make(map[string]remoteState),
-		notices:     make(map[EndpointKey]*noticed),
-		Changed:     func(string) {},
-		Believed:    func(Exclusion) {},
-		Noticed:     func(NoticeChange) {},
-		Wake:        func(time.Duration) {},
-		Population:  func() Population { return Population{Nodes: 1, Heard: true} },
-		Roster:      func() *Roster { return nil },
-		Wall:        time.Now,
-		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		dataCentre:   dataCentre,
+		now:          now,
+		byID:         make(map[string]*Endpoint),
+		byKey:        make(map[EndpointKey]*Endpoint),
+		used:         make(map[*Endpoint]struct{}),
+		unconfirmed:  make(map[*Endpoint]struct{}),
+		services:     make(map[string][]*Endpoint),
+		queues:       make(map[queueID]*queue),
+		remote:       make(map[string]remoteState),
+		notices:      make(map[EndpointKey]*noticed),
+		Broadcast:    func(string) {},
+		OnExclusion:  func(Exclusion) {},
+		OnNotice:     func(NoticeChange) {},
+		ScheduleTick: func(time.Duration) {},
+		ClusterSize:  func() ClusterSize { return ClusterSize{Nodes: 1, HalfLive: true} },
+		Roster:       func() *Roster { return nil },
+		WallClock:    time.Now,
+		random:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
@@ -136,11 +136,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, known := f.byID[in.ID]
-	if known && in.Born < e.Born {
+	if known && in.StartedAtMS < e.StartedAtMS {
 		return Outdated
 	}
 	change := Known
-	if known && in.Born > e.Born {
+	if known && in.StartedAtMS > e.StartedAtMS {
 		f.dropLocked(e)
 		e.cancel(ErrRestarted)
 		known, change = false, Restarted
@@ -220,9 +220,9 @@
 	for _, l := range loads {
 		byKey[l.Key] = l
 	}
-	heads := make(map[LineKey]WaitingWork, len(waiting))
+	heads := make(map[QueueKey]WaitingWork, len(waiting))
 	for _, w := range waiting {
-		heads[w.Line] = w
+		heads[w.Queue] = w
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -231,8 +231,8 @@
 	f.applyRemoteLocked(node, before)
 }
 
-// Forget drops the state reported by a node that is no longer reachable.
-func (f *Fleet) Forget(node string) {
+// ForgetNode drops the state reported by a node that is no longer reachable.
+func (f *Fleet) ForgetNode(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.remote[node]
@@ -249,7 +249,7 @@
 		switch {
 		case e.own.isZero():
 			delete(f.used, e)
-		case f.byKey[e.key] == e && (e.own.Count > 0 || e.own.Held > 0):
+		case f.byKey[e.key] == e && (e.own.Count > 0 || e.own.BackupTokens > 0):
 			l := e.own
 			l.Key = e.key
 			loads = append(loads, l)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -37,11 +37,11 @@
 	w.Update(fleet.Instance{ID: id, Service: "app", Address: id, DataCentre: "dc1", Slots: 6})
 }
 
-func generation(prompt, output int) fleet.Want {
-	return fleet.Want{Service: pool, Demand: fleet.Demand{Prompt: prompt, Output: output}}
+func generation(prompt, output int) fleet.Work {
+	return fleet.Work{Service: pool, Demand: fleet.Demand{Prompt: prompt, Output: output}}
 }
 
-func (w *fixture) mustPlace(want fleet.Want) *fleet.Placement {
+func (w *fixture) mustPlace(want fleet.Work) *fleet.Placement {
 	GinkgoHelper()
 	p, refusal := w.Acquire(context.Background(), want, 0)
 	Expect(refusal).To(BeNil())
@@ -49,16 +49,16 @@
 }
 
 // placeRunning places a generation and marks its prompt as read.
-func (w *fixture) placeRunning(want fleet.Want) *fleet.Placement {
+func (w *fixture) placeRunning(want fleet.Work) *fleet.Placement {
 	GinkgoHelper()
 	p := w.mustPlace(want)
-	p.Produced(1)
+	p.SetProduced(1)
 	return p
 }
 
 // enqueue starts a request that has to wait. Once the request is placed, it sends its name to order
 // and releases the placement.
-func (w *fixture) enqueue(order chan<- string, name string, want fleet.Want) {
+func (w *fixture) enqueue(order chan<- string, name string, want fleet.Work) {
 	GinkgoHelper()
 	waiting := w.Waiting("pool")
 	go func() {
@@ -71,7 +71,7 @@
 	Eventually(func() int { return w.Waiting("pool") }).Should(Equal(waiting + 1))
 }
 
-func (w *fixture) mustRefuse(want fleet.Want) *crocusreel.Refusal {
+func (w *fixture) mustRefuse(want fleet.Work) *crocusreel.Refusal {
 	GinkgoHelper()
 	p, refusal := w.Acquire(context.Background(), want, 0)
 	Expect(p).To(BeNil())
@@ -104,8 +104,8 @@
 			w.addEngine(id, "dc1")
 		}
 		w.SetRemote("node2", []fleet.Load{
-			{Key: fleet.Incarnation{ID: "e1"}.Key(), Count: 1, Tokens: 3000, Unread: 3000},
-			{Key: fleet.Incarnation{ID: "e2"}.Key(), Count: 1, Tokens: 3000, Unread: 3000},
+			{Key: fleet.Incarnation{ID: "e1"}.Key(), Count: 1, Tokens: 3000, PendingPrefill: 3000},
+			{Key: fleet.Incarnation{ID: "e2"}.Key(), Count: 1, Tokens: 3000, PendingPrefill: 3000},
 		}, nil)
 		Expect(w.mustPlace(generation(3000, 500)).Instance().ID).To(Equal("e3"))
 	})
@@ -132,7 +132,7 @@
 		w := newFixture()
 		w.addEngine("e1", "dc1")
 		p := w.mustPlace(generation(20_000, 8000))
-		p.Produced(12_000)
+		p.SetProduced(12_000)
 		p.Release(fleet.Good)
 		p.Release(fleet.Good)
 		Expect(w.OwnLoads()).To(BeEmpty())
@@ -149,9 +149,9 @@
 		first := w.mustPlace(generation(4000, 500))
 		second := w.mustPlace(generation(4000, 500))
 		Expect(w.mustRefuse(generation(1000, 500)).Reason).To(Equal(crocusreel.ReasonQueueFull))
-		first.Produced(1)
+		first.SetProduced(1)
 		w.mustPlace(generation(1000, 500))
-		second.Produced(1)
+		second.SetProduced(1)
 	})
 })
 
@@ -213,7 +213,7 @@
 		w.placeRunning(generation(32_000, 2000))
 		go func() { _, _ = w.Acquire(context.Background(), generation(5000, 1000), 2*time.Second) }()
 		Eventually(func() int { return w.Waiting("pool") }).Should(Equal(1))
-		w.SetRemote("node2", nil, []fleet.WaitingWork{{Line: fleet.LongQueue("pool"), Rank: 0, Waited: time.Second}})
+		w.SetRemote("node2", nil, []fleet.WaitingWork{{Queue: fleet.LongQueue("pool"), Rank: 0, Waited: time.Second}})
 		_, refusal := w.Acquire(context.Background(), generation(2500, 30), time.Second)
 		Expect(refusal).To(BeNil())
 	})
@@ -231,7 +231,7 @@
 })
 
 var _ = Describe("endpoints that fail", func() {
-	call := fleet.Want{Service: app}
+	call := fleet.Work{Service: app}
 
 	// Guards against an endpoint that fails most of its requests while its health check passes.
 	// Without ejection a third of all calls would keep failing.
@@ -267,7 +267,7 @@
 	It("are reported when they are excluded and when they are readmitted", func() {
 		w := newFixture()
 		var exclusions []fleet.Exclusion
-		w.Believed = func(e fleet.Exclusion) { exclusions = append(exclusions, e) }
+		w.OnExclusion = func(e fleet.Exclusion) { exclusions = append(exclusions, e) }
 		w.addPlain("grey")
 		for range 8 {
 			w.mustPlace(call).Release(fleet.Failed)
@@ -276,7 +276,7 @@
 		Expect(exclusions[0].Excluded).To(BeTrue())
 		Expect(exclusions[0].Instance.ID).To(Equal("grey"))
 		Expect(exclusions[0].Cause.String()).To(Equal("failed"))
-		Expect(exclusions[0].For).To(BeNumerically(">", time.Second))
+		Expect(exclusions[0].Duration).To(BeNumerically(">", time.Second))
 		w.now += 10 * time.Second
 		w.mustPlace(call).Release(fleet.Good)
 		w.mustPlace(call).Release(fleet.Good)
@@ -360,18 +360,18 @@
 		w.addEngine("near", "dc2")
 		w.addEngine("far", "dc1")
 		w.SetRemote("node2", []fleet.Load{{Key: fleet.Incarnation{ID: "near"}.Key(), Count: 5, Tokens: 20_000}}, nil)
-		t := w.Target(p, generation(3000, 500))
+		t := w.ReserveMoveTarget(p, generation(3000, 500))
 		Expect(t.Instance().ID).To(Equal("near"))
-		t.Arrived()
+		t.EndCopy()
 		t.Release(fleet.Neutral)
 		w.SetRemote("node2", []fleet.Load{{Key: fleet.Incarnation{ID: "near"}.Key(), Count: 8, Tokens: 35_000}}, nil)
-		Expect(w.Target(p, generation(3000, 500)).Instance().ID).To(Equal("far"))
+		Expect(w.ReserveMoveTarget(p, generation(3000, 500)).Instance().ID).To(Equal("far"))
 	})
 
 	It("exclude the engine of the run", func() {
 		w := newFixture()
 		w.addEngine("source", "dc1")
 		p := w.mustPlace(generation(3000, 500))
-		Expect(w.Target(p, generation(3000, 500))).To(BeNil())
+		Expect(w.ReserveMoveTarget(p, generation(3000, 500))).To(BeNil())
 	})
 })
--- a/fleet/holding.go
+++ b/fleet/holding.go
@@ -7,10 +7,10 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Holding is a reservation of memory on an endpoint for the backup of a run on another endpoint.
-// The backup is a copy of the run's memory that grows with the run, and from which the run resumes
-// if its endpoint dies.
-type Holding struct {
+// BackupReservation is a reservation of memory on an endpoint for the backup of a run on another
+// endpoint. The backup is a copy of the run's memory that grows with the run, and from which the
+// run resumes if its endpoint dies.
+type BackupReservation struct {
 	fleet    *Fleet
 	endpoint *Endpoint
 	demand   Demand
@@ -31,13 +31,13 @@
 	backupCostJitter = 0.1
 )
 
-// Hold reserves memory for a backup of the run at p. It returns nil if no engine has memory to
-// spare.
-func (f *Fleet) Hold(p *Placement, w Want) *Holding {
+// ReserveBackup reserves memory for a backup of the run at p. It returns nil if no engine has
+// memory to spare.
+func (f *Fleet) ReserveBackup(p *Placement, w Work) *BackupReservation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	spec := w.Service.Engine
-	if spec == nil || !spec.CanBackUp || f.Without[Backups] {
+	if spec == nil || !spec.CanBackUp || f.Disabled[Backups] {
 		return nil
 	}
 	if f.waitingLocked(w.Service.Name) > 0 || f.reservedShareLocked(w.Service) > maxReservedShareForBackups {
@@ -53,7 +53,7 @@
 			continue
 		}
 		load := e.total()
-		used := load.Tokens + load.Held
+		used := load.Tokens + load.BackupTokens
 		if float64(used+need) > backupMemoryShare*float64(spec.Memory) {
 			continue
 		}
@@ -65,9 +65,9 @@
 	if best == nil {
 		return nil
 	}
-	h := &Holding{fleet: f, endpoint: best, demand: Demand{Prompt: p.demand.Prompt, Output: need - p.demand.Prompt}, produced: p.produced}
+	h := &BackupReservation{fleet: f, endpoint: best, demand: Demand{Prompt: p.demand.Prompt, Output: need - p.demand.Prompt}, produced: p.produced}
 	f.used[best] = struct{}{}
-	best.own.Held += need
+	best.own.BackupTokens += need
 	return h
 }
 
@@ -86,24 +86,24 @@
 }
 
 // Instance returns the endpoint that holds the backup.
-func (h *Holding) Instance() Instance { return h.endpoint.Instance }
+func (h *BackupReservation) Instance() Instance { return h.endpoint.Instance }
 
-// Life returns a context that is cancelled once the endpoint is known to have died, and the backup
-// is lost with it.
-func (h *Holding) Life() context.Context { return h.endpoint.ctx }
+// EndpointContext returns a context that is cancelled once the endpoint is known to have died, and
+// the backup is lost with it.
+func (h *BackupReservation) EndpointContext() context.Context { return h.endpoint.ctx }
 
 // Unusable returns a channel that is closed once the endpoint is about to stop or its data centre
 // is evacuated.
-func (h *Holding) Unusable() <-chan struct{} {
+func (h *BackupReservation) Unusable() <-chan struct{} {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	return h.endpoint.unusable
 }
 
-// Take turns the reservation into the placement of the run, which resumes there with the given
+// Promote turns the reservation into the placement of the run, which resumes there with the given
 // number of tokens produced. It returns nil if the reservation was released, the endpoint is
 // leaving or does not accept a request now, or its data centre is evacuated.
-func (h *Holding) Take(produced int) *Placement {
+func (h *BackupReservation) Promote(produced int) *Placement {
 	f := h.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 	h.releaseLocked()
 	p := f.placeLocked(h.endpoint, h.demand)
-	h.endpoint.own.Unread -= p.pendingPrefill()
+	h.endpoint.own.PendingPrefill -= p.pendingPrefill()
 	p.prefilling = false
 	h.endpoint.own.Tokens -= p.expectedTokens()
 	p.produced = produced
@@ -123,7 +123,7 @@
 
 // Release releases the reservation after the given time: an engine keeps the backup for some time
 // if the run has not ended well.
-func (h *Holding) Release(after time.Duration) {
+func (h *BackupReservation) Release(after time.Duration) {
 	if after > 0 {
 		time.AfterFunc(after, func() { h.Release(0) })
 		return
@@ -134,10 +134,10 @@
 	h.releaseLocked()
 }
 
-func (h *Holding) releaseLocked() {
+func (h *BackupReservation) releaseLocked() {
 	if h.released {
 		return
 	}
 	h.released = true
-	h.endpoint.own.Held -= h.demand.Tokens()
+	h.endpoint.own.BackupTokens -= h.demand.Tokens()
 }
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -13,7 +13,7 @@
 
 // start is the entry of an engine that says when it started.
 func start(born int64) fleet.Instance {
-	return fleet.Instance{ID: "e1", Born: born, Service: "pool", Address: "10.0.0.1:80", DataCentre: "dc1", Slots: 24}
+	return fleet.Instance{ID: "e1", StartedAtMS: born, Service: "pool", Address: "10.0.0.1:80", DataCentre: "dc1", Slots: 24}
 }
 
 var _ = Describe("an endpoint that starts again under its ID", func() {
@@ -24,15 +24,15 @@
 		w := newFixture()
 		Expect(w.Update(start(1000))).To(Equal(fleet.Added))
 		p := w.placeRunning(generation(20_000, 8000))
-		p.Report(fleet.Failed)
-		p.Report(fleet.Failed)
-		p.Report(fleet.Failed)
+		p.RecordResult(fleet.Failed)
+		p.RecordResult(fleet.Failed)
+		p.RecordResult(fleet.Failed)
 		Expect(w.Update(start(2000))).To(Equal(fleet.Restarted))
-		Expect(context.Cause(p.Life())).To(MatchError(fleet.ErrRestarted))
+		Expect(context.Cause(p.EndpointContext())).To(MatchError(fleet.ErrRestarted))
 		Expect(p.Leaving()).To(BeClosed())
 		fresh := w.mustPlace(generation(20_000, 8000))
-		Expect(fresh.Instance().Born).To(BeEquivalentTo(2000))
-		Expect(fresh.Life().Err()).NotTo(HaveOccurred())
+		Expect(fresh.Instance().StartedAtMS).To(BeEquivalentTo(2000))
+		Expect(fresh.EndpointContext().Err()).NotTo(HaveOccurred())
 		p.Release(fleet.Failed)
 		Expect(w.OwnLoads()).To(HaveLen(1))
 	})
@@ -45,7 +45,7 @@
 		late.Leaving = true
 		Expect(w.Update(late)).To(Equal(fleet.Outdated))
 		Expect(w.Update(start(0))).To(Equal(fleet.Outdated))
-		Expect(p.Life().Err()).NotTo(HaveOccurred())
+		Expect(p.EndpointContext().Err()).NotTo(HaveOccurred())
 		Expect(p.Leaving()).NotTo(BeClosed())
 		Expect(w.Update(start(2000))).To(Equal(fleet.Known))
 	})
@@ -58,7 +58,7 @@
 		w.SetRemote("node2", []fleet.Load{{Key: start(1000).Incarnation().Key(), Count: 20, Tokens: 30_000}}, nil)
 		w.SetRemote("node3", []fleet.Load{{Key: start(2000).Incarnation().Key(), Count: 1, Tokens: 10_000}}, nil)
 		w.Update(start(2000))
-		w.mustPlace(generation(15_000, 5000)).Produced(1)
+		w.mustPlace(generation(15_000, 5000)).SetProduced(1)
 		w.mustRefuse(generation(10_000, 1000))
 	})
 
@@ -113,33 +113,33 @@
 	It("is for answers that must be short, not for those that a caller expects to be", func() {
 		want := generation(1000, 10)
 		Expect(want.Short()).To(BeTrue())
-		want.Longest = 2000
+		want.MaxOutput = 2000
 		Expect(want.Short()).To(BeFalse())
-		want.Longest, want.Demand.Output = 40, 400
+		want.MaxOutput, want.Demand.Output = 40, 400
 		Expect(want.Short()).To(BeTrue())
 	})
 })
 
 var _ = Describe("mechanisms that are left out", func() {
 	It("are named as they are listed, and nothing else is", func() {
-		w, err := fleet.ParseWithout([]string{"backups", "turns"})
+		w, err := fleet.ParseDisabledMechanisms([]string{"backups", "turns"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(w[fleet.Backups]).To(BeTrue())
 		Expect(w[fleet.Moves]).To(BeFalse())
-		_, err = fleet.ParseWithout([]string{"backup"})
+		_, err = fleet.ParseDisabledMechanisms([]string{"backup"})
 		Expect(err).To(MatchError(ContainSubstring("short-line")))
 	})
 
 	It("keep no backups without backups, and the line of short answers is one with the others", func() {
 		backed := *pool.Engine
 		backed.CanBackUp = true
-		want := fleet.Want{Service: &routing.Service{Name: "pool", Engine: &backed}, Demand: fleet.Demand{Prompt: 1000, Output: 500}}
-		for _, without := range []fleet.Without{nil, {fleet.Backups: true}} {
+		want := fleet.Work{Service: &routing.Service{Name: "pool", Engine: &backed}, Demand: fleet.Demand{Prompt: 1000, Output: 500}}
+		for _, without := range []fleet.DisabledMechanisms{nil, {fleet.Backups: true}} {
 			w := newFixture()
-			w.Without = without
+			w.Disabled = without
 			w.addEngine("e1", "dc1")
 			w.addEngine("e2", "dc1")
-			Expect(w.Hold(w.mustPlace(want), want) == nil).To(Equal(without[fleet.Backups]))
+			Expect(w.ReserveBackup(w.mustPlace(want), want) == nil).To(Equal(without[fleet.Backups]))
 		}
 	})
 })
@@ -147,7 +147,7 @@
 var _ = Describe("room for backups", func() {
 	backed := *pool.Engine
 	backed.CanBackUp = true
-	want := fleet.Want{Service: &routing.Service{Name: "pool", Engine: &backed}, Demand: fleet.Demand{Prompt: 3000, Output: 2000}}
+	want := fleet.Work{Service: &routing.Service{Name: "pool", Engine: &backed}, Demand: fleet.Demand{Prompt: 3000, Output: 2000}}
 
 	// Many long answers run, and each has a backup. What is kept for the case that an engine
 	// dies must not keep new answers waiting.
@@ -156,8 +156,8 @@
 		w.addEngine("e1", "dc1")
 		w.addEngine("e2", "dc2")
 		p := w.mustPlace(want)
-		var held []*fleet.Holding
-		for h := w.Hold(p, want); h != nil; h = w.Hold(p, want) {
+		var held []*fleet.BackupReservation
+		for h := w.ReserveBackup(p, want); h != nil; h = w.ReserveBackup(p, want) {
 			held = append(held, h)
 		}
 		Expect(held).To(HaveLen(4))
@@ -169,7 +169,7 @@
 			h.Release(0)
 		}
 		w.placeRunning(generation(2000, 1000))
-		Expect(w.Hold(p, want)).NotTo(BeNil())
+		Expect(w.ReserveBackup(p, want)).NotTo(BeNil())
 	})
 
 	It("becomes the place of the run when its engine is gone", func() {
@@ -177,10 +177,10 @@
 		w.addEngine("e1", "dc1")
 		p := w.mustPlace(want)
 		w.addEngine("e2", "dc1")
-		h := w.Hold(p, want)
-		place := h.Take(400)
+		h := w.ReserveBackup(p, want)
+		place := h.Promote(400)
 		Expect(place.Instance().ID).To(Equal("e2"))
-		Expect(h.Take(400)).To(BeNil())
+		Expect(h.Promote(400)).To(BeNil())
 		p.Release(fleet.Neutral)
 		Expect(w.OwnLoads()).To(ConsistOf(fleet.Load{Key: fleet.Incarnation{ID: "e2"}.Key(), Count: 1, Tokens: 5000}))
 		place.Release(fleet.Good)
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -23,10 +23,10 @@
 	l := &leaver{
 		now:     time.Hour,
 		service: &routing.Service{Name: "app"},
-		in:      fleet.Instance{ID: "i1", Born: 1, Service: "app", DataCentre: "dc1", Slots: 10},
+		in:      fleet.Instance{ID: "i1", StartedAtMS: 1, Service: "app", DataCentre: "dc1", Slots: 10},
 	}
 	l.Fleet = fleet.New("dc1", func() time.Duration { return l.now })
-	l.Wall = func() time.Time { return dayStart.Add(l.now) }
+	l.WallClock = func() time.Time { return dayStart.Add(l.now) }
 	roster := &fleet.Roster{Names: []string{""}}
 	l.Roster = func() *fleet.Roster { return roster }
 	l.Update(l.in)
@@ -36,7 +36,7 @@
 
 // takes tells whether new work goes to the endpoint.
 func (l *leaver) takes() bool {
-	p, _ := l.Acquire(context.Background(), fleet.Want{Service: l.service}, 0)
+	p, _ := l.Acquire(context.Background(), fleet.Work{Service: l.service}, 0)
 	if p != nil {
 		p.Release(fleet.Good)
 	}
@@ -78,7 +78,7 @@
 func TestEndpointThatSaidThatItLeavesIsNotReinstated(t *testing.T) {
 	l := newLeaver()
 	reborn := l.in
-	reborn.Born = 2
+	reborn.StartedAtMS = 2
 	l.Update(reborn)
 	l.Unhealthy(reborn.Incarnation().Key())
 	l.Note(reborn, notice.Notice{Leaving: true}, "r1")
@@ -92,7 +92,7 @@
 func TestNextIncarnationIsNotLeaving(t *testing.T) {
 	l := newLeaver()
 	reborn := l.in
-	reborn.Born = 2
+	reborn.StartedAtMS = 2
 	l.Update(reborn)
 	if !l.takes() {
 		t.Error("it got no work")
@@ -103,7 +103,7 @@
 func TestUnreadableLimitHidesNothingElse(t *testing.T) {
 	l := newLeaver()
 	reborn := l.in
-	reborn.Born = 2
+	reborn.StartedAtMS = 2
 	l.Update(reborn)
 	l.Note(reborn, notice.Notice{Leaving: true, LimitFault: errors.New("no number")}, "r1")
 	if l.takes() {
@@ -132,7 +132,7 @@
 	}
 	second := fleet.Instance{ID: "i2", Service: "app", DataCentre: "dc1", Slots: 10, Leaving: true}
 	l.Update(second)
-	l.Changed = func(string) { t.Error("the others are told at once of what the entry has said") }
+	l.Broadcast = func(string) { t.Error("the others are told at once of what the entry has said") }
 	l.Note(second, notice.Notice{Leaving: true}, "r1")
 	l.Note(second, notice.Notice{Pause: time.Second}, "r2")
 	if told := append(l.OwnLeaving(), fleet.EndpointKey(len(l.OwnLimits()))); len(told) != 1 || told[0] != 0 {
@@ -146,7 +146,7 @@
 	service := &routing.Service{Name: "pool", Engine: &routing.EngineSpec{Memory: 30_000}}
 	engine := fleet.Instance{ID: "e1", Service: "pool", DataCentre: "dc1", Slots: 10}
 	l.Update(engine)
-	if _, refusal := l.Acquire(context.Background(), fleet.Want{Service: service, Demand: fleet.Demand{Prompt: 10, Output: 10}}, 0); refusal != nil {
+	if _, refusal := l.Acquire(context.Background(), fleet.Work{Service: service, Demand: fleet.Demand{Prompt: 10, Output: 10}}, 0); refusal != nil {
 		t.Fatal(refusal)
 	}
 	const perSecond = 2.0
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -69,7 +69,7 @@
 		n.rank, n.roster = pace.Rank(f.Name, roster.Names, uint32(e.key)), roster
 	}
 	slots := pace.Slots{Rank: n.rank, Nodes: len(roster.Names), PerSecond: n.limit.rate()}
-	return now + slots.Until(f.Wall(), now, n.turnUsedAt), true
+	return now + slots.Until(f.WallClock(), now, n.turnUsedAt), true
 }
 
 // takesLimitedLocked tells whether this node may send a request to the endpoint now, as far as
@@ -121,7 +121,7 @@
 // leastLimit is the rate, in requests a second, that is taken for a node that sends none yet.
 const leastLimit = 0.25
 
-func refuseBeyond(w *Want, retry time.Duration) *crocusreel.Refusal {
+func refuseBeyond(w *Work, retry time.Duration) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonEndpointLimit, crocusreel.OutcomeNotRun, retry,
 		"no endpoint of service %q takes a request of this node for %v", w.Service.Name, retry.Round(time.Millisecond))
 }
@@ -129,7 +129,7 @@
 // beyondLocked returns the refusal of work that can only go to endpoints that have named a limit or
 // asked for a pause, and whose turn comes after its patience, behind so many others; nil for other
 // work.
-func (f *Fleet) beyondLocked(w *Want, ahead int, patience time.Duration) *crocusreel.Refusal {
+func (f *Fleet) beyondLocked(w *Work, ahead int, patience time.Duration) *crocusreel.Refusal {
 	now := f.now()
 	rate, found := 0.0, false
 	var soonest time.Duration
--- a/fleet/limit_test.go
+++ b/fleet/limit_test.go
@@ -60,7 +60,7 @@
 		roster := &fleet.Roster{Names: names}
 		n.f.Name, n.f.Roster = names[0], func() *fleet.Roster { return roster }
 	}
-	n.f.Wall = func() time.Time { return dayStart.Add(n.now - offset) }
+	n.f.WallClock = func() time.Time { return dayStart.Add(n.now - offset) }
 	n.f.Update(n.in)
 	n.f.Note(n.in, notice.Notice{Limited: true, Limit: perSecond}, "r0")
 	return n
@@ -68,7 +68,7 @@
 
 func (n *limitedNode) sends(now time.Duration) bool {
 	n.now = now
-	p, _ := n.f.Acquire(context.Background(), fleet.Want{Service: n.service}, 0)
+	p, _ := n.f.Acquire(context.Background(), fleet.Work{Service: n.service}, 0)
 	return p != nil
 }
 
@@ -150,7 +150,7 @@
 	}
 	n.f.Note(n.in, notice.Notice{Limited: true, Limit: 0.5}, "r2")
 	reborn := n.in
-	reborn.Born = 1
+	reborn.StartedAtMS = 1
 	n.f.Update(reborn)
 	if n.sendsOf(2) != 2 {
 		t.Error("no request to an incarnation that has named no limit")
--- a/fleet/mechanism.go
+++ b/fleet/mechanism.go
@@ -43,12 +43,13 @@
 	Moves, MoveTurns, Backups, Turns, ShortLine, LateBehind, UnreadBound, Ejection, HealthChecks, OneReader, ColdTurns, Retries,
 }
 
-// Without is a set of disabled mechanisms. It must not be changed while it is in use.
-type Without map[Mechanism]bool
+// DisabledMechanisms is a set of disabled mechanisms. It must not be changed while it is in use.
+type DisabledMechanisms map[Mechanism]bool
 
-// ParseWithout converts names of mechanisms to a set. It returns an error for an unknown name.
-func ParseWithout(names []string) (Without, error) {
-	w := make(Without, len(names))
+// ParseDisabledMechanisms converts names of mechanisms to a set. It returns an error for an unknown
+// name.
+func ParseDisabledMechanisms(names []string) (DisabledMechanisms, error) {
+	w := make(DisabledMechanisms, len(names))
 	for _, name := range names {
 		m := Mechanism(name)
 		if !slices.Contains(Mechanisms, m) {
--- a/fleet/move.go
+++ b/fleet/move.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Target returns a placement to which the run at p can be moved, or nil if no endpoint has
-// capacity. The caller must call Arrived on it when the memory copy has ended.
-func (f *Fleet) Target(p *Placement, w Want) *Placement {
+// ReserveMoveTarget returns a placement to which the run at p can be moved, or nil if no endpoint
+// has capacity. The caller must call EndCopy on it when the memory copy has ended.
+func (f *Fleet) ReserveMoveTarget(p *Placement, w Work) *Placement {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w.Exclude = append(w.Exclude, p.endpoint.ID)
@@ -15,19 +15,19 @@
 		return nil
 	}
 	target := f.placeLocked(e, w.Demand)
-	e.own.Unread -= target.pendingPrefill()
+	e.own.PendingPrefill -= target.pendingPrefill()
 	target.prefilling = false
 	target.produced = p.produced
 	target.incomingTokens = target.currentTokensLocked()
-	e.own.Arriving += target.incomingTokens
+	e.own.IncomingTokens += target.incomingTokens
 	return target
 }
 
-// Arrived records the end of the memory copy to a move target.
-func (p *Placement) Arrived() {
+// EndCopy records the end of the memory copy to a move target.
+func (p *Placement) EndCopy() {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	p.endpoint.own.Arriving -= p.incomingTokens
+	p.endpoint.own.IncomingTokens -= p.incomingTokens
 	p.incomingTokens = 0
 }
 
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -106,10 +106,10 @@
 	known.unreadable = faulty
 	paused := f.pauseLocked(in.Service, known, n.Pause)
 	if changed || unread || paused {
-		f.Noticed(NoticeChange{Instance: in, Notice: n, Before: before, Request: request})
+		f.OnNotice(NoticeChange{Instance: in, Notice: n, Before: before, Request: request})
 	}
 	if changed {
-		f.Changed("")
+		f.Broadcast("")
 	}
 }
 
@@ -177,7 +177,7 @@
 			continue
 		}
 		known.heardAt = f.now()
-		f.Noticed(NoticeChange{Instance: f.byKey[key].Instance, Notice: notice.Notice{Leaving: true}, Node: node})
+		f.OnNotice(NoticeChange{Instance: f.byKey[key].Instance, Notice: notice.Notice{Leaving: true}, Node: node})
 	}
 }
 
@@ -241,7 +241,7 @@
 			continue
 		}
 		if e := f.byKey[l.Key]; e != nil {
-			f.Noticed(NoticeChange{
+			f.OnNotice(NoticeChange{
 				Instance: e.Instance, Notice: said.notice(), Before: before.notice(), Node: node, Age: l.Age,
 			})
 		}
--- a/fleet/notice_model_test.go
+++ b/fleet/notice_model_test.go
@@ -41,7 +41,7 @@
 	present, known map[string]bool
 	said           map[fleet.EndpointKey]*said
 	running        []*fleet.Placement
-	held           []*fleet.Holding
+	held           []*fleet.BackupReservation
 }
 
 func newNoticeModel() *noticeModel {
@@ -55,9 +55,9 @@
 	m.Name = "10.0.0.1"
 	roster := &fleet.Roster{Names: []string{m.Name, "10.0.0.2", "10.0.0.3"}}
 	m.Roster = func() *fleet.Roster { return roster }
-	m.Wall = func() time.Time { return dayStart.Add(m.now) }
+	m.WallClock = func() time.Time { return dayStart.Add(m.now) }
 	for i := range 3 {
-		in := fleet.Instance{ID: fmt.Sprint("e", i), Born: 1, Service: "pool", Address: fmt.Sprint(i), DataCentre: "dc1", Slots: 24}
+		in := fleet.Instance{ID: fmt.Sprint("e", i), StartedAtMS: 1, Service: "pool", Address: fmt.Sprint(i), DataCentre: "dc1", Slots: 24}
 		m.engines = append(m.engines, in)
 		m.enter(in)
 	}
@@ -95,8 +95,8 @@
 	return s
 }
 
-func (m *noticeModel) want() fleet.Want {
-	return fleet.Want{Service: m.service, Demand: fleet.Demand{Prompt: 100, Output: 400}, Longest: 400}
+func (m *noticeModel) want() fleet.Work {
+	return fleet.Work{Service: m.service, Demand: fleet.Demand{Prompt: 100, Output: 400}, MaxOutput: 400}
 }
 
 // sent checks a request that the fleet has placed.
@@ -145,7 +145,7 @@
 		return
 	}
 	m.sent(t, "new work", p.Instance())
-	p.Produced(1)
+	p.SetProduced(1)
 	m.running = append(m.running, p)
 }
 
@@ -153,9 +153,9 @@
 	if len(m.running) == 0 {
 		return
 	}
-	if target := m.Target(m.running[0], m.want()); target != nil {
+	if target := m.ReserveMoveTarget(m.running[0], m.want()); target != nil {
 		m.sent(t, "a move", target.Instance())
-		target.Arrived()
+		target.EndCopy()
 		m.running = append(m.running, target)
 	}
 }
@@ -164,7 +164,7 @@
 	if len(m.running) == 0 {
 		return
 	}
-	if h := m.Hold(m.running[0], m.want()); h != nil {
+	if h := m.ReserveBackup(m.running[0], m.want()); h != nil {
 		m.held = append(m.held, h)
 	}
 }
@@ -175,7 +175,7 @@
 	}
 	h := m.held[0]
 	m.held = m.held[1:]
-	if p := h.Take(10); p != nil {
+	if p := h.Promote(10); p != nil {
 		m.sent(t, "a resumed run", p.Instance())
 		m.running = append(m.running, p)
 		return
@@ -286,7 +286,7 @@
 		},
 		"it starts again": func(*rapid.T) {
 			in := pick()
-			in.Born++
+			in.StartedAtMS++
 			m.enter(*in)
 		},
 		"tick": func(*rapid.T) { m.Tick() },
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -14,7 +14,7 @@
 
 func newPausing() *leaver {
 	l := newLeaver()
-	l.in.Born = 2
+	l.in.StartedAtMS = 2
 	l.Update(l.in)
 	l.Note(l.in, notice.Notice{Pause: testPause}, "r1")
 	return l
@@ -49,7 +49,7 @@
 func TestNextIncarnationIsNotPaused(t *testing.T) {
 	l := newPausing()
 	reborn := l.in
-	reborn.Born = 3
+	reborn.StartedAtMS = 3
 	l.Update(reborn)
 	if !l.takes() {
 		t.Error("it got no work")
@@ -61,7 +61,7 @@
 func TestWorkBeyondAPauseIsRefusedAtOnce(t *testing.T) {
 	l := newPausing()
 	began := time.Now()
-	_, refusal := l.Acquire(context.Background(), fleet.Want{Service: l.service}, testPause/2)
+	_, refusal := l.Acquire(context.Background(), fleet.Work{Service: l.service}, testPause/2)
 	if refusal == nil || refusal.Outcome != crocusreel.OutcomeNotRun || refusal.RetryAfter != testPause {
 		t.Errorf("refusal %+v", refusal)
 	}
@@ -76,13 +76,13 @@
 	l.now += testPause
 	full := l.service
 	for l.takes() && l.Waiting(full.Name) == 0 {
-		if _, refusal := l.Acquire(context.Background(), fleet.Want{Service: full}, 0); refusal != nil {
+		if _, refusal := l.Acquire(context.Background(), fleet.Work{Service: full}, 0); refusal != nil {
 			break
 		}
 	}
 	ended := make(chan *crocusreel.Refusal, 1)
 	go func() {
-		_, refusal := l.Acquire(context.Background(), fleet.Want{Service: full}, testPause/2)
+		_, refusal := l.Acquire(context.Background(), fleet.Work{Service: full}, testPause/2)
 		ended <- refusal
 	}()
 	for l.Waiting(full.Name) == 0 {
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -66,12 +66,12 @@
 	plainOvercommit = 2.0
 )
 
-// Want describes a piece of work to be placed.
-type Want struct {
+// Work describes a piece of work to be placed.
+type Work struct {
 	Service *routing.Service
 	Demand  Demand
-	// Longest is the maximum length of the answer in tokens, or 0 if it is not known.
-	Longest int
+	// MaxOutput is the maximum length of the answer in tokens, or 0 if it is not known.
+	MaxOutput int
 	// Rank is the priority of waiting work; lower values are served first.
 	Rank int
 	// StartWithin is the time within which the work must start to be on time, or 0 if it has no
@@ -79,9 +79,9 @@
 	StartWithin time.Duration
 	// Exclude holds the IDs of endpoints that were already tried.
 	Exclude []string
-	// Bound restricts the work to endpoints in Regions.
-	Bound   bool
-	Regions []string
+	// RegionBound restricts the work to endpoints in Regions.
+	RegionBound bool
+	Regions     []string
 	// late is set once StartWithin has elapsed.
 	late bool
 	// moveSource is the source endpoint of a move, or nil for new work. moveTokens is the memory to
@@ -91,14 +91,14 @@
 }
 
 // pickLocked returns the endpoint with capacity and the lowest cost, or nil if none has capacity.
-func (f *Fleet) pickLocked(w *Want) *Endpoint {
+func (f *Fleet) pickLocked(w *Work) *Endpoint {
 	return f.pickAmongLocked(w, f.services[w.Service.Name])
 }
 
 // pickAmongLocked returns the endpoint with capacity and the lowest cost among some endpoints of
 // the work's service, or nil. Ejected endpoints are considered only if every eligible endpoint is
 // ejected.
-func (f *Fleet) pickAmongLocked(w *Want, endpoints []*Endpoint) *Endpoint {
+func (f *Fleet) pickAmongLocked(w *Work, endpoints []*Endpoint) *Endpoint {
 	var best *Endpoint
 	bestCost := 0.0
 	now := f.now()
@@ -127,7 +127,7 @@
 
 // anyInServiceLocked reports whether some eligible endpoint is not ejected. If all are ejected,
 // ejection is ignored, as it no longer helps to choose among them.
-func (f *Fleet) anyInServiceLocked(w *Want, now time.Duration) bool {
+func (f *Fleet) anyInServiceLocked(w *Work, now time.Duration) bool {
 	for _, e := range f.services[w.Service.Name] {
 		if f.eligibleLocked(e, w) && !f.ejectedLocked(e, now) {
 			return true
@@ -137,26 +137,26 @@
 }
 
 // eligibleLocked reports whether the work can be sent to the endpoint now, regardless of load.
-func (f *Fleet) eligibleLocked(e *Endpoint, w *Want) bool {
+func (f *Fleet) eligibleLocked(e *Endpoint, w *Work) bool {
 	return f.mayServeLocked(e, w) && !f.pausedLocked(e)
 }
 
 // mayServeLocked reports whether the work can be sent to the endpoint now or after its pause.
-func (f *Fleet) mayServeLocked(e *Endpoint, w *Want) bool {
+func (f *Fleet) mayServeLocked(e *Endpoint, w *Work) bool {
 	return !e.isLeaving && !e.isEvacuated && !slices.Contains(w.Exclude, e.ID) && f.inRegionsLocked(e, w)
 }
 
 // inRegionsLocked reports whether the endpoint is in a region to which the work is restricted.
-func (f *Fleet) inRegionsLocked(e *Endpoint, w *Want) bool {
-	return !w.Bound || slices.Contains(w.Regions, f.Regions[e.DataCentre])
+func (f *Fleet) inRegionsLocked(e *Endpoint, w *Work) bool {
+	return !w.RegionBound || slices.Contains(w.Regions, f.Regions[e.DataCentre])
 }
 
 func (f *Fleet) ejectedLocked(e *Endpoint, now time.Duration) bool {
-	return now < e.health.ejectedUntil && !f.Without[Ejection]
+	return now < e.health.ejectedUntil && !f.Disabled[Ejection]
 }
 
 // fitsLocked reports whether the endpoint has capacity for the work in addition to the given load.
-func (f *Fleet) fitsLocked(e *Endpoint, w *Want, load *Load) bool {
+func (f *Fleet) fitsLocked(e *Endpoint, w *Work, load *Load) bool {
 	spec := w.Service.Engine
 	if spec == nil {
 		return float64(load.Count) < plainOvercommit*float64(max(e.Slots, 1))
@@ -164,15 +164,15 @@
 	if load.Count >= e.Slots {
 		return false
 	}
-	need := float64(load.Tokens + load.Held + w.Demand.Tokens())
+	need := float64(load.Tokens + load.BackupTokens + w.Demand.Tokens())
 	return (need <= f.memoryShareFor(w)*float64(spec.Memory) || load.Count == 0) &&
-		(w.moveSource != nil || load.Unread <= maxPendingPrefillTokens || f.Without[UnreadBound])
+		(w.moveSource != nil || load.PendingPrefill <= maxPendingPrefillTokens || f.Disabled[UnreadBound])
 }
 
 // costLocked returns the cost of placing one more run on the endpoint.
-func (f *Fleet) costLocked(e *Endpoint, w *Want, load *Load, now time.Duration) float64 {
+func (f *Fleet) costLocked(e *Endpoint, w *Work, load *Load, now time.Duration) float64 {
 	cost := f.distanceCostLocked(e, w)
-	if !f.Without[Ejection] {
+	if !f.Disabled[Ejection] {
 		cost += failureCost * e.health.penalty(now)
 	}
 	if now < e.warmingUntil {
@@ -183,14 +183,14 @@
 	}
 	if spec := w.Service.Engine; spec != nil {
 		share := float64(load.Tokens) / float64(max(spec.Memory, 1))
-		return cost + share + prefillCostPerSecond*float64(load.Unread)/prefillTokensPerSecond
+		return cost + share + prefillCostPerSecond*float64(load.PendingPrefill)/prefillTokensPerSecond
 	}
 	return cost + float64(load.Count)/float64(max(e.Slots, 1))
 }
 
 // distanceCostLocked returns the cost of the distance to the endpoint, including its random part.
 // For a move this is the expected time of the memory copy.
-func (f *Fleet) distanceCostLocked(e *Endpoint, w *Want) float64 {
+func (f *Fleet) distanceCostLocked(e *Endpoint, w *Work) float64 {
 	if w.moveSource == nil {
 		cost := f.random.Float64() * costJitter
 		if e.DataCentre != f.dataCentre {
@@ -202,11 +202,11 @@
 	if e.DataCentre != w.moveSource.DataCentre {
 		copying *= remoteCopyFactor
 	}
-	queued := w.Service.Engine.CopyTime(e.total().Arriving).Seconds()
+	queued := w.Service.Engine.CopyTime(e.total().IncomingTokens).Seconds()
 	return f.random.Float64()*moveCostJitter + copyCostPerSecond*(queued+copying)
 }
 
-func (f *Fleet) memoryShareFor(w *Want) float64 {
+func (f *Fleet) memoryShareFor(w *Work) float64 {
 	if w.late {
 		return lateMemoryShare
 	}
--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -60,7 +60,7 @@
 	f.useTurnLocked(e, now)
 	e.own.Count++
 	e.own.Tokens += p.expectedTokens()
-	e.own.Unread += p.pendingPrefill()
+	e.own.PendingPrefill += p.pendingPrefill()
 	if d.Prompt > 0 {
 		f.broadcastLoadLocked(e)
 	}
@@ -70,9 +70,9 @@
 // Instance returns the endpoint as it has registered.
 func (p *Placement) Instance() Instance { return p.endpoint.Instance }
 
-// Life returns a context that is cancelled, with a cause, once the incarnation is known to have
-// died. Runs on it are lost then.
-func (p *Placement) Life() context.Context { return p.endpoint.ctx }
+// EndpointContext returns a context that is cancelled, with a cause, once the incarnation is known
+// to have died. Runs on it are lost then.
+func (p *Placement) EndpointContext() context.Context { return p.endpoint.ctx }
 
 // Leaving returns a channel that is closed once the endpoint is about to stop.
 func (p *Placement) Leaving() <-chan struct{} {
@@ -100,8 +100,8 @@
 	return p.demand.Prompt + int(output)
 }
 
-// Memory returns the number of tokens that the run has in memory now.
-func (p *Placement) Memory() int {
+// CurrentTokens returns the number of tokens that the run has in memory now.
+func (p *Placement) CurrentTokens() int {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	return p.currentTokensLocked()
@@ -117,8 +117,8 @@
 	return 0
 }
 
-// Produced records the number of tokens that the run has generated so far.
-func (p *Placement) Produced(tokens int) {
+// SetProduced records the number of tokens that the run has generated so far.
+func (p *Placement) SetProduced(tokens int) {
 	f := p.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +127,7 @@
 	}
 	own := &p.endpoint.own
 	own.Tokens -= p.expectedTokens()
-	own.Unread -= p.pendingPrefill()
+	own.PendingPrefill -= p.pendingPrefill()
 	p.produced = tokens
 	p.prefilling = false
 	own.Tokens += p.expectedTokens()
@@ -145,18 +145,18 @@
 	e := p.endpoint
 	e.own.Count--
 	e.own.Tokens -= p.expectedTokens()
-	e.own.Unread -= p.pendingPrefill()
+	e.own.PendingPrefill -= p.pendingPrefill()
 	f.recordLocked(e, r)
 	f.dispatchLocked(e.Service)
 	if p.demand.Prompt > 0 && f.othersWaitingLocked(e.Service) {
 		// The waiting nodes would otherwise learn of the capacity only with the next regular
 		// datagram.
-		f.Changed("")
+		f.Broadcast("")
 	}
 }
 
-// Report records a result without ending the placement.
-func (p *Placement) Report(r Result) {
+// RecordResult records a result without ending the placement.
+func (p *Placement) RecordResult(r Result) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	p.fleet.recordLocked(p.endpoint, r)
@@ -189,10 +189,10 @@
 	// Excluded is set if the endpoint gets no new work for some time, and unset if it is readmitted
 	// after a complete answer.
 	Excluded bool
-	// Cause is the result that led to the change. For is the time for which the endpoint gets no
-	// new work.
-	Cause Result
-	For   time.Duration
+	// Cause is the result that led to the change. Duration is the time for which the endpoint gets
+	// no new work.
+	Cause    Result
+	Duration time.Duration
 	// Failures is the weighted number of recent failures.
 	Failures float64
 }
@@ -205,8 +205,8 @@
 	back := r == Good && !excluded
 	if (excluded && !h.told) || (back && h.told) {
 		h.told = excluded
-		f.Believed(Exclusion{
-			Instance: e.Instance, Excluded: excluded, Cause: r, For: max(h.ejectedUntil-now, 0), Failures: h.failures,
+		f.OnExclusion(Exclusion{
+			Instance: e.Instance, Excluded: excluded, Cause: r, Duration: max(h.ejectedUntil-now, 0), Failures: h.failures,
 		})
 	}
 }
--- a/fleet/queue.go
+++ b/fleet/queue.go
@@ -10,7 +10,7 @@
 
 // waiter is a piece of work that waits for a placement.
 type waiter struct {
-	work       *Want
+	work       *Work
 	enqueuedAt time.Duration
 	// deadline is the time at which the wait ends without a placement.
 	deadline time.Duration
@@ -74,7 +74,7 @@
 
 // Acquire returns a placement for the work. It waits for capacity for at most maxWait, or until
 // ctx ends. If maxWait is 0, it does not wait.
-func (f *Fleet) Acquire(ctx context.Context, w Want, maxWait time.Duration) (*Placement, *crocusreel.Refusal) {
+func (f *Fleet) Acquire(ctx context.Context, w Work, maxWait time.Duration) (*Placement, *crocusreel.Refusal) {
 	f.mu.Lock()
 	if refusal := f.unservableLocked(&w); refusal != nil {
 		defer f.mu.Unlock()
@@ -100,7 +100,7 @@
 	// The waiters ahead may be too large for the free capacity.
 	f.dispatchQueueLocked(f.queueIDFor(&w))
 	if w.Service.Engine != nil {
-		f.Changed("")
+		f.Broadcast("")
 	}
 	f.mu.Unlock()
 	if refusal != nil {
@@ -125,7 +125,7 @@
 	defer f.mu.Unlock()
 	f.queues[f.queueIDFor(w.work)].remove(w)
 	if w.work.Service.Engine != nil {
-		f.Changed("")
+		f.Broadcast("")
 	}
 	select {
 	case end := <-w.done:
@@ -139,7 +139,7 @@
 	return nil, f.refuseLocked(w.work)
 }
 
-func (f *Fleet) enqueueLocked(w *Want, maxWait time.Duration) (*waiter, *crocusreel.Refusal) {
+func (f *Fleet) enqueueLocked(w *Work, maxWait time.Duration) (*waiter, *crocusreel.Refusal) {
 	id := f.queueIDFor(w)
 	q := f.queues[id]
 	if q == nil {
@@ -149,7 +149,7 @@
 	if len(q.waiting) >= maxQueueLength {
 		return nil, f.refuseLocked(w)
 	}
-	if f.Without[LateBehind] {
+	if f.Disabled[LateBehind] {
 		w.StartWithin = 0
 	}
 	now := f.now()
@@ -254,14 +254,14 @@
 	waitPerRequest = 100 * time.Millisecond
 )
 
-func (f *Fleet) refuseLocked(w *Want) *crocusreel.Refusal {
+func (f *Fleet) refuseLocked(w *Work) *crocusreel.Refusal {
 	alive := 0
 	for _, e := range f.services[w.Service.Name] {
 		if !e.isLeaving && f.inRegionsLocked(e, w) {
 			alive++
 		}
 	}
-	if alive == 0 && w.Bound {
+	if alive == 0 && w.RegionBound {
 		return refuseNoneInRegions(w)
 	}
 	if alive == 0 {
@@ -281,7 +281,7 @@
 	return f.waitingLocked(service)
 }
 
-func (f *Fleet) queueLengthLocked(w *Want) int {
+func (f *Fleet) queueLengthLocked(w *Work) int {
 	if q := f.queues[f.queueIDFor(w)]; q != nil {
 		return len(q.waiting)
 	}
--- a/fleet/remote.go
+++ b/fleet/remote.go
@@ -11,7 +11,7 @@
 type remoteState struct {
 	receivedAt time.Duration
 	loads      map[EndpointKey]Load
-	waiting    map[LineKey]WaitingWork
+	waiting    map[QueueKey]WaitingWork
 }
 
 // enqueuedAt returns the time at which the first request of the queue began to wait, by this node's
--- a/fleet/remote_test.go
+++ b/fleet/remote_test.go
@@ -21,13 +21,13 @@
 			var runs []*fleet.Placement
 			instance := func() fleet.Instance {
 				id := fmt.Sprintf("e%d", random.IntN(8))
-				return fleet.Instance{ID: id, Service: "pool", DataCentre: "dc1", Slots: 24, Born: int64(random.IntN(2))}
+				return fleet.Instance{ID: id, Service: "pool", DataCentre: "dc1", Slots: 24, StartedAtMS: int64(random.IntN(2))}
 			}
 			steps := []func(){
 				func() { w.Update(instance()) },
 				func() { w.Remove(instance().ID, random.IntN(2) == 0) },
 				func() { w.DropMissing() },
-				func() { w.Forget(fmt.Sprintf("n%d", random.IntN(5))) },
+				func() { w.ForgetNode(fmt.Sprintf("n%d", random.IntN(5))) },
 				func() { w.now += time.Second / 2 },
 				func() {
 					if p, refusal := w.Acquire(context.Background(), generation(100, 100), 0); refusal == nil {
@@ -46,7 +46,7 @@
 				for range random.IntN(6) {
 					loads = append(loads, fleet.Load{
 						Key: instance().Incarnation().Key(), Count: random.IntN(3), Tokens: random.IntN(500),
-						Unread: random.IntN(100), Arriving: random.IntN(100), Held: random.IntN(100),
+						PendingPrefill: random.IntN(100), IncomingTokens: random.IntN(100), BackupTokens: random.IntN(100),
 					})
 				}
 				w.SetRemote(fmt.Sprintf("n%d", random.IntN(5)), loads, nil)
--- a/fleet/turn.go
+++ b/fleet/turn.go
@@ -39,41 +39,41 @@
 	short   bool
 }
 
-func (f *Fleet) queueIDFor(w *Want) queueID {
-	return queueID{service: w.Service.Name, short: w.Service.Engine != nil && w.Short() && !f.Without[ShortLine]}
+func (f *Fleet) queueIDFor(w *Work) queueID {
+	return queueID{service: w.Service.Name, short: w.Service.Engine != nil && w.Short() && !f.Disabled[ShortLine]}
 }
 
 // Short reports whether the answer is short.
-func (w *Want) Short() bool { return w.longest() <= maxShortOutputTokens }
-
-// longest returns the maximum length of the answer in tokens. The length that the caller expects is
-// only the fallback, as it is often far too low: by that length, 1 long answer in 30 was classified
-// as short and had no backup.
-func (w *Want) longest() int {
-	if w.Longest > 0 {
-		return w.Longest
+func (w *Work) Short() bool { return w.maxOutput() <= maxShortOutputTokens }
+
+// maxOutput returns the maximum length of the answer in tokens. The length that the caller expects
+// is only the fallback, as it is often far too low: by that length, 1 long answer in 30 was
+// classified as short and had no backup.
+func (w *Work) maxOutput() int {
+	if w.MaxOutput > 0 {
+		return w.MaxOutput
 	}
 	return w.Demand.Output
 }
 
 // WaitingWork describes a queue with waiting work on a node.
 type WaitingWork struct {
-	Line LineKey
+	Queue QueueKey
 	// Rank and Waited describe the first request of the queue.
 	Rank   int
 	Waited time.Duration
 }
 
-// LineKey identifies a queue in messages between nodes.
-type LineKey uint32
+// QueueKey identifies a queue in messages between nodes.
+type QueueKey uint32
 
-func (id queueID) key() LineKey {
+func (id queueID) key() QueueKey {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id.service))
 	if id.short {
 		_, _ = h.Write([]byte{0})
 	}
-	return LineKey(h.Sum32())
+	return QueueKey(h.Sum32())
 }
 
 // OwnWaiting returns the waiting work of this node, to be sent to the other nodes.
@@ -85,7 +85,7 @@
 	for id, q := range f.queues {
 		for _, head := range q.head(now, 1) {
 			waiting = append(waiting, WaitingWork{
-				Line: id.key(), Rank: head.rank(now), Waited: now - head.enqueuedAt,
+				Queue: id.key(), Rank: head.rank(now), Waited: now - head.enqueuedAt,
 			})
 		}
 	}
@@ -95,8 +95,8 @@
 // nodesAheadLocked returns the number of nodes on which more urgent or older work of the same queue
 // waits. Plain services have no turns: their capacity becomes free every few milliseconds, and work
 // beyond it waits in an endpoint's own queue for no longer than a turn.
-func (f *Fleet) nodesAheadLocked(w *Want, rank int, since time.Duration) int {
-	if w.Service.Engine == nil || f.Without[Turns] {
+func (f *Fleet) nodesAheadLocked(w *Work, rank int, since time.Duration) int {
+	if w.Service.Engine == nil || f.Disabled[Turns] {
 		return 0
 	}
 	key := f.queueIDFor(w).key()
@@ -139,10 +139,10 @@
 // of the work with the next regular datagram.
 func (f *Fleet) broadcastLoadLocked(e *Endpoint) {
 	if f.waitingLocked(e.Service) > 0 || f.othersWaitingLocked(e.Service) {
-		f.Changed("")
+		f.Broadcast("")
 		return
 	}
-	f.Changed(e.DataCentre)
+	f.Broadcast(e.DataCentre)
 }
 
 // turn is the position of a waiter among the nodes that compete for the same capacity.
@@ -171,7 +171,7 @@
 		// A node ahead has placed its request, or another node has joined.
 		w.turn.nodesAhead = ahead
 		w.turn.claimAt = min(now+time.Duration(ahead)*claimSpacing, w.turn.latestClaim)
-		f.Wake(w.turn.claimAt - now)
+		f.ScheduleTick(w.turn.claimAt - now)
 	}
 	return now >= w.turn.claimAt
 }
--- a/fleet/turn_test.go
+++ b/fleet/turn_test.go
@@ -57,8 +57,8 @@
 		n := &clusterNode{name: fmt.Sprintf("node%d", i), lastSent: -time.Hour}
 		n.Fleet = fleet.New("dc1", c.now)
 		n.Name = n.name
-		n.Changed = func(string) { c.broadcast(n) }
-		n.Wake = func(after time.Duration) { c.after(after, n.Tick) }
+		n.Broadcast = func(string) { c.broadcast(n) }
+		n.ScheduleTick = func(after time.Duration) { c.after(after, n.Tick) }
 		c.nodes = append(c.nodes, n)
 		c.broadcastRegularly(n)
 	}
@@ -126,7 +126,7 @@
 	GinkgoHelper()
 	waiting := n.Waiting("pool")
 	go func() {
-		want := fleet.Want{Service: clusterPool, Demand: demand}
+		want := fleet.Work{Service: clusterPool, Demand: demand}
 		_, _ = n.Acquire(context.Background(), want, time.Minute)
 	}()
 	Eventually(func() int { return n.Waiting("pool") }).Should(Equal(waiting + 1))
@@ -211,7 +211,7 @@
 		first, second, holder := c.nodes[0], c.nodes[1], c.nodes[2]
 		c.register("only")
 		c.run(50 * time.Millisecond)
-		held, refusal := holder.Acquire(context.Background(), fleet.Want{
+		held, refusal := holder.Acquire(context.Background(), fleet.Work{
 			Service: clusterPool, Demand: fleet.Demand{Prompt: 1000, Output: 19_000},
 		}, 0)
 		Expect(refusal).To(BeNil())
@@ -234,7 +234,7 @@
 		c := newCluster(2)
 		c.nodes[0].SetRemote("node1", []fleet.Load{{Key: fleet.Incarnation{ID: "new"}.Key(), Count: 5, Tokens: 20_000}}, nil)
 		c.nodes[0].Update(fleet.Instance{ID: "new", Service: "pool", DataCentre: "dc1", Slots: 24})
-		_, refusal := c.nodes[0].Acquire(context.Background(), fleet.Want{
+		_, refusal := c.nodes[0].Acquire(context.Background(), fleet.Work{
 			Service: clusterPool, Demand: fleet.Demand{Prompt: 4000, Output: 600},
 		}, 0)
 		Expect(refusal).NotTo(BeNil())
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -114,7 +114,7 @@
 	if change == fleet.Known && !in.Leaving {
 		return
 	}
-	n.log.Info("endpoint known", zap.String("endpoint", in.ID), zap.Int64("born", in.Born), zap.String("service", in.Service),
+	n.log.Info("endpoint known", zap.String("endpoint", in.ID), zap.Int64("born", in.StartedAtMS), zap.String("service", in.Service),
 		zap.String("address", in.Address), zap.Stringer("change", change), zap.Bool("leaving", in.Leaving),
 		zap.Int64("version", row.Version), zap.Duration("age", boottime.Now()-seen.Answered))
 }
--- a/node/health.go
+++ b/node/health.go
@@ -33,7 +33,7 @@
 func (n *Node) checkHealth(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause(ctx, healthEvery)
-		if !n.firstInDataCentre() || n.fleet.Without[fleet.HealthChecks] {
+		if !n.firstInDataCentre() || n.fleet.Disabled[fleet.HealthChecks] {
 			continue
 		}
 		known, _ := n.config.Current()
@@ -123,5 +123,5 @@
 		return
 	}
 	metrics.Count("endpoint_left_out")
-	n.log.Info("endpoint left out", append(fields, zap.Duration("for", e.For), zap.Float64("failures", e.Failures))...)
+	n.log.Info("endpoint left out", append(fields, zap.Duration("for", e.Duration), zap.Float64("failures", e.Failures))...)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -95,7 +95,7 @@
 }
 
 // New builds the process from its settings, without some mechanisms.
-func New(s *platform.NodeSettings, without fleet.Without, log *zap.Logger) *Node {
+func New(s *platform.NodeSettings, without fleet.DisabledMechanisms, log *zap.Logger) *Node {
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
 	n := &Node{
 		settings:    s,
@@ -123,17 +123,17 @@
 		Lost:        n.lost,
 		Log:         log,
 	})
-	n.fleet.Name, n.fleet.Without = s.IP, without
+	n.fleet.Name, n.fleet.Disabled = s.IP, without
 	n.evacuations.Known = n.knowsDataCentre
 	metrics.GaugeFunc("evacuations", func() any { return n.fleet.Evacuations() })
 	n.fleet.Regions = s.Regions
-	n.fleet.Population = n.population.current
+	n.fleet.ClusterSize = n.population.current
 	n.fleet.Roster = n.roster.current.Load
-	n.fleet.Changed = n.tell
-	n.fleet.Believed = n.believed
-	n.fleet.Noticed = n.noticed
+	n.fleet.Broadcast = n.tell
+	n.fleet.OnExclusion = n.believed
+	n.fleet.OnNotice = n.noticed
 	n.engines.Noticed = n.fleet.NoteAt
-	n.fleet.Wake = func(after time.Duration) { time.AfterFunc(after, n.fleet.Tick) }
+	n.fleet.ScheduleTick = func(after time.Duration) { time.AfterFunc(after, n.fleet.Tick) }
 	n.relay = &relay.Relay{
 		Fleet:    n.fleet,
 		Client:   n.client,
@@ -233,7 +233,7 @@
 	} {
 		daemon.AddTask(&group, task)
 	}
-	n.log.Info("node started", zap.Any("without", n.fleet.Without),
+	n.log.Info("node started", zap.Any("without", n.fleet.Disabled),
 		zap.String("data_centre", n.settings.DataCentre),
 		zap.String("caller_address", n.settings.CallerAddress), zap.Uint64("incarnation", n.incarnation))
 	return group.Run()
--- a/node/notices.go
+++ b/node/notices.go
@@ -13,7 +13,7 @@
 // noticed logs a change of what an endpoint says of itself.
 func (n *Node) noticed(c fleet.NoticeChange) {
 	fields := []zap.Field{
-		zap.String("endpoint", c.Instance.ID), zap.Int64("born", c.Instance.Born), zap.String("service", c.Instance.Service),
+		zap.String("endpoint", c.Instance.ID), zap.Int64("born", c.Instance.StartedAtMS), zap.String("service", c.Instance.Service),
 		zap.String("address", c.Instance.Address), zap.String("request", c.Request),
 		zap.String("node", c.Node), zap.Duration("age", c.Age),
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -29,14 +29,14 @@
 			Key:      uint32(l.Key),
 			Count:    uint32(max(l.Count, 0)),
 			Tokens:   uint32(max(l.Tokens, 0)),
-			Unread:   uint32(max(l.Unread, 0)),
-			Arriving: uint32(max(l.Arriving, 0)),
-			Held:     uint32(max(l.Held, 0)),
+			Unread:   uint32(max(l.PendingPrefill, 0)),
+			Arriving: uint32(max(l.IncomingTokens, 0)),
+			Held:     uint32(max(l.BackupTokens, 0)),
 		})
 	}
 	for _, w := range n.fleet.OwnWaiting() {
 		s.Waiting = append(s.Waiting, &exchangev1.WaitingWork{
-			Line:     uint32(w.Line),
+			Line:     uint32(w.Queue),
 			Rank:     uint32(max(w.Rank, 0)),
 			WaitedMs: uint32(max(w.Waited.Milliseconds(), 0)),
 		})
@@ -81,18 +81,18 @@
 	loads := make([]fleet.Load, 0, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
 		loads = append(loads, fleet.Load{
-			Key:      fleet.EndpointKey(l.GetKey()),
-			Count:    int(l.GetCount()),
-			Tokens:   int(l.GetTokens()),
-			Unread:   int(l.GetUnread()),
-			Arriving: int(l.GetArriving()),
-			Held:     int(l.GetHeld()),
+			Key:            fleet.EndpointKey(l.GetKey()),
+			Count:          int(l.GetCount()),
+			Tokens:         int(l.GetTokens()),
+			PendingPrefill: int(l.GetUnread()),
+			IncomingTokens: int(l.GetArriving()),
+			BackupTokens:   int(l.GetHeld()),
 		})
 	}
 	waiting := make([]fleet.WaitingWork, 0, len(s.GetWaiting()))
 	for _, w := range s.GetWaiting() {
 		waiting = append(waiting, fleet.WaitingWork{
-			Line:   fleet.LineKey(w.GetLine()),
+			Queue:  fleet.QueueKey(w.GetLine()),
 			Rank:   int(w.GetRank()),
 			Waited: time.Duration(w.GetWaitedMs()) * time.Millisecond,
 		})
@@ -133,7 +133,7 @@
 
 // lost forgets the work of a node that is no longer heard.
 func (n *Node) lost(address string) {
-	n.fleet.Forget(address)
+	n.fleet.ForgetNode(address)
 	n.relay.Claims.SetRemote(address, nil)
 }
 
--- a/node/population.go
+++ b/node/population.go
@@ -50,8 +50,8 @@
 }
 
 // current returns what is known.
-func (p *population) current() fleet.Population {
-	return fleet.Population{Nodes: int(p.known.Load()), Heard: p.heard.Load()}
+func (p *population) current() fleet.ClusterSize {
+	return fleet.ClusterSize{Nodes: int(p.known.Load()), HalfLive: p.heard.Load()}
 }
 
 // roster is the nodes that were heard within populationMemory, this one included.
--- a/node/population_test.go
+++ b/node/population_test.go
@@ -20,7 +20,7 @@
 		t.Helper()
 		now += after
 		node.PopulationSee(&p, now, nodes)
-		if got := node.PopulationCurrent(&p); got != (fleet.Population{Nodes: want, Heard: heard}) {
+		if got := node.PopulationCurrent(&p); got != (fleet.ClusterSize{Nodes: want, HalfLive: heard}) {
 			t.Errorf("%+v, want %d nodes, heard %t", got, want, heard)
 		}
 	}
--- a/node/source.go
+++ b/node/source.go
@@ -166,7 +166,7 @@
 
 // asksStore returns whether a feed is to ask the store.
 func (n *Node) asksStore(f *feed) bool {
-	if n.fleet.Without[fleet.OneReader] {
+	if n.fleet.Disabled[fleet.OneReader] {
 		return true
 	}
 	_, follows := n.reader()
--- a/relay/call.go
+++ b/relay/call.go
@@ -98,7 +98,7 @@
 	if !got.notRun && (!j.r.Route.Kind.Repeatable() || runs >= j.r.Route.MaxAttempts) {
 		return false
 	}
-	if j.verdict.Attempts >= maxSends || j.Fleet.Without[fleet.Retries] || !j.Budgets.Get(j.r.Service.Name).Spend() {
+	if j.verdict.Attempts >= maxSends || j.Fleet.Disabled[fleet.Retries] || !j.Budgets.Get(j.r.Service.Name).Spend() {
 		metrics.Count("retry_denied")
 		return false
 	}
--- a/relay/copies.go
+++ b/relay/copies.go
@@ -41,13 +41,13 @@
 )
 
 // holdBackup finds room for a backup of a long answer; nil if there is none.
-func (j *job) holdBackup(p *fleet.Placement, except ...string) *fleet.Holding {
+func (j *job) holdBackup(p *fleet.Placement, except ...string) *fleet.BackupReservation {
 	w := j.want()
 	w.Exclude = except
 	if w.Short() {
 		return nil
 	}
-	h := j.Fleet.Hold(p, w)
+	h := j.Fleet.ReserveBackup(p, w)
 	if h == nil {
 		metrics.Count("stream_without_backup")
 	}
@@ -55,7 +55,7 @@
 }
 
 // dropBackup gives the backup's room back once the engine has freed it.
-func (j *job) dropBackup(h *fleet.Holding, whole bool) {
+func (j *job) dropBackup(h *fleet.BackupReservation, whole bool) {
 	switch {
 	case h == nil:
 	case whole:
@@ -70,7 +70,7 @@
 
 // sound tells whether the leg's backup can be counted on.
 func (l *leg) sound() bool {
-	if l.backup == nil || l.backup.Life().Err() != nil {
+	if l.backup == nil || l.backup.EndpointContext().Err() != nil {
 		return false
 	}
 	select {
@@ -94,18 +94,18 @@
 // and the backup.
 func (l *leg) copies(at *progress) []copyOfRun {
 	var all []copyOfRun
-	if m := l.mover.copied(); m != nil && m.target.Life().Err() == nil && m.target.Usable() {
+	if m := l.mover.copied(); m != nil && m.target.EndpointContext().Err() == nil && m.target.Usable() {
 		all = append(all, copyOfRun{
 			engine: m.target.Instance(),
 			resume: Resume{Source: m.source, Handle: m.handle, LastEvent: at.last},
 			take:   l.mover.takeCopy,
 		})
 	}
-	if l.backup != nil && l.backup.Life().Err() == nil {
+	if l.backup != nil && l.backup.EndpointContext().Err() == nil {
 		all = append(all, copyOfRun{
 			engine: l.backup.Instance(),
 			resume: Resume{Source: l.backup.Instance().Address, Handle: l.r.ID, LastEvent: at.last},
-			take:   func() *fleet.Placement { return l.backup.Take(at.count * l.tokensPerEvent()) },
+			take:   func() *fleet.Placement { return l.backup.Promote(at.count * l.tokensPerEvent()) },
 		})
 	}
 	return all
@@ -171,7 +171,7 @@
 // memory then goes to the target under the handle that is returned. An engine that is
 // gone, or knows no such run, has none.
 func (l *leg) over(ctx context.Context, target fleet.Instance) (over bool, handle string) {
-	if l.p.Life().Err() != nil {
+	if l.p.EndpointContext().Err() != nil {
 		return true, ""
 	}
 	ctx, cancel := context.WithTimeout(ctx, overTimeout)
@@ -194,7 +194,7 @@
 		}
 		if unreached >= unreachableTries || errors.Is(err, syscall.ECONNREFUSED) {
 			// Others must not be sent there, nor backups, until its entry is gone.
-			l.p.Report(fleet.Unreachable)
+			l.p.RecordResult(fleet.Unreachable)
 			return true, ""
 		}
 		// A kept connection to an engine that has died ends without an answer; the next
--- a/relay/death.go
+++ b/relay/death.go
@@ -23,7 +23,7 @@
 
 // gone tells whether the placement's incarnation of its endpoint has ended.
 func (j *job) gone(ctx context.Context, p *fleet.Placement) bool {
-	if p.Life().Err() != nil {
+	if p.EndpointContext().Err() != nil {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, deathCheck)
@@ -35,7 +35,7 @@
 // said that it leaves did not die of the request.
 func (j *job) strikeIfDead(ctx context.Context, p *fleet.Placement) {
 	in := p.Instance()
-	if leaving(p) && p.Life().Err() == nil || !j.gone(ctx, p) {
+	if leaving(p) && p.EndpointContext().Err() == nil || !j.gone(ctx, p) {
 		return
 	}
 	strikes := j.Strikes.Add(j.r.Fingerprint, uint32(in.Incarnation().Key()))
--- a/relay/migration.go
+++ b/relay/migration.go
@@ -142,7 +142,7 @@
 		l.Log.Warn("runs of a leaving endpoint not known", zap.String("endpoint", p.Instance().ID), zap.Error(err))
 		return
 	}
-	if born := p.Instance().Born; report.Born != 0 && report.Born != born {
+	if born := p.Instance().StartedAtMS; report.Born != 0 && report.Born != born {
 		metrics.Count("report_of_another_start")
 		l.Log.Warn("leaving endpoint has started again, its runs are lost", zap.String("endpoint", p.Instance().ID),
 			zap.Int64("born", born), zap.Int64("reported_born", report.Born))
@@ -157,7 +157,7 @@
 
 // awaitTurn waits until the runs before the given one have moved, or have had their time.
 func (l *Relay) awaitTurn(ctx context.Context, e *migration, runID string) {
-	if l.Fleet.Without[fleet.MoveTurns] {
+	if l.Fleet.Disabled[fleet.MoveTurns] {
 		return
 	}
 	since := time.Now()
--- a/relay/mover.go
+++ b/relay/mover.go
@@ -52,7 +52,7 @@
 func (m *mover) start(ctx context.Context) {
 	ctx, m.cancel = context.WithCancel(ctx)
 	spec := m.leg.r.Service.Engine
-	if spec == nil || !spec.CanMove || m.leg.Fleet.Without[fleet.Moves] {
+	if spec == nil || !spec.CanMove || m.leg.Fleet.Disabled[fleet.Moves] {
 		close(m.done)
 		return
 	}
@@ -78,7 +78,7 @@
 // watch waits until the engine leaves and then has the run copied in its turn.
 func (m *mover) watch(ctx context.Context) {
 	l := m.leg
-	if !await(ctx, l.p.Leaving()) || l.p.Life().Err() != nil {
+	if !await(ctx, l.p.Leaving()) || l.p.EndpointContext().Err() != nil {
 		return
 	}
 	if l.sound() {
@@ -121,7 +121,7 @@
 	l := m.leg
 	want := l.want()
 	want.Exclude = m.refused
-	target := l.Fleet.Target(l.p, want)
+	target := l.Fleet.ReserveMoveTarget(l.p, want)
 	if target == nil {
 		metrics.Count("move_no_target")
 		m.refused = nil
@@ -147,7 +147,7 @@
 	m.answered = answered
 	m.mu.Unlock()
 	copied := t.copy(ctx)
-	t.target.Arrived()
+	t.target.EndCopy()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.answered = nil
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -200,16 +200,16 @@
 	ran bool
 }
 
-func (j *job) want() fleet.Want {
+func (j *job) want() fleet.Work {
 	regions, bound := routing.Regions(j.r.Route, j.r.Workspace)
-	return fleet.Want{
-		Bound:   bound,
-		Regions: regions,
-		Service: j.r.Service,
-		Demand:  fleet.Demand{Prompt: j.r.Size.Prompt, Output: j.r.Size.expectedOutput()},
-		Longest: j.r.Size.MaxOutput,
-		Rank:    routing.Rank(j.r.Route, j.r.Workspace),
-		Exclude: j.tried,
+	return fleet.Work{
+		RegionBound: bound,
+		Regions:     regions,
+		Service:     j.r.Service,
+		Demand:      fleet.Demand{Prompt: j.r.Size.Prompt, Output: j.r.Size.expectedOutput()},
+		MaxOutput:   j.r.Size.MaxOutput,
+		Rank:        routing.Rank(j.r.Route, j.r.Workspace),
+		Exclude:     j.tried,
 
 		StartWithin: j.startWithin(),
 	}
@@ -280,7 +280,7 @@
 }
 
 // send sends the request to the endpoint of p and returns the head of its answer.
-func (j *job) send(ctx context.Context, p *fleet.Placement, resume *Resume, backup *fleet.Holding) (*h1.Response, error) {
+func (j *job) send(ctx context.Context, p *fleet.Placement, resume *Resume, backup *fleet.BackupReservation) (*h1.Response, error) {
 	attempt := Attempt{Instance: p.Instance(), Remaining: time.Until(j.r.Deadline), Resume: resume}
 	if backup != nil {
 		attempt.Backup = backup.Instance().Address
@@ -294,7 +294,7 @@
 		Header: j.Protocol.AttemptHeader(j.r, &attempt),
 		Body:   j.r.Body,
 		Mine:   func(h http.Header) bool { return j.Protocol.Mine(j.r, h) },
-		Life:   p.Life(),
+		Life:   p.EndpointContext(),
 	})
 	if err == nil {
 		j.note(attempt.Instance, resp)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -22,7 +22,7 @@
 	mover  *mover
 	events *eventReader
 	// backup is room for a copy of the run's memory elsewhere; nil for none.
-	backup *fleet.Holding
+	backup *fleet.BackupReservation
 }
 
 // legEnd is how a leg ended.
@@ -91,7 +91,7 @@
 			return nil, j.exhausted(ctx, nil, refusal)
 		}
 		backup := j.holdBackup(p)
-		quiet := time.AfterFunc(silentStart, func() { p.Report(fleet.Silent) })
+		quiet := time.AfterFunc(silentStart, func() { p.RecordResult(fleet.Silent) })
 		resp, err := j.send(ctx, p, nil, backup)
 		quiet.Stop()
 		got := failedStart(err)
@@ -193,7 +193,7 @@
 
 // cutHealth blames an endpoint for a cut stream unless it was leaving or has started again.
 func (l *leg) cutHealth() fleet.Result {
-	if l.p.Life().Err() != nil || leaving(l.p) {
+	if l.p.EndpointContext().Err() != nil || leaving(l.p) {
 		return fleet.Neutral
 	}
 	return fleet.Failed
@@ -267,7 +267,7 @@
 	}
 	at.saw(id)
 	if at.count%producedEvery == 1 {
-		l.p.Produced(at.count * l.tokensPerEvent())
+		l.p.SetProduced(at.count * l.tokensPerEvent())
 	}
 	l.mover.eventSeen()
 }
--- a/relay/transfer.go
+++ b/relay/transfer.go
@@ -90,7 +90,7 @@
 	got, err := t.Mover.Move(ctx, source.Address, t.r.ID, target.Address, false)
 	t.Log.Info("memory copied", zap.String("request", t.r.ID), zap.String("endpoint", source.ID),
 		zap.String("target", target.ID), zap.Bool("far", source.DataCentre != target.DataCentre),
-		zap.Int("tokens", t.p.Memory()), zap.Int("events", got.Events),
+		zap.Int("tokens", t.p.CurrentTokens()), zap.Int("events", got.Events),
 		zap.Bool("refused", got.Refused), zap.Duration("took", time.Since(started)), zap.NamedError("cause", err))
 	return got, err
 }
