--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -88,8 +88,8 @@
 	f.ScheduleTick(after)
 }
 
-// SetCold records that an endpoint has announced to stay cold for the given time. It returns false
-// if the endpoint is not known.
+// SetCold records that an endpoint has announced that it stays cold for the given time. It returns
+// false if the endpoint is not known.
 func (f *Fleet) SetCold(key EndpointKey, remaining time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -189,7 +189,7 @@
 }
 
 // distanceCostLocked returns the cost of the distance to the endpoint, including its random part.
-// For a move this is the expected time of the memory copy.
+// For a move, the distance is the expected time of the memory copy.
 func (f *Fleet) distanceCostLocked(e *Endpoint, w *Work) float64 {
 	if w.moveSource == nil {
 		cost := f.random.Float64() * costJitter
--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -89,7 +89,7 @@
 	return !p.endpoint.isEvacuated && !p.fleet.pausedLocked(p.endpoint)
 }
 
-// expectedTokens returns the memory, in expectedTokens, that the run is expected to need. An answer
+// expectedTokens returns the memory, in tokens, that the run is expected to need. An answer
 // that exceeds its expected length is assumed to continue for a while.
 func (p *Placement) expectedTokens() int {
 	if p.demand.Prompt == 0 {
