--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -7,41 +7,42 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// A cold endpoint bears few requests a second, from all nodes together, and crashes above
-// that. Nodes do not agree on who sends: each has turns of its own at each cold endpoint. A lost
-// datagram or a late one changes nothing, as long as a node does not take the others for fewer
-// than they are.
+// A cold endpoint can serve only a few requests per second from all nodes together, and crashes
+// above that rate. Nodes do not coordinate who sends: each node has its own turns at each cold
+// endpoint. Lost or late datagrams have no effect, as long as no node underestimates the number of
+// nodes.
 //
-// Generations take so long that few of them at a time are few a second. While nodes hear each
-// other, a cold engine gets them without turns up to a small number, which they tell each other
-// as they do all loads: the nodes on which work waits are few, and their turns would leave the
-// engine idle.
+// Generations take so long that a small number of concurrent ones amounts to only a few per second.
+// While nodes receive each other's reports, a cold engine gets generations without turns up to a
+// small number, which is counted over all nodes by their load reports. Only few nodes have waiting
+// work, and turns would leave the engine idle.
 
 const (
-	// coldShare is the part of what a cold endpoint bears that nodes send it. The rest is for
-	// requests that were sent before its sender knew, and for late ones.
-	coldShare = 0.8
-	// leastGeneration is the least time that a generation takes.
-	leastGeneration = 250 * time.Millisecond
+	// coldRateShare is the share of a cold endpoint's rate that nodes use. The rest is a reserve
+	// for requests that were sent before their sender knew that the endpoint is cold, and for late
+	// ones.
+	coldRateShare = 0.8
+	// minGenerationTime is the minimum duration of a generation.
+	minGenerationTime = 250 * time.Millisecond
 )
 
-// Population is how many nodes there are.
-type Population struct {
-	// Nodes is their number, this one included, or more; 0 if it is not known.
+// ClusterSize is the number of nodes in the deployment.
+type ClusterSize struct {
+	// Nodes is an upper bound of the number of nodes, including this one, or 0 if it is not known.
 	Nodes int
-	// Heard tells whether this node hears at least half of them.
-	Heard bool
+	// HalfLive is set if at least half of the nodes are live from the point of view of this node.
+	HalfLive bool
 }
 
-// coldUntilLocked returns until when the endpoint gets a bounded number of requests; 0 if it
-// is not cold or its service has no bound.
+// coldUntilLocked returns the time until which the rate of requests to the endpoint is limited
+// because it is cold. It returns 0 if the endpoint is not cold or its service has no such limit.
 func (f *Fleet) coldUntilLocked(e *Endpoint, s *routing.Service, now time.Duration) time.Duration {
-	if s.ColdPerSecond <= 0 || f.Without[ColdTurns] {
+	if s.ColdPerSecond <= 0 || f.Disabled[ColdTurns] {
 		return 0
 	}
-	until := e.warmUntil
-	if e.returnedAt != 0 {
-		until = max(until, e.returnedAt+s.ColdStart)
+	until := e.warmingUntil
+	if e.evacuationEndedAt != 0 {
+		until = max(until, e.evacuationEndedAt+s.ColdStart)
 	}
 	if now >= until {
 		return 0
@@ -49,45 +50,46 @@
 	return until
 }
 
-// coldLocked tells whether the endpoint gets a bounded number of requests.
-func (f *Fleet) coldLocked(e *Endpoint, s *routing.Service, now time.Duration) bool {
+// isColdLocked reports whether the rate of requests to the endpoint is limited because it is cold.
+func (f *Fleet) isColdLocked(e *Endpoint, s *routing.Service, now time.Duration) bool {
 	return f.coldUntilLocked(e, s, now) != 0
 }
 
-// takesColdLocked tells whether this node may send a request to the endpoint now, as far as
-// that is cold. If not, it has waiting work looked at again when that changes.
+// takesColdLocked reports whether this node may send a request to the endpoint now under the limit
+// for cold endpoints. If not, it schedules a dispatch of waiting work for the time at which that
+// changes.
 func (f *Fleet) takesColdLocked(e *Endpoint, s *routing.Service, load *Load, now time.Duration) bool {
 	until := f.coldUntilLocked(e, s, now)
 	if until == 0 {
 		return true
 	}
-	population := f.Population()
-	if population.Nodes <= 0 {
+	size := f.ClusterSize()
+	if size.Nodes <= 0 {
 		return false
 	}
-	if s.Engine != nil && population.Heard && float64(load.Count) < s.ColdPerSecond*leastGeneration.Seconds() {
+	if s.Engine != nil && size.HalfLive && float64(load.Count) < s.ColdPerSecond*minGenerationTime.Seconds() {
 		return true
 	}
-	began, next := pace.Turn(f.Name, uint32(e.key), population.Nodes, coldShare*s.ColdPerSecond, now)
-	if now-began < pace.TurnLength && e.coldUsedAt < began {
+	began, next := pace.Turn(f.Name, uint32(e.key), size.Nodes, coldRateShare*s.ColdPerSecond, now)
+	if now-began < pace.TurnLength && e.lastRequestAt < began {
 		return true
 	}
-	f.wakeLocked(now, min(next, until)-now)
+	f.scheduleTickLocked(now, min(next, until)-now)
 	return false
 }
 
-// wakeLocked has waiting work looked at after the given time at the latest.
-func (f *Fleet) wakeLocked(now, after time.Duration) {
+// scheduleTickLocked schedules a dispatch of waiting work after the given time at the latest.
+func (f *Fleet) scheduleTickLocked(now, after time.Duration) {
 	at := now + after
-	if f.wakeAt > now && f.wakeAt <= at {
+	if f.nextTickAt > now && f.nextTickAt <= at {
 		return
 	}
-	f.wakeAt = at
-	f.Wake(after)
+	f.nextTickAt = at
+	f.ScheduleTick(after)
 }
 
-// SetCold records that an endpoint said that it stays cold for the given time; it returns
-// false for an endpoint that is not known.
+// SetCold records that an endpoint has announced that it stays cold for the given time. It returns
+// false if the endpoint is not known.
 func (f *Fleet) SetCold(key EndpointKey, remaining time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,6 +97,6 @@
 	if e == nil {
 		return false
 	}
-	e.warmUntil = max(e.warmUntil, f.now()+remaining)
+	e.warmingUntil = max(e.warmingUntil, f.now()+remaining)
 	return true
 }
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -56,7 +56,7 @@
 		return
 	}
 	// The endpoint was idle and may have become cold; its entry reports that only with a delay.
-	e.returnedAt = now
+	e.evacuationEndedAt = now
 	if !e.isLeaving {
 		e.unusable = make(chan struct{})
 	}
@@ -86,8 +86,8 @@
 
 // unservableLocked returns a refusal if no endpoint may run the work: all endpoints in its regions
 // are in evacuated data centres, or there are none. Otherwise it returns nil.
-func (f *Fleet) unservableLocked(w *Want) *crocusreel.Refusal {
-	if len(f.evacuated) == 0 && !w.Bound {
+func (f *Fleet) unservableLocked(w *Work) *crocusreel.Refusal {
+	if len(f.evacuated) == 0 && !w.RegionBound {
 		return nil
 	}
 	evacuated := 0
@@ -103,7 +103,7 @@
 	switch {
 	case evacuated > 0:
 		return refuseEvacuated(w)
-	case w.Bound:
+	case w.RegionBound:
 		return refuseNoneInRegions(w)
 	default:
 		return nil
@@ -117,26 +117,26 @@
 	for _, q := range f.queues {
 		ahead := 0
 		for _, w := range slices.Clone(q.waiting) {
-			refusal := f.unservableLocked(w.want)
+			refusal := f.unservableLocked(w.work)
 			if refusal == nil {
-				refusal = f.refuseLongWaitLocked(w.want, ahead, w.until-now)
+				refusal = f.refuseLongWaitLocked(w.work, ahead, w.deadline-now)
 			}
 			if refusal == nil {
 				ahead++
 				continue
 			}
 			q.remove(w)
-			w.ended <- waitEnd{refusal: refusal}
+			w.done <- waitResult{refusal: refusal}
 		}
 	}
 }
 
-func refuseEvacuated(w *Want) *crocusreel.Refusal {
+func refuseEvacuated(w *Work) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonEvacuated, crocusreel.OutcomeNotRun, evacuatedRetryDelay,
 		"all endpoints of service %q are in evacuated data centres", w.Service.Name)
 }
 
-func refuseNoneInRegions(w *Want) *crocusreel.Refusal {
+func refuseNoneInRegions(w *Work) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, noEndpointRetry,
 		"no endpoint of service %q is in service in regions %q", w.Service.Name, w.Regions)
 }
--- a/fleet/evacuation_test.go
+++ b/fleet/evacuation_test.go
@@ -12,12 +12,12 @@
 )
 
 var _ = Describe("an evacuated data centre", func() {
-	var w *world
+	var w *fixture
 
 	BeforeEach(func() {
-		w = newWorld()
-		w.engine("near", "dc1")
-		w.engine("far", "dc2")
+		w = newFixture()
+		w.addEngine("near", "dc1")
+		w.addEngine("far", "dc2")
 	})
 
 	// Guards against new work on endpoints that are being emptied, even if no other endpoint has
@@ -25,9 +25,9 @@
 	It("gets no new work, however full the other data centres are", func() {
 		w.Evacuate([]string{"dc1"})
 		for range 8 {
-			Expect(w.running(generation(3000, 500)).Instance().ID).To(Equal("far"))
+			Expect(w.placeRunning(generation(3000, 500)).Instance().ID).To(Equal("far"))
 		}
-		Expect(w.refused(generation(30_000, 500)).Reason).To(Equal(crocusreel.ReasonQueueFull))
+		Expect(w.mustRefuse(generation(30_000, 500)).Reason).To(Equal(crocusreel.ReasonQueueFull))
 	})
 
 	// Guards against copies, backups and resumed runs, which are requests too.
@@ -36,31 +36,31 @@
 		engine := *pool.Engine
 		engine.CanBackUp = true
 		backed.Engine = &engine
-		want := fleet.Want{Service: &backed, Demand: fleet.Demand{Prompt: 1000, Output: 400}, Longest: 400}
-		p := w.running(want)
+		want := fleet.Work{Service: &backed, Demand: fleet.Demand{Prompt: 1000, Output: 400}, MaxOutput: 400}
+		p := w.placeRunning(want)
 		Expect(p.Instance().ID).To(Equal("near"))
-		held := w.Hold(p, want)
+		held := w.ReserveBackup(p, want)
 		Expect(held.Instance().ID).To(Equal("far"))
-		target := w.Target(p, want)
+		target := w.ReserveMoveTarget(p, want)
 		Expect(target.Instance().ID).To(Equal("far"))
 
 		w.Evacuate([]string{"dc2"})
 		Expect(held.Unusable()).To(BeClosed())
-		Expect(held.Take(10)).To(BeNil())
+		Expect(held.Promote(10)).To(BeNil())
 		Expect(target.Usable()).To(BeFalse())
-		Expect(w.Target(p, want)).To(BeNil())
-		Expect(w.Hold(p, want)).To(BeNil())
+		Expect(w.ReserveMoveTarget(p, want)).To(BeNil())
+		Expect(w.ReserveBackup(p, want)).To(BeNil())
 
 		w.Evacuate(nil)
 		Expect(target.Usable()).To(BeTrue())
 		Expect(held.Unusable()).NotTo(BeClosed())
-		Expect(held.Take(10)).NotTo(BeNil())
+		Expect(held.Promote(10)).NotTo(BeNil())
 	})
 
 	// Guards against callers that wait for capacity that cannot become available.
 	It("refuses waiting work at once if it cannot run elsewhere", func() {
-		w.place(generation(33_000, 500))
-		w.place(generation(33_000, 500))
+		w.mustPlace(generation(33_000, 500))
+		w.mustPlace(generation(33_000, 500))
 		refusals := make(chan *crocusreel.Refusal, 1)
 		go func() {
 			defer GinkgoRecover()
@@ -77,15 +77,15 @@
 		Expect(refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 		Expect(w.Waiting("pool")).To(BeZero())
-		Expect(w.refused(generation(3000, 500)).Reason).To(Equal(crocusreel.ReasonEvacuated))
+		Expect(w.mustRefuse(generation(3000, 500)).Reason).To(Equal(crocusreel.ReasonEvacuated))
 	})
 
 	It("includes endpoints that register during the evacuation, and is reported with the work that runs there", func() {
-		running := w.place(generation(3000, 500))
+		running := w.mustPlace(generation(3000, 500))
 		w.Evacuate([]string{"dc1", "dc3"})
 		w.now += 2 * time.Second
-		w.engine("new", "dc3")
-		Expect(w.place(generation(3000, 500)).Instance().ID).To(Equal("far"))
+		w.addEngine("new", "dc3")
+		Expect(w.mustPlace(generation(3000, 500)).Instance().ID).To(Equal("far"))
 		Expect(w.Evacuations()).To(Equal([]fleet.Evacuation{
 			{DataCentre: "dc1", Since: 2 * time.Second, Endpoints: 1, Running: 1},
 			{DataCentre: "dc3", Since: 2 * time.Second, Endpoints: 1},
@@ -95,53 +95,53 @@
 })
 
 var _ = Describe("work that is bound to regions", func() {
-	var w *world
+	var w *fixture
 
-	bound := func(regions ...string) fleet.Want {
+	bound := func(regions ...string) fleet.Work {
 		want := generation(3000, 500)
-		want.Bound, want.Regions = true, regions
+		want.RegionBound, want.Regions = true, regions
 		return want
 	}
 
 	BeforeEach(func() {
-		w = newWorld()
+		w = newFixture()
 		w.Regions = map[string]string{"dc1": "north", "dc2": "south", "dc3": "south"}
-		w.engine("e1", "dc1")
-		w.engine("e2", "dc2")
-		w.engine("elsewhere", "unknown")
+		w.addEngine("e1", "dc1")
+		w.addEngine("e2", "dc2")
+		w.addEngine("elsewhere", "unknown")
 	})
 
 	// Guards against data that leaves the regions to which its owner has restricted it.
 	It("runs only there, however full they are", func() {
 		for range 8 {
-			Expect(w.running(bound("south")).Instance().ID).To(Equal("e2"))
+			Expect(w.placeRunning(bound("south")).Instance().ID).To(Equal("e2"))
 		}
 		large := bound("south")
 		large.Demand = fleet.Demand{Prompt: 30_000, Output: 500}
-		Expect(w.refused(large).Reason).To(Equal(crocusreel.ReasonQueueFull))
+		Expect(w.mustRefuse(large).Reason).To(Equal(crocusreel.ReasonQueueFull))
 	})
 
 	It("is not copied to other regions", func() {
-		p := w.running(bound("north"))
-		Expect(w.Target(p, bound("north"))).To(BeNil())
-		Expect(w.Target(p, bound("north", "south")).Instance().ID).To(Equal("e2"))
+		p := w.placeRunning(bound("north"))
+		Expect(w.ReserveMoveTarget(p, bound("north"))).To(BeNil())
+		Expect(w.ReserveMoveTarget(p, bound("north", "south")).Instance().ID).To(Equal("e2"))
 	})
 
 	It("is refused if its regions are empty, unknown or without endpoints in service", func() {
 		for _, regions := range [][]string{nil, {"west"}} {
-			refusal := w.refused(bound(regions...))
+			refusal := w.mustRefuse(bound(regions...))
 			Expect(refusal.Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 			Expect(refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 		}
 		w.Remove("e2", false)
-		Expect(w.refused(bound("south")).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
+		Expect(w.mustRefuse(bound("south")).Reason).To(Equal(crocusreel.ReasonNoEndpoint))
 	})
 
 	// Guards against work that is sent to another region because its own is evacuated.
 	It("is refused at once while its regions are evacuated", func() {
 		w.Evacuate([]string{"dc2"})
-		Expect(w.refused(bound("south")).Reason).To(Equal(crocusreel.ReasonEvacuated))
-		w.engine("e3", "dc3")
-		Expect(w.place(bound("south")).Instance().ID).To(Equal("e3"))
+		Expect(w.mustRefuse(bound("south")).Reason).To(Equal(crocusreel.ReasonEvacuated))
+		w.addEngine("e3", "dc3")
+		Expect(w.mustPlace(bound("south")).Instance().ID).To(Equal("e3"))
 	})
 })
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -6,81 +6,87 @@
 	"time"
 )
 
-// Fleet is the set of all endpoints. Its methods may be called from any goroutine.
+// Fleet tracks all known endpoints, their load and their health, and places work on them. Its
+// methods are safe for concurrent use.
 type Fleet struct {
-	// Name is this node's name as the others know it.
+	// Name is the name of this node as the other nodes know it.
 	Name string
-	// Without are the mechanisms that are left out.
-	Without    Without
+	// Disabled is the set of disabled mechanisms.
+	Disabled   DisabledMechanisms
 	dataCentre string
 	now        func() time.Duration
 
 	mu sync.Mutex
-	// byID and byKey hold the endpoints in service, and services the same in lists.
+	// byID and byKey index the endpoints in service; services lists the same endpoints by service.
 	byID     map[string]*Endpoint
 	byKey    map[EndpointKey]*Endpoint
 	services map[string][]*Endpoint
-	// used are the endpoints on which this node runs something or holds room.
+	// used holds the endpoints on which this node has running work or reserved backup memory.
 	used map[*Endpoint]struct{}
-	// doubted are the endpoints that are missing, or leave by their health check alone.
-	doubted map[*Endpoint]struct{}
-	queues  map[line]*queue
-	remote  map[string]remoteNode
-	// notices hold what endpoints say of themselves, by incarnation.
+	// unconfirmed holds the endpoints whose store entry is missing, and those that count as leaving
+	// by their health check alone.
+	unconfirmed map[*Endpoint]struct{}
+	queues      map[queueID]*queue
+	remote      map[string]remoteState
+	// notices holds the notices that endpoints have sent, by incarnation.
 	notices map[EndpointKey]*noticeRecord
-	// evacuated holds since when each evacuated data centre is known to be one.
+	// evacuated maps each evacuated data centre to the time at which this node learned of its
+	// evacuation.
 	evacuated map[string]time.Duration
-	// wakeAt is when Wake was last asked for a call.
-	wakeAt time.Duration
-	random *rand.Rand
-	// Regions maps data centres to their regions, for work that is bound to some.
+	// nextTickAt is the time of the next call of Tick that was requested through ScheduleTick.
+	nextTickAt time.Duration
+	random     *rand.Rand
+	// Regions maps data centres to their regions, for work that is restricted to regions.
 	Regions map[string]string
-	// Population returns how many nodes share cold endpoints; it must not block.
-	Population func() Population
-	// Roster returns the nodes that share the limits of endpoints; nil if it is not known who they
-	// are. It must not block.
+	// ClusterSize returns the number of nodes that share the rate of cold endpoints. It must not
+	// block.
+	ClusterSize func() ClusterSize
+	// Roster returns the nodes that share the rate limits of endpoints, or nil if they are not
+	// known. It must not block.
 	Roster func() *Roster
-	// Wall reads the time of day.
-	Wall func() time.Time
-	// Changed is called when other nodes should be told at once what this one runs and
-	// what waits on it: the nodes of the given data centre, or all if it is empty. It
-	// must not block.
-	Changed func(dataCentre string)
-	// Believed is told of each endpoint that is left out or taken back; it must not block.
-	Believed func(Exclusion)
-	// Noticed is told of each change of what an endpoint says of itself; it must not block.
-	Noticed func(NoticeChange)
-	// Wake is asked to call Tick after the given time; it must not block.
-	Wake func(after time.Duration)
+	// WallClock returns the wall-clock time.
+	WallClock func() time.Time
+	// Broadcast is called when the load and the waiting work of this node should be sent to other
+	// nodes at once: to the nodes of the given data centre, or to all nodes if it is empty. It must
+	// not block.
+	Broadcast func(dataCentre string)
+	// OnExclusion is called for each endpoint that is excluded from new work or readmitted. It must
+	// not block.
+	OnExclusion func(Exclusion)
+	// OnNotice is called for each change of an endpoint's notice. It must not block.
+	OnNotice func(NoticeChange)
+	// ScheduleTick schedules a call of Tick after the given time. It must not block.
+	ScheduleTick func(after time.Duration)
 }
 
-// New returns a fleet without endpoints, as seen from a data centre. Now reads a
-// monotonic clock.
+// New returns a fleet without endpoints for a node in the given data centre. The function now reads
+// a monotonic clock.
 func New(dataCentre string, now func() time.Duration) *Fleet {
 	return &Fleet{
-		dataCentre: dataCentre,
-		now:        now,
-		byID:       make(map[string]*Endpoint),
-		byKey:      make(map[EndpointKey]*Endpoint),
-		used:       make(map[*Endpoint]struct{}),
-		doubted:    make(map[*Endpoint]struct{}),
-		services:   make(map[string][]*Endpoint),
-		queues:     make(map[line]*queue),
-		remote:     make(map[string]remoteNode),
-		notices:    make(map[EndpointKey]*noticeRecord),
-		Changed:    func(string) {},
-		Believed:   func(Exclusion) {},
-		Noticed:    func(NoticeChange) {},
-		Wake:       func(time.Duration) {},
-		Population: func() Population { return Population{Nodes: 1, Heard: true} },
-		Roster:     func() *Roster { return nil },
-		Wall:       time.Now,
-		random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		dataCentre:   dataCentre,
+		now:          now,
+		byID:         make(map[string]*Endpoint),
+		byKey:        make(map[EndpointKey]*Endpoint),
+		used:         make(map[*Endpoint]struct{}),
+		unconfirmed:  make(map[*Endpoint]struct{}),
+		services:     make(map[string][]*Endpoint),
+		queues:       make(map[queueID]*queue),
+		remote:       make(map[string]remoteState),
+		notices:      make(map[EndpointKey]*noticeRecord),
+		Broadcast:    func(string) {},
+		OnExclusion:  func(Exclusion) {},
+		OnNotice:     func(NoticeChange) {},
+		ScheduleTick: func(time.Duration) {},
+		ClusterSize:  func() ClusterSize { return ClusterSize{Nodes: 1, HalfLive: true} },
+		Roster:       func() *Roster { return nil },
+		WallClock:    time.Now,
+		random:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
-// Replace takes a whole listing. Endpoints that it lacks are removed as Remove does.
-// It returns the IDs that are new, and those that are gone or missing.
+// Replace applies a complete listing of endpoints. Endpoints that are not listed are removed as by
+// Remove. It returns the IDs of the endpoints that were added or restarted, and of those that were
+// removed or are now missing.
 func (f *Fleet) Replace(listing []Instance, tentative bool) (added, removed []string) {
 	present := make(map[string]bool, len(listing))
 	for _, in := range listing {
@@ -90,31 +96,31 @@
 		}
 	}
 	f.mu.Lock()
-	var lacking []string
+	var absent []string
 	for id, e := range f.byID {
-		if !present[id] && e.missingAt == 0 {
-			lacking = append(lacking, id)
+		if !present[id] && e.missingSince == 0 {
+			absent = append(absent, id)
 		}
 	}
 	f.mu.Unlock()
-	for _, id := range lacking {
+	for _, id := range absent {
 		f.Remove(id, tentative)
 		removed = append(removed, id)
 	}
 	return added, removed
 }
 
-// Change is what an entry told of an endpoint.
+// Change is the effect of a store entry on the set of endpoints.
 type Change int
 
 const (
-	// Known is an entry of an incarnation that was there before.
+	// Known is an entry of an incarnation that is already in service.
 	Known Change = iota
-	// Added is a new endpoint.
+	// Added is an entry of a new endpoint.
 	Added
-	// Restarted is a known endpoint that has started again.
+	// Restarted is an entry of a later incarnation of an endpoint in service.
 	Restarted
-	// Outdated is an entry of an earlier incarnation than the known one; it is not taken.
+	// Outdated is an entry of an earlier incarnation than the one in service; it is ignored.
 	Outdated
 )
 
@@ -123,20 +129,20 @@
 // String implements fmt.Stringer.
 func (c Change) String() string { return changeNames[c] }
 
-// Update takes an entry. The entry of a later incarnation ends the one before at once,
-// also where no removal came in between: its runs are over, and what was counted,
-// measured and believed of it says nothing of the new one.
+// Update applies a store entry. An entry of a later incarnation ends the previous incarnation at
+// once, even if no removal came in between: the runs of the previous one are lost, and its load,
+// measurements and health do not apply to the new one.
 func (f *Fleet) Update(in Instance) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, known := f.byID[in.ID]
-	if known && in.Born < e.Born {
+	if known && in.StartedAtMS < e.StartedAtMS {
 		return Outdated
 	}
 	change := Known
-	if known && in.Born > e.Born {
+	if known && in.StartedAtMS > e.StartedAtMS {
 		f.dropLocked(e)
-		e.end(ErrRestarted)
+		e.cancel(ErrRestarted)
 		known, change = false, Restarted
 	} else if !known {
 		change = Added
@@ -147,13 +153,13 @@
 		if e.noticed != nil && e.noticed.leaving {
 			e.markLeavingByAnswer(f.now())
 		}
-		if _, is := f.evacuated[in.DataCentre]; is {
+		if _, evacuated := f.evacuated[in.DataCentre]; evacuated {
 			e.isEvacuated = true
 			e.markUnusable()
 		}
-		// Other nodes may have used it before this one heard of it.
-		for node, told := range f.remote {
-			if l, ok := told.loads[e.key]; ok {
+		// Other nodes may have placed work on it before this node received its entry.
+		for node, state := range f.remote {
+			if l, ok := state.loads[e.key]; ok {
 				e.setRemote(node, l)
 			}
 		}
@@ -161,22 +167,22 @@
 		f.services[in.Service] = append(f.services[in.Service], e)
 	}
 	e.Slots = in.Slots
-	e.missingAt = 0
-	e.warmUntil = f.now() + in.Warming
+	e.missingSince = 0
+	e.warmingUntil = f.now() + in.Warming
 	if in.Leaving {
-		e.byHealth, e.entryLeaving = false, true
+		e.leavingByHealth, e.entryLeaving = false, true
 		e.markLeaving(f.now())
-	} else if e.byHealth {
-		e.stay()
+	} else if e.leavingByHealth {
+		e.cancelLeaving()
 	}
-	delete(f.doubted, e)
+	delete(f.unconfirmed, e)
 	f.dispatchLocked(in.Service)
 	return change
 }
 
-// Remove takes the removal of an entry. A tentative removal, as after an outage of
-// the store in which entries expire although their endpoints live, keeps the endpoint
-// in use until DropMissing.
+// Remove applies the removal of a store entry. A tentative removal keeps the endpoint in use until
+// DropMissing; it is meant for the time after an outage of the store, in which entries of live
+// endpoints expire.
 func (f *Fleet) Remove(id string, tentative bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -185,19 +191,20 @@
 		return
 	}
 	if tentative {
-		e.missingAt, e.vouched = f.now(), false
-		f.doubted[e] = struct{}{}
+		e.missingSince, e.confirmedAlive = f.now(), false
+		f.unconfirmed[e] = struct{}{}
 		return
 	}
 	f.dropLocked(e)
 }
 
-// dropLocked forgets an endpoint. Runs on it go on; they learn that it is leaving.
+// dropLocked removes an endpoint from service. Its runs continue, and its leaving channel is
+// closed.
 func (f *Fleet) dropLocked(e *Endpoint) {
 	e.markLeaving(f.now())
 	delete(f.byID, e.ID)
 	delete(f.byKey, e.key)
-	delete(f.doubted, e)
+	delete(f.unconfirmed, e)
 	all := f.services[e.Service]
 	for i, other := range all {
 		if other == e {
@@ -207,42 +214,42 @@
 	}
 }
 
-// SetRemote replaces what another node runs and which work waits there.
+// SetRemote replaces the load and the waiting work that another node has reported.
 func (f *Fleet) SetRemote(node string, loads []Load, waiting []WaitingWork) {
 	byKey := make(map[EndpointKey]Load, len(loads))
 	for _, l := range loads {
 		byKey[l.Key] = l
 	}
-	heads := make(map[LineKey]WaitingWork, len(waiting))
+	heads := make(map[QueueKey]WaitingWork, len(waiting))
 	for _, w := range waiting {
-		heads[w.Line] = w
+		heads[w.Queue] = w
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.remote[node]
-	f.remote[node] = remoteNode{heard: f.now(), loads: byKey, waiting: heads}
-	f.remoteChangedLocked(node, before)
+	f.remote[node] = remoteState{receivedAt: f.now(), loads: byKey, waiting: heads}
+	f.applyRemoteLocked(node, before)
 }
 
-// Forget drops what a node told that is no longer heard.
-func (f *Fleet) Forget(node string) {
+// ForgetNode drops the state reported by a node that is no longer reachable.
+func (f *Fleet) ForgetNode(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.remote[node]
 	delete(f.remote, node)
-	f.remoteChangedLocked(node, before)
+	f.applyRemoteLocked(node, before)
 }
 
-// OwnLoads returns what this node runs, for the other nodes.
+// OwnLoads returns the load that this node puts on each endpoint, to be sent to the other nodes.
 func (f *Fleet) OwnLoads() []Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var loads []Load
 	for e := range f.used {
 		switch {
-		case e.own.none():
+		case e.own.isZero():
 			delete(f.used, e)
-		case f.byKey[e.key] == e && (e.own.Count > 0 || e.own.Held > 0):
+		case f.byKey[e.key] == e && (e.own.Count > 0 || e.own.BackupTokens > 0):
 			l := e.own
 			l.Key = e.key
 			loads = append(loads, l)
@@ -251,7 +258,7 @@
 	return loads
 }
 
-// Tick dispatches waiting work, for capacity that comes back with time alone.
+// Tick dispatches waiting work to capacity that becomes available by the passage of time alone.
 func (f *Fleet) Tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/holding.go
+++ b/fleet/holding.go
@@ -7,9 +7,10 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Holding is room on an endpoint for the backup of a run elsewhere: a copy of its memory
-// that grows with it, and from which it goes on when its own endpoint is gone.
-type Holding struct {
+// BackupReservation is a reservation of memory on an endpoint for the backup of a run on another
+// endpoint. The backup is a copy of the run's memory that grows with the run, and from which the
+// run resumes if its endpoint dies.
+type BackupReservation struct {
 	fleet    *Fleet
 	endpoint *Endpoint
 	demand   Demand
@@ -18,44 +19,45 @@
 }
 
 const (
-	// backupShare is the part of an engine's memory up to which it is given backups. What
-	// is left serves new answers, which must not wait for memory that is only there in
-	// case another engine dies.
-	backupShare = 0.7
-	// backupUpTo is the part of the memory of all engines that may be promised to answers for
-	// there to be backups at all. Where memory decides how many answers are on time, backups
-	// cost more than they save.
-	backupUpTo = 0.5
-	// backupSpread is the range of a random addition, as for moves.
-	backupSpread = 0.1
+	// backupMemoryShare is the share of an engine's memory up to which it accepts backups. The rest
+	// is kept for new answers, which must not wait for memory that is reserved only in case another
+	// engine dies.
+	backupMemoryShare = 0.7
+	// maxReservedShareForBackups is the share of the total memory of all engines that can be
+	// reserved for answers before no more backups are made. When memory limits the number of
+	// answers that are on time, backups cost more than they save.
+	maxReservedShareForBackups = 0.5
+	// backupCostJitter is the range of the random part of the cost, as moveCostJitter is for moves.
+	backupCostJitter = 0.1
 )
 
-// Hold returns room for a backup of the run at p, nil if no engine has it to spare.
-func (f *Fleet) Hold(p *Placement, w Want) *Holding {
+// ReserveBackup reserves memory for a backup of the run at p. It returns nil if no engine has
+// memory to spare.
+func (f *Fleet) ReserveBackup(p *Placement, w Work) *BackupReservation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	spec := w.Service.Engine
-	if spec == nil || !spec.CanBackUp || f.Without[Backups] {
+	if spec == nil || !spec.CanBackUp || f.Disabled[Backups] {
 		return nil
 	}
-	if f.waitingLocked(w.Service.Name) > 0 || f.promisedLocked(w.Service) > backupUpTo {
+	if f.waitingLocked(w.Service.Name) > 0 || f.reservedShareLocked(w.Service) > maxReservedShareForBackups {
 		return nil
 	}
 	now := f.now()
-	need := p.tokens()
+	need := p.expectedTokens()
 	var best *Endpoint
 	bestCost := 0.0
 	for _, e := range f.services[w.Service.Name] {
-		if e == p.endpoint || !f.eligibleLocked(e, &w) || e.missingAt != 0 || now < e.health.ejectedUntil ||
-			e.limited() || f.coldLocked(e, w.Service, now) {
+		if e == p.endpoint || !f.eligibleLocked(e, &w) || e.missingSince != 0 || now < e.health.ejectedUntil ||
+			e.limited() || f.isColdLocked(e, w.Service, now) {
 			continue
 		}
 		load := e.total()
-		used := load.Tokens + load.Held
-		if float64(used+need) > backupShare*float64(spec.CacheTokens) {
+		used := load.Tokens + load.BackupTokens
+		if float64(used+need) > backupMemoryShare*float64(spec.CacheTokens) {
 			continue
 		}
-		cost := float64(used)/float64(spec.CacheTokens) + f.random.Float64()*backupSpread
+		cost := float64(used)/float64(spec.CacheTokens) + f.random.Float64()*backupCostJitter
 		if best == nil || cost < bestCost {
 			best, bestCost = e, cost
 		}
@@ -63,15 +65,15 @@
 	if best == nil {
 		return nil
 	}
-	h := &Holding{fleet: f, endpoint: best, demand: Demand{Prompt: p.demand.Prompt, Output: need - p.demand.Prompt}, produced: p.produced}
+	h := &BackupReservation{fleet: f, endpoint: best, demand: Demand{Prompt: p.demand.Prompt, Output: need - p.demand.Prompt}, produced: p.produced}
 	f.used[best] = struct{}{}
-	best.own.Held += need
+	best.own.BackupTokens += need
 	return h
 }
 
-// promisedLocked is the part of the memory of a service's engines that is promised to
+// reservedShareLocked returns the share of the memory of a service's engines that is reserved for
 // answers.
-func (f *Fleet) promisedLocked(s *routing.Service) float64 {
+func (f *Fleet) reservedShareLocked(s *routing.Service) float64 {
 	tokens, memory := 0, 0
 	for _, e := range f.services[s.Name] {
 		if e.isLeaving || e.isEvacuated {
@@ -84,22 +86,24 @@
 }
 
 // Instance returns the endpoint that holds the backup.
-func (h *Holding) Instance() Instance { return h.endpoint.Instance }
+func (h *BackupReservation) Instance() Instance { return h.endpoint.Instance }
 
-// Life ends once the endpoint has certainly died, and the backup with it.
-func (h *Holding) Life() context.Context { return h.endpoint.life }
+// EndpointContext returns a context that is cancelled once the endpoint is known to have died, and
+// the backup is lost with it.
+func (h *BackupReservation) EndpointContext() context.Context { return h.endpoint.ctx }
 
-// Unusable is closed once the endpoint is about to stop or its data centre is evacuated.
-func (h *Holding) Unusable() <-chan struct{} {
+// Unusable returns a channel that is closed once the endpoint is about to stop or its data centre
+// is evacuated.
+func (h *BackupReservation) Unusable() <-chan struct{} {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	return h.endpoint.unusable
 }
 
-// Take turns the room into the place of the run, which goes on there with so many tokens
-// made; nil if the room was given back, the endpoint leaves or takes no request now, or its data
-// centre is evacuated.
-func (h *Holding) Take(produced int) *Placement {
+// Promote turns the reservation into the placement of the run, which resumes there with the given
+// number of tokens produced. It returns nil if the reservation was released, the endpoint is
+// leaving or does not accept a request now, or its data centre is evacuated.
+func (h *BackupReservation) Promote(produced int) *Placement {
 	f := h.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,17 +113,17 @@
 	}
 	h.releaseLocked()
 	p := f.placeLocked(h.endpoint, h.demand)
-	h.endpoint.own.Unread -= p.unread()
-	p.reading = false
-	h.endpoint.own.Tokens -= p.tokens()
+	h.endpoint.own.PendingPrefill -= p.pendingPrefill()
+	p.prefilling = false
+	h.endpoint.own.Tokens -= p.expectedTokens()
 	p.produced = produced
-	h.endpoint.own.Tokens += p.tokens()
+	h.endpoint.own.Tokens += p.expectedTokens()
 	return p
 }
 
-// Release gives the room back after the given time: an engine keeps a backup for a while
-// whose run has not ended well.
-func (h *Holding) Release(after time.Duration) {
+// Release releases the reservation after the given time: an engine keeps the backup for some time
+// if the run has not ended well.
+func (h *BackupReservation) Release(after time.Duration) {
 	if after > 0 {
 		time.AfterFunc(after, func() { h.Release(0) })
 		return
@@ -130,10 +134,10 @@
 	h.releaseLocked()
 }
 
-func (h *Holding) releaseLocked() {
+func (h *BackupReservation) releaseLocked() {
 	if h.released {
 		return
 	}
 	h.released = true
-	h.endpoint.own.Held -= h.demand.Tokens()
+	h.endpoint.own.BackupTokens -= h.demand.Tokens()
 }
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -23,10 +23,10 @@
 	l := &leavingEndpoint{
 		now:     time.Hour,
 		service: &routing.Service{Name: "app"},
-		in:      fleet.Instance{ID: "i1", Born: 1, Service: "app", DataCentre: "dc1", Slots: 10},
+		in:      fleet.Instance{ID: "i1", StartedAtMS: 1, Service: "app", DataCentre: "dc1", Slots: 10},
 	}
 	l.Fleet = fleet.New("dc1", func() time.Duration { return l.now })
-	l.Wall = func() time.Time { return dayStart.Add(l.now) }
+	l.WallClock = func() time.Time { return dayStart.Add(l.now) }
 	roster := &fleet.Roster{Names: []string{""}}
 	l.Roster = func() *fleet.Roster { return roster }
 	l.Update(l.in)
@@ -36,7 +36,7 @@
 
 // getsWork reports whether the endpoint gets new work.
 func (l *leavingEndpoint) getsWork() bool {
-	p, _ := l.Acquire(context.Background(), fleet.Want{Service: l.service}, 0)
+	p, _ := l.Acquire(context.Background(), fleet.Work{Service: l.service}, 0)
 	if p != nil {
 		p.Release(fleet.Good)
 	}
@@ -79,7 +79,7 @@
 func TestLeavingEndpointIsNotReinstated(t *testing.T) {
 	l := newLeavingEndpoint()
 	restarted := l.in
-	restarted.Born = 2
+	restarted.StartedAtMS = 2
 	l.Update(restarted)
 	l.MarkUnhealthy(restarted.Incarnation().Key())
 	l.RecordNotice(restarted, notice.Notice{Leaving: true}, "r1")
@@ -94,7 +94,7 @@
 func TestNextIncarnationIsNotLeaving(t *testing.T) {
 	l := newLeavingEndpoint()
 	restarted := l.in
-	restarted.Born = 2
+	restarted.StartedAtMS = 2
 	l.Update(restarted)
 	if !l.getsWork() {
 		t.Error("the restarted endpoint got no work")
@@ -105,7 +105,7 @@
 func TestInvalidLimitDoesNotHideLeaving(t *testing.T) {
 	l := newLeavingEndpoint()
 	restarted := l.in
-	restarted.Born = 2
+	restarted.StartedAtMS = 2
 	l.Update(restarted)
 	l.RecordNotice(restarted, notice.Notice{Leaving: true, LimitErr: errors.New("not a number")}, "r1")
 	if l.getsWork() {
@@ -135,7 +135,7 @@
 	}
 	second := fleet.Instance{ID: "i2", Service: "app", DataCentre: "dc1", Slots: 10, Leaving: true}
 	l.Update(second)
-	l.Changed = func(string) { t.Error("a notice that the entry already contains was broadcast at once") }
+	l.Broadcast = func(string) { t.Error("a notice that the entry already contains was broadcast at once") }
 	l.RecordNotice(second, notice.Notice{Leaving: true}, "r1")
 	l.RecordNotice(second, notice.Notice{Pause: time.Second}, "r2")
 	if broadcast := append(l.OwnLeaving(), fleet.EndpointKey(len(l.OwnLimits()))); len(broadcast) != 1 || broadcast[0] != 0 {
@@ -149,7 +149,7 @@
 	service := &routing.Service{Name: "pool", Engine: &routing.EngineSpec{CacheTokens: 30_000}}
 	engine := fleet.Instance{ID: "e1", Service: "pool", DataCentre: "dc1", Slots: 10}
 	l.Update(engine)
-	if _, refusal := l.Acquire(context.Background(), fleet.Want{Service: service, Demand: fleet.Demand{Prompt: 10, Output: 10}}, 0); refusal != nil {
+	if _, refusal := l.Acquire(context.Background(), fleet.Work{Service: service, Demand: fleet.Demand{Prompt: 10, Output: 10}}, 0); refusal != nil {
 		t.Fatal(refusal)
 	}
 	const perSecond = 2.0
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -70,7 +70,7 @@
 		n.rank, n.roster = pace.Rank(f.Name, roster.Names, uint32(e.key)), roster
 	}
 	slots := pace.Slots{Rank: n.rank, Nodes: len(roster.Names), PerSecond: n.limit.rate()}
-	return now + slots.Until(f.Wall(), now, n.lastSentAt), true
+	return now + slots.Until(f.WallClock(), now, n.lastSentAt), true
 }
 
 // limitAllowsLocked reports whether the endpoint's limit allows this node to send it a request
@@ -82,7 +82,7 @@
 	}
 	at, known := f.nextSlotLocked(e, now)
 	if known && at > now {
-		f.wakeLocked(now, at-now)
+		f.scheduleTickLocked(now, at-now)
 	}
 	return known && at <= now
 }
@@ -127,7 +127,7 @@
 // send any requests yet.
 const unknownShareRate = 0.25
 
-func refuseLongWait(w *Want, retry time.Duration) *crocusreel.Refusal {
+func refuseLongWait(w *Work, retry time.Duration) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonEndpointLimit, crocusreel.OutcomeNotRun, retry,
 		"no endpoint of service %q takes a request of this node for %v", w.Service.Name, retry.Round(time.Millisecond))
 }
@@ -135,7 +135,7 @@
 // refuseLongWaitLocked returns a refusal if the work can go only to endpoints that have a limit or
 // are paused, and would have to wait for longer than maxWait behind the given number of requests.
 // Otherwise it returns nil.
-func (f *Fleet) refuseLongWaitLocked(w *Want, ahead int, maxWait time.Duration) *crocusreel.Refusal {
+func (f *Fleet) refuseLongWaitLocked(w *Work, ahead int, maxWait time.Duration) *crocusreel.Refusal {
 	now := f.now()
 	rate, found := 0.0, false
 	var soonest time.Duration
@@ -160,5 +160,5 @@
 	if wait <= maxWait {
 		return nil
 	}
-	return refuseLongWait(w, min(max(wait, shortestRetry), maxLimitRetryDelay))
+	return refuseLongWait(w, min(max(wait, minRetryAfter), maxLimitRetryDelay))
 }
--- a/fleet/missing.go
+++ b/fleet/missing.go
@@ -19,9 +19,9 @@
 	defer f.mu.Unlock()
 	var dropped []DroppedEndpoint
 	now := f.now()
-	for e := range f.doubted {
-		if e.missingAt != 0 {
-			dropped = append(dropped, DroppedEndpoint{ID: e.ID, MissingFor: now - e.missingAt})
+	for e := range f.unconfirmed {
+		if e.missingSince != 0 {
+			dropped = append(dropped, DroppedEndpoint{ID: e.ID, MissingFor: now - e.missingSince})
 			f.dropLocked(e)
 		}
 	}
@@ -33,8 +33,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	missing := 0
-	for e := range f.doubted {
-		if e.missingAt != 0 {
+	for e := range f.unconfirmed {
+		if e.missingSince != 0 {
 			missing++
 		}
 	}
@@ -50,8 +50,8 @@
 	defer f.mu.Unlock()
 	var unconfirmed []Instance
 	now := f.now()
-	for e := range f.doubted {
-		missing := e.missingAt != 0 && !e.vouched && e.Service == service && e.DataCentre == dataCentre
+	for e := range f.unconfirmed {
+		missing := e.missingSince != 0 && !e.confirmedAlive && e.Service == service && e.DataCentre == dataCentre
 		if missing && f.takeHealthCheckLocked(e, now) {
 			unconfirmed = append(unconfirmed, e.Instance)
 		}
@@ -64,6 +64,6 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e := f.byKey[key]; e != nil {
-		e.vouched = true
+		e.confirmedAlive = true
 	}
 }
--- a/fleet/move.go
+++ b/fleet/move.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Target returns a place to which the run at p can be moved, nil if none has room. The
-// caller ends the copying with Arrived.
-func (f *Fleet) Target(p *Placement, w Want) *Placement {
+// ReserveMoveTarget returns a placement to which the run at p can be moved, or nil if no endpoint
+// has capacity. The caller must call EndCopy on it when the memory copy has ended.
+func (f *Fleet) ReserveMoveTarget(p *Placement, w Work) *Placement {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w.Exclude = append(w.Exclude, p.endpoint.ID)
-	w.from, w.moving = p.endpoint, p.tokensNow()
-	w.Demand = Demand{Prompt: p.demand.Prompt, Output: p.tokens() - p.demand.Prompt}
+	w.moveSource, w.moveTokens = p.endpoint, p.currentTokensLocked()
+	w.Demand = Demand{Prompt: p.demand.Prompt, Output: p.expectedTokens() - p.demand.Prompt}
 	e := f.pickLocked(&w)
 	if e == nil {
 		return nil
 	}
 	target := f.placeLocked(e, w.Demand)
-	e.own.Unread -= target.unread()
-	target.reading = false
+	e.own.PendingPrefill -= target.pendingPrefill()
+	target.prefilling = false
 	target.produced = p.produced
-	target.arriving = target.tokensNow()
-	e.own.Arriving += target.arriving
+	target.incomingTokens = target.currentTokensLocked()
+	e.own.IncomingTokens += target.incomingTokens
 	return target
 }
 
-// Arrived ends the copying of memory to a target.
-func (p *Placement) Arrived() {
+// EndCopy records the end of the memory copy to a move target.
+func (p *Placement) EndCopy() {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	p.endpoint.own.Arriving -= p.arriving
-	p.arriving = 0
+	p.endpoint.own.IncomingTokens -= p.incomingTokens
+	p.incomingTokens = 0
 }
 
-// Departure is what is known of an endpoint that is leaving.
+// Departure describes an endpoint that is leaving.
 type Departure struct {
-	// Since is the time since it was found to be leaving.
+	// Since is the time that has passed since it was found to be leaving.
 	Since time.Duration
 }
 
-// Departure tells of the leaving endpoint of p.
+// Departure returns what is known of the leaving endpoint of p.
 func (p *Placement) Departure() Departure {
 	f := p.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Departure{Since: f.now() - p.endpoint.left}
+	return Departure{Since: f.now() - p.endpoint.leavingSince}
 }
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -116,10 +116,10 @@
 	known.unreadable = faulty
 	paused := f.startPauseLocked(in.Service, known, n.Pause)
 	if changed || unread || paused {
-		f.Noticed(NoticeChange{Instance: in, Notice: n, Before: before, Request: request})
+		f.OnNotice(NoticeChange{Instance: in, Notice: n, Before: before, Request: request})
 	}
 	if changed {
-		f.Changed("")
+		f.Broadcast("")
 	}
 }
 
@@ -156,7 +156,7 @@
 // markLeavingByAnswer marks an endpoint as leaving because it announced in an answer that it is
 // about to stop.
 func (e *Endpoint) markLeavingByAnswer(now time.Duration) {
-	e.byHealth = false
+	e.leavingByHealth = false
 	e.markLeaving(now)
 }
 
@@ -189,7 +189,7 @@
 			continue
 		}
 		known.remoteAnnouncedAt = f.now()
-		f.Noticed(NoticeChange{Instance: f.byKey[key].Instance, Notice: notice.Notice{Leaving: true}, Node: node})
+		f.OnNotice(NoticeChange{Instance: f.byKey[key].Instance, Notice: notice.Notice{Leaving: true}, Node: node})
 	}
 }
 
@@ -256,7 +256,7 @@
 			continue
 		}
 		if e := f.byKey[l.Key]; e != nil {
-			f.Noticed(NoticeChange{
+			f.OnNotice(NoticeChange{
 				Instance: e.Instance, Notice: reported.notice(), Before: before.notice(), Node: node, Age: l.Age,
 			})
 		}
--- a/fleet/pause.go
+++ b/fleet/pause.go
@@ -34,6 +34,6 @@
 	if !f.pausedLocked(e) {
 		return false
 	}
-	f.wakeLocked(now, e.noticed.pausedUntil-now)
+	f.scheduleTickLocked(now, e.noticed.pausedUntil-now)
 	return true
 }
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -14,7 +14,7 @@
 
 func newPausedEndpoint() *leavingEndpoint {
 	l := newLeavingEndpoint()
-	l.in.Born = 2
+	l.in.StartedAtMS = 2
 	l.Update(l.in)
 	l.RecordNotice(l.in, notice.Notice{Pause: testPause}, "r1")
 	return l
@@ -50,7 +50,7 @@
 func TestNextIncarnationIsNotPaused(t *testing.T) {
 	l := newPausedEndpoint()
 	restarted := l.in
-	restarted.Born = 3
+	restarted.StartedAtMS = 3
 	l.Update(restarted)
 	if !l.getsWork() {
 		t.Error("the restarted endpoint got no work")
@@ -62,7 +62,7 @@
 func TestWorkBeyondAPauseIsRefusedAtOnce(t *testing.T) {
 	l := newPausedEndpoint()
 	began := time.Now()
-	_, refusal := l.Acquire(context.Background(), fleet.Want{Service: l.service}, testPause/2)
+	_, refusal := l.Acquire(context.Background(), fleet.Work{Service: l.service}, testPause/2)
 	if refusal == nil || refusal.Outcome != crocusreel.OutcomeNotRun || refusal.RetryAfter != testPause {
 		t.Errorf("got refusal %+v, want outcome OutcomeNotRun and a retry delay equal to the pause", refusal)
 	}
@@ -78,13 +78,13 @@
 	l.now += testPause
 	service := l.service
 	for l.getsWork() && l.Waiting(service.Name) == 0 {
-		if _, refusal := l.Acquire(context.Background(), fleet.Want{Service: service}, 0); refusal != nil {
+		if _, refusal := l.Acquire(context.Background(), fleet.Work{Service: service}, 0); refusal != nil {
 			break
 		}
 	}
 	ended := make(chan *crocusreel.Refusal, 1)
 	go func() {
-		_, refusal := l.Acquire(context.Background(), fleet.Want{Service: service}, testPause/2)
+		_, refusal := l.Acquire(context.Background(), fleet.Work{Service: service}, testPause/2)
 		ended <- refusal
 	}()
 	for l.Waiting(service.Name) == 0 {
--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Placement is the right to run one piece of work on one endpoint. It must be
-// released exactly once.
+// Placement is a reservation to run one piece of work on one endpoint. It must be released exactly
+// once.
 type Placement struct {
 	fleet    *Fleet
 	endpoint *Endpoint
 	demand   Demand
 	produced int
-	// reading is set until the first event.
-	reading  bool
-	released bool
-	// arriving is the memory that is being copied here, in tokens.
-	arriving int
-	// Waited is the time that the work waited for its place.
+	// prefilling is set until the prompt has been read, that is, until the first event.
+	prefilling bool
+	released   bool
+	// incomingTokens is the memory, in tokens, that is being copied to the endpoint for this run.
+	incomingTokens int
+	// Waited is the time that the work spent in the queue.
 	Waited time.Duration
 }
 
-// Result is how the work on an endpoint ended, as far as it tells of its health.
+// Result is the outcome of work on an endpoint as far as it concerns the endpoint's health.
 type Result int
 
 const (
-	// Neutral says nothing about the endpoint.
+	// Neutral says nothing about the health of the endpoint.
 	Neutral Result = iota
-	// Good is a whole answer.
+	// Good is a complete answer.
 	Good
-	// Failed is a failure that the endpoint is at fault for.
+	// Failed is a failure that is attributed to the endpoint.
 	Failed
-	// Busy is a refusal by an endpoint that is full.
+	// Busy is a refusal by an endpoint without capacity.
 	Busy
-	// Unreachable is a connection that could not be made.
+	// Unreachable is a failed connection attempt.
 	Unreachable
-	// Silent is an endpoint that took work and answered nothing in time.
+	// Silent is the lack of any answer to accepted work within the time limit.
 	Silent
 )
 
@@ -46,78 +46,79 @@
 // String implements fmt.Stringer.
 func (r Result) String() string { return resultNames[r] }
 
-// Weights of results in health, in failures.
+// Weights of results, as fractions or multiples of one failure.
 const (
 	busyWeight   = 0.3
 	silentWeight = 1.5
 )
 
 func (f *Fleet) placeLocked(e *Endpoint, d Demand) *Placement {
-	p := &Placement{fleet: f, endpoint: e, demand: d, reading: d.Prompt > 0}
+	p := &Placement{fleet: f, endpoint: e, demand: d, prefilling: d.Prompt > 0}
 	f.used[e] = struct{}{}
 	now := f.now()
-	e.coldUsedAt = now
+	e.lastRequestAt = now
 	f.useSlotLocked(e, now)
 	e.own.Count++
-	e.own.Tokens += p.tokens()
-	e.own.Unread += p.unread()
+	e.own.Tokens += p.expectedTokens()
+	e.own.PendingPrefill += p.pendingPrefill()
 	if d.Prompt > 0 {
-		f.tellLocked(e)
+		f.broadcastLoadLocked(e)
 	}
 	return p
 }
 
-// Instance returns the endpoint as it registered itself.
+// Instance returns the endpoint as it has registered.
 func (p *Placement) Instance() Instance { return p.endpoint.Instance }
 
-// Life ends, with its cause, once the incarnation has certainly died. What still seems to
-// run there is lost.
-func (p *Placement) Life() context.Context { return p.endpoint.life }
+// EndpointContext returns a context that is cancelled, with a cause, once the incarnation is known
+// to have died. Runs on it are lost then.
+func (p *Placement) EndpointContext() context.Context { return p.endpoint.ctx }
 
-// Leaving is closed once the endpoint is about to stop.
+// Leaving returns a channel that is closed once the endpoint is about to stop.
 func (p *Placement) Leaving() <-chan struct{} {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	return p.endpoint.leaving
 }
 
-// Usable tells whether a run may go on at the endpoint.
+// Usable reports whether the run can continue on the endpoint: its data centre is not evacuated and
+// it has not requested a pause.
 func (p *Placement) Usable() bool {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	return !p.endpoint.isEvacuated && !p.fleet.pausedLocked(p.endpoint)
 }
 
-// tokens is the memory that the run is expected to need. An answer that has outgrown
-// its expectation is expected to go on for a while.
-func (p *Placement) tokens() int {
+// expectedTokens returns the memory, in tokens, that the run is expected to need. An answer
+// that exceeds its expected length is assumed to continue for a while.
+func (p *Placement) expectedTokens() int {
 	if p.demand.Prompt == 0 {
 		return 0
 	}
-	const outgrown = 1.25
-	output := max(float64(p.demand.Output), float64(p.produced)*outgrown)
+	const outgrownFactor = 1.25
+	output := max(float64(p.demand.Output), float64(p.produced)*outgrownFactor)
 	return p.demand.Prompt + int(output)
 }
 
-// Memory is the number of tokens that the run has in memory by now.
-func (p *Placement) Memory() int {
+// CurrentTokens returns the number of tokens that the run has in memory now.
+func (p *Placement) CurrentTokens() int {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	return p.tokensNow()
+	return p.currentTokensLocked()
 }
 
-// tokensNow is the memory that the run has by now.
-func (p *Placement) tokensNow() int { return p.demand.Prompt + p.produced }
+// currentTokensLocked returns the memory, in tokens, that the run occupies now.
+func (p *Placement) currentTokensLocked() int { return p.demand.Prompt + p.produced }
 
-func (p *Placement) unread() int {
-	if p.reading {
+func (p *Placement) pendingPrefill() int {
+	if p.prefilling {
 		return p.demand.Prompt
 	}
 	return 0
 }
 
-// Produced records the number of tokens that the run has made.
-func (p *Placement) Produced(tokens int) {
+// SetProduced records the number of tokens that the run has generated so far.
+func (p *Placement) SetProduced(tokens int) {
 	f := p.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,14 +126,14 @@
 		return
 	}
 	own := &p.endpoint.own
-	own.Tokens -= p.tokens()
-	own.Unread -= p.unread()
+	own.Tokens -= p.expectedTokens()
+	own.PendingPrefill -= p.pendingPrefill()
 	p.produced = tokens
-	p.reading = false
-	own.Tokens += p.tokens()
+	p.prefilling = false
+	own.Tokens += p.expectedTokens()
 }
 
-// Release ends the placement with its result.
+// Release ends the placement and records its result.
 func (p *Placement) Release(r Result) {
 	f := p.fleet
 	f.mu.Lock()
@@ -143,18 +144,19 @@
 	p.released = true
 	e := p.endpoint
 	e.own.Count--
-	e.own.Tokens -= p.tokens()
-	e.own.Unread -= p.unread()
+	e.own.Tokens -= p.expectedTokens()
+	e.own.PendingPrefill -= p.pendingPrefill()
 	f.recordLocked(e, r)
 	f.dispatchLocked(e.Service)
-	if p.demand.Prompt > 0 && f.othersWaitLocked(e.Service) {
-		// They would otherwise learn of the room with the next regular datagram.
-		f.Changed("")
+	if p.demand.Prompt > 0 && f.othersWaitingLocked(e.Service) {
+		// The waiting nodes would otherwise learn of the capacity only with the next regular
+		// datagram.
+		f.Broadcast("")
 	}
 }
 
-// Report records a result without an end of the placement.
-func (p *Placement) Report(r Result) {
+// RecordResult records a result without ending the placement.
+func (p *Placement) RecordResult(r Result) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	p.fleet.recordLocked(p.endpoint, r)
@@ -178,32 +180,33 @@
 		h.avoid(now, unreachableSuspension)
 	case Neutral:
 	}
-	f.tellOfHealthLocked(e, r, now)
+	f.reportExclusionLocked(e, r, now)
 }
 
-// Exclusion is a change of what this node believes of an endpoint's health.
+// Exclusion is a change of this node's view of an endpoint's health.
 type Exclusion struct {
 	Instance Instance
-	// Excluded is set if the endpoint gets no new work for a while, and not if it is
-	// taken back after a whole answer.
+	// Excluded is set if the endpoint gets no new work for some time, and unset if it is readmitted
+	// after a complete answer.
 	Excluded bool
-	// Cause is the result that led to it, For the time for which work is kept away.
-	Cause Result
-	For   time.Duration
-	// Failures is the number of recent failures, as they are weighed.
+	// Cause is the result that led to the change. Duration is the time for which the endpoint gets
+	// no new work.
+	Cause    Result
+	Duration time.Duration
+	// Failures is the weighted number of recent failures.
 	Failures float64
 }
 
-// tellOfHealthLocked tells of an endpoint that is left out from now on, and of one that is
-// good again; what lies between would be a line for each request.
-func (f *Fleet) tellOfHealthLocked(e *Endpoint, r Result, now time.Duration) {
+// reportExclusionLocked reports an endpoint that is excluded from now on, and one that is healthy
+// again. The results in between are not reported, as they would give a log line for each request.
+func (f *Fleet) reportExclusionLocked(e *Endpoint, r Result, now time.Duration) {
 	h := &e.health
 	excluded := now < h.ejectedUntil
 	back := r == Good && !excluded
 	if (excluded && !h.reported) || (back && h.reported) {
 		h.reported = excluded
-		f.Believed(Exclusion{
-			Instance: e.Instance, Excluded: excluded, Cause: r, For: max(h.ejectedUntil-now, 0), Failures: h.failures,
+		f.OnExclusion(Exclusion{
+			Instance: e.Instance, Excluded: excluded, Cause: r, Duration: max(h.ejectedUntil-now, 0), Failures: h.failures,
 		})
 	}
 }
--- a/fleet/remote_test.go
+++ b/fleet/remote_test.go
@@ -12,22 +12,22 @@
 	"github.com/crocusreel/crocusreel/fleet"
 )
 
-var _ = Describe("what other nodes tell of their runs", func() {
-	// Sums are kept from one datagram to the next. One that drifts makes an engine look
-	// full that is empty, and callers wait for room that is there, or the other way round.
+var _ = Describe("load reports of other nodes", func() {
+	// The sums are updated with each datagram. A sum that drifts makes an empty engine look full,
+	// so that callers wait for capacity that is free, or a full one look empty.
 	for seed := range uint64(20) {
-		It(fmt.Sprintf("adds up whatever comes in which order, seed %d", seed), func() {
-			w, random := newWorld(), rand.New(rand.NewPCG(seed, 1))
+		It(fmt.Sprintf("add up to the maintained sums in any order of events, seed %d", seed), func() {
+			w, random := newFixture(), rand.New(rand.NewPCG(seed, 1))
 			var runs []*fleet.Placement
 			instance := func() fleet.Instance {
 				id := fmt.Sprintf("e%d", random.IntN(8))
-				return fleet.Instance{ID: id, Service: "pool", DataCentre: "dc1", Slots: 24, Born: int64(random.IntN(2))}
+				return fleet.Instance{ID: id, Service: "pool", DataCentre: "dc1", Slots: 24, StartedAtMS: int64(random.IntN(2))}
 			}
 			steps := []func(){
 				func() { w.Update(instance()) },
 				func() { w.Remove(instance().ID, random.IntN(2) == 0) },
 				func() { w.DropMissing() },
-				func() { w.Forget(fmt.Sprintf("n%d", random.IntN(5))) },
+				func() { w.ForgetNode(fmt.Sprintf("n%d", random.IntN(5))) },
 				func() { w.now += time.Second / 2 },
 				func() {
 					if p, refusal := w.Acquire(context.Background(), generation(100, 100), 0); refusal == nil {
@@ -46,7 +46,7 @@
 				for range random.IntN(6) {
 					loads = append(loads, fleet.Load{
 						Key: instance().Incarnation().Key(), Count: random.IntN(3), Tokens: random.IntN(500),
-						Unread: random.IntN(100), Arriving: random.IntN(100), Held: random.IntN(100),
+						PendingPrefill: random.IntN(100), IncomingTokens: random.IntN(100), BackupTokens: random.IntN(100),
 					})
 				}
 				w.SetRemote(fmt.Sprintf("n%d", random.IntN(5)), loads, nil)
@@ -63,11 +63,11 @@
 		})
 	}
 
-	// Another node ends a run on an engine while a caller waits here for its room, and no
-	// engine told of has any. The caller must have it with that datagram.
-	It("gives work that waits the room that comes free", func() {
-		w := newWorld()
-		w.engine("e1", "dc1")
+	// Another node ends a run on an engine while a caller waits here and all engines are full. The
+	// caller must be placed with that datagram.
+	It("give freed capacity to waiting work", func() {
+		w := newFixture()
+		w.addEngine("e1", "dc1")
 		key := fleet.Instance{ID: "e1"}.Incarnation().Key()
 		w.SetRemote("n1", []fleet.Load{{Key: key, Count: 24, Tokens: 30_000}}, nil)
 		granted := make(chan *fleet.Placement, 1)
--- a/node/node.go
+++ b/node/node.go
@@ -97,7 +97,7 @@
 }
 
 // New returns a node with the given settings. The mechanisms in without are disabled.
-func New(s *platform.NodeSettings, without fleet.Without, log *zap.Logger) *Node {
+func New(s *platform.NodeSettings, without fleet.DisabledMechanisms, log *zap.Logger) *Node {
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
 	n := &Node{
 		settings:    s,
@@ -125,17 +125,17 @@
 		Lost:        n.forgetPeer,
 		Log:         log,
 	})
-	n.fleet.Name, n.fleet.Without = s.IP, without
+	n.fleet.Name, n.fleet.Disabled = s.IP, without
 	n.evacuations.IsKnown = n.knowsDataCentre
 	metrics.GaugeFunc("evacuations", func() any { return n.fleet.Evacuations() })
 	n.fleet.Regions = s.Regions
-	n.fleet.Population = n.population.current
+	n.fleet.ClusterSize = n.population.current
 	n.fleet.Roster = n.roster.current.Load
-	n.fleet.Changed = n.announce
-	n.fleet.Believed = n.logExclusion
-	n.fleet.Noticed = n.logNoticeChange
+	n.fleet.Broadcast = n.announce
+	n.fleet.OnExclusion = n.logExclusion
+	n.fleet.OnNotice = n.logNoticeChange
 	n.engines.Noticed = n.fleet.RecordNoticeByAddress
-	n.fleet.Wake = func(after time.Duration) { time.AfterFunc(after, n.fleet.Tick) }
+	n.fleet.ScheduleTick = func(after time.Duration) { time.AfterFunc(after, n.fleet.Tick) }
 	n.relay = &relay.Relay{
 		Fleet:    n.fleet,
 		Client:   n.client,
@@ -235,7 +235,7 @@
 	} {
 		daemon.AddTask(&group, task)
 	}
-	n.log.Info("node started", zap.Any("without", n.fleet.Without),
+	n.log.Info("node started", zap.Any("without", n.fleet.Disabled),
 		zap.String("data_centre", n.settings.DataCentre),
 		zap.String("caller_address", n.settings.CallerAddress), zap.Uint64("incarnation", n.incarnation))
 	return group.Run()
--- a/node/population.go
+++ b/node/population.go
@@ -51,8 +51,8 @@
 }
 
 // current returns the tracked number of nodes. It may be called from any goroutine.
-func (p *population) current() fleet.Population {
-	return fleet.Population{Nodes: int(p.maxNodes.Load()), Heard: p.majorityLive.Load()}
+func (p *population) current() fleet.ClusterSize {
+	return fleet.ClusterSize{Nodes: int(p.maxNodes.Load()), HalfLive: p.majorityLive.Load()}
 }
 
 // roster tracks the nodes heard from within populationWindow, including this one.
--- a/node/source.go
+++ b/node/source.go
@@ -169,7 +169,7 @@
 
 // shouldPollStore reports whether a feed is to poll the store.
 func (n *Node) shouldPollStore(f *feed) bool {
-	if n.fleet.Without[fleet.OneReader] {
+	if n.fleet.Disabled[fleet.OneReader] {
 		return true
 	}
 	_, followsReader := n.reader()
--- a/relay/call.go
+++ b/relay/call.go
@@ -101,7 +101,7 @@
 	if !got.notRun && (!j.r.Route.Kind.Repeatable() || runs >= j.r.Route.MaxAttempts) {
 		return false
 	}
-	if j.result.Attempts >= maxSends || j.Fleet.Without[fleet.Retries] || !j.Budgets.Get(j.r.Service.Name).AllowRetry() {
+	if j.result.Attempts >= maxSends || j.Fleet.Disabled[fleet.Retries] || !j.Budgets.Get(j.r.Service.Name).AllowRetry() {
 		metrics.Count("retry_denied")
 		return false
 	}
--- a/relay/copies.go
+++ b/relay/copies.go
@@ -42,13 +42,13 @@
 
 // holdBackup reserves room for the backup of a long answer on an endpoint that is not in except. It
 // returns nil for short answers and if no endpoint has room.
-func (j *job) holdBackup(p *fleet.Placement, except ...string) *fleet.Holding {
+func (j *job) holdBackup(p *fleet.Placement, except ...string) *fleet.BackupReservation {
 	w := j.want()
 	w.Exclude = except
 	if w.Short() {
 		return nil
 	}
-	h := j.Fleet.Hold(p, w)
+	h := j.Fleet.ReserveBackup(p, w)
 	if h == nil {
 		metrics.Count("stream_without_backup")
 	}
@@ -57,7 +57,7 @@
 
 // dropBackup releases the reservation of a backup: at once if freed is set, because the engine has
 // freed the backup or never made it, and after copyLifetime otherwise.
-func (j *job) dropBackup(h *fleet.Holding, freed bool) {
+func (j *job) dropBackup(h *fleet.BackupReservation, freed bool) {
 	switch {
 	case h == nil:
 	case freed:
@@ -73,7 +73,7 @@
 // backupUsable reports whether the segment has a backup on an endpoint that is alive, not leaving
 // and not evacuated.
 func (s *segment) backupUsable() bool {
-	if s.backup == nil || s.backup.Life().Err() != nil {
+	if s.backup == nil || s.backup.EndpointContext().Err() != nil {
 		return false
 	}
 	select {
@@ -97,18 +97,18 @@
 // backup.
 func (s *segment) copies(prog *progress) []runCopy {
 	var all []runCopy
-	if m := s.migrator.currentCopy(); m != nil && m.target.Life().Err() == nil && m.target.Usable() {
+	if m := s.migrator.currentCopy(); m != nil && m.target.EndpointContext().Err() == nil && m.target.Usable() {
 		all = append(all, runCopy{
 			engine: m.target.Instance(),
 			resume: Resume{Source: m.source, Handle: m.handle, LastEvent: prog.last},
 			take:   s.migrator.takeCopy,
 		})
 	}
-	if s.backup != nil && s.backup.Life().Err() == nil {
+	if s.backup != nil && s.backup.EndpointContext().Err() == nil {
 		all = append(all, runCopy{
 			engine: s.backup.Instance(),
 			resume: Resume{Source: s.backup.Instance().Address, Handle: s.r.ID, LastEvent: prog.last},
-			take:   func() *fleet.Placement { return s.backup.Take(prog.count * s.tokensPerEvent()) },
+			take:   func() *fleet.Placement { return s.backup.Promote(prog.count * s.tokensPerEvent()) },
 		})
 	}
 	return all
@@ -177,7 +177,7 @@
 // if the engine is gone or does not know the run. ensureStopped returns false if the run may still
 // be active.
 func (s *segment) ensureStopped(ctx context.Context, target fleet.Instance) (ended bool, handle string) {
-	if s.p.Life().Err() != nil {
+	if s.p.EndpointContext().Err() != nil {
 		return true, ""
 	}
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
@@ -200,7 +200,7 @@
 		}
 		if unreached >= maxUnreachable || errors.Is(err, syscall.ECONNREFUSED) {
 			// Keeps new requests and backups off the endpoint until its entry is removed.
-			s.p.Report(fleet.Unreachable)
+			s.p.RecordResult(fleet.Unreachable)
 			return true, ""
 		}
 		// A pooled connection to an engine that has died ends without an answer. The next
--- a/relay/death.go
+++ b/relay/death.go
@@ -24,7 +24,7 @@
 
 // endpointGone reports whether the placement's incarnation of its endpoint has ended.
 func (j *job) endpointGone(ctx context.Context, p *fleet.Placement) bool {
-	if p.Life().Err() != nil {
+	if p.EndpointContext().Err() != nil {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, deathCheckTimeout)
@@ -37,7 +37,7 @@
 // its incarnation is known to have ended: a restart marks the old incarnation as leaving, too.
 func (j *job) strikeIfDead(ctx context.Context, p *fleet.Placement) {
 	in := p.Instance()
-	if leaving(p) && p.Life().Err() == nil || !j.endpointGone(ctx, p) {
+	if leaving(p) && p.EndpointContext().Err() == nil || !j.endpointGone(ctx, p) {
 		return
 	}
 	strikes := j.Strikes.Add(j.r.Fingerprint, uint32(in.Incarnation().Key()))
--- a/relay/mover.go
+++ b/relay/mover.go
@@ -52,7 +52,7 @@
 func (m *migrator) start(ctx context.Context) {
 	ctx, m.cancel = context.WithCancel(ctx)
 	spec := m.segment.r.Service.Engine
-	if spec == nil || !spec.CanMove || m.segment.Fleet.Without[fleet.Moves] {
+	if spec == nil || !spec.CanMove || m.segment.Fleet.Disabled[fleet.Moves] {
 		close(m.done)
 		return
 	}
@@ -78,7 +78,7 @@
 // watch waits until the engine is leaving and then has the run copied when its turn comes.
 func (m *migrator) watch(ctx context.Context) {
 	s := m.segment
-	if !await(ctx, s.p.Leaving()) || s.p.Life().Err() != nil {
+	if !await(ctx, s.p.Leaving()) || s.p.EndpointContext().Err() != nil {
 		return
 	}
 	if s.backupUsable() {
@@ -121,7 +121,7 @@
 	s := m.segment
 	want := s.want()
 	want.Exclude = m.refused
-	target := s.Fleet.Target(s.p, want)
+	target := s.Fleet.ReserveMoveTarget(s.p, want)
 	if target == nil {
 		metrics.Count("move_no_target")
 		m.refused = nil
@@ -147,7 +147,7 @@
 	m.answered = answered
 	m.mu.Unlock()
 	copied := t.copy(ctx)
-	t.target.Arrived()
+	t.target.EndCopy()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.answered = nil
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -22,7 +22,7 @@
 	migrator *migrator
 	events   *eventReader
 	// backup is the reservation for a copy of the run's KV cache on another endpoint, nil for none.
-	backup *fleet.Holding
+	backup *fleet.BackupReservation
 }
 
 // segmentEnd is how a segment ended.
@@ -91,7 +91,7 @@
 			return nil, j.exhausted(ctx, nil, refusal)
 		}
 		backup := j.holdBackup(p)
-		quiet := time.AfterFunc(silentThreshold, func() { p.Report(fleet.Silent) })
+		quiet := time.AfterFunc(silentThreshold, func() { p.RecordResult(fleet.Silent) })
 		resp, err := j.send(ctx, p, nil, backup)
 		quiet.Stop()
 		got := startErrorResult(err)
@@ -195,7 +195,7 @@
 // healthAfterCut returns the health result for an endpoint whose stream was cut: a failure, unless
 // the endpoint was leaving or has restarted.
 func (s *segment) healthAfterCut() fleet.Result {
-	if s.p.Life().Err() != nil || leaving(s.p) {
+	if s.p.EndpointContext().Err() != nil || leaving(s.p) {
 		return fleet.Neutral
 	}
 	return fleet.Failed
@@ -269,7 +269,7 @@
 	}
 	prog.record(id)
 	if prog.count%eventsPerUpdate == 1 {
-		s.p.Produced(prog.count * s.tokensPerEvent())
+		s.p.SetProduced(prog.count * s.tokensPerEvent())
 	}
 	s.migrator.markBegun()
 }
