--- a/gateway/enginerun.go
+++ b/gateway/enginerun.go
@@ -33,7 +33,7 @@
 	updateEvery = 8
 
 	// endLater marks a permit that is released when its generation is cancelled.
-	endLater scheduler.End = ""
+	endLater scheduler.EndReason = ""
 )
 
 // engineRun is one generation at one engine. All its tokens come from that generation: a
@@ -54,7 +54,7 @@
 }
 
 // do runs the generation and says how the permit ended.
-func (u *engineRun) do(ctx context.Context) (verdict, scheduler.End) {
+func (u *engineRun) do(ctx context.Context) (verdict, scheduler.EndReason) {
 	engine, ok := u.r.g.endpoints.engine(u.r.g.state.Load(), u.permit.Endpoint)
 	if !ok {
 		return u.notStarted(crocusreel.ReasonNoEndpoint, "endpoint is not in the configuration"), scheduler.EndNotStarted
@@ -103,7 +103,7 @@
 
 // follow delivers the generation's tokens and resumes its stream when it breaks.
 // With a nil stream, cause tells how the first one broke.
-func (u *engineRun) follow(ctx context.Context, stream endpoint.Stream, cause error) (verdict, scheduler.End) {
+func (u *engineRun) follow(ctx context.Context, stream endpoint.Stream, cause error) (verdict, scheduler.EndReason) {
 	for broken := 0; ; broken++ {
 		if stream != nil {
 			before := u.next
@@ -216,7 +216,7 @@
 // abandoned handles a caller that is gone or whose deadline has passed. A gone
 // caller may resume elsewhere, so its generation is cancelled only after a while
 // and only if nobody reads it by then.
-func (u *engineRun) abandoned(ctx context.Context) (verdict, scheduler.End) {
+func (u *engineRun) abandoned(ctx context.Context) (verdict, scheduler.EndReason) {
 	outcome := crocusreel.OutcomeRan
 	if u.next == 0 {
 		outcome = crocusreel.OutcomeUnknown
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -65,13 +65,13 @@
 	known := newEndpoints(newNotices(s.VM.ID, time.Now, log))
 	client := peerTLS.HTTPClient()
 	manager := scheduler.NewManager(scheduler.Options{
-		VMID:    s.VM.ID,
-		Region:  s.VM.Region,
-		Engines: func(spec config.EndpointSpec) endpoint.Engine { return known.engineAt(spec.Address) },
-		Notice:  func(spec config.EndpointSpec) notice.Notice { return known.notices.of(spec.Address) },
-		Client:  client,
-		Scheme:  scheme(peerTLS),
-		Log:     log,
+		VMID:         s.VM.ID,
+		Region:       s.VM.Region,
+		EngineClient: func(spec config.EndpointSpec) endpoint.Engine { return known.engineAt(spec.Address) },
+		Notice:       func(spec config.EndpointSpec) notice.Notice { return known.notices.of(spec.Address) },
+		Client:       client,
+		Scheme:       scheme(peerTLS),
+		Log:          log,
 	})
 	g := newGateway(processSettings{
 		vm:            s.VM,
--- a/gateway/resume.go
+++ b/gateway/resume.go
@@ -55,7 +55,7 @@
 
 // resume continues the generation. Whatever happens, it is not replaced by another:
 // the caller already holds some of its tokens.
-func (u *engineRun) resume(ctx context.Context) (verdict, scheduler.End) {
+func (u *engineRun) resume(ctx context.Context) (verdict, scheduler.EndReason) {
 	first := u.next
 	stream, err := u.engine.Resume(ctx, u.id, u.next)
 	if err != nil && isUnknownGeneration(err) {
--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// schedulerTries is the number of attempts to get a permit from the scheduler
+	// schedulerAttempts is the number of attempts to get a permit from the scheduler
 	// before the gateway decides alone with its share of the engines.
-	schedulerTries = 2
-	// spareWait is how long a request waits for that share. Then the scheduler is
+	schedulerAttempts = 2
+	// fallbackWait is how long a request waits for that share. Then the scheduler is
 	// asked again: it may be back, or another gateway, and has all of the engines.
-	spareWait = time.Second
+	fallbackWait = time.Second
 )
 
 // Acquire implements Permits. However often the scheduler moves or fails, the wait is
 // bounded as a whole by the configuration's queue_wait_ms.
 func (m *Manager) Acquire(ctx context.Context, req Request) (Permit, error) {
 	req.Gateway = m.opts.VMID
-	ctx, cancel := m.boundWait(ctx)
+	ctx, cancel := m.withQueueTimeout(ctx)
 	defer cancel()
 	for {
-		for range schedulerTries {
-			p, err := m.acquireMain(ctx, req)
-			if err == nil || final(ctx, err) {
+		for range schedulerAttempts {
+			p, err := m.acquireFromScheduler(ctx, req)
+			if err == nil || isFinal(ctx, err) {
 				return p, finalError(ctx, err)
 			}
 			metrics.Retried(crocusreel.ReasonSchedulerLost)
 			m.opts.Log.Warn("scheduler_failed", zap.String("model", req.Model),
 				zap.String("request", req.RequestID), zap.Error(err))
 		}
-		p, err := m.acquireSpare(ctx, req)
-		if err == nil || final(ctx, err) {
+		p, err := m.acquireFallback(ctx, req)
+		if err == nil || isFinal(ctx, err) {
 			return p, finalError(ctx, err)
 		}
 	}
 }
 
-// boundWait adds the longest wait in a queue to the caller's own deadline.
-func (m *Manager) boundWait(ctx context.Context) (context.Context, context.CancelFunc) {
+// withQueueTimeout adds the longest wait in a queue to the caller's own deadline.
+func (m *Manager) withQueueTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	v := m.view.Load()
 	if v == nil || v.cfg.Limits.QueueWaitMS <= 0 {
 		return context.WithCancel(ctx)
@@ -53,16 +53,16 @@
 	return context.WithTimeout(ctx, time.Duration(v.cfg.Limits.QueueWaitMS)*time.Millisecond)
 }
 
-// acquireMain asks the pool's scheduler once.
-func (m *Manager) acquireMain(ctx context.Context, req Request) (Permit, error) {
+// acquireFromScheduler asks the pool's scheduler once.
+func (m *Manager) acquireFromScheduler(ctx context.Context, req Request) (Permit, error) {
 	pv, refusal := m.poolOf(req.Model)
 	if refusal != nil {
 		return Permit{}, refusal
 	}
-	req.Losses, req.Strikes = m.ledger.against(req.Fingerprint, pv.key, m.now())
-	p, err := m.try(ctx, pv, req)
+	req.Losses, req.Strikes = m.permits.lossesAndStrikes(req.Fingerprint, pv.key, m.now())
+	p, err := m.acquireOnce(ctx, pv, req)
 	if err == nil {
-		m.ledger.add(p, pv.key, false)
+		m.permits.add(p, pv.key, false)
 	}
 	return p, err
 }
@@ -70,10 +70,10 @@
 func (m *Manager) poolOf(model string) (*poolView, *crocusreel.Refusal) {
 	v := m.view.Load()
 	if v == nil {
-		return nil, crocusreel.Refuse(crocusreel.ReasonNotReady, crocusreel.OutcomeNotRun, leastRetryAfter,
+		return nil, crocusreel.Refuse(crocusreel.ReasonNotReady, crocusreel.OutcomeNotRun, minRetryAfter,
 			"no configuration yet")
 	}
-	pv, ok := v.pools[model]
+	pv, ok := v.byModel[model]
 	if !ok {
 		return nil, crocusreel.Refuse(crocusreel.ReasonUnknownModel, crocusreel.OutcomeNotRun, 0,
 			"no model %q", model)
@@ -81,49 +81,49 @@
 	return pv, nil
 }
 
-// try asks the pool's scheduler, here or at another gateway. The wait ends with an
+// acquireOnce asks the pool's scheduler, here or at another gateway. The wait ends with an
 // error if the scheduler moves or becomes unreachable: a request that stayed in the
 // queue of a gateway which no longer schedules would be forgotten there.
-func (m *Manager) try(ctx context.Context, pv *poolView, req Request) (Permit, error) {
+func (m *Manager) acquireOnce(ctx context.Context, pv *poolView, req Request) (Permit, error) {
 	call, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(pv.moved, cancel)()
+	defer context.AfterFunc(pv.schedulerCtx, cancel)()
 	if pv.remote == nil {
-		return pv.main.acquire(call, req)
+		return pv.primary.acquire(call, req)
 	}
-	up := pv.remote.alive()
-	if up.Err() != nil {
-		return Permit{}, errUnreachable
+	reachable := pv.remote.reachableCtx()
+	if reachable.Err() != nil {
+		return Permit{}, errSchedulerUnreachable
 	}
-	defer context.AfterFunc(up, cancel)()
+	defer context.AfterFunc(reachable, cancel)()
 	return pv.remote.acquire(call, &req, pv.key, m.now())
 }
 
-var errUnreachable = errors.New("the scheduler does not answer reports")
+var errSchedulerUnreachable = errors.New("the scheduler does not answer reports")
 
-// acquireSpare decides alone, with this gateway's share of the engines, and waits for
+// acquireFallback decides alone, with this gateway's share of the engines, and waits for
 // it for a short time only.
-func (m *Manager) acquireSpare(ctx context.Context, req Request) (Permit, error) {
+func (m *Manager) acquireFallback(ctx context.Context, req Request) (Permit, error) {
 	pv, refusal := m.poolOf(req.Model)
 	if refusal != nil {
 		return Permit{}, refusal
 	}
 	metrics.Count("spare_scheduler")
-	req.Losses, req.Strikes = m.ledger.against(req.Fingerprint, pv.key, m.now())
+	req.Losses, req.Strikes = m.permits.lossesAndStrikes(req.Fingerprint, pv.key, m.now())
 	wait, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// No deadline: the pool would take it for the caller's and refuse for good.
-	defer time.AfterFunc(spareWait, cancel).Stop()
-	p, err := pv.spare.acquire(wait, req)
+	defer time.AfterFunc(fallbackWait, cancel).Stop()
+	p, err := pv.fallback.acquire(wait, req)
 	if err == nil {
-		m.ledger.add(p, pv.key, true)
+		m.permits.add(p, pv.key, true)
 	}
 	return p, err
 }
 
-// final tells whether an error is the scheduler's decision or the caller's end,
+// isFinal tells whether an error is the scheduler's decision or the caller's end,
 // and not a failure to reach the scheduler.
-func final(ctx context.Context, err error) bool {
+func isFinal(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return true
 	}
@@ -141,7 +141,7 @@
 		return refusal
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return crocusreel.Refuse(crocusreel.ReasonDeadline, crocusreel.OutcomeNotRun, leastRetryAfter,
+		return crocusreel.Refuse(crocusreel.ReasonDeadline, crocusreel.OutcomeNotRun, minRetryAfter,
 			"no engine had room in time")
 	}
 	if ctx.Err() != nil {
@@ -151,11 +151,11 @@
 }
 
 // Update implements Permits.
-func (m *Manager) Update(permitID string, produced int) { m.ledger.update(permitID, produced) }
+func (m *Manager) Update(permitID string, produced int) { m.permits.update(permitID, produced) }
 
 // Release implements Permits.
 func (m *Manager) Release(r Release) {
-	h := m.ledger.remove(r.Permit.ID)
+	h := m.permits.remove(r.Permit.ID)
 	if h == nil {
 		return
 	}
@@ -163,22 +163,22 @@
 		r.Permit.Produced = int(h.produced.Load())
 	}
 	if r.End == EndEndpointLost {
-		m.ledger.lose(r.Permit, m.now())
+		m.permits.recordLoss(r.Permit, m.now())
 	}
 	if r.End != EndEndpointLost || !m.reportLoss(h.pool, r) {
-		m.ledger.give(h.pool, r)
-		signal(m.wake)
+		m.permits.queueReleases(h.pool, r)
+		signal(m.releasesDue)
 	}
-	if h.spare {
-		m.releaseSpare(h.pool, r)
+	if h.fallback {
+		m.releaseFallback(h.pool, r)
 	}
 }
 
-// lossTimeout bounds the wait for a scheduler to learn of a lost answer.
-const lossTimeout = 300 * time.Millisecond
+// lossReportTimeout bounds the wait for a scheduler to learn of a lost answer.
+const lossReportTimeout = 300 * time.Millisecond
 
-// strikeDelays are the times after a loss at which its strike is asked for.
-var strikeDelays = []time.Duration{20 * time.Millisecond, 200 * time.Millisecond}
+// strikeReportDelays are the times after a loss at which its strike is asked for.
+var strikeReportDelays = []time.Duration{20 * time.Millisecond, 200 * time.Millisecond}
 
 // reportLoss tells the scheduler of a lost answer and waits until it knows. The
 // gateway tries again or answers its caller right after. If that request reached the
@@ -190,30 +190,30 @@
 		return false
 	}
 	pv := v.byKey[key]
-	ctx, cancel := context.WithTimeout(m.ctx, lossTimeout)
+	ctx, cancel := context.WithTimeout(m.ctx, lossReportTimeout)
 	defer cancel()
 	report := &gatewayReport{Gateway: m.opts.VMID, Partial: true, Releases: []Release{r}}
 	var err error
 	if pv.remote == nil {
-		_, err = pv.main.report(ctx, report)
+		_, err = pv.primary.report(ctx, report)
 	} else {
 		_, err = pv.remote.report(ctx, report, key, m.now())
 	}
 	// The strike is counted once a poll has shown the death. Full reports soon after
 	// bring it here, so that it is not lost if the scheduler moves within the second.
 	if err != nil {
-		m.opts.Log.Warn("loss not told to the scheduler", zap.String("pool", key), zap.String("scheduler", pv.scheduler),
+		m.opts.Log.Warn("loss not told to the scheduler", zap.String("pool", key), zap.String("scheduler", pv.schedulerID),
 			zap.String("permit", r.Permit.ID), logging.Work(r.Permit.Fingerprint), zap.Error(err))
 	}
-	for _, delay := range strikeDelays {
-		time.AfterFunc(delay, func() { signal(m.changed) })
+	for _, delay := range strikeReportDelays {
+		time.AfterFunc(delay, func() { signal(m.fullReportDue) })
 	}
 	return err == nil
 }
 
-func (m *Manager) releaseSpare(key string, r Release) {
+func (m *Manager) releaseFallback(key string, r Release) {
 	if v := m.view.Load(); v != nil && v.byKey[key] != nil {
-		v.byKey[key].spare.send(reportEvent{report: &gatewayReport{
+		v.byKey[key].fallback.send(reportEvent{report: &gatewayReport{
 			Gateway: m.opts.VMID, Partial: true, Releases: []Release{r},
 		}})
 	}
--- a/scheduler/backlog.go
+++ b/scheduler/backlog.go
@@ -13,22 +13,22 @@
 type backlog struct {
 	rate policy.ServiceRate
 	// clock is the time during which something waited.
-	clock   time.Duration
-	at      time.Duration
-	waiting bool
+	clock     time.Duration
+	updatedAt time.Duration
+	queued    bool
 }
 
 // advance moves the clock to the time now.
 func (b *backlog) advance(now time.Duration) {
-	if b.waiting {
-		b.clock += max(now-b.at, 0)
+	if b.queued {
+		b.clock += max(now-b.updatedAt, 0)
 	}
-	b.at = now
+	b.updatedAt = now
 }
 
 // served tells that a request began.
 func (b *backlog) served() {
-	if b.waiting {
+	if b.queued {
 		b.rate.Served(b.clock)
 	}
 }
--- a/scheduler/convert.go
+++ b/scheduler/convert.go
@@ -8,12 +8,12 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-func requestToWire(r *Request, pool string, left, now time.Duration) *peerv1.AcquireRequest {
+func requestToWire(r *Request, pool string, timeLeft, now time.Duration) *peerv1.AcquireRequest {
 	return &peerv1.AcquireRequest{
 		RequestId: r.RequestID, Gateway: r.Gateway, Model: r.Model, Adapter: r.Adapter,
 		Workspace: r.Workspace, Class: string(r.Class), Priority: int32(r.Priority),
 		PromptTokens: uint32(r.PromptTokens), MaxTokens: uint32(r.MaxTokens),
-		DeadlineMs: uint32(left.Milliseconds()), Prefixes: r.Prefixes, Excluded: r.Excluded,
+		DeadlineMs: uint32(timeLeft.Milliseconds()), Prefixes: r.Prefixes, Excluded: r.Excluded,
 		Fingerprint: r.Fingerprint, LengthHint: uint32(r.LengthHint), Pool: pool,
 		Losses: permitsToWire(r.Losses), Strikes: strikesToWire(r.Strikes, now),
 	}
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// graceAfterTakeover is how long admission is conservative after a pool became
+	// takeoverGracePeriod is how long admission is conservative after a pool became
 	// active: permits of an earlier scheduler are still being reported.
-	graceAfterTakeover = 2 * time.Second
-	// graceShare is the part of the engines' memory used meanwhile.
-	graceShare = 0.7
-	// reportGrace is the age over which a permit that its gateway does not report
+	takeoverGracePeriod = 2 * time.Second
+	// takeoverGraceShare is the part of the engines' memory used meanwhile.
+	takeoverGraceShare = 0.7
+	// unreportedPermitGrace is the age over which a permit that its gateway does not report
 	// is dropped: the answer with the grant was lost. It is longer than a grant and
 	// a report can pass each other on the way.
-	reportGrace = 3 * time.Second
-	// tombstoneLife is how long an ended permit is remembered, so that a late
+	unreportedPermitGrace = 3 * time.Second
+	// tombstoneTTL is how long an ended permit is remembered, so that a late
 	// report does not revive it.
-	tombstoneLife = 15 * time.Second
+	tombstoneTTL = 15 * time.Second
 )
 
 // poolConfig is what a pool needs to know of the configuration and of the region.
@@ -37,19 +37,19 @@
 	gateways int
 }
 
-// waiting is a request in the queue.
-type waiting struct {
+// queuedRequest is a request in the queue.
+type queuedRequest struct {
 	req Request
 	// deadline is when the caller gives up; 0 if it told none.
-	deadline time.Duration
-	item     *policy.Item[*waiting]
-	place    policy.Request
-	expected float64
-	reply    chan result
-	done     bool
-	granted  string
-	// held tells that the request was held back, so that this is logged once.
-	held bool
+	deadline       time.Duration
+	item           *policy.Item[*queuedRequest]
+	placement      policy.Request
+	expectedTokens float64
+	reply          chan result
+	done           bool
+	permitID       string
+	// holdLogged tells that the request was holdLogged back, so that this is logged once.
+	holdLogged bool
 }
 
 // result is the answer to a waiting request: a permit or a refusal.
@@ -61,41 +61,41 @@
 // grant is an open permit as the scheduler sees it.
 type grant struct {
 	Permit
-	gateway    string
-	grantedAt  time.Duration
-	reportedAt time.Duration
-	expected   float64
+	gateway        string
+	grantedAt      time.Duration
+	reportedAt     time.Duration
+	expectedTokens float64
 }
 
 // core is the state of a pool. It is owned by the pool's goroutine, and does no
 // input or output: what it wants done is in its return values and hooks.
 type core struct {
-	vm     string
-	pc     poolConfig
-	hooks  hooks
-	est    *policy.Estimator
-	prefix *policy.Prefixes
-	queues map[crocusreel.Class]*policy.Queue[*waiting]
+	vm        string
+	pc        poolConfig
+	hooks     hooks
+	estimator *policy.Estimator
+	prefix    *policy.Prefixes
+	queues    map[crocusreel.Class]*policy.Queue[*queuedRequest]
 	// backlogs holds the service rate of each class.
-	backlogs  map[crocusreel.Class]*backlog
-	suspects  *policy.Suspects
-	feedback  *policy.Feedback
-	picker    policy.Picker
-	reserve   *policy.Reservation
-	engines   map[string]*engine
-	order     []*engine
-	byModel   map[string][]*policy.Endpoint
-	weights   map[string]config.WorkspaceSpec
-	permits   map[string]*grant
-	ended     map[string]time.Duration
-	reporters map[string]time.Duration
-	activeAt  time.Duration
-	sequence  uint64
-	ejector   policy.Ejector
-	judgedAt  time.Duration
-	listedAt  time.Duration
-	refreshed int
-	blocked   []string
+	backlogs          map[crocusreel.Class]*backlog
+	suspects          *policy.Suspects
+	feedback          *policy.Feedback
+	picker            policy.Picker
+	reservation       *policy.Reservation
+	engines           map[string]*engine
+	sortedEngines     []*engine
+	endpointsByModel  map[string][]*policy.Endpoint
+	workspaces        map[string]config.WorkspaceSpec
+	permits           map[string]*grant
+	tombstones        map[string]time.Duration
+	lastReports       map[string]time.Duration
+	activatedAt       time.Duration
+	sequence          uint64
+	ejector           policy.Ejector
+	ejectionCheckedAt time.Duration
+	runningSampledAt  time.Duration
+	refreshCursor     int
+	blockedModels     []string
 }
 
 // hooks connect a core with its surroundings.
@@ -121,22 +121,22 @@
 	}
 	return &core{
 		vm: vm, hooks: h,
-		est:    policy.NewEstimator(),
-		prefix: policy.NewPrefixes(),
-		queues: map[crocusreel.Class]*policy.Queue[*waiting]{
-			crocusreel.ClassShort:      policy.NewQueue[*waiting](),
-			crocusreel.ClassGeneration: policy.NewQueue[*waiting](),
+		estimator: policy.NewEstimator(),
+		prefix:    policy.NewPrefixes(),
+		queues: map[crocusreel.Class]*policy.Queue[*queuedRequest]{
+			crocusreel.ClassShort:      policy.NewQueue[*queuedRequest](),
+			crocusreel.ClassGeneration: policy.NewQueue[*queuedRequest](),
 		},
 		backlogs: map[crocusreel.Class]*backlog{
 			crocusreel.ClassShort:      {},
 			crocusreel.ClassGeneration: {},
 		},
-		suspects:  policy.NewSuspects(policy.StrikeLife),
-		feedback:  policy.NewFeedback(1, 1),
-		engines:   make(map[string]*engine),
-		permits:   make(map[string]*grant),
-		ended:     make(map[string]time.Duration),
-		reporters: make(map[string]time.Duration),
+		suspects:    policy.NewSuspects(policy.StrikeLife),
+		feedback:    policy.NewFeedback(1, 1),
+		engines:     make(map[string]*engine),
+		permits:     make(map[string]*grant),
+		tombstones:  make(map[string]time.Duration),
+		lastReports: make(map[string]time.Duration),
 	}
 }
 
@@ -145,34 +145,34 @@
 	old := c.pc
 	c.pc = pc
 	c.feedback.SetWeights(pc.cfg.Weights.Stall, pc.cfg.Weights.Preemption)
-	c.weights = make(map[string]config.WorkspaceSpec, len(pc.cfg.Workspaces))
+	c.workspaces = make(map[string]config.WorkspaceSpec, len(pc.cfg.Workspaces))
 	for _, w := range pc.cfg.Workspaces {
-		c.weights[w.Name] = w
+		c.workspaces[w.Name] = w
 	}
 	c.configureEngines(now)
 	if old.cfg == nil || old.cfg.Scheduling != pc.cfg.Scheduling || c.picker == nil {
-		c.picker, c.reserve = newPicker(pc.cfg.Scheduling)
+		c.picker, c.reservation = newPicker(pc.cfg.Scheduling)
 	}
-	if c.reserve != nil {
-		c.reserve.ShortReserve = pc.cfg.Limits.ShortReserve
+	if c.reservation != nil {
+		c.reservation.ShortReserve = pc.cfg.Limits.ShortReserve
 	}
 }
 
 func (c *core) configureEngines(now time.Duration) {
 	engines := make(map[string]*engine, len(c.pc.spec.engines))
-	c.order = c.order[:0]
-	c.byModel = make(map[string][]*policy.Endpoint)
+	c.sortedEngines = c.sortedEngines[:0]
+	c.endpointsByModel = make(map[string][]*policy.Endpoint)
 	for _, s := range c.pc.spec.engines {
 		e, ok := c.engines[s.Name]
 		if !ok || e.spec.Address != s.Address {
 			e = newEngine(s)
 		}
 		e.spec = s
-		e.settle(now)
+		e.updateState(now)
 		engines[s.Name] = e
-		c.order = append(c.order, e)
+		c.sortedEngines = append(c.sortedEngines, e)
 		for _, m := range s.Models {
-			c.byModel[m] = append(c.byModel[m], e.view)
+			c.endpointsByModel[m] = append(c.endpointsByModel[m], e.view)
 		}
 	}
 	for name := range c.engines {
@@ -181,7 +181,7 @@
 		}
 	}
 	c.engines = engines
-	sort.Slice(c.order, func(i, j int) bool { return c.order[i].spec.Name < c.order[j].spec.Name })
+	sort.Slice(c.sortedEngines, func(i, j int) bool { return c.sortedEngines[i].spec.Name < c.sortedEngines[j].spec.Name })
 }
 
 // newPicker returns the picker of a policy, and the same one again if it is a
@@ -211,23 +211,23 @@
 	powerOfTwoSeed   = 1
 )
 
-func (c *core) oracle() bool { return c.pc.cfg.Scheduling.Policy == config.PolicyOracle }
+func (c *core) isOraclePolicy() bool { return c.pc.cfg.Scheduling.Policy == config.PolicyOracle }
 
 // activate tells that the pool begins to schedule. What it knew before is old.
 func (c *core) activate(now time.Duration) {
 	c.hooks.log.Info("pool active", zap.Int("permits_dropped", len(c.permits)))
-	c.activeAt = now
+	c.activatedAt = now
 	for id := range c.permits {
-		c.drop(id)
+		c.dropPermit(id)
 	}
-	clear(c.reporters)
-	for _, e := range c.order {
+	clear(c.lastReports)
+	for _, e := range c.sortedEngines {
 		e.view.State = policy.StateUnknown
 	}
 }
 
-func (c *core) weight(workspace string) float64 {
-	if w, ok := c.weights[workspace]; ok && w.Weight > 0 {
+func (c *core) workspaceWeight(workspace string) float64 {
+	if w, ok := c.workspaces[workspace]; ok && w.Weight > 0 {
 		return w.Weight
 	}
 	return 1
@@ -235,44 +235,44 @@
 
 // tick does what is due with time. It is called some tens of times a second.
 func (c *core) tick(now time.Duration) {
-	c.listRunning(now)
-	c.refreshSome(now)
-	c.judge(now)
+	c.sampleRunning(now)
+	c.refreshNextEngines(now)
+	c.ejectSlowEngines(now)
 	c.sweep(now)
-	for id, at := range c.ended {
-		if now-at > tombstoneLife {
-			delete(c.ended, id)
+	for id, at := range c.tombstones {
+		if now-at > tombstoneTTL {
+			delete(c.tombstones, id)
 		}
 	}
 }
 
-// listInterval is the time between two listings of the running answers for the
+// runningSampleInterval is the time between two listings of the running answers for the
 // estimate of lengths.
-const listInterval = 200 * time.Millisecond
+const runningSampleInterval = 200 * time.Millisecond
 
-func (c *core) listRunning(now time.Duration) {
-	if now-c.listedAt < listInterval {
+func (c *core) sampleRunning(now time.Duration) {
+	if now-c.runningSampledAt < runningSampleInterval {
 		return
 	}
-	c.listedAt = now
-	c.est.BeginRunning()
-	for _, e := range c.order {
-		e.view.EachRunning(now, c.est.Running)
+	c.runningSampledAt = now
+	c.estimator.BeginRunning()
+	for _, e := range c.sortedEngines {
+		e.view.EachRunning(now, c.estimator.Running)
 	}
-	c.est.EndRunning()
+	c.estimator.EndRunning()
 }
 
-// judgeInterval is the time between two looks for slow engines.
-const judgeInterval = time.Second
+// ejectionInterval is the time between two looks for slow engines.
+const ejectionInterval = time.Second
 
-// judge ejects slow engines. The baselines do without, to be plain.
-func (c *core) judge(now time.Duration) {
-	if c.reserve == nil || now-c.judgedAt < judgeInterval {
+// ejectSlowEngines ejects slow engines. The baselines do without, to be plain.
+func (c *core) ejectSlowEngines(now time.Duration) {
+	if c.reservation == nil || now-c.ejectionCheckedAt < ejectionInterval {
 		return
 	}
-	c.judgedAt = now
-	views := make([]*policy.Endpoint, len(c.order))
-	for i, e := range c.order {
+	c.ejectionCheckedAt = now
+	views := make([]*policy.Endpoint, len(c.sortedEngines))
+	for i, e := range c.sortedEngines {
 		views[i] = e.view
 	}
 	if n := c.ejector.Judge(views, now); n > 0 {
@@ -280,24 +280,24 @@
 	}
 }
 
-// ramp returns the share of an engine's memory to be used. Engines that were there
+// rampShare returns the share of an engine's memory to be used. Engines that were there
 // when the pool became active did not join it.
-func (c *core) ramp(e *engine, now time.Duration) float64 {
-	if e.view.HealthySince-c.activeAt < graceAfterTakeover {
+func (c *core) rampShare(e *engine, now time.Duration) float64 {
+	if e.view.HealthySince-c.activatedAt < takeoverGracePeriod {
 		return 1
 	}
 	return policy.Ramp(now - e.view.HealthySince)
 }
 
-// refreshBatch bounds the engines refreshed in one tick.
-const refreshBatch = 32
+// refreshBatchSize bounds the engines refreshed in one tick.
+const refreshBatchSize = 32
 
-// refreshSome brings the demand of some engines up to date, in turn.
-func (c *core) refreshSome(now time.Duration) {
-	for range min(refreshBatch, len(c.order)) {
-		c.refreshed++
-		e := c.order[c.refreshed%len(c.order)]
-		e.view.Share = c.ramp(e, now)
-		e.view.Refresh(c.est, now, c.oracle())
+// refreshNextEngines brings the demand of some engines up to date, in turn.
+func (c *core) refreshNextEngines(now time.Duration) {
+	for range min(refreshBatchSize, len(c.sortedEngines)) {
+		c.refreshCursor++
+		e := c.sortedEngines[c.refreshCursor%len(c.sortedEngines)]
+		e.view.Share = c.rampShare(e, now)
+		e.view.Refresh(c.estimator, now, c.isOraclePolicy())
 	}
 }
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -24,7 +24,7 @@
 // whole pool's permits with it.
 func FuzzPeerMessages(f *testing.F) {
 	engine := newFakeEngine("e1", 1000)
-	m := NewManager(Options{VMID: "g1", Region: "r", Engines: func(config.EndpointSpec) endpoint.Engine { return engine }})
+	m := NewManager(Options{VMID: "g1", Region: "r", EngineClient: func(config.EndpointSpec) endpoint.Engine { return engine }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/scheduler/handler.go
+++ b/scheduler/handler.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := pv.main.acquire(ctx, requestFromWire(r.Msg, s.m.now()))
+	p, err := pv.primary.acquire(ctx, requestFromWire(r.Msg, s.m.now()))
 	var refusal *crocusreel.Refusal
 	switch {
 	case errors.As(err, &refusal) && refusal.Reason == crocusreel.ReasonSchedulerLost:
@@ -59,9 +59,9 @@
 	}
 	rep.Open = permitsFromWire(r.Msg.GetOpen())
 	for _, x := range r.Msg.GetReleases() {
-		rep.Releases = append(rep.Releases, Release{Permit: permitFromWire(x.GetPermit()), End: End(x.GetEnd())})
+		rep.Releases = append(rep.Releases, Release{Permit: permitFromWire(x.GetPermit()), End: EndReason(x.GetEnd())})
 	}
-	strikes, err := pv.main.report(ctx, rep)
+	strikes, err := pv.primary.report(ctx, rep)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
@@ -75,7 +75,7 @@
 	if v == nil {
 		return nil, connect.NewError(connect.CodeUnavailable, errNoView)
 	}
-	pv, ok := v.pools[model]
+	pv, ok := v.byModel[model]
 	if !ok {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New("model not known here"))
 	}
--- a/scheduler/holdings.go
+++ b/scheduler/holdings.go
@@ -12,24 +12,24 @@
 // learns of the permits' end from the next full report anyway.
 const maxReleases = 4096
 
-// held is a permit that this gateway holds.
-type held struct {
+// heldPermit is a permit that this gateway holds.
+type heldPermit struct {
 	permit   Permit
 	pool     string
-	spare    bool
+	fallback bool
 	produced atomic.Int64
 }
 
-// current returns the permit with the tokens produced so far.
-func (h *held) current() Permit {
+// currentPermit returns the permit with the tokens produced so far.
+func (h *heldPermit) currentPermit() Permit {
 	p := h.permit
 	p.Produced = int(h.produced.Load())
 	return p
 }
 
-// holdings are the permits that this gateway holds and those it has to give back.
+// permitStore are the permits that this gateway holds and those it has to give back.
 // Traffic goroutines write here, the reporting goroutine reads.
-type holdings struct {
+type permitStore struct {
 	open sync.Map // permit ID to *held
 
 	mu       sync.Mutex
@@ -47,52 +47,52 @@
 }
 
 const (
-	// lossLife is how long a loss travels with the requests of its fingerprint: as long
+	// lossTTL is how long a loss travels with the requests of its fingerprint: as long
 	// as schedulers remember that a permit has ended, so that none counts it twice.
-	lossLife = tombstoneLife
-	// maxLosses bounds the fingerprints with losses. The death of an engine loses some
+	lossTTL = tombstoneTTL
+	// maxLossFingerprints bounds the fingerprints with losses. The death of an engine loses some
 	// tens of answers.
-	maxLosses = 1024
-	// maxLossesEach bounds those of one fingerprint.
-	maxLossesEach = 8
+	maxLossFingerprints = 1024
+	// maxLossesPerFingerprint bounds those of one fingerprint.
+	maxLossesPerFingerprint = 8
 )
 
-func newHoldings() *holdings {
-	return &holdings{
+func newPermitStore() *permitStore {
+	return &permitStore{
 		releases: make(map[string][]Release), strikes: make(map[string][]policy.Strike),
 		losses: make(map[uint64][]lostPermit),
 	}
 }
 
-// lose records an answer that was lost together with its endpoint.
-func (h *holdings) lose(p Permit, now time.Duration) {
+// recordLoss records an answer that was lost together with its endpoint.
+func (h *permitStore) recordLoss(p Permit, now time.Duration) {
 	if p.Fingerprint == 0 {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.losses) >= maxLosses {
-		h.forgetLossesLocked(now)
+	if len(h.losses) >= maxLossFingerprints {
+		h.evictLossesLocked(now)
 	}
 	all := append(h.losses[p.Fingerprint], lostPermit{Permit: p, at: now})
-	h.losses[p.Fingerprint] = all[max(len(all)-maxLossesEach, 0):]
+	h.losses[p.Fingerprint] = all[max(len(all)-maxLossesPerFingerprint, 0):]
 }
 
-// forgetLossesLocked drops old losses, and all of them if that frees nothing.
-func (h *holdings) forgetLossesLocked(now time.Duration) {
+// evictLossesLocked drops old losses, and all of them if that frees nothing.
+func (h *permitStore) evictLossesLocked(now time.Duration) {
 	for fingerprint, all := range h.losses {
-		if now-all[len(all)-1].at > lossLife {
+		if now-all[len(all)-1].at > lossTTL {
 			delete(h.losses, fingerprint)
 		}
 	}
-	if len(h.losses) >= maxLosses {
+	if len(h.losses) >= maxLossFingerprints {
 		clear(h.losses)
 	}
 }
 
-// against returns the losses of a fingerprint, and the strikes that a pool's scheduler
+// lossesAndStrikes returns the losses of a fingerprint, and the strikes that a pool's scheduler
 // told of it.
-func (h *holdings) against(fingerprint uint64, pool string, now time.Duration) ([]Permit, []policy.Strike) {
+func (h *permitStore) lossesAndStrikes(fingerprint uint64, pool string, now time.Duration) ([]Permit, []policy.Strike) {
 	if fingerprint == 0 {
 		return nil, nil
 	}
@@ -100,7 +100,7 @@
 	defer h.mu.Unlock()
 	var losses []Permit
 	for _, l := range h.losses[fingerprint] {
-		if now-l.at <= lossLife {
+		if now-l.at <= lossTTL {
 			losses = append(losses, l.Permit)
 		}
 	}
@@ -113,42 +113,42 @@
 	return losses, strikes
 }
 
-// learn replaces the strikes known of a pool.
-func (h *holdings) learn(pool string, s []policy.Strike) {
+// setStrikes replaces the strikes known of a pool.
+func (h *permitStore) setStrikes(pool string, s []policy.Strike) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.strikes[pool] = s
 }
 
-// known returns the strikes known of a pool.
-func (h *holdings) known(pool string) []policy.Strike {
+// strikesFrom returns the strikes strikesFrom of a pool.
+func (h *permitStore) strikesFrom(pool string) []policy.Strike {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.strikes[pool]
 }
 
-func (h *holdings) add(p Permit, pool string, spare bool) {
-	h.open.Store(p.ID, &held{permit: p, pool: pool, spare: spare})
+func (h *permitStore) add(p Permit, pool string, spare bool) {
+	h.open.Store(p.ID, &heldPermit{permit: p, pool: pool, fallback: spare})
 }
 
 // update is called for every token and has to be cheap.
-func (h *holdings) update(id string, produced int) {
+func (h *permitStore) update(id string, produced int) {
 	if x, ok := h.open.Load(id); ok {
-		x.(*held).produced.Store(int64(produced))
+		x.(*heldPermit).produced.Store(int64(produced))
 	}
 }
 
 // remove takes a permit out; nil if it is not held.
-func (h *holdings) remove(id string) *held {
+func (h *permitStore) remove(id string) *heldPermit {
 	x, ok := h.open.LoadAndDelete(id)
 	if !ok {
 		return nil
 	}
-	return x.(*held)
+	return x.(*heldPermit)
 }
 
-// give keeps a release until it was sent.
-func (h *holdings) give(pool string, r ...Release) {
+// queueReleases keeps a release until it was sent.
+func (h *permitStore) queueReleases(pool string, r ...Release) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := append(h.releases[pool], r...)
@@ -158,8 +158,8 @@
 	h.releases[pool] = all
 }
 
-// take returns the releases of a pool, to be given again if sending fails.
-func (h *holdings) take(pool string) []Release {
+// takeReleases returns the releases of a pool, to be given again if sending fails.
+func (h *permitStore) takeReleases(pool string) []Release {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.releases[pool]
@@ -167,8 +167,8 @@
 	return r
 }
 
-// pending returns the pools that have releases to be sent.
-func (h *holdings) pending() []string {
+// poolsWithReleases returns the pools that have releases to be sent.
+func (h *permitStore) poolsWithReleases() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var pools []string
@@ -178,11 +178,11 @@
 	return pools
 }
 
-// list returns the open permits by pool.
-func (h *holdings) list() map[string][]*held {
-	open := make(map[string][]*held)
+// openByPool returns the open permits by pool.
+func (h *permitStore) openByPool() map[string][]*heldPermit {
+	open := make(map[string][]*heldPermit)
 	h.open.Range(func(_, x any) bool {
-		one := x.(*held)
+		one := x.(*heldPermit)
 		open[one.pool] = append(open[one.pool], one)
 		return true
 	})
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -14,18 +14,18 @@
 	// Guards against permits for more than the engine takes, while others are free and while none is.
 	DescribeTable("gets no more permits", func(engines int) {
 		const perSecond = 3.0
-		c := newEnginesCore(engines)
+		c := newMultiEngineCore(engines)
 		c.hooks.notice = func(e config.EndpointSpec) notice.Notice {
 			return notice.Notice{Limited: e.Name == "e1", Limit: perSecond}
 		}
 		var granted []time.Duration
-		var waits []*waiting
+		var waits []*queuedRequest
 		const step = 20 * time.Millisecond
 		for range 500 {
 			c.now += step
-			waits = append(waits, c.send(0))
+			waits = append(waits, c.submit(0))
 			for _, w := range waits {
-				if g, open := c.permits[w.granted]; open {
+				if g, open := c.permits[w.permitID]; open {
 					if g.Endpoint == "e1" {
 						granted = append(granted, c.now)
 					}
--- a/scheduler/logging.go
+++ b/scheduler/logging.go
@@ -19,14 +19,14 @@
 	return zap.String("death", strconv.FormatUint(death, 16))
 }
 
-func (c *core) logGrant(w *waiting, p *Permit, now time.Duration) {
+func (c *core) logGrant(w *queuedRequest, p *Permit, now time.Duration) {
 	c.hooks.log.Info("permit granted", zap.String("request", w.req.RequestID), zap.String("gateway", w.req.Gateway),
 		zap.String("permit", p.ID), zap.String("endpoint", p.Endpoint), zap.String("incarnation", p.Incarnation),
 		logging.Work(p.Fingerprint), zap.Int("strikes", c.suspects.Count(p.Fingerprint, now)),
 		zap.Duration("waited", now-w.item.Enqueued))
 }
 
-func (c *core) logRefused(w *waiting, r *crocusreel.Refusal) {
+func (c *core) logRefused(w *queuedRequest, r *crocusreel.Refusal) {
 	c.hooks.log.Info("permit refused", zap.String("request", w.req.RequestID), zap.String("gateway", w.req.Gateway),
 		logging.Work(w.req.Fingerprint), zap.String("reason", string(r.Reason)), zap.Duration("retry_after", r.RetryAfter))
 }
@@ -34,21 +34,21 @@
 // Both lines on a request that is held back are called for at each try to place it, and
 // logged at the first.
 
-func (c *core) logHeldForLoss(w *waiting, l *loss, now time.Duration) {
+func (c *core) logHeldForLoss(w *queuedRequest, l *loss, now time.Duration) {
 	c.logHeld(w, "request held back until a loss is explained", zap.String("permit", l.permit.ID),
 		zap.String("endpoint", l.permit.Endpoint), zap.Duration("loss_age", now-l.at))
 }
 
-func (c *core) logHeldForCopies(w *waiting, now time.Duration) {
+func (c *core) logHeldForCopies(w *queuedRequest, now time.Duration) {
 	c.logHeld(w, "request held back while its work runs elsewhere", zap.Int("strikes", c.suspects.Count(w.req.Fingerprint, now)),
 		zap.Int("engines", c.enginesRunning(w.req.Fingerprint)))
 }
 
-func (c *core) logHeld(w *waiting, event string, cause ...zap.Field) {
-	if w.held {
+func (c *core) logHeld(w *queuedRequest, event string, cause ...zap.Field) {
+	if w.holdLogged {
 		return
 	}
-	w.held = true
+	w.holdLogged = true
 	c.hooks.log.Info(event, append(cause, zap.String("request", w.req.RequestID), zap.String("gateway", w.req.Gateway),
 		logging.Work(w.req.Fingerprint))...)
 }
@@ -58,11 +58,11 @@
 		zap.String("incarnation", p.Incarnation), zap.String("known_incarnation", e.incarnation))
 }
 
-// logOutlived tells of a loss that is held against nobody.
-func (c *core) logOutlived(e *engine, l *loss, begun time.Duration) {
+// logLossDismissed tells of a loss that is held against nobody.
+func (c *core) logLossDismissed(e *engine, l *loss, pollStartedAt time.Duration) {
 	c.hooks.log.Info("engine outlived a lost answer", zap.String("permit", l.permit.ID), logging.Work(l.permit.Fingerprint),
 		zap.String("endpoint", l.permit.Endpoint), zap.String("incarnation", l.permit.Incarnation),
-		zap.String("known_incarnation", e.incarnation), zap.Duration("poll_began_after", begun-l.at))
+		zap.String("known_incarnation", e.incarnation), zap.Duration("poll_began_after", pollStartedAt-l.at))
 }
 
 func (c *core) logDied(e *engine, cause string) {
@@ -72,11 +72,11 @@
 
 func (c *core) logStrike(p *Permit, now time.Duration) {
 	c.hooks.log.Info("strike", zap.String("permit", p.ID), logging.Work(p.Fingerprint), zap.String("endpoint", p.Endpoint),
-		deathField(p.death()), zap.Int("strikes", c.suspects.Count(p.Fingerprint, now)))
+		deathField(p.deathID()), zap.Int("strikes", c.suspects.Count(p.Fingerprint, now)))
 }
 
-// learn takes over strikes that a gateway told of.
-func (c *core) learn(strikes []policy.Strike, gateway string, now time.Duration) {
+// mergeStrikes takes over strikes that a gateway told of.
+func (c *core) mergeStrikes(strikes []policy.Strike, gateway string, now time.Duration) {
 	for _, s := range strikes {
 		before := c.suspects.Count(s.Fingerprint, now)
 		c.suspects.Merge(s, now)
--- a/scheduler/manager.go
+++ b/scheduler/manager.go
@@ -21,8 +21,8 @@
 	// VMID and Region are those of this gateway.
 	VMID   string
 	Region string
-	// Engines returns a client for an engine.
-	Engines func(spec config.EndpointSpec) endpoint.Engine
+	// EngineClient returns a client for an engine.
+	EngineClient func(spec config.EndpointSpec) endpoint.Engine
 	// Notice returns what an engine last said of itself; nil if nobody listens.
 	Notice func(spec config.EndpointSpec) notice.Notice
 	// Now is the clock; nil means time.Now. It has to be monotonic.
@@ -45,26 +45,26 @@
 // Manager gets permits for one gateway, and schedules the pools that this gateway
 // was chosen for. It implements Permits.
 type Manager struct {
-	opts  Options
-	epoch time.Duration
-	begun time.Time
-	ctx   context.Context
-	stop  context.CancelFunc
-	view  atomic.Pointer[view]
+	opts        Options
+	startOffset time.Duration
+	startedAt   time.Time
+	ctx         context.Context
+	stop        context.CancelFunc
+	view        atomic.Pointer[view]
 	// mu is held while a snapshot is taken in; readers use view.
-	mu      sync.Mutex
-	remotes map[string]*remote
-	ledger  *holdings
-	wake    chan struct{}
-	changed chan struct{}
+	mu            sync.Mutex
+	remotes       map[string]*remoteScheduler
+	permits       *permitStore
+	releasesDue   chan struct{}
+	fullReportDue chan struct{}
 }
 
 // view is what traffic goroutines see; it is immutable.
 type view struct {
 	cfg *config.Config
-	// pools holds the pool of each model.
-	pools map[string]*poolView
-	byKey map[string]*poolView
+	// byModel holds the pool of each model.
+	byModel map[string]*poolView
+	byKey   map[string]*poolView
 	// gateways is the number of gateways of the region.
 	gateways int
 	scope    string
@@ -73,16 +73,16 @@
 // poolView is one pool with the way to its scheduler.
 type poolView struct {
 	key string
-	// main schedules the pool if this gateway is chosen; spare does so with a share
+	// primary schedules the pool if this gateway is chosen; fallback does so with a share
 	// of the engines while the chosen gateway can't be reached.
-	main, spare *pool
-	// scheduler is the VM ID of the chosen gateway.
-	scheduler string
+	primary, fallback *pool
+	// schedulerID is the VM ID of the chosen gateway.
+	schedulerID string
 	// remote reaches it; nil if it is this gateway.
-	remote *remote
-	// moved ends when another gateway becomes the scheduler.
-	moved context.Context
-	end   context.CancelFunc
+	remote *remoteScheduler
+	// schedulerCtx ends when another gateway becomes the scheduler.
+	schedulerCtx       context.Context
+	cancelSchedulerCtx context.CancelFunc
 }
 
 // NewManager returns a manager without a snapshot; it refuses with not_ready until
@@ -95,16 +95,16 @@
 		o.Log = zap.NewNop()
 	}
 	if o.Client == nil {
-		o.Client = plainHTTP2()
+		o.Client = newH2CClient()
 	}
 	if o.Scheme == "" {
 		o.Scheme = "http"
 	}
 	m := &Manager{
-		opts: o, begun: o.Now(), remotes: make(map[string]*remote),
-		ledger: newHoldings(), wake: make(chan struct{}, 1), changed: make(chan struct{}, 1),
+		opts: o, startedAt: o.Now(), remotes: make(map[string]*remoteScheduler),
+		permits: newPermitStore(), releasesDue: make(chan struct{}, 1), fullReportDue: make(chan struct{}, 1),
 	}
-	m.epoch = m.begun.Sub(priorityEpoch)
+	m.startOffset = m.startedAt.Sub(priorityEpoch)
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	return m
 }
@@ -115,11 +115,11 @@
 
 // now is the time since priorityEpoch, on the monotonic clock from the start of
 // the process on.
-func (m *Manager) now() time.Duration { return m.epoch + m.opts.Now().Sub(m.begun) }
+func (m *Manager) now() time.Duration { return m.startOffset + m.opts.Now().Sub(m.startedAt) }
 
-// plainHTTP2 returns a client that speaks HTTP/2 without TLS, so that all requests
+// newH2CClient returns a client that speaks HTTP/2 without TLS, so that all requests
 // to one gateway share a connection.
-func plainHTTP2() *http.Client {
+func newH2CClient() *http.Client {
 	t := &http.Transport{Protocols: new(http.Protocols)}
 	t.Protocols.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: t}
@@ -135,7 +135,7 @@
 	old := m.view.Load()
 	gateways := gatewaysOf(s.Members, m.opts.Region)
 	v := &view{
-		cfg: s.Config, pools: make(map[string]*poolView), byKey: make(map[string]*poolView),
+		cfg: s.Config, byModel: make(map[string]*poolView), byKey: make(map[string]*poolView),
 		gateways: max(len(gateways), 1), scope: s.Config.Scheduling.Scope,
 	}
 	m.dropRemotes(gateways)
@@ -144,22 +144,22 @@
 		if old != nil {
 			before = old.byKey[key]
 		}
-		pv := m.poolView(before, spec, v, gateways)
+		pv := m.buildPoolView(before, spec, v, gateways)
 		v.byKey[key] = pv
 		for _, model := range spec.models {
-			v.pools[model] = pv
+			v.byModel[model] = pv
 		}
 	}
 	m.view.Store(v)
-	m.retire(old, v)
-	signal(m.changed)
+	m.closeUnused(old, v)
+	signal(m.fullReportDue)
 }
 
-func (m *Manager) poolView(before *poolView, spec *poolSpec, v *view, gateways []*peerv1.Member) *poolView {
-	pv := &poolView{key: spec.key, scheduler: m.opts.VMID}
+func (m *Manager) buildPoolView(before *poolView, spec *poolSpec, v *view, gateways []*peerv1.Member) *poolView {
+	pv := &poolView{key: spec.key, schedulerID: m.opts.VMID}
 	if chosen := schedulerOf(gateways, spec.key); chosen != nil && v.scope != config.ScopeGateway {
-		pv.scheduler = chosen.GetId()
-		if pv.scheduler != m.opts.VMID {
+		pv.schedulerID = chosen.GetId()
+		if pv.schedulerID != m.opts.VMID {
 			pv.remote = m.remoteTo(chosen)
 		}
 	}
@@ -167,60 +167,60 @@
 	spare := main
 	spare.share = 1 / float64(v.gateways)
 	if before == nil {
-		pv.main = m.newPool(spec.key, main)
-		pv.spare = m.newPool(spec.key+"-spare", spare)
+		pv.primary = m.newPool(spec.key, main)
+		pv.fallback = m.newPool(spec.key+"-spare", spare)
 	} else {
-		pv.main, pv.spare = before.main, before.spare
-		pv.main.send(configEvent{main})
-		pv.spare.send(configEvent{spare})
+		pv.primary, pv.fallback = before.primary, before.fallback
+		pv.primary.send(configEvent{main})
+		pv.fallback.send(configEvent{spare})
 	}
-	pv.main.chosen.Store(pv.remote == nil)
-	if before != nil && before.scheduler == pv.scheduler && before.remote == pv.remote {
-		pv.moved, pv.end = before.moved, before.end
+	pv.primary.chosen.Store(pv.remote == nil)
+	if before != nil && before.schedulerID == pv.schedulerID && before.remote == pv.remote {
+		pv.schedulerCtx, pv.cancelSchedulerCtx = before.schedulerCtx, before.cancelSchedulerCtx
 	} else {
 		m.logChosen(before, pv, v)
-		pv.moved, pv.end = context.WithCancel(m.ctx)
+		pv.schedulerCtx, pv.cancelSchedulerCtx = context.WithCancel(m.ctx)
 	}
 	return pv
 }
 
 func (m *Manager) logChosen(before, pv *poolView, v *view) {
 	fields := []zap.Field{
-		zap.String("pool", pv.key), zap.String("scheduler", pv.scheduler), zap.Bool("here", pv.remote == nil),
+		zap.String("pool", pv.key), zap.String("scheduler", pv.schedulerID), zap.Bool("here", pv.remote == nil),
 		zap.Int("gateways", v.gateways),
 	}
 	if before != nil {
-		fields = append(fields, zap.String("before", before.scheduler))
+		fields = append(fields, zap.String("before", before.schedulerID))
 	}
 	m.opts.Log.Info("scheduler chosen", fields...)
 }
 
 func (m *Manager) newPool(name string, pc poolConfig) *pool {
-	return newPool(m.ctx, poolOptions{vm: m.opts.VMID, name: name, now: m.now, log: m.opts.Log, engines: m.opts.Engines, notice: m.opts.Notice}, pc)
+	return newPool(m.ctx, poolOptions{vm: m.opts.VMID, name: name, now: m.now, log: m.opts.Log, engineClient: m.opts.EngineClient, notice: m.opts.Notice}, pc)
 }
 
-// retire ends what the new view no longer uses.
-func (m *Manager) retire(old, v *view) {
+// closeUnused ends what the new view no longer uses.
+func (m *Manager) closeUnused(old, v *view) {
 	if old == nil {
 		return
 	}
 	for key, pv := range old.byKey {
 		next, kept := v.byKey[key]
-		if !kept || next.moved != pv.moved {
-			pv.end()
+		if !kept || next.schedulerCtx != pv.schedulerCtx {
+			pv.cancelSchedulerCtx()
 		}
 		if !kept {
-			pv.main.close()
-			pv.spare.close()
+			pv.primary.close()
+			pv.fallback.close()
 		}
 	}
 }
 
 // remoteTo returns the way to a gateway; a gateway with a new address is another.
-func (m *Manager) remoteTo(g *peerv1.Member) *remote {
+func (m *Manager) remoteTo(g *peerv1.Member) *remoteScheduler {
 	r, ok := m.remotes[g.GetId()]
 	if !ok || r.address != g.GetGatewayAddress() {
-		r = newRemote(g, m.opts)
+		r = newRemoteScheduler(g, m.opts)
 		m.remotes[g.GetId()] = r
 	}
 	return r
@@ -252,8 +252,8 @@
 	m.stop()
 	if v := m.view.Load(); v != nil {
 		for _, pv := range v.byKey {
-			pv.main.close()
-			pv.spare.close()
+			pv.primary.close()
+			pv.fallback.close()
 		}
 	}
 }
--- a/scheduler/messages_test.go
+++ b/scheduler/messages_test.go
@@ -16,9 +16,9 @@
 	It("to a scheduler are bounded whatever the number of gateways and engines", func() {
 		for _, n := range []int{1, 8, 50, 137, 410, 1800} {
 			each := time.Duration(n) * time.Second
-			Expect(each).To(BeNumerically("<=", reportsPerSecond*reportEvery(n)), "%d gateways", n)
-			Expect(each).To(BeNumerically("<=", pollsPerSecond*pollEvery(n)), "%d engines", n)
-			Expect(reportExpiry(n)).To(BeNumerically(">=", missedReports*reportEvery(n)))
+			Expect(each).To(BeNumerically("<=", reportsPerSecond*reportIntervalFor(n)), "%d gateways", n)
+			Expect(each).To(BeNumerically("<=", pollsPerSecond*pollIntervalFor(n)), "%d engines", n)
+			Expect(reportExpiry(n)).To(BeNumerically(">=", missedReports*reportIntervalFor(n)))
 		}
 	})
 
@@ -27,7 +27,7 @@
 		for i := range ids {
 			ids[i] = fmt.Sprintf("g%02d", i)
 		}
-		r := newRegion(ids, newFakeEngine("e1", 1000000))
+		r := newTestRegion(ids, newFakeEngine("e1", 1000000))
 		for _, m := range r.managers {
 			_, err := acquire(m, request(1))
 			Expect(err).NotTo(HaveOccurred())
--- a/scheduler/permits.go
+++ b/scheduler/permits.go
@@ -8,15 +8,15 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-// strikesInReport bounds the strikes in the answer to a report.
-const strikesInReport = 64
+// maxStrikesInReport bounds the strikes in the answer to a report.
+const maxStrikesInReport = 64
 
 func lengthKey(p *Permit) policy.LengthKey {
 	return policy.LengthKey{Workspace: p.Workspace, Class: p.Class, Model: p.Model}
 }
 
 // grant opens a permit for a waiting request.
-func (c *core) grant(w *waiting, e *engine, now time.Duration) {
+func (c *core) grant(w *queuedRequest, e *engine, now time.Duration) {
 	c.sequence++
 	p := Permit{
 		ID:       c.hooks.id + strconv.FormatUint(c.sequence, 36),
@@ -24,30 +24,30 @@
 		PromptTokens: w.req.PromptTokens, MaxTokens: w.req.MaxTokens,
 		Fingerprint: w.req.Fingerprint, LengthHint: w.req.LengthHint, Incarnation: e.incarnation,
 	}
-	p.EnginePriority = policy.EnginePriority(now, c.duration(e, w.expected), w.req.Class, w.req.Priority)
-	c.open(&grant{Permit: p, gateway: w.req.Gateway, grantedAt: now, reportedAt: now, expected: w.expected}, &w.place.Demand, now)
+	p.EnginePriority = policy.EnginePriority(now, c.expectedDuration(e, w.expectedTokens), w.req.Class, w.req.Priority)
+	c.openPermit(&grant{Permit: p, gateway: w.req.Gateway, grantedAt: now, reportedAt: now, expectedTokens: w.expectedTokens}, &w.placement.Demand, now)
 	c.prefix.Routed(e.spec.Name, w.req.Prefixes, now)
-	w.done, w.granted = true, p.ID
-	c.paced(e, now)
+	w.done, w.permitID = true, p.ID
+	c.applyRateLimit(e, now)
 	c.logGrant(w, &p, now)
 	w.reply <- result{permit: p}
 }
 
-// defaultRate is taken for the tokens per second of one answer until an engine's
+// defaultTokensPerSecond is taken for the tokens per second of one answer until an engine's
 // own rate is known.
-const defaultRate = 20
+const defaultTokensPerSecond = 20
 
-// duration is the time that an answer of so many tokens takes at the engine.
-func (c *core) duration(e *engine, tokens float64) time.Duration {
+// expectedDuration is the time that an answer of so many tokens takes at the engine.
+func (c *core) expectedDuration(e *engine, tokens float64) time.Duration {
 	rate := e.view.Rate
 	if rate <= 0 {
-		rate = defaultRate
+		rate = defaultTokensPerSecond
 	}
 	return time.Duration(tokens / rate * float64(time.Second))
 }
 
-// open adds a permit to its engine.
-func (c *core) open(g *grant, d *policy.Demand, now time.Duration) {
+// openPermit adds a permit to its engine.
+func (c *core) openPermit(g *grant, d *policy.Demand, now time.Duration) {
 	c.permits[g.ID] = g
 	e, ok := c.engines[g.Endpoint]
 	if !ok {
@@ -56,20 +56,20 @@
 	e.view.Attach(g.ID, &policy.Answer{
 		Key: lengthKey(&g.Permit), Prompt: g.PromptTokens, MaxTokens: g.MaxTokens, Hint: g.LengthHint,
 		Produced: g.Produced, ProducedAt: now,
-		Suspect: c.isolated(g.Fingerprint, now),
+		Suspect: c.needsIsolation(g.Fingerprint, now),
 	}, d)
 }
 
-// isolated tells whether a request is one strike short of being refused. From then
+// needsIsolation tells whether a request is one strike short of being refused. From then
 // on it shares no engine with another such request, so that the death of an engine
 // refuses only the one at fault. Earlier isolation would make every answer that a
 // common death of an engine interrupted wait for its turn alone.
-func (c *core) isolated(fingerprint uint64, now time.Duration) bool {
+func (c *core) needsIsolation(fingerprint uint64, now time.Duration) bool {
 	return c.suspects.Count(fingerprint, now) >= max(1, c.pc.cfg.Limits.Strikes-1)
 }
 
-// drop removes a permit without a trace.
-func (c *core) drop(id string) {
+// dropPermit removes a permit without a trace.
+func (c *core) dropPermit(id string) {
 	g, ok := c.permits[id]
 	if !ok {
 		return
@@ -83,25 +83,25 @@
 // release ends a permit and learns from it.
 func (c *core) release(r *Release, now time.Duration) {
 	p := &r.Permit
-	if _, ended := c.ended[p.ID]; ended {
+	if _, ended := c.tombstones[p.ID]; ended {
 		return
 	}
 	g := c.permits[p.ID]
-	c.drop(p.ID)
-	c.ended[p.ID] = now
+	c.dropPermit(p.ID)
+	c.tombstones[p.ID] = now
 	e, known := c.engines[p.Endpoint]
 	if known {
-		e.view.Refresh(c.est, now, c.oracle())
+		e.view.Refresh(c.estimator, now, c.isOraclePolicy())
 	}
 	switch r.End {
 	case EndFinished:
-		c.finished(p, g, now)
+		c.observeFinished(p, g, now)
 	case EndCancelled:
-		c.est.ObserveCensored(lengthKey(p), p.Produced)
+		c.estimator.ObserveCensored(lengthKey(p), p.Produced)
 	case EndEndpointLost:
-		c.est.ObserveCensored(lengthKey(p), p.Produced)
+		c.estimator.ObserveCensored(lengthKey(p), p.Produced)
 		if known {
-			c.lost(e, p, now)
+			c.recordLoss(e, p, now)
 		}
 	case EndNotStarted:
 		if known {
@@ -110,16 +110,16 @@
 	}
 }
 
-// finished learns from a whole answer.
-func (c *core) finished(p *Permit, g *grant, now time.Duration) {
-	c.est.Observe(lengthKey(p), p.Produced)
+// observeFinished learns from a whole answer.
+func (c *core) observeFinished(p *Permit, g *grant, now time.Duration) {
+	c.estimator.Observe(lengthKey(p), p.Produced)
 	c.suspects.Clear(p.Fingerprint, now)
 	q := c.queue(p.Class)
 	if q.Len() > 0 {
 		c.feedback.Finished()
 	}
 	if g != nil {
-		q.Charge(p.Workspace, float64(p.Produced)-g.expected)
+		q.Charge(p.Workspace, float64(p.Produced)-g.expectedTokens)
 	}
 }
 
@@ -128,32 +128,32 @@
 	for i := range r.Releases {
 		c.release(&r.Releases[i], now)
 	}
-	c.learn(r.Strikes, r.Gateway, now)
+	c.mergeStrikes(r.Strikes, r.Gateway, now)
 	if r.Partial {
 		return nil
 	}
-	c.reporters[r.Gateway] = now
+	c.lastReports[r.Gateway] = now
 	listed := make(map[string]bool, len(r.Open))
 	for i := range r.Open {
 		listed[r.Open[i].ID] = true
-		c.reported(&r.Open[i], r.Gateway, now)
+		c.applyReportedPermit(&r.Open[i], r.Gateway, now)
 	}
 	for id, g := range c.permits {
-		if g.gateway == r.Gateway && !listed[id] && now-g.grantedAt > reportGrace {
+		if g.gateway == r.Gateway && !listed[id] && now-g.grantedAt > unreportedPermitGrace {
 			c.hooks.count("permits_dropped", 1)
-			c.drop(id)
+			c.dropPermit(id)
 		}
 	}
-	return c.suspects.All(nil, strikesInReport, now)
+	return c.suspects.All(nil, maxStrikesInReport, now)
 }
 
-// reported brings one permit up to date, or adopts it from an earlier scheduler.
-func (c *core) reported(p *Permit, gateway string, now time.Duration) {
+// applyReportedPermit brings one permit up to date, or adopts it from an earlier scheduler.
+func (c *core) applyReportedPermit(p *Permit, gateway string, now time.Duration) {
 	g, ok := c.permits[p.ID]
 	if !ok {
-		if _, ended := c.ended[p.ID]; !ended {
+		if _, ended := c.tombstones[p.ID]; !ended {
 			c.hooks.count("permits_adopted", 1)
-			c.open(&grant{Permit: *p, gateway: gateway, grantedAt: now, reportedAt: now}, nil, now)
+			c.openPermit(&grant{Permit: *p, gateway: gateway, grantedAt: now, reportedAt: now}, nil, now)
 		}
 		return
 	}
@@ -162,23 +162,23 @@
 		return
 	}
 	if a, ok := e.view.Running[p.ID]; ok {
-		e.learnRate(g, p.Produced, now)
+		e.updateTokenRate(g, p.Produced, now)
 		a.Produced, a.ProducedAt = p.Produced, now
 	}
 	g.Produced, g.reportedAt = p.Produced, now
 }
 
 const (
-	// rateWeight is the weight of one sample in an engine's token rate.
-	rateWeight = 0.1
-	// leastRateInterval is the shortest time that gives a sample.
-	leastRateInterval = 300 * time.Millisecond
+	// rateSampleWeight is the weight of one sample in an engine's token rate.
+	rateSampleWeight = 0.1
+	// minRateInterval is the shortest time that gives a sample.
+	minRateInterval = 300 * time.Millisecond
 )
 
-// learnRate measures the tokens per second of one answer from two reports.
-func (e *engine) learnRate(g *grant, produced int, now time.Duration) {
+// updateTokenRate measures the tokens per second of one answer from two reports.
+func (e *engine) updateTokenRate(g *grant, produced int, now time.Duration) {
 	dt := now - g.reportedAt
-	if g.Produced == 0 || dt < leastRateInterval {
+	if g.Produced == 0 || dt < minRateInterval {
 		return
 	}
 	sample := float64(produced-g.Produced) / dt.Seconds()
@@ -187,22 +187,22 @@
 		e.view.Rate = sample
 		return
 	}
-	e.view.Rate += rateWeight * (sample - e.view.Rate)
+	e.view.Rate += rateSampleWeight * (sample - e.view.Rate)
 }
 
 // expire drops the permits of gateways that have stopped reporting: they died, and
 // engines cancel what no stream is attached to.
 func (c *core) expire(limit, now time.Duration) {
 	for id, g := range c.permits {
-		last := max(c.reporters[g.gateway], g.grantedAt)
+		last := max(c.lastReports[g.gateway], g.grantedAt)
 		if now-last > limit {
 			c.hooks.count("permits_expired", 1)
-			c.drop(id)
+			c.dropPermit(id)
 		}
 	}
 }
 
-func (c *core) queue(class crocusreel.Class) *policy.Queue[*waiting] {
+func (c *core) queue(class crocusreel.Class) *policy.Queue[*queuedRequest] {
 	if class == crocusreel.ClassShort {
 		return c.queues[crocusreel.ClassShort]
 	}
--- a/scheduler/permits_test.go
+++ b/scheduler/permits_test.go
@@ -22,63 +22,63 @@
 
 var _ = Describe("permits", func() {
 	It("are granted by one gateway for all", func() {
-		r := newRegion([]string{"a", "b", "c"}, newFakeEngine("e1", 100000), newFakeEngine("e2", 100000))
+		r := newTestRegion([]string{"a", "b", "c"}, newFakeEngine("e1", 100000), newFakeEngine("e2", 100000))
 		for _, m := range r.managers {
 			p, err := acquire(m, request(1))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(p.Endpoint).To(BeElementOf("e1", "e2"))
 		}
-		Eventually(openAt(r.managers[r.scheduler()]), patience).Should(Equal(3))
+		Eventually(openPermits(r.managers[r.schedulerID()]), specTimeout).Should(Equal(3))
 	})
 
 	It("return their memory when they are released", func() {
-		r := newRegion([]string{"a", "b"}, newFakeEngine("e1", 100000))
-		m := r.other()
+		r := newTestRegion([]string{"a", "b"}, newFakeEngine("e1", 100000))
+		m := r.nonScheduler()
 		p, err := acquire(m, request(1))
 		Expect(err).NotTo(HaveOccurred())
 		p.Produced = 10
 		m.Release(Release{Permit: p, End: EndFinished})
-		Eventually(openAt(r.managers[r.scheduler()]), patience).Should(BeZero())
+		Eventually(openPermits(r.managers[r.schedulerID()]), specTimeout).Should(BeZero())
 	})
 
 	// The scheduler's gateway dies while answers run. Its successor knows nothing,
 	// and would fill engines that are full already: callers would see stalls.
 	It("are rebuilt at the next scheduler when the first one dies", func() {
-		r := newRegion([]string{"a", "b", "c"}, newFakeEngine("e1", 100000))
-		m := r.other()
+		r := newTestRegion([]string{"a", "b", "c"}, newFakeEngine("e1", 100000))
+		m := r.nonScheduler()
 		for range 5 {
 			_, err := acquire(m, request(1))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		dead := r.scheduler()
+		dead := r.schedulerID()
 		r.servers[dead].CloseClientConnections()
 		r.servers[dead].Close()
 		delete(r.servers, dead)
 		delete(r.managers, dead)
 		r.apply()
-		Expect(r.scheduler()).NotTo(Equal(dead))
-		Eventually(openAt(r.managers[r.scheduler()]), patience).Should(Equal(5))
+		Expect(r.schedulerID()).NotTo(Equal(dead))
+		Eventually(openPermits(r.managers[r.schedulerID()]), specTimeout).Should(Equal(5))
 	})
 
 	// The answer with the grant is lost on the way, so that no gateway knows of the
 	// permit. Nobody would ever release it, and the engine would seem fuller and
 	// fuller.
 	It("do not leak when the answer with the grant is lost", func() {
-		r := newRegion([]string{"a", "b"}, newFakeEngine("e1", 100000))
-		m := r.other()
-		chosen := r.managers[r.scheduler()]
+		r := newTestRegion([]string{"a", "b"}, newFakeEngine("e1", 100000))
+		m := r.nonScheduler()
+		chosen := r.managers[r.schedulerID()]
 		req := request(1)
 		req.Gateway = m.opts.VMID
-		_, err := chosen.view.Load().pools["m"].main.acquire(context.Background(), req)
+		_, err := chosen.view.Load().byModel["m"].primary.acquire(context.Background(), req)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(openAt(chosen)()).To(Equal(1))
-		Eventually(openAt(chosen), patience).Should(BeZero())
+		Expect(openPermits(chosen)()).To(Equal(1))
+		Eventually(openPermits(chosen), specTimeout).Should(BeZero())
 	})
 
 	// A caller leaves while its request waits. If its place in the queue were kept,
 	// a permit would be spent on nobody.
 	It("are not granted to callers that have left", func() {
-		r := newRegion([]string{"a"}, newFakeEngine("e1", 250))
+		r := newTestRegion([]string{"a"}, newFakeEngine("e1", 250))
 		m := r.managers["a"]
 		p, err := acquire(m, request(1))
 		Expect(err).NotTo(HaveOccurred())
@@ -87,14 +87,14 @@
 		_, err = m.Acquire(ctx, request(2))
 		Expect(err).To(HaveOccurred())
 		m.Release(Release{Permit: p, End: EndCancelled})
-		Eventually(openAt(m), patience).Should(BeZero())
-		Consistently(openAt(m), "300ms").Should(BeZero())
+		Eventually(openPermits(m), specTimeout).Should(BeZero())
+		Consistently(openPermits(m), "300ms").Should(BeZero())
 	})
 
 	It("are granted by a gateway alone if the scheduler can't be reached", func() {
-		r := newRegion([]string{"a", "b"}, newFakeEngine("e1", 100000))
-		m := r.other()
-		s := r.servers[r.scheduler()]
+		r := newTestRegion([]string{"a", "b"}, newFakeEngine("e1", 100000))
+		m := r.nonScheduler()
+		s := r.servers[r.schedulerID()]
 		s.CloseClientConnections()
 		s.Close()
 		p, err := acquire(m, request(1))
@@ -110,15 +110,15 @@
 	It("follow the scheduler when it moves", func() {
 		e := newFakeEngine("e1", 2000)
 		e.report.Running, e.report.KVUsed = 1, 1900
-		r := newRegion([]string{"a", "b"}, e)
-		m := r.managers[r.scheduler()]
-		done := acquireLater(m)
-		Eventually(waitingAt(m), patience).Should(Equal(1))
-		r.leave(r.scheduler())
+		r := newTestRegion([]string{"a", "b"}, e)
+		m := r.managers[r.schedulerID()]
+		done := acquireAsync(m)
+		Eventually(queuedRequests(m), specTimeout).Should(Equal(1))
+		r.leave(r.schedulerID())
 		e.set(func(f *fakeEngine) { f.report.Running, f.report.KVUsed = 0, 0 })
-		Eventually(done, patience).Should(Receive(BeNil()))
-		Expect(waitingAt(m)()).To(BeZero())
-		Expect(openAt(r.managers[r.scheduler()])()).To(Equal(1))
+		Eventually(done, specTimeout).Should(Receive(BeNil()))
+		Expect(queuedRequests(m)()).To(BeZero())
+		Expect(openPermits(r.managers[r.schedulerID()])()).To(Equal(1))
 	})
 })
 
@@ -127,7 +127,7 @@
 	// would be cut off.
 	It("get no new work once they are leaving", func() {
 		e1, e2 := newFakeEngine("e1", 1000000), newFakeEngine("e2", 1000)
-		r := newRegion([]string{"a"}, e1, e2)
+		r := newTestRegion([]string{"a"}, e1, e2)
 		m := r.managers["a"]
 		// Until the first report of e1 has come, e2 gets the work.
 		Eventually(func() string {
@@ -135,14 +135,14 @@
 			Expect(err).NotTo(HaveOccurred())
 			m.Release(Release{Permit: p, End: EndCancelled})
 			return p.Endpoint
-		}, patience).Should(Equal("e1"))
+		}, specTimeout).Should(Equal("e1"))
 		e1.set(func(f *fakeEngine) { f.report.Leaving = true })
 		Eventually(func() string {
 			p, err := acquire(m, request(1))
 			Expect(err).NotTo(HaveOccurred())
 			m.Release(Release{Permit: p, End: EndCancelled})
 			return p.Endpoint
-		}, patience).Should(Equal("e2"))
+		}, specTimeout).Should(Equal("e2"))
 		for range 5 {
 			p, err := acquire(m, request(1))
 			Expect(err).NotTo(HaveOccurred())
@@ -156,20 +156,20 @@
 	It("are refused at once when none is left", func() {
 		e := newFakeEngine("e1", 100000)
 		e.err = &endpoint.Error{Kind: endpoint.KindUnreachable, Outcome: crocusreel.OutcomeNotRun}
-		r := newRegion([]string{"a", "b"}, e)
-		_, err := acquire(r.other(), request(1))
+		r := newTestRegion([]string{"a", "b"}, e)
+		_, err := acquire(r.nonScheduler(), request(1))
 		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonNoEndpoint))
 	})
 
 	It("void their permits when they come back as another incarnation", func() {
 		e := newFakeEngine("e1", 100000)
-		r := newRegion([]string{"a"}, e)
+		r := newTestRegion([]string{"a"}, e)
 		m := r.managers["a"]
 		_, err := acquire(m, request(1))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(openAt(m)()).To(Equal(1))
+		Expect(openPermits(m)()).To(Equal(1))
 		e.set(func(f *fakeEngine) { f.report.Incarnation = "e1-2" })
-		Eventually(openAt(m), patience).Should(BeZero())
+		Eventually(openPermits(m), specTimeout).Should(BeZero())
 	})
 })
 
@@ -182,8 +182,8 @@
 		for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
 			engines = append(engines, newFakeEngine(name, 100000))
 		}
-		r := newRegion([]string{"a", "b"}, engines...)
-		m := r.other()
+		r := newTestRegion([]string{"a", "b"}, engines...)
+		m := r.nonScheduler()
 		for range r.cfg.Limits.Strikes {
 			p, err := acquire(m, request(7))
 			Expect(err).NotTo(HaveOccurred())
@@ -197,32 +197,32 @@
 
 		// The scheduler leaves within the second. Its successor must know the strikes,
 		// or the request takes down as many engines again.
-		Eventually(func() int { return len(m.ledger.known("m")) }, "800ms").Should(Equal(r.cfg.Limits.Strikes))
-		r.leave(r.scheduler())
+		Eventually(func() int { return len(m.permits.strikesFrom("m")) }, "800ms").Should(Equal(r.cfg.Limits.Strikes))
+		r.leave(r.schedulerID())
 		Eventually(func() (n int) {
-			m.view.Load().pools["m"].main.stats(func(c *core) { n = c.suspects.Count(7, m.now()) })
+			m.view.Load().byModel["m"].primary.stats(func(c *core) { n = c.suspects.Count(7, m.now()) })
 			return n
-		}, patience).Should(Equal(r.cfg.Limits.Strikes))
+		}, specTimeout).Should(Equal(r.cfg.Limits.Strikes))
 	})
 
 	// An engine drops a prompt's prefix from its cache while the scheduler still takes
 	// it for the holder. Requests would go on crowding there for nothing.
 	It("are no longer preferred for a prefix that they dropped", func() {
 		e := newFakeEngine("e1", 100000)
-		r := newRegion([]string{"a"}, e)
+		r := newTestRegion([]string{"a"}, e)
 		m := r.managers["a"]
 		req := request(1)
 		req.Prefixes = []uint64{5}
 		_, err := acquire(m, req)
 		Expect(err).NotTo(HaveOccurred())
 		share := func() (share float64) {
-			m.view.Load().pools["m"].main.stats(func(c *core) {
+			m.view.Load().byModel["m"].primary.stats(func(c *core) {
 				_, share = c.prefix.Holders(req.Prefixes, m.now())
 			})
 			return share
 		}
 		Expect(share()).To(BeNumerically("==", 1))
 		e.set(func(f *fakeEngine) { f.cache = []endpoint.CacheEvent{{Seq: 3, Prefix: 5}} })
-		Eventually(share, patience).Should(BeZero())
+		Eventually(share, specTimeout).Should(BeZero())
 	})
 })
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -21,25 +21,25 @@
 
 // poolsOf returns the pools of a region, by key.
 func poolsOf(cfg *config.Config, region string) map[string]*poolSpec {
-	leader := make(map[string]string)
+	parent := make(map[string]string)
 	var find func(string) string
 	find = func(m string) string {
-		if l, ok := leader[m]; ok && l != m {
+		if l, ok := parent[m]; ok && l != m {
 			return find(l)
 		}
 		return m
 	}
-	join := func(a, b string) {
+	union := func(a, b string) {
 		a, b = find(a), find(b)
-		leader[max(a, b)] = min(a, b)
+		parent[max(a, b)] = min(a, b)
 	}
 	for _, m := range cfg.Models {
-		leader[m.Name] = m.Name
+		parent[m.Name] = m.Name
 	}
 	engines := enginesOf(cfg, region)
 	for _, e := range engines {
 		for _, m := range e.Models {
-			join(e.Models[0], m)
+			union(e.Models[0], m)
 		}
 	}
 	pools := make(map[string]*poolSpec)
@@ -65,8 +65,8 @@
 func enginesOf(cfg *config.Config, region string) []config.EndpointSpec {
 	var engines []config.EndpointSpec
 	for _, e := range cfg.Endpoints {
-		here := e.Region == region || e.Region == ""
-		if here && e.Kind == config.KindEngine && len(e.Models) > 0 {
+		inRegion := e.Region == region || e.Region == ""
+		if inRegion && e.Kind == config.KindEngine && len(e.Models) > 0 {
 			engines = append(engines, e)
 		}
 	}
@@ -94,7 +94,7 @@
 		return nil
 	}
 	return slices.MaxFunc(gateways, func(a, b *peerv1.Member) int {
-		x, y := rendezvous(a.GetId(), key), rendezvous(b.GetId(), key)
+		x, y := rendezvousWeight(a.GetId(), key), rendezvousWeight(b.GetId(), key)
 		switch {
 		case x < y:
 			return -1
@@ -105,7 +105,7 @@
 	})
 }
 
-func rendezvous(id, key string) uint64 {
+func rendezvousWeight(id, key string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	_, _ = h.Write([]byte{0})
--- a/scheduler/poller.go
+++ b/scheduler/poller.go
@@ -21,12 +21,12 @@
 // poller polls one engine until it is stopped.
 type poller struct {
 	address string
-	poke    chan struct{}
+	trigger chan struct{}
 	stop    context.CancelFunc
 }
 
-// pollEvery returns the time between two polls of each of n engines.
-func pollEvery(n int) time.Duration {
+// pollIntervalFor returns the time between two polls of each of n engines.
+func pollIntervalFor(n int) time.Duration {
 	return max(pollInterval, time.Duration(n)*time.Second/pollsPerSecond)
 }
 
@@ -40,16 +40,16 @@
 			delete(p.pollers, name)
 		}
 	}
-	every := pollEvery(len(p.core.order))
-	for _, e := range p.core.order {
+	interval := pollIntervalFor(len(p.core.sortedEngines))
+	for _, e := range p.core.sortedEngines {
 		if _, ok := p.pollers[e.spec.Name]; ok {
 			continue
 		}
 		ctx, stop := context.WithCancel(p.ctx)
-		r := &poller{address: e.spec.Address, poke: make(chan struct{}, 1), stop: stop}
+		r := &poller{address: e.spec.Address, trigger: make(chan struct{}, 1), stop: stop}
 		p.pollers[e.spec.Name] = r
 		p.wg.Add(1)
-		go p.poll(ctx, r, e.spec.Name, p.opts.engines(e.spec), every)
+		go p.poll(ctx, r, e.spec.Name, p.opts.engineClient(e.spec), interval)
 	}
 }
 
@@ -67,44 +67,44 @@
 		return
 	}
 	select {
-	case r.poke <- struct{}{}:
+	case r.trigger <- struct{}{}:
 	default:
 	}
 }
 
-func (p *pool) poll(ctx context.Context, r *poller, name string, eng endpoint.Engine, every time.Duration) {
+func (p *pool) poll(ctx context.Context, r *poller, name string, eng endpoint.Engine, interval time.Duration) {
 	defer p.wg.Done()
 	cache := cacheFeed{engine: name}
 	for ctx.Err() == nil {
-		begun := p.opts.now()
-		report, err := loadOf(ctx, eng)
+		startedAt := p.opts.now()
+		report, err := fetchLoad(ctx, eng)
 		if ctx.Err() != nil {
 			return
 		}
-		p.send(polledEvent{pollResult{engine: name, report: report, err: err, begun: begun}})
+		p.send(polledEvent{pollResult{engine: name, report: report, err: err, startedAt: startedAt}})
 		if err == nil {
 			cache.fetch(ctx, p, eng, report.Incarnation)
 		}
 		// Jitter keeps schedulers that started together from polling together.
-		wait := time.Duration(float64(every) * (0.9 + 0.2*rand.Float64()))
+		wait := time.Duration(float64(interval) * (0.9 + 0.2*rand.Float64()))
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.poke:
+		case <-r.trigger:
 		case <-time.After(wait):
 		}
 	}
 }
 
-// cacheEvery is the number of load polls to one fetch of cache events; those are
+// pollsPerCacheFetch is the number of load polls to one fetch of cache events; those are
 // hints, and late anyway.
-const cacheEvery = 2
+const pollsPerCacheFetch = 2
 
 // cacheFeed follows the cache events of one engine.
 type cacheFeed struct {
 	engine      string
 	incarnation string
-	seen        uint64
+	lastSeq     uint64
 	polls       int
 }
 
@@ -114,22 +114,22 @@
 	if incarnation != f.incarnation {
 		// A restarted engine numbers its events anew; asked for those after the old
 		// number it would never tell any.
-		f.incarnation, f.seen = incarnation, 0
+		f.incarnation, f.lastSeq = incarnation, 0
 	}
-	if f.polls++; f.polls%cacheEvery != 0 {
+	if f.polls++; f.polls%pollsPerCacheFetch != 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	events, err := eng.CacheEvents(ctx, f.seen)
+	events, err := eng.CacheEvents(ctx, f.lastSeq)
 	if err != nil || len(events) == 0 {
 		return
 	}
-	f.seen = events[len(events)-1].Seq
+	f.lastSeq = events[len(events)-1].Seq
 	p.send(cacheEvent{engine: f.engine, events: events})
 }
 
-func loadOf(ctx context.Context, eng endpoint.Engine) (endpoint.LoadReport, error) {
+func fetchLoad(ctx context.Context, eng endpoint.Engine) (endpoint.LoadReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	return eng.Load(ctx)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -24,21 +24,21 @@
 	eventBuffer = 1024
 	// eventBatch bounds the events handled before requests are placed again.
 	eventBatch = 256
-	// idleAfter is how long a pool that is not chosen as scheduler goes on polling
+	// idleTimeout is how long a pool that is not chosen as scheduler goes on polling
 	// engines after its last request.
-	idleAfter = 10 * time.Second
-	// expiryChecks is the time between two looks for gateways that are gone.
-	expiryChecks = time.Second
+	idleTimeout = 10 * time.Second
+	// expiryInterval is the time between two looks for gateways that are gone.
+	expiryInterval = time.Second
 )
 
 // poolOptions connect a pool with its surroundings.
 type poolOptions struct {
-	vm      string
-	name    string
-	now     func() time.Duration
-	log     *zap.Logger
-	engines func(config.EndpointSpec) endpoint.Engine
-	notice  func(config.EndpointSpec) notice.Notice
+	vm           string
+	name         string
+	now          func() time.Duration
+	log          *zap.Logger
+	engineClient func(config.EndpointSpec) endpoint.Engine
+	notice       func(config.EndpointSpec) notice.Notice
 }
 
 // pool runs a core: one goroutine owns its state and handles typed events.
@@ -78,7 +78,7 @@
 		id:     o.vm + "/" + processID + "." + number + "/",
 	})
 	p.core.configure(pc, o.now())
-	p.lastUsed.Store(int64(-idleAfter))
+	p.lastUsed.Store(int64(-idleTimeout))
 	p.wg.Add(1)
 	go p.run()
 	return p
@@ -104,7 +104,7 @@
 	defer p.stopPollers()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var expiry time.Duration
+	var lastExpiry time.Duration
 	for {
 		select {
 		case <-p.ctx.Done():
@@ -112,7 +112,7 @@
 		case e := <-p.events:
 			p.handle(e)
 		case <-ticker.C:
-			p.due(&expiry)
+			p.handleTick(&lastExpiry)
 		}
 	}
 }
@@ -133,16 +133,16 @@
 	p.core.dispatch(now)
 }
 
-// due does what time brings.
-func (p *pool) due(expiry *time.Duration) {
+// handleTick does what time brings.
+func (p *pool) handleTick(lastExpiry *time.Duration) {
 	now := p.opts.now()
 	p.setActive(now)
 	if !p.active {
 		return
 	}
 	p.core.tick(now)
-	if now-*expiry > expiryChecks {
-		*expiry = now
+	if now-*lastExpiry > expiryInterval {
+		*lastExpiry = now
 		p.core.expire(reportExpiry(p.core.pc.gateways), now)
 	}
 	p.core.dispatch(now)
@@ -151,7 +151,7 @@
 // setActive starts or stops the polling of engines.
 func (p *pool) setActive(now time.Duration) {
 	// A pool that stopped while something waits in it would never answer that.
-	busy := p.chosen.Load() || p.core.anyWaiting() || now-time.Duration(p.lastUsed.Load()) < idleAfter
+	busy := p.chosen.Load() || p.core.anyWaiting() || now-time.Duration(p.lastUsed.Load()) < idleTimeout
 	if busy == p.active {
 		return
 	}
@@ -167,7 +167,7 @@
 
 // Events.
 
-type acquireEvent struct{ w *waiting }
+type acquireEvent struct{ w *queuedRequest }
 
 func (e acquireEvent) apply(p *pool, now time.Duration) {
 	p.lastUsed.Store(int64(now))
@@ -175,7 +175,7 @@
 	p.core.enqueue(e.w, now)
 }
 
-type cancelEvent struct{ w *waiting }
+type cancelEvent struct{ w *queuedRequest }
 
 func (e cancelEvent) apply(p *pool, now time.Duration) { p.core.cancel(e.w, now) }
 
@@ -195,7 +195,7 @@
 
 type polledEvent struct{ result pollResult }
 
-func (e polledEvent) apply(p *pool, now time.Duration) { p.core.polled(e.result, now) }
+func (e polledEvent) apply(p *pool, now time.Duration) { p.core.applyPoll(e.result, now) }
 
 type cacheEvent struct {
 	engine string
@@ -224,7 +224,7 @@
 // acquire waits for a permit. It returns a *crocusreel.Refusal if the request is
 // refused, and the context's error if that ends first.
 func (p *pool) acquire(ctx context.Context, req Request) (Permit, error) {
-	w := &waiting{req: req, reply: make(chan result, 1)}
+	w := &queuedRequest{req: req, reply: make(chan result, 1)}
 	if deadline, ok := ctx.Deadline(); ok {
 		w.deadline = p.opts.now() + time.Until(deadline)
 	}
@@ -252,7 +252,7 @@
 }
 
 // errPoolClosed is met while a configuration replaces pools.
-var errPoolClosed = crocusreel.Refuse(crocusreel.ReasonSchedulerLost, crocusreel.OutcomeNotRun, leastRetryAfter,
+var errPoolClosed = crocusreel.Refuse(crocusreel.ReasonSchedulerLost, crocusreel.OutcomeNotRun, minRetryAfter,
 	"the scheduler has stopped")
 
 // report passes a gateway's report on and returns the strikes to remember.
--- a/scheduler/queueing_test.go
+++ b/scheduler/queueing_test.go
@@ -11,27 +11,27 @@
 	"github.com/crocusreel/crocusreel/endpoint"
 )
 
-// testCore returns a core with one healthy engine of the given memory.
-func testCore(capacity int) *core {
+// newTestCore returns a core with one healthy engine of the given memory.
+func newTestCore(capacity int) *core {
 	e := newFakeEngine("e1", capacity)
 	cfg := baseConfig(map[string]*fakeEngine{"e1": e})
 	c := newCore("a", hooks{poll: func(string) {}, count: func(string, int64) {}})
 	c.configure(poolConfig{spec: poolsOf(cfg, "r")["m"], cfg: cfg, share: 1, gateways: 1}, 0)
-	c.polled(pollResult{engine: "e1", report: endpoint.LoadReport{KVCapacity: capacity, Incarnation: "1"}}, 0)
+	c.applyPoll(pollResult{engine: "e1", report: endpoint.LoadReport{KVCapacity: capacity, Incarnation: "1"}}, 0)
 	return c
 }
 
-// ask enqueues a request and places what can be placed.
-func ask(c *core, left, now time.Duration) *waiting {
-	w := &waiting{req: request(1), deadline: now + left, reply: make(chan result, 1)}
+// submit enqueues a request and places what can be placed.
+func submit(c *core, timeLeft, now time.Duration) *queuedRequest {
+	w := &queuedRequest{req: request(1), deadline: now + timeLeft, reply: make(chan result, 1)}
 	c.enqueue(w, now)
 	c.dispatch(now)
 	return w
 }
 
-// finish ends the answer of a granted request.
-func finish(c *core, w *waiting, now time.Duration) {
-	p := c.permits[w.granted].Permit
+// finishRequest ends the answer of a granted request.
+func finishRequest(c *core, w *queuedRequest, now time.Duration) {
+	p := c.permits[w.permitID].Permit
 	p.Produced = 100
 	c.release(&Release{Permit: p, End: EndFinished}, now)
 	c.dispatch(now)
@@ -42,17 +42,17 @@
 	// for what its engine can do, the first request that has to wait for another would
 	// be told of a wait of minutes and refused.
 	It("are not refused for the low rate of a quiet pool", func() {
-		c := testCore(250)
+		c := newTestCore(250)
 		now := time.Minute
 		for range 20 {
-			w := ask(c, 10*time.Second, now)
-			Expect(w.granted).NotTo(BeEmpty())
-			finish(c, w, now+time.Second)
+			w := submit(c, 10*time.Second, now)
+			Expect(w.permitID).NotTo(BeEmpty())
+			finishRequest(c, w, now+time.Second)
 			now += time.Minute
 		}
-		first, second := ask(c, 10*time.Second, now), ask(c, 10*time.Second, now)
-		Expect(first.granted).NotTo(BeEmpty())
-		third := ask(c, 10*time.Second, now)
+		first, second := submit(c, 10*time.Second, now), submit(c, 10*time.Second, now)
+		Expect(first.permitID).NotTo(BeEmpty())
+		third := submit(c, 10*time.Second, now)
 		Expect(second.done).To(BeFalse())
 		Expect(third.done).To(BeFalse())
 	})
@@ -61,26 +61,26 @@
 	// seconds left is told so at once; held until its deadline it would lose the time
 	// to go elsewhere.
 	It("are refused at once if they can't be served before their deadline", func() {
-		c := testCore(250)
+		c := newTestCore(250)
 		now := time.Minute
-		running := ask(c, time.Hour, now)
-		var queued []*waiting
+		running := submit(c, time.Hour, now)
+		var queued []*queuedRequest
 		for range 40 {
-			queued = append(queued, ask(c, time.Hour, now))
+			queued = append(queued, submit(c, time.Hour, now))
 		}
 		for range 20 {
 			now += time.Second
-			finish(c, running, now)
-			var next *waiting
+			finishRequest(c, running, now)
+			var next *queuedRequest
 			for _, w := range queued {
-				if _, open := c.permits[w.granted]; w.granted != "" && open {
+				if _, open := c.permits[w.permitID]; w.permitID != "" && open {
 					next = w
 				}
 			}
 			Expect(next).NotTo(BeNil())
 			running = next
 		}
-		late := ask(c, 2*time.Second, now)
+		late := submit(c, 2*time.Second, now)
 		Expect(late.done).To(BeTrue())
 		r := <-late.reply
 		Expect(r.refusal.Reason).To(Equal(crocusreel.ReasonDeadline))
@@ -88,12 +88,12 @@
 	})
 
 	It("give up the least valued when there are too many", func() {
-		c := testCore(250)
-		ask(c, time.Hour, 0)
+		c := newTestCore(250)
+		submit(c, time.Hour, 0)
 		for range c.pc.cfg.Limits.QueueLength {
-			Expect(ask(c, time.Hour, 0).done).To(BeFalse())
+			Expect(submit(c, time.Hour, 0).done).To(BeFalse())
 		}
-		last := ask(c, time.Hour, time.Second)
+		last := submit(c, time.Hour, time.Second)
 		Expect((<-last.reply).refusal.Reason).To(Equal(crocusreel.ReasonQueueFull))
 	})
 })
--- a/scheduler/remote.go
+++ b/scheduler/remote.go
@@ -12,64 +12,64 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-// failuresToDistrust is the number of failed reports in a row after which a
+// failuresUntilUnreachable is the number of failed reports in a row after which a
 // scheduler counts as unreachable.
-const failuresToDistrust = 2
+const failuresUntilUnreachable = 2
 
-// remote is the way to the scheduler at another gateway.
-type remote struct {
+// remoteScheduler is the way to the scheduler at another gateway.
+type remoteScheduler struct {
 	id      string
 	address string
 	client  peerv1.SchedulerClient
 
 	mu       sync.Mutex
 	failures int
-	// up ends when the scheduler stops answering reports. A stalled link breaks no
+	// reachable ends when the scheduler stops answering reports. A stalled link breaks no
 	// connection: without this, requests that wait there would wait for nothing.
-	up   context.Context
-	down context.CancelFunc
+	reachable       context.Context
+	markUnreachable context.CancelFunc
 }
 
-func newRemote(g *peerv1.Member, o Options) *remote {
-	r := &remote{
+func newRemoteScheduler(g *peerv1.Member, o Options) *remoteScheduler {
+	r := &remoteScheduler{
 		id: g.GetId(), address: g.GetGatewayAddress(),
 		client: peerv1.NewSchedulerClient(o.Client, o.Scheme+"://"+g.GetGatewayAddress()),
 	}
-	r.up, r.down = context.WithCancel(context.Background())
+	r.reachable, r.markUnreachable = context.WithCancel(context.Background())
 	return r
 }
 
-// alive returns a context that ends when the scheduler becomes unreachable.
-func (r *remote) alive() context.Context {
+// reachableCtx returns a context that ends when the scheduler becomes unreachable.
+func (r *remoteScheduler) reachableCtx() context.Context {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.up
+	return r.reachable
 }
 
-// reported tells the outcome of a report.
-func (r *remote) reported(err error) {
+// recordReport tells the outcome of a report.
+func (r *remoteScheduler) recordReport(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
 		r.failures = 0
-		if r.up.Err() != nil {
-			r.up, r.down = context.WithCancel(context.Background())
+		if r.reachable.Err() != nil {
+			r.reachable, r.markUnreachable = context.WithCancel(context.Background())
 		}
 		return
 	}
 	r.failures++
-	if r.failures >= failuresToDistrust {
-		r.down()
+	if r.failures >= failuresUntilUnreachable {
+		r.markUnreachable()
 	}
 }
 
 // acquire asks the scheduler for a permit and waits in its queue.
-func (r *remote) acquire(ctx context.Context, req *Request, pool string, now time.Duration) (Permit, error) {
-	var left time.Duration
+func (r *remoteScheduler) acquire(ctx context.Context, req *Request, pool string, now time.Duration) (Permit, error) {
+	var timeLeft time.Duration
 	if deadline, ok := ctx.Deadline(); ok {
-		left = time.Until(deadline)
+		timeLeft = time.Until(deadline)
 	}
-	resp, err := r.client.Acquire(ctx, connect.NewRequest(requestToWire(req, pool, left, now)))
+	resp, err := r.client.Acquire(ctx, connect.NewRequest(requestToWire(req, pool, timeLeft, now)))
 	if err != nil {
 		return Permit{}, eris.Wrapf(err, "scheduler %s", r.id)
 	}
@@ -83,7 +83,7 @@
 }
 
 // report sends a report and returns the strikes to remember.
-func (r *remote) report(ctx context.Context, rep *gatewayReport, pool string, now time.Duration) ([]policy.Strike, error) {
+func (r *remoteScheduler) report(ctx context.Context, rep *gatewayReport, pool string, now time.Duration) ([]policy.Strike, error) {
 	msg := &peerv1.ReportRequest{Gateway: rep.Gateway, Pool: pool, Partial: rep.Partial}
 	msg.Open = permitsToWire(rep.Open)
 	for i := range rep.Releases {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -61,10 +61,10 @@
 	Incarnation string
 }
 
-// death identifies the death of the permit's engine. All answers that an engine's death
+// deathID identifies the deathID of the permit's engine. All answers that an engine's deathID
 // interrupted have the same: a prompt that many callers send alike has died once, not many
 // times.
-func (p *Permit) death() uint64 {
+func (p *Permit) deathID() uint64 {
 	h := fnv.New64a()
 	if p.Incarnation == "" {
 		_, _ = h.Write([]byte(p.ID))
@@ -74,24 +74,24 @@
 	return h.Sum64()
 }
 
-// End tells how a permit ended.
-type End string
+// EndReason tells how a permit ended.
+type EndReason string
 
 const (
 	// EndFinished means that the answer is whole; its length is known.
-	EndFinished End = "finished"
+	EndFinished EndReason = "finished"
 	// EndCancelled means that the caller gave up; the length is censored.
-	EndCancelled End = "cancelled"
+	EndCancelled EndReason = "cancelled"
 	// EndNotStarted means that the engine certainly did not start the work.
-	EndNotStarted End = "not_started"
+	EndNotStarted EndReason = "not_started"
 	// EndEndpointLost means that the endpoint died or the link to it broke.
-	EndEndpointLost End = "endpoint_lost"
+	EndEndpointLost EndReason = "endpoint_lost"
 )
 
 // Release returns a permit.
 type Release struct {
 	Permit Permit
-	End    End
+	End    EndReason
 }
 
 // Permits is how gateways get permits, from a scheduler of their own process or
--- a/scheduler/scheduler_suite_test.go
+++ b/scheduler/scheduler_suite_test.go
@@ -22,8 +22,8 @@
 	RunSpecs(t, "scheduler")
 }
 
-// patience bounds what the specs wait for; it is generous, since machines are busy.
-const patience = 20 * time.Second
+// specTimeout bounds what the specs wait for; it is generous, since machines are busy.
+const specTimeout = 20 * time.Second
 
 // fakeEngine answers load polls; nothing else is asked of an engine here.
 type fakeEngine struct {
@@ -63,8 +63,8 @@
 	change(f)
 }
 
-// region is a set of gateways with managers of their own over the same engines.
-type region struct {
+// testRegion is a set of gateways with managers of their own over the same engines.
+type testRegion struct {
 	engines  map[string]*fakeEngine
 	cfg      *config.Config
 	managers map[string]*Manager
@@ -109,8 +109,8 @@
 	return cfg
 }
 
-func newRegion(gateways []string, engines ...*fakeEngine) *region {
-	r := &region{
+func newTestRegion(gateways []string, engines ...*fakeEngine) *testRegion {
+	r := &testRegion{
 		engines: make(map[string]*fakeEngine), managers: make(map[string]*Manager),
 		servers: make(map[string]*httptest.Server), calls: &callCount{n: make(map[string]int)},
 	}
@@ -126,8 +126,8 @@
 	return r
 }
 
-func (r *region) start(id string) {
-	m := NewManager(Options{VMID: id, Region: "r", Engines: func(s config.EndpointSpec) endpoint.Engine {
+func (r *testRegion) start(id string) {
+	m := NewManager(Options{VMID: id, Region: "r", EngineClient: func(s config.EndpointSpec) endpoint.Engine {
 		return r.engines[s.Name]
 	}})
 	mux := http.NewServeMux()
@@ -151,7 +151,7 @@
 	r.managers[id], r.servers[id] = m, s
 }
 
-func (r *region) stop() {
+func (r *testRegion) stop() {
 	for _, s := range r.servers {
 		s.CloseClientConnections()
 		s.Close()
@@ -159,7 +159,7 @@
 }
 
 // apply passes the members that are left and the configuration to all managers.
-func (r *region) apply() {
+func (r *testRegion) apply() {
 	var members []*peerv1.Member
 	for id, s := range r.servers {
 		members = append(members, &peerv1.Member{
@@ -172,17 +172,17 @@
 	}
 }
 
-// scheduler returns the VM ID of the scheduler in the view of any manager.
-func (r *region) scheduler() string {
+// schedulerID returns the VM ID of the schedulerID in the view of any manager.
+func (r *testRegion) schedulerID() string {
 	for _, m := range r.managers {
-		return m.view.Load().pools["m"].scheduler
+		return m.view.Load().byModel["m"].schedulerID
 	}
 	return ""
 }
 
-// other returns a gateway that is not the scheduler.
-func (r *region) other() *Manager {
-	chosen := r.scheduler()
+// nonScheduler returns a gateway that is not the scheduler.
+func (r *testRegion) nonScheduler() *Manager {
+	chosen := r.schedulerID()
 	for id, m := range r.managers {
 		if id != chosen {
 			return m
@@ -198,23 +198,23 @@
 	}
 }
 
-// openAt counts the permits that a manager's pool knows.
-func openAt(m *Manager) func() int {
+// openPermits counts the permits that a manager's pool knows.
+func openPermits(m *Manager) func() int {
 	return func() (n int) {
-		pv := m.view.Load().pools["m"]
-		pv.main.stats(func(c *core) { n = len(c.permits) })
+		pv := m.view.Load().byModel["m"]
+		pv.primary.stats(func(c *core) { n = len(c.permits) })
 		return n
 	}
 }
 
 func acquire(m *Manager, req Request) (Permit, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), specTimeout)
 	defer cancel()
 	return m.Acquire(ctx, req)
 }
 
 // leave takes a gateway out of the members that all managers see.
-func (r *region) leave(id string) {
+func (r *testRegion) leave(id string) {
 	s := r.servers[id]
 	delete(r.servers, id)
 	DeferCleanup(func() {
@@ -224,8 +224,8 @@
 	r.apply()
 }
 
-// acquireLater asks for a permit in the background.
-func acquireLater(m *Manager) <-chan error {
+// acquireAsync asks for a permit in the background.
+func acquireAsync(m *Manager) <-chan error {
 	done := make(chan error, 1)
 	go func() {
 		_, err := acquire(m, request(1))
@@ -234,10 +234,10 @@
 	return done
 }
 
-// waitingAt counts the requests that wait in a manager's pool.
-func waitingAt(m *Manager) func() int {
+// queuedRequests counts the requests that wait in a manager's pool.
+func queuedRequests(m *Manager) func() int {
 	return func() (n int) {
-		m.view.Load().pools["m"].main.stats(func(c *core) {
+		m.view.Load().byModel["m"].primary.stats(func(c *core) {
 			for _, q := range c.queues {
 				n += q.Len()
 			}
--- a/scheduler/suspects_test.go
+++ b/scheduler/suspects_test.go
@@ -13,17 +13,17 @@
 	"github.com/crocusreel/crocusreel/endpoint"
 )
 
-// enginesCore is a core with healthy engines whose deaths a spec brings about one event at
+// multiEngineCore is a core with healthy engines whose deaths a spec brings about one event at
 // a time, without the races of real polls.
-type enginesCore struct {
+type multiEngineCore struct {
 	*core
 	now    time.Duration
 	starts map[string]int
 }
 
-func newEnginesCore(engines int) *enginesCore {
+func newMultiEngineCore(engines int) *multiEngineCore {
 	cfg := baseConfig(nil)
-	c := &enginesCore{
+	c := &multiEngineCore{
 		core:   newCore("a", hooks{poll: func(string) {}, count: func(string, int64) {}}),
 		now:    time.Minute,
 		starts: make(map[string]int),
@@ -36,47 +36,47 @@
 	}
 	c.configure(poolConfig{spec: poolsOf(cfg, "r")["m"], cfg: cfg, share: 1, gateways: 1}, 0)
 	for _, e := range cfg.Endpoints {
-		c.poll(e.Name)
+		c.pollEngine(e.Name)
 	}
 	return c
 }
 
-// poll is an answer of the engine's present incarnation.
-func (c *enginesCore) poll(name string) {
+// pollEngine is an answer of the engine's present incarnation.
+func (c *multiEngineCore) pollEngine(name string) {
 	c.now += time.Millisecond
 	report := endpoint.LoadReport{KVCapacity: 100000, Incarnation: fmt.Sprint(name, "-", c.starts[name])}
-	c.polled(pollResult{engine: name, report: report, begun: c.now}, c.now)
+	c.applyPoll(pollResult{engine: name, report: report, startedAt: c.now}, c.now)
 	c.dispatch(c.now)
 }
 
-func (c *enginesCore) restart(name string) { c.starts[name]++ }
+func (c *multiEngineCore) restart(name string) { c.starts[name]++ }
 
-// send asks for a place for a request; granted is empty while it waits.
-func (c *enginesCore) send(fingerprint uint64) *waiting {
+// submit asks for a place for a request; granted is empty while it waits.
+func (c *multiEngineCore) submit(fingerprint uint64) *queuedRequest {
 	c.now += time.Millisecond
-	w := &waiting{req: request(fingerprint), reply: make(chan result, 1)}
+	w := &queuedRequest{req: request(fingerprint), reply: make(chan result, 1)}
 	c.enqueue(w, c.now)
 	c.dispatch(c.now)
 	return w
 }
 
-// lose tells of the lost answer of a granted request.
-func (c *enginesCore) lose(w *waiting) {
+// loseResponse tells of the lost answer of a granted request.
+func (c *multiEngineCore) loseResponse(w *queuedRequest) {
 	c.now += time.Millisecond
-	c.release(&Release{Permit: c.permits[w.granted].Permit, End: EndEndpointLost}, c.now)
+	c.release(&Release{Permit: c.permits[w.permitID].Permit, End: EndEndpointLost}, c.now)
 	c.dispatch(c.now)
 }
 
-// kill is the death of the engine that runs a request, with all that tells of it.
-func (c *enginesCore) kill(w *waiting) {
-	name := c.permits[w.granted].Endpoint
+// killEngineOf is the death of the engine that runs a request, with all that tells of it.
+func (c *multiEngineCore) killEngineOf(w *queuedRequest) {
+	name := c.permits[w.permitID].Endpoint
 	c.restart(name)
-	c.lose(w)
-	c.poll(name)
+	c.loseResponse(w)
+	c.pollEngine(name)
 }
 
 // refusalOfWaiting is the reason for which a request was refused, empty if it was not.
-func refusalOfWaiting(w *waiting) crocusreel.Reason {
+func refusalOfWaiting(w *queuedRequest) crocusreel.Reason {
 	select {
 	case r := <-w.reply:
 		if r.refusal != nil {
@@ -87,8 +87,8 @@
 	return ""
 }
 
-// die lets the engine restart and the gateway lose the answer that ran there.
-func die(m *Manager, e *fakeEngine, lost ...Permit) {
+// crashEngine lets the engine restart and the gateway lose the answer that ran there.
+func crashEngine(m *Manager, e *fakeEngine, lost ...Permit) {
 	e.set(func(f *fakeEngine) { f.report.Incarnation += "+" })
 	for _, p := range lost {
 		m.Release(Release{Permit: p, End: EndEndpointLost})
@@ -98,8 +98,8 @@
 // strikesOf reads the strikes against a request at a manager's pool.
 func strikesOf(m *Manager, fingerprint uint64) func() int {
 	return func() (n int) {
-		pv := m.view.Load().pools["m"]
-		pv.main.stats(func(c *core) { n = c.suspects.Count(fingerprint, m.now()) })
+		pv := m.view.Load().byModel["m"]
+		pv.primary.stats(func(c *core) { n = c.suspects.Count(fingerprint, m.now()) })
 		return n
 	}
 }
@@ -112,7 +112,7 @@
 	// the other, and every caller there loses its answer with them.
 	It("is refused after the bound, and the requests beside it are not", func() {
 		e1, e2 := newFakeEngine("e1", 100000), newFakeEngine("e2", 100000)
-		r := newRegion([]string{"a"}, e1, e2)
+		r := newTestRegion([]string{"a"}, e1, e2)
 		m := r.managers["a"]
 		engines := map[string]*fakeEngine{"e1": e1, "e2": e2}
 		for n := range 3 {
@@ -121,32 +121,32 @@
 			beside, err := acquire(m, request(innocent))
 			Expect(err).NotTo(HaveOccurred())
 			if beside.Endpoint == p.Endpoint {
-				die(m, engines[p.Endpoint], p, beside)
+				crashEngine(m, engines[p.Endpoint], p, beside)
 			} else {
-				die(m, engines[p.Endpoint], p)
+				crashEngine(m, engines[p.Endpoint], p)
 				m.Release(Release{Permit: beside, End: EndFinished})
 			}
-			Eventually(strikesOf(m, deadly), patience).Should(Equal(n + 1))
+			Eventually(strikesOf(m, deadly), specTimeout).Should(Equal(n + 1))
 		}
 		_, err := acquire(m, request(deadly))
 		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
 		p, err := acquire(m, request(innocent))
 		Expect(err).NotTo(HaveOccurred())
 		m.Release(Release{Permit: p, End: EndFinished})
-		Eventually(strikesOf(m, innocent), patience).Should(BeZero())
+		Eventually(strikesOf(m, innocent), specTimeout).Should(BeZero())
 	})
 
 	// The link to an engine breaks, and all its answers are lost at once. Nobody is
 	// to blame, and none of these requests may be refused for it.
 	It("is not suspected when only the link broke", func() {
 		e := newFakeEngine("e1", 100000)
-		r := newRegion([]string{"a"}, e)
+		r := newTestRegion([]string{"a"}, e)
 		m := r.managers["a"]
 		for range 4 {
 			p, err := acquire(m, request(innocent))
 			Expect(err).NotTo(HaveOccurred())
 			m.Release(Release{Permit: p, End: EndEndpointLost})
-			Eventually(openAt(m), patience).Should(BeZero())
+			Eventually(openPermits(m), specTimeout).Should(BeZero())
 		}
 		_, err := acquire(m, request(innocent))
 		Expect(err).NotTo(HaveOccurred())
@@ -157,19 +157,19 @@
 	// not through their own fault.
 	It("is not suspected when the engine was reclaimed", func() {
 		e := newFakeEngine("e1", 100000)
-		r := newRegion([]string{"a"}, e)
+		r := newTestRegion([]string{"a"}, e)
 		m := r.managers["a"]
 		p, err := acquire(m, request(innocent))
 		Expect(err).NotTo(HaveOccurred())
 		e.set(func(f *fakeEngine) { f.report.Leaving = true })
 		leaving := func() (leaving bool) {
-			m.view.Load().pools["m"].main.stats(func(c *core) { leaving = c.engines["e1"].leaving })
+			m.view.Load().byModel["m"].primary.stats(func(c *core) { leaving = c.engines["e1"].leaving })
 			return leaving
 		}
-		Eventually(leaving, patience).Should(BeTrue())
+		Eventually(leaving, specTimeout).Should(BeTrue())
 		e.set(func(f *fakeEngine) { f.report.Incarnation, f.report.Leaving = "e1-2", false })
 		m.Release(Release{Permit: p, End: EndEndpointLost})
-		Eventually(leaving, patience).Should(BeFalse())
+		Eventually(leaving, specTimeout).Should(BeFalse())
 		Expect(strikesOf(m, innocent)()).To(BeZero())
 	})
 
@@ -177,23 +177,23 @@
 	// deadly request would take down as many engines again.
 	It("is known to the next scheduler", func() {
 		e := newFakeEngine("e1", 100000)
-		r := newRegion([]string{"a", "b", "c"}, e)
-		m := r.other()
+		r := newTestRegion([]string{"a", "b", "c"}, e)
+		m := r.nonScheduler()
 		for n := range 3 {
 			p, err := acquire(m, request(deadly))
 			Expect(err).NotTo(HaveOccurred())
-			die(m, e, p)
-			Eventually(strikesOf(r.managers[r.scheduler()], deadly), patience).Should(Equal(n + 1))
+			crashEngine(m, e, p)
+			Eventually(strikesOf(r.managers[r.schedulerID()], deadly), specTimeout).Should(Equal(n + 1))
 		}
-		Eventually(func() int { return len(m.ledger.known("m")) }, patience).Should(Equal(3))
-		dead := r.scheduler()
+		Eventually(func() int { return len(m.permits.strikesFrom("m")) }, specTimeout).Should(Equal(3))
+		dead := r.schedulerID()
 		r.servers[dead].CloseClientConnections()
 		r.servers[dead].Close()
 		delete(r.servers, dead)
 		delete(r.managers, dead)
 		r.apply()
-		Eventually(strikesOf(r.managers[r.scheduler()], deadly), patience).Should(Equal(3))
-		_, err := acquire(r.managers[r.scheduler()], request(deadly))
+		Eventually(strikesOf(r.managers[r.schedulerID()], deadly), specTimeout).Should(Equal(3))
+		_, err := acquire(r.managers[r.schedulerID()], request(deadly))
 		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
 	})
 
@@ -205,15 +205,15 @@
 		for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
 			engines = append(engines, newFakeEngine(name, 100000))
 		}
-		r := newRegion([]string{"a", "b"}, engines...)
-		m := r.other()
+		r := newTestRegion([]string{"a", "b"}, engines...)
+		m := r.nonScheduler()
 		for n := range r.cfg.Limits.Strikes {
 			p, err := acquire(m, request(deadly))
 			Expect(err).NotTo(HaveOccurred(), "attempt %d", n)
-			die(m, r.engines[p.Endpoint], p)
+			crashEngine(m, r.engines[p.Endpoint], p)
 			if n == 0 {
-				r.servers[r.scheduler()].CloseClientConnections()
-				r.servers[r.scheduler()].Close()
+				r.servers[r.schedulerID()].CloseClientConnections()
+				r.servers[r.schedulerID()].Close()
 			}
 		}
 		_, err := acquire(m, request(deadly))
@@ -224,13 +224,13 @@
 	// has never seen the engine before, so that the new incarnation is nothing new to it.
 	It("gets its strike from a scheduler that has only seen the engine's new incarnation", func() {
 		e := newFakeEngine("e1", 100000)
-		r := newRegion([]string{"a"}, e)
+		r := newTestRegion([]string{"a"}, e)
 		m := r.managers["a"]
 		req := request(deadly)
 		req.Losses = []Permit{{ID: "granted elsewhere", Endpoint: "e1", Model: "m", Fingerprint: deadly, Incarnation: "e1-0"}}
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), specTimeout)
 		defer cancel()
-		_, err := m.view.Load().pools["m"].main.acquire(ctx, req)
+		_, err := m.view.Load().byModel["m"].primary.acquire(ctx, req)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(strikesOf(m, deadly)()).To(Equal(1))
 	})
@@ -242,18 +242,18 @@
 	// "permit granted" with strikes=3 comes in the same millisecond as "strike", and a fourth
 	// engine dies with every answer on it.
 	It("is refused if the loss that it waited for turns out to be the last death allowed", func() {
-		c := newEnginesCore(4)
+		c := newMultiEngineCore(4)
 		for range 2 {
-			c.kill(c.send(deadly))
+			c.killEngineOf(c.submit(deadly))
 		}
-		third := c.send(deadly)
-		engine := c.permits[third.granted].Endpoint
+		third := c.submit(deadly)
+		engine := c.permits[third.permitID].Endpoint
 		c.restart(engine)
-		c.lose(third)
-		again := c.send(deadly)
+		c.loseResponse(third)
+		again := c.submit(deadly)
 		Expect(again.done).To(BeFalse(), "held back")
-		c.poll(engine)
-		Expect(again.granted).To(BeEmpty())
+		c.pollEngine(engine)
+		Expect(again.permitID).To(BeEmpty())
 		Expect(refusalOfWaiting(again)).To(Equal(crocusreel.ReasonSuspect))
 	})
 
@@ -262,17 +262,17 @@
 	// all die together, before any of these deaths could be counted: as many as there are
 	// copies, for a bound of three.
 	It("runs at no more engines at once than it may still kill", func() {
-		c := newEnginesCore(6)
-		c.kill(c.send(deadly))
-		var copies []*waiting
+		c := newMultiEngineCore(6)
+		c.killEngineOf(c.submit(deadly))
+		var copies []*queuedRequest
 		for range 5 {
-			copies = append(copies, c.send(deadly))
+			copies = append(copies, c.submit(deadly))
 		}
 		deaths := 1
 		for range copies {
 			for _, w := range copies {
-				if _, open := c.permits[w.granted]; open {
-					c.kill(w)
+				if _, open := c.permits[w.permitID]; open {
+					c.killEngineOf(w)
 					deaths++
 				}
 			}
@@ -291,24 +291,24 @@
 	// They wait for the first of them to have its answer; then nothing is held against the
 	// prompt, and it may run everywhere again.
 	It("waits no longer than for the first whole answer if it is innocent", func() {
-		c := newEnginesCore(6)
+		c := newMultiEngineCore(6)
 		for range 2 {
-			c.kill(c.send(innocent))
+			c.killEngineOf(c.submit(innocent))
 		}
-		var copies []*waiting
+		var copies []*queuedRequest
 		for range 5 {
-			copies = append(copies, c.send(innocent))
+			copies = append(copies, c.submit(innocent))
 		}
 		granted := func() (n int) {
 			for _, w := range copies {
-				if w.granted != "" {
+				if w.permitID != "" {
 					n++
 				}
 			}
 			return n
 		}
 		Expect(granted()).To(Equal(1))
-		c.release(&Release{Permit: c.permits[copies[0].granted].Permit, End: EndFinished}, c.now)
+		c.release(&Release{Permit: c.permits[copies[0].permitID].Permit, End: EndFinished}, c.now)
 		c.dispatch(c.now)
 		Expect(granted()).To(Equal(len(copies)))
 	})
