--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// schedulerAttempts is the number of attempts to get a permit from the scheduler
-	// before the gateway decides alone with its share of the engines.
+	// schedulerAttempts is the number of attempts to get a permit from the scheduler before the
+	// gateway falls back to its own share of the engines.
 	schedulerAttempts = 2
-	// fallbackWait is how long a request waits for that share. Then the scheduler is
-	// asked again: it may be back, or another gateway, and has all of the engines.
+	// fallbackWait is how long a request waits for that share. The scheduler is then asked again:
+	// it may have recovered or moved to another gateway, and it may use all of the engines'
+	// capacity.
 	fallbackWait = time.Second
 )
 
-// Acquire implements Permits. However often the scheduler moves or fails, the wait is
-// bounded as a whole by the configuration's queue_wait_ms.
+// Acquire implements Permits. The configuration's queue_wait_ms bounds the total wait, however
+// often the scheduler moves or fails.
 func (m *Manager) Acquire(ctx context.Context, req Request) (Permit, error) {
 	req.Gateway = m.opts.VMID
 	ctx, cancel := m.withQueueTimeout(ctx)
@@ -44,7 +45,7 @@
 	}
 }
 
-// withQueueTimeout adds the longest wait in a queue to the caller's own deadline.
+// withQueueTimeout adds the configured maximum queue wait to the caller's own deadline.
 func (m *Manager) withQueueTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	v := m.view.Load()
 	if v == nil || v.cfg.Limits.QueueWaitMS <= 0 {
@@ -81,9 +82,9 @@
 	return pv, nil
 }
 
-// acquireOnce asks the pool's scheduler, here or at another gateway. The wait ends with an
-// error if the scheduler moves or becomes unreachable: a request that stayed in the
-// queue of a gateway which no longer schedules would be forgotten there.
+// acquireOnce asks the pool's scheduler, in this process or at another gateway. The wait ends with
+// an error if the scheduler moves or becomes unreachable: a request left in the queue of a gateway
+// that no longer schedules would never be served.
 func (m *Manager) acquireOnce(ctx context.Context, pv *poolView, req Request) (Permit, error) {
 	call, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -99,10 +100,10 @@
 	return pv.remote.acquire(call, &req, pv.key, m.now())
 }
 
-var errSchedulerUnreachable = errors.New("the scheduler does not answer reports")
+var errSchedulerUnreachable = errors.New("scheduler is unreachable: it does not answer reports")
 
-// acquireFallback decides alone, with this gateway's share of the engines, and waits for
-// it for a short time only.
+// acquireFallback requests a permit from this gateway's fallback pool, which uses only this
+// gateway's share of the engines, and waits for at most fallbackWait.
 func (m *Manager) acquireFallback(ctx context.Context, req Request) (Permit, error) {
 	pv, refusal := m.poolOf(req.Model)
 	if refusal != nil {
@@ -112,7 +113,8 @@
 	req.Losses, req.Strikes = m.permits.lossesAndStrikes(req.Fingerprint, pv.key, m.now())
 	wait, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// No deadline: the pool would take it for the caller's and refuse for good.
+	// Cancel without setting a deadline: the pool would treat a deadline as the caller's and refuse
+	// the request for good.
 	defer time.AfterFunc(fallbackWait, cancel).Stop()
 	p, err := pv.fallback.acquire(wait, req)
 	if err == nil {
@@ -121,8 +123,8 @@
 	return p, err
 }
 
-// isFinal tells whether an error is the scheduler's decision or the caller's end,
-// and not a failure to reach the scheduler.
+// isFinal reports whether an error is the scheduler's decision or is caused by the end of the
+// caller's context, as opposed to a failure to reach the scheduler.
 func isFinal(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return true
@@ -131,7 +133,7 @@
 	return errors.As(err, &refusal) && refusal.Reason != crocusreel.ReasonSchedulerLost
 }
 
-// finalError returns what the caller of Acquire gets.
+// finalError returns the error that Acquire returns to its caller.
 func finalError(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
@@ -174,16 +176,16 @@
 	}
 }
 
-// lossReportTimeout bounds the wait for a scheduler to learn of a lost answer.
+// lossReportTimeout bounds the wait for the scheduler to acknowledge a lost response.
 const lossReportTimeout = 300 * time.Millisecond
 
-// strikeReportDelays are the times after a loss at which its strike is asked for.
+// strikeReportDelays are the times after a loss at which a full report is sent to fetch its strike.
 var strikeReportDelays = []time.Duration{20 * time.Millisecond, 200 * time.Millisecond}
 
-// reportLoss tells the scheduler of a lost answer and waits until it knows. The
-// gateway tries again or answers its caller right after. If that request reached the
-// scheduler before the loss did, a deadly one would go to one more engine than the
-// bound allows.
+// reportLoss reports a lost response to the scheduler and waits for the acknowledgement. The
+// gateway retries, or returns an error to its caller, right afterwards. If a repeated request
+// reached the scheduler before the loss did, a request that crashes engines would get one engine
+// more than the limit on strikes allows.
 func (m *Manager) reportLoss(key string, r Release) bool {
 	v := m.view.Load()
 	if v == nil || v.byKey[key] == nil {
@@ -199,8 +201,9 @@
 	} else {
 		_, err = pv.remote.report(ctx, report, key, m.now())
 	}
-	// The strike is counted once a poll has shown the death. Full reports soon after
-	// bring it here, so that it is not lost if the scheduler moves within the second.
+	// The scheduler counts the strike once a poll has confirmed the engine's death. Full reports
+	// shortly afterwards fetch the strike, so that it is not lost if the scheduler moves within a
+	// second.
 	if err != nil {
 		m.opts.Log.Warn("loss not told to the scheduler", zap.String("pool", key), zap.String("scheduler", pv.schedulerID),
 			zap.String("permit", r.Permit.ID), logging.Work(r.Permit.Fingerprint), zap.Error(err))
--- a/scheduler/convert.go
+++ b/scheduler/convert.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Strikes travel with their age, since processes share no clock.
+// Strikes are sent with their age, because processes share no clock.
 
 func strikesToWire(strikes []policy.Strike, now time.Duration) []*peerv1.Strike {
 	out := make([]*peerv1.Strike, len(strikes))
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// takeoverGracePeriod is how long admission is conservative after a pool became
-	// active: permits of an earlier scheduler are still being reported.
+	// takeoverGracePeriod is how long admission is conservative after a pool becomes active, while
+	// gateways still report permits that an earlier scheduler granted.
 	takeoverGracePeriod = 2 * time.Second
-	// takeoverGraceShare is the part of the engines' memory used meanwhile.
+	// takeoverGraceShare is the fraction of the engines' memory that is used during that period.
 	takeoverGraceShare = 0.7
-	// unreportedPermitGrace is the age over which a permit that its gateway does not report
-	// is dropped: the answer with the grant was lost. It is longer than a grant and
-	// a report can pass each other on the way.
+	// unreportedPermitGrace is the age from which a permit that its gateway does not report is
+	// dropped, because the response with the grant was lost. It is longer than the time during
+	// which a grant and a report can cross in transit.
 	unreportedPermitGrace = 3 * time.Second
-	// tombstoneTTL is how long an ended permit is remembered, so that a late
-	// report does not revive it.
+	// tombstoneTTL is how long an ended permit is remembered, so that a late report does not
+	// restore it.
 	tombstoneTTL = 15 * time.Second
 )
 
-// poolConfig is what a pool needs to know of the configuration and of the region.
+// poolConfig is the part of the configuration and of the region's state that a pool needs.
 type poolConfig struct {
 	spec *poolSpec
 	cfg  *config.Config
-	// share is the part of the engines' memory that this scheduler may use.
+	// share is the fraction of the engines' memory that this scheduler may use.
 	share float64
-	// gateways is the number of gateways that report.
+	// gateways is the number of gateways that send reports.
 	gateways int
 }
 
-// queuedRequest is a request in the queue.
+// queuedRequest is a request that waits for a permit or a refusal.
 type queuedRequest struct {
 	req Request
-	// deadline is when the caller gives up; 0 if it told none.
+	// deadline is the caller's deadline on the pool's clock; 0 means none.
 	deadline       time.Duration
 	item           *policy.Item[*queuedRequest]
 	placement      policy.Request
@@ -48,17 +48,18 @@
 	reply          chan result
 	done           bool
 	permitID       string
-	// holdLogged tells that the request was holdLogged back, so that this is logged once.
+	// holdLogged is set once it was logged that the request is held back, so that this is logged
+	// only once.
 	holdLogged bool
 }
 
-// result is the answer to a waiting request: a permit or a refusal.
+// result is the response to a queued request: a permit or a refusal.
 type result struct {
 	permit  Permit
 	refusal *crocusreel.Refusal
 }
 
-// grant is an open permit as the scheduler sees it.
+// grant is the scheduler's record of an open permit.
 type grant struct {
 	Permit
 	gateway        string
@@ -67,8 +68,8 @@
 	expectedTokens float64
 }
 
-// core is the state of a pool. It is owned by the pool's goroutine, and does no
-// input or output: what it wants done is in its return values and hooks.
+// core is the state of a pool. It is owned by the pool's goroutine and does no I/O itself: effects
+// are requested through return values and hooks.
 type core struct {
 	vm        string
 	pc        poolConfig
@@ -98,17 +99,19 @@
 	blockedModels     []string
 }
 
-// hooks connect a core with its surroundings.
+// hooks connect a core to its environment.
 type hooks struct {
-	// poll asks for a load report of an engine at once.
+	// poll requests an immediate load report from an engine.
 	poll func(engine string)
-	// notice returns what an engine last said of itself; nil if nobody listens.
+	// notice returns the latest notice of an engine. The hook may be nil if notices are not
+	// collected.
 	notice func(config.EndpointSpec) notice.Notice
-	// log gets a line for each decision on a request and each change of belief.
+	// log receives an entry for each decision on a request and for each change in what is known
+	// about engines and strikes.
 	log *zap.Logger
-	// count adds to a named event counter.
+	// count adds n to a named event counter.
 	count func(event string, n int64)
-	// id returns the prefix of permit IDs, unique for the process.
+	// id is the prefix of permit IDs, unique for each core of each process.
 	id string
 }
 
@@ -140,7 +143,7 @@
 	}
 }
 
-// configure takes over a configuration.
+// configure applies a configuration.
 func (c *core) configure(pc poolConfig, now time.Duration) {
 	old := c.pc
 	c.pc = pc
@@ -184,8 +187,8 @@
 	sort.Slice(c.sortedEngines, func(i, j int) bool { return c.sortedEngines[i].spec.Name < c.sortedEngines[j].spec.Name })
 }
 
-// newPicker returns the picker of a policy, and the same one again if it is a
-// reservation.
+// newPicker returns the picker of a scheduling policy. If that is a reservation, it is returned a
+// second time under its concrete type; otherwise the second result is nil.
 func newPicker(s config.SchedulingSpec) (policy.Picker, *policy.Reservation) {
 	w := policy.Watermark(s.Watermark)
 	switch s.Policy {
@@ -206,14 +209,15 @@
 }
 
 const (
-	// defaultWatermark is that of the policy "watermark" without a fraction.
+	// defaultWatermark applies to the policy "watermark" if the configuration sets no fraction.
 	defaultWatermark = 0.9
 	powerOfTwoSeed   = 1
 )
 
 func (c *core) isOraclePolicy() bool { return c.pc.cfg.Scheduling.Policy == config.PolicyOracle }
 
-// activate tells that the pool begins to schedule. What it knew before is old.
+// activate resets the pool when it begins to schedule: permits, report times and engine states from
+// an earlier active period are stale.
 func (c *core) activate(now time.Duration) {
 	c.hooks.log.Info("pool active", zap.Int("permits_dropped", len(c.permits)))
 	c.activatedAt = now
@@ -233,7 +237,9 @@
 	return 1
 }
 
-// tick does what is due with time. It is called some tens of times a second.
+// tick does the periodic work: samples running requests, refreshes demand, ejects slow engines,
+// refuses requests that can no longer be served, and deletes expired tombstones. It is called every
+// tickInterval while the pool is active.
 func (c *core) tick(now time.Duration) {
 	c.sampleRunning(now)
 	c.refreshNextEngines(now)
@@ -246,8 +252,8 @@
 	}
 }
 
-// runningSampleInterval is the time between two listings of the running answers for the
-// estimate of lengths.
+// runningSampleInterval is the time between two samples of the running requests, which the
+// estimator of response lengths uses.
 const runningSampleInterval = 200 * time.Millisecond
 
 func (c *core) sampleRunning(now time.Duration) {
@@ -262,10 +268,11 @@
 	c.estimator.EndRunning()
 }
 
-// ejectionInterval is the time between two looks for slow engines.
+// ejectionInterval is the time between two checks for slow engines.
 const ejectionInterval = time.Second
 
-// ejectSlowEngines ejects slow engines. The baselines do without, to be plain.
+// ejectSlowEngines checks for slow engines and ejects them. The baseline policies do not eject, to
+// keep them simple.
 func (c *core) ejectSlowEngines(now time.Duration) {
 	if c.reservation == nil || now-c.ejectionCheckedAt < ejectionInterval {
 		return
@@ -280,8 +287,9 @@
 	}
 }
 
-// rampShare returns the share of an engine's memory to be used. Engines that were there
-// when the pool became active did not join it.
+// rampShare returns the fraction of an engine's memory that may be used while the engine ramps up.
+// Engines that became healthy within takeoverGracePeriod of the pool's activation count as already
+// serving and do not ramp up.
 func (c *core) rampShare(e *engine, now time.Duration) float64 {
 	if e.view.HealthySince-c.activatedAt < takeoverGracePeriod {
 		return 1
@@ -289,10 +297,10 @@
 	return policy.Ramp(now - e.view.HealthySince)
 }
 
-// refreshBatchSize bounds the engines refreshed in one tick.
+// refreshBatchSize bounds the number of engines refreshed in one tick.
 const refreshBatchSize = 32
 
-// refreshNextEngines brings the demand of some engines up to date, in turn.
+// refreshNextEngines refreshes the demand of the next engines in round-robin order.
 func (c *core) refreshNextEngines(now time.Duration) {
 	for range min(refreshBatchSize, len(c.sortedEngines)) {
 		c.refreshCursor++
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// failuresToEject is the number of failed polls in a row after which an engine
-	// gets no new work; a refused connection counts at once.
+	// failuresToEject is the number of consecutive failed polls after which an engine gets no new
+	// requests. An unreachable engine (connection refused) reaches it with its first failure.
 	failuresToEject = 2
-	// lossResolveTimeout is how long a loss may wait for a poll to confirm it.
+	// lossResolveTimeout is how long a request is held back for a lost response that no poll has
+	// explained.
 	lossResolveTimeout = 3 * time.Second
 )
 
-// engine is one engine of a pool.
+// engine is the state of one engine of a pool.
 type engine struct {
 	spec        config.EndpointSpec
 	view        *policy.Endpoint
@@ -25,13 +26,14 @@
 	preemptions int64
 	failures    int
 	leaving     bool
-	// losses are answers that gateways lost here and that no poll has explained.
+	// losses are responses that gateways lost at this engine and whose cause no poll has shown yet.
 	losses []loss
-	// nextPermitAt is when an engine that names a limit may get its next permit.
+	// nextPermitAt is the earliest time of the next permit if the engine has announced a rate
+	// limit.
 	nextPermitAt time.Duration
 }
 
-// loss is an answer that ended because the engine died or the link to it broke.
+// loss is a response that was cut off because the engine died or the connection to it broke.
 type loss struct {
 	permit Permit
 	at     time.Duration
@@ -41,7 +43,8 @@
 	return &engine{spec: s, view: policy.NewEndpoint(s.Name)}
 }
 
-// updateState derives the state of the engine from what is known.
+// updateState derives the engine's scheduling state from poll failures, the leaving flags and the
+// known incarnation.
 func (e *engine) updateState(now time.Duration) {
 	before := e.view.State
 	switch {
@@ -59,7 +62,7 @@
 	}
 }
 
-// pollResult is the outcome of one poll.
+// pollResult is the outcome of one load poll.
 type pollResult struct {
 	engine string
 	report endpoint.LoadReport
@@ -68,7 +71,7 @@
 	startedAt time.Duration
 }
 
-// applyPoll takes over the outcome of a poll.
+// applyPoll updates an engine with the outcome of a load poll.
 func (c *core) applyPoll(r pollResult, now time.Duration) {
 	e, ok := c.engines[r.engine]
 	if !ok {
@@ -97,9 +100,8 @@
 	v.Refresh(c.estimator, now, c.isOraclePolicy())
 }
 
-// handlePollFailure judges an engine that did not answer. Only a refused connection shows
-// that its process is gone; an engine that answers late may go on with its work,
-// and its permits stay.
+// handlePollFailure records a failed poll. Only a refused connection shows that the engine's
+// process is gone. An engine that answers late may still be working, and its permits stay open.
 func (c *core) handlePollFailure(e *engine, err error, now time.Duration) {
 	e.failures++
 	c.hooks.count("engine_polls_failed", 1)
@@ -114,7 +116,8 @@
 	e.updateState(now)
 }
 
-// countPreemptions passes preemptions since the last report on to the feedback.
+// countPreemptions passes the preemptions since the last report to the feedback. The first report
+// of an incarnation only sets the reference count.
 func (c *core) countPreemptions(e *engine, r endpoint.LoadReport) {
 	n := r.Preemptions - e.preemptions
 	first := e.incarnation == ""
@@ -126,11 +129,11 @@
 	c.hooks.count("engine_preemptions", n)
 }
 
-// resolveLosses explains the losses of an earlier incarnation by its death, and drops
-// those that the engine has outlived: a poll that began after them was answered by the
-// same incarnation, so that only the link had broken. A scheduler that took over while
-// the engine started again has seen no change of incarnation; it goes by the one under
-// which the permit was granted, or the death would count for nothing.
+// resolveLosses decides on each loss that precedes the poll. If the permit was granted under
+// another incarnation, the engine has died and the request gets a strike. Otherwise the same
+// incarnation has answered a poll that began after the loss, so only the connection broke and the
+// loss is dropped. The comparison uses the permit's incarnation, because a scheduler that took over
+// while the engine restarted has not observed the change itself and would not count the death.
 func (c *core) resolveLosses(e *engine, pollStartedAt, now time.Duration) {
 	kept := e.losses[:0]
 	for _, l := range e.losses {
@@ -146,9 +149,9 @@
 	e.losses = kept
 }
 
-// handleEngineDeath gives a strike to every request that was running at an engine when it
-// handleEngineDeath, and voids its permits: memory that a dead engine held is free. A reclaimed
-// engine was stopped from outside, and no request is to blame.
+// handleEngineDeath drops the permits of an engine that died, since its memory is free, and gives a
+// strike to each request that was running there. No request gets a strike for the stop of an engine
+// that was leaving (reclaimed): addStrike ignores those.
 func (c *core) handleEngineDeath(e *engine, cause string, now time.Duration) {
 	if e.incarnation != "" {
 		c.logDied(e, cause)
@@ -168,7 +171,7 @@
 	c.prefix.Forget(e.spec.Name)
 }
 
-// strikeLosses takes the losses at an engine as caused by its death.
+// strikeLosses attributes all pending losses at an engine to its death.
 func (c *core) strikeLosses(e *engine, now time.Duration) {
 	for _, l := range e.losses {
 		c.addStrike(e, &l.permit, now)
@@ -185,9 +188,10 @@
 	c.logStrike(p, now)
 }
 
-// recordLoss notes that a gateway recordLoss an answer. Whether the engine died is told by the
-// next poll; until then the request is held back, so that a deadly one does not
-// reach the next engine unrecognised.
+// recordLoss records a response that a gateway lost. The next poll shows whether the engine died.
+// Until then the request is held back, so that one that crashes engines does not reach another
+// engine before its strike is counted. If the engine has already failed, the strike is counted at
+// once.
 func (c *core) recordLoss(e *engine, p *Permit, now time.Duration) {
 	if e.view.State == policy.StateFailed {
 		c.addStrike(e, p, now)
@@ -198,7 +202,8 @@
 	c.hooks.poll(e.spec.Name)
 }
 
-// unresolvedLoss returns a loss of the request that still waits for a poll; nil if none does.
+// unresolvedLoss returns a loss of the request that still waits for a poll, or nil if there is
+// none.
 func (c *core) unresolvedLoss(fingerprint uint64, now time.Duration) *loss {
 	for _, e := range c.sortedEngines {
 		for i := range e.losses {
@@ -211,14 +216,15 @@
 	return nil
 }
 
-// mayExceedStrikeLimit tells whether the work already runs at as many engines as it may still kill. Work
-// that was beside a death may have caused it. Sent several times at once, it would kill all
-// engines that run a copy before the first of these deaths is known: with a bound of three
-// and six copies sent after the first death, all six engines of a pool. Innocent work waits
-// for its first whole answer, which clears it.
+// mayExceedStrikeLimit reports whether the strikes against a request plus the engines that already
+// run it reach the limit on strikes. A request that was running at an engine's death may have
+// caused it. If several copies were placed at once, they could kill every engine that runs one
+// before the first of these deaths is counted: with a limit of three and six copies sent after the
+// first death, all six engines of a pool. An innocent request waits for its first complete
+// response, which clears its strikes.
 //
-// Work without a strike runs everywhere, however often it is sent: prompts that many callers
-// send alike are common, and deadly ones are not.
+// A request without a strike may run on any number of engines: identical prompts from many callers
+// are common, and prompts that crash engines are not.
 func (c *core) mayExceedStrikeLimit(fingerprint uint64, now time.Duration) bool {
 	strikes := c.suspects.Count(fingerprint, now)
 	if strikes == 0 || c.pc.cfg.Limits.Strikes <= 0 {
@@ -227,7 +233,7 @@
 	return strikes+c.enginesRunning(fingerprint) >= c.pc.cfg.Limits.Strikes
 }
 
-// enginesRunning counts the engines that run the work.
+// enginesRunning counts the engines that run requests with this fingerprint.
 func (c *core) enginesRunning(fingerprint uint64) int {
 	engines := make(map[string]struct{})
 	for _, g := range c.permits {
--- a/scheduler/export_test.go
+++ b/scheduler/export_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// statsEvent reads the state of a pool on its own goroutine.
+// statsEvent reads the state of a pool on the pool's goroutine.
 type statsEvent struct {
 	read func(*core)
 	done chan struct{}
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -16,12 +16,11 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// fuzzTimeout bounds one message; a request that waits in the queue ends with it.
+// fuzzTimeout bounds the handling of one message, including the wait of a queued request.
 const fuzzTimeout = 30 * time.Millisecond
 
-// A gateway with a fault, or somebody who reaches the peer listener, sends messages
-// with extreme or broken fields. A scheduler that stops over one of them takes the
-// whole pool's permits with it.
+// A faulty gateway, or anyone who can reach the peer listener, sends messages with extreme or
+// malformed fields. A scheduler that crashes on one of them loses all permits of the pool.
 func FuzzPeerMessages(f *testing.F) {
 	engine := newFakeEngine("e1", 1000)
 	m := NewManager(Options{VMID: "g1", Region: "r", EngineClient: func(config.EndpointSpec) endpoint.Engine { return engine }})
--- a/scheduler/handler.go
+++ b/scheduler/handler.go
@@ -12,17 +12,17 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// Handler returns the path and the handler of the peer.v1.Scheduler service, for
-// the listener towards other gateways.
+// Handler returns the path and the handler of the peer.v1.Scheduler service, for the listener that
+// serves other gateways.
 func (m *Manager) Handler() (string, http.Handler) {
 	return peerv1.NewSchedulerHandler(rpc{m}, peer.HandlerOptions())
 }
 
-// rpc serves other gateways.
+// rpc implements the peer.v1.Scheduler service for other gateways.
 type rpc struct{ m *Manager }
 
-// Acquire implements peer.v1.Scheduler. A gateway that is not the scheduler in its
-// own view serves nevertheless: views differ for moments.
+// Acquire implements peer.v1.Scheduler. It serves the request even if this gateway does not
+// consider itself the scheduler, because the views of gateways differ briefly after a change.
 func (s rpc) Acquire(ctx context.Context, r *connect.Request[peerv1.AcquireRequest]) (*connect.Response[peerv1.AcquireResponse], error) {
 	pv, err := s.pool(r.Msg.GetModel())
 	if err != nil {
@@ -41,7 +41,8 @@
 	return connect.NewResponse(&peerv1.AcquireResponse{Permit: permitToWire(&p)}), nil
 }
 
-// Report implements peer.v1.Scheduler.
+// Report implements peer.v1.Scheduler. It ignores a report for a pool that is not in this gateway's
+// configuration.
 func (s rpc) Report(ctx context.Context, r *connect.Request[peerv1.ReportRequest]) (*connect.Response[peerv1.ReportResponse], error) {
 	v := s.m.view.Load()
 	if v == nil {
@@ -49,7 +50,8 @@
 	}
 	pv, ok := v.byKey[r.Msg.GetPool()]
 	if !ok {
-		// The gateways' configurations differ for a moment; its next report comes soon.
+		// The configurations of gateways may differ briefly; the gateway's next report follows
+		// soon.
 		return connect.NewResponse(&peerv1.ReportResponse{}), nil
 	}
 	now := s.m.now()
--- a/scheduler/holdings.go
+++ b/scheduler/holdings.go
@@ -8,8 +8,8 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-// maxReleases bounds the releases kept for a scheduler that can't be reached; it
-// learns of the permits' end from the next full report anyway.
+// maxReleases bounds the releases kept for an unreachable scheduler. If some are discarded, the
+// scheduler notices the end of their permits from the next full report.
 const maxReleases = 4096
 
 // heldPermit is a permit that this gateway holds.
@@ -20,40 +20,40 @@
 	produced atomic.Int64
 }
 
-// currentPermit returns the permit with the tokens produced so far.
+// currentPermit returns the permit with the number of tokens produced so far.
 func (h *heldPermit) currentPermit() Permit {
 	p := h.permit
 	p.Produced = int(h.produced.Load())
 	return p
 }
 
-// permitStore are the permits that this gateway holds and those it has to give back.
-// Traffic goroutines write here, the reporting goroutine reads.
+// permitStore holds the gateway's open permits, the releases still to be sent, and the known
+// strikes and losses. Request goroutines write to it; the reporting goroutine reads and drains it.
 type permitStore struct {
-	open sync.Map // permit ID to *held
+	open sync.Map // permit ID to *heldPermit
 
 	mu       sync.Mutex
-	releases map[string][]Release // by pool
-	// strikes are those last learned from each pool's scheduler.
+	releases map[string][]Release // by pool key
+	// strikes are those last received from each pool's scheduler.
 	strikes map[string][]policy.Strike
-	// losses are the answers that this gateway lost, by fingerprint.
+	// losses are the responses that this gateway lost, by fingerprint.
 	losses map[uint64][]lostPermit
 }
 
-// lostPermit is a permit whose answer was lost.
+// lostPermit is a permit whose response was lost, with the time of the loss.
 type lostPermit struct {
 	Permit
 	at time.Duration
 }
 
 const (
-	// lossTTL is how long a loss travels with the requests of its fingerprint: as long
-	// as schedulers remember that a permit has ended, so that none counts it twice.
+	// lossTTL is how long a loss is sent along with requests of the same fingerprint. It equals the
+	// time for which schedulers remember ended permits, so that no scheduler counts a loss twice.
 	lossTTL = tombstoneTTL
-	// maxLossFingerprints bounds the fingerprints with losses. The death of an engine loses some
-	// tens of answers.
+	// maxLossFingerprints bounds the fingerprints with losses. The death of one engine loses some
+	// tens of responses.
 	maxLossFingerprints = 1024
-	// maxLossesPerFingerprint bounds those of one fingerprint.
+	// maxLossesPerFingerprint bounds the losses kept for one fingerprint.
 	maxLossesPerFingerprint = 8
 )
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// recordLoss records an answer that was lost together with its endpoint.
+// recordLoss records a response that was lost together with its endpoint.
 func (h *permitStore) recordLoss(p Permit, now time.Duration) {
 	if p.Fingerprint == 0 {
 		return
@@ -78,7 +78,8 @@
 	h.losses[p.Fingerprint] = all[max(len(all)-maxLossesPerFingerprint, 0):]
 }
 
-// evictLossesLocked drops old losses, and all of them if that frees nothing.
+// evictLossesLocked drops fingerprints whose losses have expired, or all losses if that frees
+// nothing. The caller holds mu.
 func (h *permitStore) evictLossesLocked(now time.Duration) {
 	for fingerprint, all := range h.losses {
 		if now-all[len(all)-1].at > lossTTL {
@@ -90,8 +91,8 @@
 	}
 }
 
-// lossesAndStrikes returns the losses of a fingerprint, and the strikes that a pool's scheduler
-// told of it.
+// lossesAndStrikes returns the recent losses of a fingerprint, and the strikes against it that the
+// pool's scheduler last reported.
 func (h *permitStore) lossesAndStrikes(fingerprint uint64, pool string, now time.Duration) ([]Permit, []policy.Strike) {
 	if fingerprint == 0 {
 		return nil, nil
@@ -113,14 +114,14 @@
 	return losses, strikes
 }
 
-// setStrikes replaces the strikes known of a pool.
+// setStrikes replaces the known strikes of a pool.
 func (h *permitStore) setStrikes(pool string, s []policy.Strike) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.strikes[pool] = s
 }
 
-// strikesFrom returns the strikes strikesFrom of a pool.
+// strikesFrom returns the known strikes of a pool.
 func (h *permitStore) strikesFrom(pool string) []policy.Strike {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -131,14 +132,14 @@
 	h.open.Store(p.ID, &heldPermit{permit: p, pool: pool, fallback: spare})
 }
 
-// update is called for every token and has to be cheap.
+// update records the tokens produced. It is called for every token and has to be cheap.
 func (h *permitStore) update(id string, produced int) {
 	if x, ok := h.open.Load(id); ok {
 		x.(*heldPermit).produced.Store(int64(produced))
 	}
 }
 
-// remove takes a permit out; nil if it is not held.
+// remove deletes an open permit and returns it, or nil if it is not held.
 func (h *permitStore) remove(id string) *heldPermit {
 	x, ok := h.open.LoadAndDelete(id)
 	if !ok {
@@ -147,7 +148,7 @@
 	return x.(*heldPermit)
 }
 
-// queueReleases keeps a release until it was sent.
+// queueReleases queues releases until they are sent. Beyond maxReleases it discards the oldest.
 func (h *permitStore) queueReleases(pool string, r ...Release) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -158,7 +159,8 @@
 	h.releases[pool] = all
 }
 
-// takeReleases returns the releases of a pool, to be given again if sending fails.
+// takeReleases removes and returns the queued releases of a pool. The caller queues them again if
+// sending fails.
 func (h *permitStore) takeReleases(pool string) []Release {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,7 +169,7 @@
 	return r
 }
 
-// poolsWithReleases returns the pools that have releases to be sent.
+// poolsWithReleases returns the keys of pools that have releases to be sent.
 func (h *permitStore) poolsWithReleases() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -178,7 +180,7 @@
 	return pools
 }
 
-// openByPool returns the open permits by pool.
+// openByPool returns the open permits by pool key.
 func (h *permitStore) openByPool() map[string][]*heldPermit {
 	open := make(map[string][]*heldPermit)
 	h.open.Range(func(_, x any) bool {
--- a/scheduler/limit.go
+++ b/scheduler/limit.go
@@ -7,7 +7,8 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-// rateLimited returns the names of the engines that have named a limit and get no permit yet.
+// rateLimited returns the names of the engines that announced a rate limit and may not get the next
+// permit yet.
 func (c *core) rateLimited(endpoints []*policy.Endpoint, now time.Duration) []string {
 	var names []string
 	for _, view := range endpoints {
@@ -19,8 +20,8 @@
 	return names
 }
 
-// applyRateLimit notes that an engine gets a permit. A scheduler that has a share of the engines only has
-// that share of their limits.
+// applyRateLimit sets the earliest time of the engine's next permit after a grant. A scheduler that
+// may use only a share of the engines uses the same share of their rate limits.
 func (c *core) applyRateLimit(e *engine, now time.Duration) {
 	latest := c.hooks.notice(e.spec)
 	if !latest.Limited {
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -11,7 +11,8 @@
 )
 
 var _ = Describe("an engine that names a limit", func() {
-	// Guards against permits for more than the engine takes, while others are free and while none is.
+	// Guards against granting permits beyond an engine's rate limit, with and without another
+	// engine that has no limit.
 	DescribeTable("gets no more permits", func(engines int) {
 		const perSecond = 3.0
 		c := newMultiEngineCore(engines)
--- a/scheduler/logging.go
+++ b/scheduler/logging.go
@@ -11,9 +11,9 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-// The lines of a pool's log. Each decision on a request has one with what decided it:
-// who was granted which engine with how many strikes known, who was refused, who waits
-// for which loss; and each death or loss that changes what is held against a request.
+// Log entries of a pool. Each decision on a request is logged with its reasons: the granted engine
+// and the strikes known at that time, the reason of a refusal, or the loss that the request waits
+// for. Each death or loss that changes the strikes against a request is logged as well.
 
 func deathField(death uint64) zap.Field {
 	return zap.String("death", strconv.FormatUint(death, 16))
@@ -31,8 +31,8 @@
 		logging.Work(w.req.Fingerprint), zap.String("reason", string(r.Reason)), zap.Duration("retry_after", r.RetryAfter))
 }
 
-// Both lines on a request that is held back are called for at each try to place it, and
-// logged at the first.
+// Both log functions for held-back requests are called at every attempt to place the request; only
+// the first call writes an entry.
 
 func (c *core) logHeldForLoss(w *queuedRequest, l *loss, now time.Duration) {
 	c.logHeld(w, "request held back until a loss is explained", zap.String("permit", l.permit.ID),
@@ -58,7 +58,7 @@
 		zap.String("incarnation", p.Incarnation), zap.String("known_incarnation", e.incarnation))
 }
 
-// logLossDismissed tells of a loss that is held against nobody.
+// logLossDismissed logs a loss that leads to no strike, because the engine outlived it.
 func (c *core) logLossDismissed(e *engine, l *loss, pollStartedAt time.Duration) {
 	c.hooks.log.Info("engine outlived a lost answer", zap.String("permit", l.permit.ID), logging.Work(l.permit.Fingerprint),
 		zap.String("endpoint", l.permit.Endpoint), zap.String("incarnation", l.permit.Incarnation),
@@ -75,7 +75,8 @@
 		deathField(p.deathID()), zap.Int("strikes", c.suspects.Count(p.Fingerprint, now)))
 }
 
-// mergeStrikes takes over strikes that a gateway told of.
+// mergeStrikes merges strikes that a gateway reported, and logs each change in the number of
+// strikes against a request.
 func (c *core) mergeStrikes(strikes []policy.Strike, gateway string, now time.Duration) {
 	for _, s := range strikes {
 		before := c.suspects.Count(s.Fingerprint, now)
--- a/scheduler/manager.go
+++ b/scheduler/manager.go
@@ -16,34 +16,34 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// Options set up a Manager.
+// Options configure a Manager.
 type Options struct {
-	// VMID and Region are those of this gateway.
+	// VMID and Region identify this gateway.
 	VMID   string
 	Region string
-	// EngineClient returns a client for an engine.
+	// EngineClient returns the client for an engine.
 	EngineClient func(spec config.EndpointSpec) endpoint.Engine
-	// Notice returns what an engine last said of itself; nil if nobody listens.
+	// Notice returns the latest notice of an engine. It may be nil if notices are not collected.
 	Notice func(spec config.EndpointSpec) notice.Notice
-	// Now is the clock; nil means time.Now. It has to be monotonic.
+	// Now is the clock and has to be monotonic; nil means time.Now.
 	Now func() time.Time
-	// Client reaches other gateways; nil means HTTP/2 without TLS.
+	// Client sends requests to other gateways; nil means HTTP/2 without TLS.
 	Client connect.HTTPClient
-	// Scheme is "http" or "https"; empty means "http".
+	// Scheme is the URL scheme of other gateways, "http" or "https"; empty means "http".
 	Scheme string
 	// Log may be nil.
 	Log *zap.Logger
 }
 
-// Snapshot is what a Manager needs to know of the world. It is not changed after
-// it was passed on.
+// Snapshot is the cluster membership and configuration that a Manager works with. It must not be
+// modified after it was passed to Apply.
 type Snapshot struct {
 	Members []*peerv1.Member
 	Config  *config.Config
 }
 
-// Manager gets permits for one gateway, and schedules the pools that this gateway
-// was chosen for. It implements Permits.
+// Manager acquires permits for one gateway, and schedules the pools for which this gateway is the
+// scheduler. It implements Permits.
 type Manager struct {
 	opts        Options
 	startOffset time.Duration
@@ -51,7 +51,7 @@
 	ctx         context.Context
 	stop        context.CancelFunc
 	view        atomic.Pointer[view]
-	// mu is held while a snapshot is taken in; readers use view.
+	// mu guards remotes and is held while view is replaced. Request goroutines read view without it.
 	mu            sync.Mutex
 	remotes       map[string]*remoteScheduler
 	permits       *permitStore
@@ -59,34 +59,36 @@
 	fullReportDue chan struct{}
 }
 
-// view is what traffic goroutines see; it is immutable.
+// view is an immutable snapshot of pools and schedulers, read by request goroutines.
 type view struct {
 	cfg *config.Config
 	// byModel holds the pool of each model.
 	byModel map[string]*poolView
 	byKey   map[string]*poolView
-	// gateways is the number of gateways of the region.
+	// gateways is the number of gateways in the region.
 	gateways int
 	scope    string
 }
 
-// poolView is one pool with the way to its scheduler.
+// poolView is one pool and the connection to its scheduler.
 type poolView struct {
 	key string
-	// primary schedules the pool if this gateway is chosen; fallback does so with a share
-	// of the engines while the chosen gateway can't be reached.
+	// primary schedules the pool while this gateway is its scheduler. fallback (the spare scheduler
+	// in logs and metrics) schedules with a share of the engines while the chosen gateway is
+	// unreachable.
 	primary, fallback *pool
-	// schedulerID is the VM ID of the chosen gateway.
+	// schedulerID is the VM ID of the gateway chosen as scheduler.
 	schedulerID string
-	// remote reaches it; nil if it is this gateway.
+	// remote is the client of that gateway; nil if it is this one.
 	remote *remoteScheduler
-	// schedulerCtx ends when another gateway becomes the scheduler.
+	// schedulerCtx is cancelled when the scheduler changes, that is, another gateway becomes the
+	// scheduler or its address changes, and when the pool is removed.
 	schedulerCtx       context.Context
 	cancelSchedulerCtx context.CancelFunc
 }
 
-// NewManager returns a manager without a snapshot; it refuses with not_ready until
-// Apply was called.
+// NewManager returns a Manager without a snapshot. It refuses all requests with not_ready until
+// Apply has set a configuration.
 func NewManager(o Options) *Manager {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -109,23 +111,24 @@
 	return m
 }
 
-// priorityEpoch is the same for all schedulers, so that the priorities they give
-// at one engine can be compared.
+// priorityEpoch is the same for all schedulers, so that the engine priorities assigned by different
+// schedulers are comparable.
 var priorityEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// now is the time since priorityEpoch, on the monotonic clock from the start of
-// the process on.
+// now returns the time since priorityEpoch. It follows the monotonic clock from the start of the
+// process.
 func (m *Manager) now() time.Duration { return m.startOffset + m.opts.Now().Sub(m.startedAt) }
 
-// newH2CClient returns a client that speaks HTTP/2 without TLS, so that all requests
-// to one gateway share a connection.
+// newH2CClient returns a client for HTTP/2 without TLS, so that all requests to one gateway share a
+// connection.
 func newH2CClient() *http.Client {
 	t := &http.Transport{Protocols: new(http.Protocols)}
 	t.Protocols.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: t}
 }
 
-// Apply takes over a snapshot of members and configuration.
+// Apply replaces the view by one for the given members and configuration. A snapshot without a
+// configuration is ignored.
 func (m *Manager) Apply(s Snapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -199,7 +202,8 @@
 	return newPool(m.ctx, poolOptions{vm: m.opts.VMID, name: name, now: m.now, log: m.opts.Log, engineClient: m.opts.EngineClient, notice: m.opts.Notice}, pc)
 }
 
-// closeUnused ends what the new view no longer uses.
+// closeUnused cancels the scheduler contexts and closes the pools of the old view that the new one
+// no longer uses.
 func (m *Manager) closeUnused(old, v *view) {
 	if old == nil {
 		return
@@ -216,7 +220,8 @@
 	}
 }
 
-// remoteTo returns the way to a gateway; a gateway with a new address is another.
+// remoteTo returns the client for a gateway. A gateway whose address changed gets a new client. The
+// caller holds mu.
 func (m *Manager) remoteTo(g *peerv1.Member) *remoteScheduler {
 	r, ok := m.remotes[g.GetId()]
 	if !ok || r.address != g.GetGatewayAddress() {
@@ -238,14 +243,14 @@
 	}
 }
 
-// Run reports open permits to schedulers until ctx ends, and then stops all pools.
+// Run sends reports on open permits to the schedulers until ctx ends, and then closes all pools.
 func (m *Manager) Run(ctx context.Context) error {
 	defer m.Close()
 	m.reportLoop(ctx)
 	return ctx.Err()
 }
 
-// Close stops all pools.
+// Close closes all pools and waits for their goroutines.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/scheduler/messages_test.go
+++ b/scheduler/messages_test.go
@@ -11,8 +11,8 @@
 const reportProcedure = "/peer.v1.Scheduler/Report"
 
 var _ = Describe("messages", func() {
-	// A report costs a scheduler time. If its number rose with that of gateways or
-	// engines, a region that grows would drown its own schedulers.
+	// Each report costs the scheduler time. If reports or polls grew with the number of gateways or
+	// engines, a growing region would overload its own schedulers.
 	It("to a scheduler are bounded whatever the number of gateways and engines", func() {
 		for _, n := range []int{1, 8, 50, 137, 410, 1800} {
 			each := time.Duration(n) * time.Second
@@ -32,7 +32,7 @@
 			_, err := acquire(m, request(1))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		// The change of view lets every gateway report once out of turn.
+		// The change of view makes every gateway send one additional report.
 		time.Sleep(time.Second)
 		before := r.calls.get(reportProcedure)
 		const seconds = 3
@@ -40,7 +40,7 @@
 		perGateway := float64(r.calls.get(reportProcedure)-before) / float64(gateways) / seconds
 		GinkgoWriter.Printf("%d gateways: %.2f reports per gateway and second\n", gateways, perGateway)
 		AddReportEntry(fmt.Sprintf("%d gateways: %.2f reports per gateway and second", gateways, perGateway))
-		// One report each second, and one more where the window holds an edge.
+		// One report per second, plus one if an additional tick falls into the window.
 		Expect(perGateway).To(BeNumerically("<=", 1+1.0/seconds))
 	},
 		Entry("2 gateways", 2), Entry("8 gateways", 8), Entry("24 gateways", 24),
--- a/scheduler/permits.go
+++ b/scheduler/permits.go
@@ -8,14 +8,14 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-// maxStrikesInReport bounds the strikes in the answer to a report.
+// maxStrikesInReport bounds the strikes in the response to a report.
 const maxStrikesInReport = 64
 
 func lengthKey(p *Permit) policy.LengthKey {
 	return policy.LengthKey{Workspace: p.Workspace, Class: p.Class, Model: p.Model}
 }
 
-// grant opens a permit for a waiting request.
+// grant opens a permit for a queued request and sends it to the caller.
 func (c *core) grant(w *queuedRequest, e *engine, now time.Duration) {
 	c.sequence++
 	p := Permit{
@@ -33,11 +33,11 @@
 	w.reply <- result{permit: p}
 }
 
-// defaultTokensPerSecond is taken for the tokens per second of one answer until an engine's
-// own rate is known.
+// defaultTokensPerSecond is the assumed token rate of one request until the engine's own rate has
+// been measured.
 const defaultTokensPerSecond = 20
 
-// expectedDuration is the time that an answer of so many tokens takes at the engine.
+// expectedDuration returns the time that a response of this many tokens takes at the engine.
 func (c *core) expectedDuration(e *engine, tokens float64) time.Duration {
 	rate := e.view.Rate
 	if rate <= 0 {
@@ -46,7 +46,7 @@
 	return time.Duration(tokens / rate * float64(time.Second))
 }
 
-// openPermit adds a permit to its engine.
+// openPermit records a permit and attaches its request to the engine.
 func (c *core) openPermit(g *grant, d *policy.Demand, now time.Duration) {
 	c.permits[g.ID] = g
 	e, ok := c.engines[g.Endpoint]
@@ -60,15 +60,15 @@
 	}, d)
 }
 
-// needsIsolation tells whether a request is one strike short of being refused. From then
-// on it shares no engine with another such request, so that the death of an engine
-// refuses only the one at fault. Earlier isolation would make every answer that a
-// common death of an engine interrupted wait for its turn alone.
+// needsIsolation reports whether the request has at least one strike and one more would cause its
+// refusal. From then on it shares no engine with another such request, so that the death of an
+// engine leads only to the refusal of the request that caused it. With earlier isolation, every
+// request that one common engine death interrupted would have to wait for its turn to run alone.
 func (c *core) needsIsolation(fingerprint uint64, now time.Duration) bool {
 	return c.suspects.Count(fingerprint, now) >= max(1, c.pc.cfg.Limits.Strikes-1)
 }
 
-// dropPermit removes a permit without a trace.
+// dropPermit removes a permit without leaving a tombstone.
 func (c *core) dropPermit(id string) {
 	g, ok := c.permits[id]
 	if !ok {
@@ -80,7 +80,7 @@
 	}
 }
 
-// release ends a permit and learns from it.
+// release ends a permit and updates the estimates, strikes and losses from its outcome.
 func (c *core) release(r *Release, now time.Duration) {
 	p := &r.Permit
 	if _, ended := c.tombstones[p.ID]; ended {
@@ -110,7 +110,7 @@
 	}
 }
 
-// observeFinished learns from a whole answer.
+// observeFinished updates length estimates, strikes and fair shares after a complete response.
 func (c *core) observeFinished(p *Permit, g *grant, now time.Duration) {
 	c.estimator.Observe(lengthKey(p), p.Produced)
 	c.suspects.Clear(p.Fingerprint, now)
@@ -123,7 +123,8 @@
 	}
 }
 
-// report takes over what a gateway holds, and returns the strikes to remember.
+// report applies a gateway's report. A full report returns the strikes that the gateway has to
+// remember; a partial one returns nil.
 func (c *core) report(r *gatewayReport, now time.Duration) []policy.Strike {
 	for i := range r.Releases {
 		c.release(&r.Releases[i], now)
@@ -147,7 +148,8 @@
 	return c.suspects.All(nil, maxStrikesInReport, now)
 }
 
-// applyReportedPermit brings one permit up to date, or adopts it from an earlier scheduler.
+// applyReportedPermit updates a permit from a report, or adopts one that an earlier scheduler
+// granted.
 func (c *core) applyReportedPermit(p *Permit, gateway string, now time.Duration) {
 	g, ok := c.permits[p.ID]
 	if !ok {
@@ -169,13 +171,14 @@
 }
 
 const (
-	// rateSampleWeight is the weight of one sample in an engine's token rate.
+	// rateSampleWeight is the weight of one sample in the moving average of an engine's token rate.
 	rateSampleWeight = 0.1
-	// minRateInterval is the shortest time that gives a sample.
+	// minRateInterval is the shortest time between two reports that gives a rate sample.
 	minRateInterval = 300 * time.Millisecond
 )
 
-// updateTokenRate measures the tokens per second of one answer from two reports.
+// updateTokenRate samples the token rate of one request, in tokens per second, from two consecutive
+// reports.
 func (e *engine) updateTokenRate(g *grant, produced int, now time.Duration) {
 	dt := now - g.reportedAt
 	if g.Produced == 0 || dt < minRateInterval {
@@ -190,8 +193,8 @@
 	e.view.Rate += rateSampleWeight * (sample - e.view.Rate)
 }
 
-// expire drops the permits of gateways that have stopped reporting: they died, and
-// engines cancel what no stream is attached to.
+// expire drops the permits of gateways that have not reported within the limit. Such a gateway has
+// died, and engines cancel requests without an attached stream.
 func (c *core) expire(limit, now time.Duration) {
 	for id, g := range c.permits {
 		last := max(c.lastReports[g.gateway], g.grantedAt)
--- a/scheduler/permits_test.go
+++ b/scheduler/permits_test.go
@@ -41,8 +41,8 @@
 		Eventually(openPermits(r.managers[r.schedulerID()]), specTimeout).Should(BeZero())
 	})
 
-	// The scheduler's gateway dies while answers run. Its successor knows nothing,
-	// and would fill engines that are full already: callers would see stalls.
+	// The gateway that is the scheduler dies while requests run. Its successor has no permits yet
+	// and would overload engines that are already full, so that callers see stalls.
 	It("are rebuilt at the next scheduler when the first one dies", func() {
 		r := newTestRegion([]string{"a", "b", "c"}, newFakeEngine("e1", 100000))
 		m := r.nonScheduler()
@@ -60,9 +60,8 @@
 		Eventually(openPermits(r.managers[r.schedulerID()]), specTimeout).Should(Equal(5))
 	})
 
-	// The answer with the grant is lost on the way, so that no gateway knows of the
-	// permit. Nobody would ever release it, and the engine would seem fuller and
-	// fuller.
+	// The response with the grant is lost, so that no gateway knows the permit. Nobody releases it,
+	// and the engine's free capacity appears to shrink with each such loss.
 	It("do not leak when the answer with the grant is lost", func() {
 		r := newTestRegion([]string{"a", "b"}, newFakeEngine("e1", 100000))
 		m := r.nonScheduler()
@@ -75,8 +74,8 @@
 		Eventually(openPermits(chosen), specTimeout).Should(BeZero())
 	})
 
-	// A caller leaves while its request waits. If its place in the queue were kept,
-	// a permit would be spent on nobody.
+	// A caller cancels while its request is queued. If the request stayed in the queue, it would be
+	// granted a permit that nobody uses.
 	It("are not granted to callers that have left", func() {
 		r := newTestRegion([]string{"a"}, newFakeEngine("e1", 250))
 		m := r.managers["a"]
@@ -104,9 +103,9 @@
 })
 
 var _ = Describe("waiting requests", func() {
-	// A gateway is the scheduler and has requests of its own in its queue when it
-	// begins to leave. The pool moves; a request that stays behind is never served,
-	// and the gateway's drain waits for it until the limit.
+	// A gateway that is the scheduler has queued requests of its own when it begins to leave, and
+	// the pool moves. A request left in the old queue would never be served, and the gateway's
+	// drain would wait for it until its time limit.
 	It("follow the scheduler when it moves", func() {
 		e := newFakeEngine("e1", 2000)
 		e.report.Running, e.report.KVUsed = 1, 1900
@@ -123,13 +122,13 @@
 })
 
 var _ = Describe("endpoints", func() {
-	// An engine announces that it will be reclaimed. Work that were still sent there
-	// would be cut off.
+	// An engine announces that it will be reclaimed. Requests sent there afterwards would be cut
+	// off.
 	It("get no new work once they are leaving", func() {
 		e1, e2 := newFakeEngine("e1", 1000000), newFakeEngine("e2", 1000)
 		r := newTestRegion([]string{"a"}, e1, e2)
 		m := r.managers["a"]
-		// Until the first report of e1 has come, e2 gets the work.
+		// e2 gets the requests until the first load report of e1 has arrived.
 		Eventually(func() string {
 			p, err := acquire(m, request(1))
 			Expect(err).NotTo(HaveOccurred())
@@ -151,9 +150,9 @@
 		}
 	})
 
-	// The only engine is gone. A request that waited for its deadline would keep its
-	// caller in the dark for nothing.
-	It("are refused at once when none is left", func() {
+	// The only engine is unreachable. A request that waited until its deadline would delay the
+	// caller's error for nothing.
+	It("lead to an immediate refusal when none is left", func() {
 		e := newFakeEngine("e1", 100000)
 		e.err = &endpoint.Error{Kind: endpoint.KindUnreachable, Outcome: crocusreel.OutcomeNotRun}
 		r := newTestRegion([]string{"a", "b"}, e)
@@ -174,9 +173,8 @@
 })
 
 var _ = Describe("a request that kills engines", func() {
-	// A gateway loses an answer and at once asks again for the same request. If the
-	// scheduler hears of the loss after that, it hands the request to one more engine
-	// each time.
+	// A gateway loses a response and immediately requests the same work again. If the scheduler
+	// learned of the loss only afterwards, it would grant the request one more engine each time.
 	It("is refused at the bound however fast it comes again", func() {
 		var engines []*fakeEngine
 		for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
@@ -195,8 +193,8 @@
 		_, err := acquire(m, request(7))
 		Expect(err).To(MatchError(ContainSubstring(string(crocusreel.ReasonSuspect))))
 
-		// The scheduler leaves within the second. Its successor must know the strikes,
-		// or the request takes down as many engines again.
+		// The scheduler leaves within a second. Its successor has to know the strikes, or the
+		// request kills as many engines again.
 		Eventually(func() int { return len(m.permits.strikesFrom("m")) }, "800ms").Should(Equal(r.cfg.Limits.Strikes))
 		r.leave(r.schedulerID())
 		Eventually(func() (n int) {
@@ -205,8 +203,8 @@
 		}, specTimeout).Should(Equal(r.cfg.Limits.Strikes))
 	})
 
-	// An engine drops a prompt's prefix from its cache while the scheduler still takes
-	// it for the holder. Requests would go on crowding there for nothing.
+	// An engine evicts a prompt's prefix from its cache while the scheduler still lists the engine
+	// as its holder. Requests would keep being routed there without a cache hit.
 	It("are no longer preferred for a prefix that they dropped", func() {
 		e := newFakeEngine("e1", 100000)
 		r := newTestRegion([]string{"a"}, e)
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -9,11 +9,11 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// poolSpec is one pool as the configuration describes it: engines of one region
-// that are connected through the models they share. One scheduler has to count
-// all work of an engine, so models that share an engine share a scheduler.
+// poolSpec is one pool of the configuration: engines of one region that are connected through the
+// models they share. One scheduler has to count all requests of an engine, so models that share an
+// engine share a scheduler.
 type poolSpec struct {
-	// key is the least name of the pool's models.
+	// key is the lexicographically smallest name of the pool's models.
 	key     string
 	models  []string
 	engines []config.EndpointSpec
@@ -60,8 +60,8 @@
 	return pools
 }
 
-// enginesOf returns the engines of a region that serve a model. An endpoint
-// without a region counts for all.
+// enginesOf returns the engines of a region that serve at least one model. An endpoint without a
+// region belongs to every region.
 func enginesOf(cfg *config.Config, region string) []config.EndpointSpec {
 	var engines []config.EndpointSpec
 	for _, e := range cfg.Endpoints {
@@ -73,8 +73,8 @@
 	return engines
 }
 
-// gatewaysOf returns the gateways of a region that may be schedulers, by VM ID.
-// A leaving gateway is none: its pools have to move before it stops.
+// gatewaysOf returns the gateways of a region that may be schedulers, sorted by VM ID. A leaving
+// gateway is left out: its pools have to move before it stops.
 func gatewaysOf(members []*peerv1.Member, region string) []*peerv1.Member {
 	var gateways []*peerv1.Member
 	for _, m := range members {
@@ -87,8 +87,8 @@
 	return gateways
 }
 
-// schedulerOf chooses the scheduler of a pool by rendezvous hashing, nil if there
-// is no gateway. Only pools of a lost gateway move.
+// schedulerOf chooses the scheduler of a pool by rendezvous hashing, or nil if there is no gateway.
+// When a gateway is lost, only its own pools move.
 func schedulerOf(gateways []*peerv1.Member, key string) *peerv1.Member {
 	if len(gateways) == 0 {
 		return nil
@@ -110,7 +110,7 @@
 	_, _ = h.Write([]byte(id))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(key))
-	// FNV alone leaves the high bits of similar names alike; this mixes them.
+	// Finalizer of MurmurHash3: FNV alone leaves the high bits of similar names alike.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/scheduler/poller.go
+++ b/scheduler/poller.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// pollInterval is the time between two polls of an engine.
+	// pollInterval is the shortest time between two periodic polls of an engine, before jitter.
 	pollInterval = 500 * time.Millisecond
 	// pollTimeout bounds one poll.
 	pollTimeout = time.Second
-	// pollsPerSecond bounds the polls of one scheduler, whatever the number of
-	// engines: with more, each is polled less often.
+	// pollsPerSecond bounds the periodic polls of one scheduler, whatever the number of engines:
+	// with more engines, each is polled less often.
 	pollsPerSecond = 200
 )
 
@@ -30,8 +30,8 @@
 	return max(pollInterval, time.Duration(n)*time.Second/pollsPerSecond)
 }
 
-// startPollers starts pollers for new engines and stops those of removed ones. It
-// runs on the pool's goroutine.
+// startPollers starts pollers for new engines and stops those of removed ones. It runs on the
+// pool's goroutine.
 func (p *pool) startPollers() {
 	for name, r := range p.pollers {
 		e, ok := p.core.engines[name]
@@ -60,7 +60,8 @@
 	}
 }
 
-// pollNow asks for a poll of an engine at once. It runs on the pool's goroutine.
+// pollNow triggers an immediate poll of an engine. It runs on the pool's goroutine and does not
+// block.
 func (p *pool) pollNow(name string) {
 	r, ok := p.pollers[name]
 	if !ok {
@@ -85,7 +86,7 @@
 		if err == nil {
 			cache.fetch(ctx, p, eng, report.Incarnation)
 		}
-		// Jitter keeps schedulers that started together from polling together.
+		// Jitter of 10 % keeps schedulers that started at the same time from polling in step.
 		wait := time.Duration(float64(interval) * (0.9 + 0.2*rand.Float64()))
 		select {
 		case <-ctx.Done():
@@ -96,8 +97,8 @@
 	}
 }
 
-// pollsPerCacheFetch is the number of load polls to one fetch of cache events; those are
-// hints, and late anyway.
+// pollsPerCacheFetch is the number of load polls for each fetch of cache events. Cache events are
+// hints and arrive late anyway.
 const pollsPerCacheFetch = 2
 
 // cacheFeed follows the cache events of one engine.
@@ -108,12 +109,12 @@
 	polls       int
 }
 
-// fetch passes new cache events to the pool. Events lost in a gap are not asked for
-// again: what they would tell fades by itself.
+// fetch passes new cache events to the pool. Events lost in a gap are not fetched again: the cache
+// state that they would update expires by itself.
 func (f *cacheFeed) fetch(ctx context.Context, p *pool, eng endpoint.Engine, incarnation string) {
 	if incarnation != f.incarnation {
-		// A restarted engine numbers its events anew; asked for those after the old
-		// number it would never tell any.
+		// A restarted engine numbers its events from the start. Asked for events after the old
+		// number, it would return none.
 		f.incarnation, f.lastSeq = incarnation, 0
 	}
 	if f.polls++; f.polls%pollsPerCacheFetch != 0 {
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -18,20 +18,21 @@
 )
 
 const (
-	// tickInterval is the time between two looks at what is due with time.
+	// tickInterval is the time between two runs of the periodic work.
 	tickInterval = 25 * time.Millisecond
-	// eventBuffer is the number of events that may wait for a pool's goroutine.
+	// eventBuffer is the capacity of a pool's event channel.
 	eventBuffer = 1024
-	// eventBatch bounds the events handled before requests are placed again.
+	// eventBatch bounds the further events handled in one batch before requests are dispatched
+	// again.
 	eventBatch = 256
-	// idleTimeout is how long a pool that is not chosen as scheduler goes on polling
+	// idleTimeout is how long a pool for which this gateway is not the scheduler continues to poll
 	// engines after its last request.
 	idleTimeout = 10 * time.Second
-	// expiryInterval is the time between two looks for gateways that are gone.
+	// expiryInterval is the time between two checks for gateways that stopped reporting.
 	expiryInterval = time.Second
 )
 
-// poolOptions connect a pool with its surroundings.
+// poolOptions connect a pool to its environment.
 type poolOptions struct {
 	vm           string
 	name         string
@@ -41,7 +42,7 @@
 	notice       func(config.EndpointSpec) notice.Notice
 }
 
-// pool runs a core: one goroutine owns its state and handles typed events.
+// pool runs a core: one goroutine owns the state and handles events.
 type pool struct {
 	opts   poolOptions
 	core   *core
@@ -49,7 +50,7 @@
 	ctx    context.Context
 	stop   context.CancelFunc
 	wg     sync.WaitGroup
-	// chosen tells that this gateway is the pool's scheduler.
+	// chosen is set while this gateway is the pool's scheduler.
 	chosen   atomic.Bool
 	lastUsed atomic.Int64
 	pollers  map[string]*poller
@@ -61,7 +62,8 @@
 	apply(p *pool, now time.Duration)
 }
 
-// processID makes permit IDs of different processes on one VM differ.
+// processID distinguishes the permit IDs of different processes on one VM. It is derived from the
+// start time and is not the operating system's process ID.
 var processID = strconv.FormatInt(time.Now().UnixNano(), 36)
 
 var poolNumber atomic.Int64
@@ -117,7 +119,7 @@
 	}
 }
 
-// handle applies an event and those behind it, and then places requests.
+// handle applies an event and further queued ones, up to eventBatch, and then dispatches requests.
 func (p *pool) handle(e event) {
 	now := p.opts.now()
 	e.apply(p, now)
@@ -133,7 +135,8 @@
 	p.core.dispatch(now)
 }
 
-// handleTick does what time brings.
+// handleTick does the periodic work of an active pool. lastExpiry is the time of the last check for
+// silent gateways.
 func (p *pool) handleTick(lastExpiry *time.Duration) {
 	now := p.opts.now()
 	p.setActive(now)
@@ -148,9 +151,9 @@
 	p.core.dispatch(now)
 }
 
-// setActive starts or stops the polling of engines.
+// setActive activates or deactivates the pool, and with it the polling of engines.
 func (p *pool) setActive(now time.Duration) {
-	// A pool that stopped while something waits in it would never answer that.
+	// A pool with queued requests stays active: once stopped, it would never answer them.
 	busy := p.chosen.Load() || p.core.anyWaiting() || now-time.Duration(p.lastUsed.Load()) < idleTimeout
 	if busy == p.active {
 		return
@@ -165,7 +168,7 @@
 	p.stopPollers()
 }
 
-// Events.
+// Events handled on the pool's goroutine.
 
 type acquireEvent struct{ w *queuedRequest }
 
@@ -181,7 +184,7 @@
 
 type reportEvent struct {
 	report *gatewayReport
-	// reply gets the strikes to remember; nil if nobody wants them.
+	// reply receives the strikes that the gateway has to remember; nil if they are not needed.
 	reply chan []policy.Strike
 }
 
@@ -221,8 +224,8 @@
 	}
 }
 
-// acquire waits for a permit. It returns a *crocusreel.Refusal if the request is
-// refused, and the context's error if that ends first.
+// acquire waits for a permit. It returns a *crocusreel.Refusal if the request is refused or the
+// pool is closed, and the context's error if ctx ends first.
 func (p *pool) acquire(ctx context.Context, req Request) (Permit, error) {
 	w := &queuedRequest{req: req, reply: make(chan result, 1)}
 	if deadline, ok := ctx.Deadline(); ok {
@@ -237,8 +240,8 @@
 			return Permit{}, r.refusal
 		}
 		if ctx.Err() != nil {
-			// The permit came as the caller left; unless it is returned here, it would
-			// hold memory until the next full report.
+			// The permit was granted while the caller cancelled. Unless it is returned here, it
+			// holds engine memory until the next full report.
 			p.send(cancelEvent{w})
 			return Permit{}, ctx.Err()
 		}
@@ -251,11 +254,13 @@
 	}
 }
 
-// errPoolClosed is met while a configuration replaces pools.
+// errPoolClosed is returned while a configuration change replaces pools, and after the Manager was
+// closed.
 var errPoolClosed = crocusreel.Refuse(crocusreel.ReasonSchedulerLost, crocusreel.OutcomeNotRun, minRetryAfter,
 	"the scheduler has stopped")
 
-// report passes a gateway's report on and returns the strikes to remember.
+// report passes a gateway's report to the core and returns the strikes that the gateway has to
+// remember.
 func (p *pool) report(ctx context.Context, r *gatewayReport) ([]policy.Strike, error) {
 	reply := make(chan []policy.Strike, 1)
 	if !p.send(reportEvent{report: r, reply: reply}) {
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -9,17 +9,19 @@
 )
 
 const (
-	// minRetryAfter and mostRetryAfter bound what a refusal tells.
+	// minRetryAfter and maxRetryAfter bound a retry delay that is derived from a predicted wait.
+	// Refusals without a prediction use minRetryAfter.
 	minRetryAfter = time.Second
 	maxRetryAfter = 2 * time.Minute
-	// engineRetryAfter is how soon an engine may be back if there is none now.
+	// engineRetryAfter is the retry delay in a refusal if no engine is live; one may be back after
+	// this time.
 	engineRetryAfter = 2 * time.Second
-	// waitMargin is by how much a predicted wait has to exceed the time left before
-	// the request is refused; predictions are rough.
+	// waitMargin is the factor by which a predicted wait has to exceed the remaining time before
+	// the request is refused, since predictions are rough.
 	waitMargin = 1.3
 )
 
-// enqueue takes in a request: it is queued or refused.
+// enqueue queues or refuses a request.
 func (c *core) enqueue(w *queuedRequest, now time.Duration) {
 	c.applyRequestHistory(&w.req, now)
 	if r := c.admissionRefusal(w, now); r != nil {
@@ -44,8 +46,9 @@
 	c.shed(w, now)
 }
 
-// applyRequestHistory takes in what the gateway holds against a request. The reports that tell the same
-// go to the scheduler of the moment, and may come late or to another one than this.
+// applyRequestHistory applies the strikes and losses that the gateway sends with a request. The
+// gateway also reports them to the current scheduler, but the report may arrive late or go to
+// another scheduler.
 func (c *core) applyRequestHistory(r *Request, now time.Duration) {
 	c.mergeStrikes(r.Strikes, r.Gateway, now)
 	for _, p := range r.Losses {
@@ -53,7 +56,7 @@
 	}
 }
 
-// admissionRefusal returns the refusal of a request that must not wait.
+// admissionRefusal returns a refusal if the request must not be queued, nil otherwise.
 func (c *core) admissionRefusal(w *queuedRequest, now time.Duration) *crocusreel.Refusal {
 	if r := c.suspectRefusal(w, now); r != nil {
 		return r
@@ -78,7 +81,8 @@
 		c.suspects.Below(w.req.Fingerprint, c.pc.cfg.Limits.Strikes, now), "endpoints died while they ran this request")
 }
 
-// noEndpointRefusal refuses if no engine serves the model: waiting would not help.
+// noEndpointRefusal returns a refusal if no engine that serves the model is healthy or in unknown
+// state, since waiting would not help; nil otherwise.
 func (c *core) noEndpointRefusal(w *queuedRequest) *crocusreel.Refusal {
 	for _, e := range c.endpointsByModel[w.req.Model] {
 		if e.State == policy.StateHealthy || e.State == policy.StateUnknown {
@@ -89,7 +93,7 @@
 		"no live engine serves the model")
 }
 
-// timeLeft is how long the request may still wait.
+// timeLeft returns how long the request may still wait.
 func (c *core) timeLeft(w *queuedRequest, now time.Duration) time.Duration {
 	limit := time.Duration(c.pc.cfg.Limits.QueueWaitMS) * time.Millisecond
 	if w.item != nil {
@@ -101,8 +105,9 @@
 	return limit
 }
 
-// predictedWait is how long a request waits behind so many others of its
-// workspace, by the measured service rate; 0 if nothing is known.
+// predictedWait returns how long a request waits behind the given number of requests of its
+// workspace, from the measured service rate. It returns 0 if the rate is not known or the queue is
+// empty.
 func (c *core) predictedWait(w *queuedRequest, ahead int) time.Duration {
 	q := c.queue(w.req.Class)
 	perSecond := c.backlog(w.req.Class).perSecond()
@@ -113,8 +118,8 @@
 	return time.Duration(float64(ahead+1) / (perSecond * share) * float64(time.Second))
 }
 
-// shed gives up waiting requests of the same model while there are too many, the
-// least valued first.
+// shed refuses queued requests of the same class, least valued first, while the queue is longer
+// than the configured limit per model of the pool.
 func (c *core) shed(w *queuedRequest, now time.Duration) {
 	q := c.queue(w.req.Class)
 	limit := c.pc.cfg.Limits.QueueLength
@@ -130,7 +135,7 @@
 	}
 }
 
-// refuse answers a request and takes it out of the queue.
+// refuse removes a request from the queue and answers it with a refusal.
 func (c *core) refuse(w *queuedRequest, r *crocusreel.Refusal) {
 	if w.done {
 		return
@@ -143,8 +148,8 @@
 	w.reply <- result{refusal: r}
 }
 
-// cancel ends the wait of a request whose caller is gone. A permit that was
-// granted meanwhile was never used.
+// cancel ends the wait of a request whose caller is gone. If a permit has been granted in the
+// meantime, it was never used and is released as not started.
 func (c *core) cancel(w *queuedRequest, now time.Duration) {
 	if w.permitID != "" {
 		if g, ok := c.permits[w.permitID]; ok {
@@ -158,7 +163,7 @@
 	w.done = true
 }
 
-// anyWaiting tells whether a request waits in one of the queues.
+// anyWaiting reports whether a request is queued in any class.
 func (c *core) anyWaiting() bool {
 	for _, q := range c.queues {
 		if q.Len() > 0 {
@@ -168,7 +173,8 @@
 	return false
 }
 
-// sweep refuses what can no longer be served in time.
+// sweep refuses queued requests that have reached the limit on strikes, have no live engine left,
+// or have run out of time.
 func (c *core) sweep(now time.Duration) {
 	for _, q := range c.queues {
 		if q.Len() == 0 {
@@ -201,15 +207,15 @@
 
 // Bounds on one round of dispatch.
 const (
-	// lookahead is the number of requests that are tried although one before them
-	// found no room: a small request may fit where a large one does not.
+	// lookahead bounds the requests that may fail to find an engine in one round. Requests behind
+	// them are still tried, since a small request may fit where a large one does not.
 	lookahead = 8
-	// bypassShare is the part of the longest wait after which a request is no
-	// longer bypassed by others of its model, so that it is not starved.
+	// bypassShare is the fraction of the maximum queue wait after which a request is no longer
+	// bypassed by others for its model, so that it is not starved.
 	bypassShare = 0.15
 )
 
-// dispatch grants permits to waiting requests, short work first.
+// dispatch grants permits to queued requests, the short class first.
 func (c *core) dispatch(now time.Duration) {
 	c.setReserve(now)
 	for _, class := range []crocusreel.Class{crocusreel.ClassShort, crocusreel.ClassGeneration} {
@@ -242,8 +248,8 @@
 		if i == nil {
 			return
 		}
-		// The event that brings this round may be the very death that a waiting request was
-		// held back for: with as many strikes as the bound it must not get an engine any more.
+		// The event that triggered this round may be the death for which the request was held back.
+		// A request that has reached the limit on strikes must not get another engine.
 		if r := c.suspectRefusal(i.Value, now); r != nil {
 			c.refuse(i.Value, r)
 			continue
@@ -271,7 +277,8 @@
 	return float64(now-w.item.Enqueued) > bypassShare*float64(limit)
 }
 
-// place tries to find an engine for a request.
+// place tries to find an engine for a request and grants the permit. It returns false if the
+// request has to stay queued.
 func (c *core) place(w *queuedRequest, now time.Duration) bool {
 	if l := c.unresolvedLoss(w.req.Fingerprint, now); l != nil {
 		c.logHeldForLoss(w, l, now)
@@ -297,8 +304,8 @@
 	return true
 }
 
-// allExcluded tells whether the request failed at every healthy endpoint already;
-// then it may try one again.
+// allExcluded reports whether the request has already failed at every healthy endpoint. It may then
+// be tried at any of them again.
 func (c *core) allExcluded(endpoints []*policy.Endpoint, excluded []string) bool {
 	if len(excluded) == 0 {
 		return false
--- a/scheduler/queueing_test.go
+++ b/scheduler/queueing_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel/endpoint"
 )
 
-// newTestCore returns a core with one healthy engine of the given memory.
+// newTestCore returns a core with one healthy engine that has the given memory capacity in tokens.
 func newTestCore(capacity int) *core {
 	e := newFakeEngine("e1", capacity)
 	cfg := baseConfig(map[string]*fakeEngine{"e1": e})
@@ -21,7 +21,7 @@
 	return c
 }
 
-// submit enqueues a request and places what can be placed.
+// submit enqueues a request with the given time to its deadline and dispatches.
 func submit(c *core, timeLeft, now time.Duration) *queuedRequest {
 	w := &queuedRequest{req: request(1), deadline: now + timeLeft, reply: make(chan result, 1)}
 	c.enqueue(w, now)
@@ -29,7 +29,7 @@
 	return w
 }
 
-// finishRequest ends the answer of a granted request.
+// finishRequest ends a granted request with a complete response.
 func finishRequest(c *core, w *queuedRequest, now time.Duration) {
 	p := c.permits[w.permitID].Permit
 	p.Produced = 100
@@ -38,9 +38,9 @@
 }
 
 var _ = Describe("waiting requests", func() {
-	// A quiet pool serves one request a minute since no more come. If that were taken
-	// for what its engine can do, the first request that has to wait for another would
-	// be told of a wait of minutes and refused.
+	// A quiet pool serves one request per minute because no more arrive. If that were taken as the
+	// engine's service rate, the first request that has to queue would get a predicted wait of
+	// minutes and be refused.
 	It("are not refused for the low rate of a quiet pool", func() {
 		c := newTestCore(250)
 		now := time.Minute
@@ -57,9 +57,8 @@
 		Expect(third.done).To(BeFalse())
 	})
 
-	// Forty requests wait for an engine that serves one a second. A request with two
-	// seconds left is told so at once; held until its deadline it would lose the time
-	// to go elsewhere.
+	// Forty requests wait for an engine that serves one per second. A request with two seconds left
+	// has to be refused at once; a refusal at its deadline would leave no time to retry elsewhere.
 	It("are refused at once if they can't be served before their deadline", func() {
 		c := newTestCore(250)
 		now := time.Minute
--- a/scheduler/remote.go
+++ b/scheduler/remote.go
@@ -12,11 +12,11 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-// failuresUntilUnreachable is the number of failed reports in a row after which a
-// scheduler counts as unreachable.
+// failuresUntilUnreachable is the number of consecutive failed reports after which a scheduler
+// counts as unreachable.
 const failuresUntilUnreachable = 2
 
-// remoteScheduler is the way to the scheduler at another gateway.
+// remoteScheduler is the client of a scheduler at another gateway.
 type remoteScheduler struct {
 	id      string
 	address string
@@ -24,8 +24,8 @@
 
 	mu       sync.Mutex
 	failures int
-	// reachable ends when the scheduler stops answering reports. A stalled link breaks no
-	// connection: without this, requests that wait there would wait for nothing.
+	// reachable is cancelled when the scheduler stops answering reports. A stalled link does not
+	// close the connection: without this, requests queued there would wait in vain.
 	reachable       context.Context
 	markUnreachable context.CancelFunc
 }
@@ -39,14 +39,15 @@
 	return r
 }
 
-// reachableCtx returns a context that ends when the scheduler becomes unreachable.
+// reachableCtx returns a context that is cancelled when the scheduler becomes unreachable.
 func (r *remoteScheduler) reachableCtx() context.Context {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reachable
 }
 
-// recordReport tells the outcome of a report.
+// recordReport records the outcome of a report from the reporter. After failuresUntilUnreachable
+// consecutive errors it cancels the reachable context; the next success creates a new one.
 func (r *remoteScheduler) recordReport(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +64,7 @@
 	}
 }
 
-// acquire asks the scheduler for a permit and waits in its queue.
+// acquire requests a permit from the scheduler and waits in its queue.
 func (r *remoteScheduler) acquire(ctx context.Context, req *Request, pool string, now time.Duration) (Permit, error) {
 	var timeLeft time.Duration
 	if deadline, ok := ctx.Deadline(); ok {
@@ -71,18 +72,18 @@
 	}
 	resp, err := r.client.Acquire(ctx, connect.NewRequest(requestToWire(req, pool, timeLeft, now)))
 	if err != nil {
-		return Permit{}, eris.Wrapf(err, "scheduler %s", r.id)
+		return Permit{}, eris.Wrapf(err, "acquire permit from scheduler %s", r.id)
 	}
 	if f := resp.Msg.GetRefusal(); f != nil {
 		return Permit{}, refusalFromWire(f)
 	}
 	if resp.Msg.GetPermit() == nil {
-		return Permit{}, eris.Errorf("scheduler %s answered neither permit nor refusal", r.id)
+		return Permit{}, eris.Errorf("scheduler %s returned neither a permit nor a refusal", r.id)
 	}
 	return permitFromWire(resp.Msg.GetPermit()), nil
 }
 
-// report sends a report and returns the strikes to remember.
+// report sends a report and returns the strikes that the gateway has to remember.
 func (r *remoteScheduler) report(ctx context.Context, rep *gatewayReport, pool string, now time.Duration) ([]policy.Strike, error) {
 	msg := &peerv1.ReportRequest{Gateway: rep.Gateway, Pool: pool, Partial: rep.Partial}
 	msg.Open = permitsToWire(rep.Open)
@@ -93,7 +94,7 @@
 	msg.Strikes = strikesToWire(rep.Strikes, now)
 	resp, err := r.client.Report(ctx, connect.NewRequest(msg))
 	if err != nil {
-		return nil, eris.Wrapf(err, "scheduler %s", r.id)
+		return nil, eris.Wrapf(err, "send report to scheduler %s", r.id)
 	}
 	return strikesFromWire(resp.Msg.GetStrikes(), now), nil
 }
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -2,14 +2,14 @@
 
 import "github.com/crocusreel/crocusreel/policy"
 
-// gatewayReport is what a gateway tells the scheduler of a pool.
+// gatewayReport is a gateway's report to the scheduler of a pool.
 type gatewayReport struct {
 	// Gateway is the VM ID of the gateway.
 	Gateway string
-	// Open lists every permit of the pool that the gateway holds, unless Partial.
+	// Open lists every permit of the pool that the gateway holds, unless Partial is set.
 	Open     []Permit
 	Partial  bool
 	Releases []Release
-	// Strikes are those that the gateway learned from an earlier scheduler.
+	// Strikes are those that the gateway received from an earlier scheduler.
 	Strikes []policy.Strike
 }
--- a/scheduler/reporting.go
+++ b/scheduler/reporting.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	// reportInterval is the time between two full reports of a gateway.
+	// reportInterval is the shortest time between two periodic full reports of a gateway.
 	reportInterval = time.Second
-	// reportsPerSecond bounds the full reports that a scheduler gets, whatever the
-	// number of gateways: with more, each reports less often.
+	// reportsPerSecond bounds the periodic full reports that a scheduler receives, whatever the
+	// number of gateways: with more gateways, each reports less often.
 	reportsPerSecond = 50
 	// reportTimeout bounds one report.
 	reportTimeout = time.Second
-	// releaseBatchDelay collects releases into one message. It is short against the
-	// time of a token batch, so that freed memory is soon used again.
+	// releaseBatchDelay is how long releases are collected into one message. It is short compared
+	// with the time of a token batch, so that freed memory is reused soon.
 	releaseBatchDelay = 20 * time.Millisecond
-	// minReportExpiry and missedReports set when a silent gateway is taken as gone.
+	// minReportExpiry and missedReports determine when a gateway that does not report counts as
+	// gone.
 	minReportExpiry = 10 * time.Second
 	missedReports   = 5
 )
 
-// reportIntervalFor returns the time between two full reports of each of n gateways.
+// reportIntervalFor returns the time between two full reports of each gateway.
 func reportIntervalFor(gateways int) time.Duration {
 	return max(reportInterval, time.Duration(gateways)*time.Second/reportsPerSecond)
 }
 
-// reportExpiry returns how long a scheduler keeps the permits of a silent gateway.
+// reportExpiry returns how long a scheduler keeps the permits of a gateway that does not report.
 func reportExpiry(gateways int) time.Duration {
 	return max(minReportExpiry, missedReports*reportIntervalFor(gateways))
 }
 
-// reportLoop sends full reports in a fixed rhythm and after each change of the
-// view, and releases soon after they come.
+// reportLoop sends full reports periodically, after each change of the view and after lost
+// responses, and sends releases shortly after they are queued.
 func (m *Manager) reportLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -62,8 +63,7 @@
 	}
 }
 
-// reporter sends reports, each in a goroutine of its own, one at a time for each
-// pool.
+// reporter sends reports in separate goroutines, at most one at a time for each pool.
 type reporter struct {
 	m        *Manager
 	ctx      context.Context
@@ -71,9 +71,9 @@
 
 	mu   sync.Mutex
 	busy map[string]bool
-	// lastFullReport is the way by which a pool's scheduler last got a full report. A new one
-	// also gets the strikes learned from its predecessor. An old one does not: it may
-	// have cleared some.
+	// lastFullReport holds the view under which each pool's scheduler last received a full report.
+	// A new scheduler also gets the strikes received from its predecessor. A scheduler that already
+	// had a report does not, since it may have cleared some of them.
 	lastFullReport map[string]*poolView
 }
 
@@ -105,7 +105,7 @@
 	return permits
 }
 
-// reportFallback reports to this gateway's own reportFallback pool, if that granted anything.
+// reportFallback reports to this gateway's own fallback pool if it has granted any of the permits.
 func (s *reporter) reportFallback(pv *poolView, open []*heldPermit) {
 	var permits []Permit
 	for _, h := range open {
@@ -118,7 +118,7 @@
 	}
 }
 
-// sendReleases sends releases only.
+// sendReleases sends the queued releases only.
 func (s *reporter) sendReleases() {
 	v := s.m.view.Load()
 	if v == nil {
@@ -129,7 +129,7 @@
 			s.send(pv, &gatewayReport{Gateway: s.m.opts.VMID, Partial: true})
 			continue
 		}
-		// The pool is gone with the configuration; nobody counts its permits.
+		// The configuration no longer contains the pool, so nothing counts its permits.
 		s.m.permits.takeReleases(key)
 	}
 }
@@ -158,7 +158,8 @@
 	}()
 }
 
-// hasFullReport tells whether the scheduler has had a full report from here.
+// hasFullReport reports whether the pool's current scheduler has received a full report from this
+// gateway.
 func (s *reporter) hasFullReport(pv *poolView) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,8 +179,8 @@
 	return strikes, err
 }
 
-// claim claims a pool for one report. A slow scheduler gets no second report
-// before the first is answered.
+// claim reserves a pool for one report. A slow scheduler gets no second report before it has
+// answered the first.
 func (s *reporter) claim(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,8 +191,8 @@
 	return true
 }
 
-// finish frees the pool. Releases that came meanwhile go out at once, unless the
-// scheduler does not answer: then they wait for the next full report.
+// finish ends the claim on a pool. Releases queued in the meantime are sent at once, unless the
+// report failed: they then wait for the next report.
 func (s *reporter) finish(pv *poolView, partial bool, err error) {
 	s.mu.Lock()
 	s.busy[pv.key] = false
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,8 +1,7 @@
-// Package scheduler grants permits to run work at the engines of one pool: the
-// engines of one region that serve one model, or several models if they share
-// engines. One gateway is the scheduler of a pool at a time, chosen by rendezvous
-// hashing over the live gateways of the region; its state is rebuilt from the
-// gateways' reports when it moves.
+// Package scheduler grants permits to run requests at the engines of one pool: the engines of one
+// region that serve one model, or several models if they share engines. At any time one gateway is
+// the scheduler of a pool, chosen by rendezvous hashing over the live gateways of the region. When
+// the scheduler moves, its state is rebuilt from the gateways' reports.
 package scheduler
 
 import (
@@ -16,7 +15,7 @@
 // Request asks for a permit to run one generation.
 type Request struct {
 	RequestID string
-	// Gateway is the VM ID of the gateway that asks.
+	// Gateway is the VM ID of the requesting gateway.
 	Gateway      string
 	Model        string
 	Adapter      string
@@ -24,20 +23,20 @@
 	Class        crocusreel.Class
 	Priority     crocusreel.Priority
 	PromptTokens int
-	// MaxTokens is the caller's bound in tokens; 0 if none.
+	// MaxTokens is the caller's limit on the response length in tokens; 0 means none.
 	MaxTokens int
 	// Prefixes are hashes of the prompt's leading blocks, longest last.
 	Prefixes []uint64
-	// Excluded are endpoints at which this request already failed.
+	// Excluded are endpoints at which this request has already failed.
 	Excluded []string
-	// Fingerprint is a hash over workspace, model and body.
+	// Fingerprint is a hash over workspace, model and body; 0 means none.
 	Fingerprint uint64
-	// LengthHint is the length in tokens that the caller expects, 0 if it does not
-	// tell; only the oracle policy reads it.
+	// LengthHint is the response length in tokens that the caller expects; 0 means none. Only the
+	// oracle policy uses it.
 	LengthHint int
-	// Losses are permits for this fingerprint whose answers the gateway lost lately,
-	// and Strikes what it knows against the fingerprint. Whichever scheduler is asked
-	// learns of them before it grants another engine.
+	// Losses are permits for this fingerprint whose responses the gateway lost recently, and
+	// Strikes are the strikes that it knows against the fingerprint. They are sent with the request
+	// so that any scheduler has them before it grants another engine.
 	Losses  []Permit
 	Strikes []policy.Strike
 }
@@ -49,21 +48,21 @@
 	Model     string
 	Workspace string
 	Class     crocusreel.Class
-	// PromptTokens and Produced count tokens; Produced is kept by the gateway.
+	// PromptTokens and Produced count tokens. The gateway updates Produced.
 	PromptTokens int
 	Produced     int
 	MaxTokens    int
-	// EnginePriority is passed to the engine; the lowest is preempted first.
+	// EnginePriority is passed to the engine, which preempts the lowest priority first.
 	EnginePriority int
 	Fingerprint    uint64
 	LengthHint     int
-	// Incarnation is the engine's when the permit was granted; empty if it was not known.
+	// Incarnation is that of the engine when the permit was granted; empty if it was not known.
 	Incarnation string
 }
 
-// deathID identifies the deathID of the permit's engine. All answers that an engine's deathID
-// interrupted have the same: a prompt that many callers send alike has died once, not many
-// times.
+// deathID identifies the death of the permit's engine. It is the same for all responses that one
+// engine death interrupted, so that identical prompts from many callers count that death once and
+// not many times.
 func (p *Permit) deathID() uint64 {
 	h := fnv.New64a()
 	if p.Incarnation == "" {
@@ -74,34 +73,34 @@
 	return h.Sum64()
 }
 
-// EndReason tells how a permit ended.
+// EndReason says how a permit ended.
 type EndReason string
 
 const (
-	// EndFinished means that the answer is whole; its length is known.
+	// EndFinished means that the response is complete, so that its length is known.
 	EndFinished EndReason = "finished"
-	// EndCancelled means that the caller gave up; the length is censored.
+	// EndCancelled means that the caller cancelled, so that the length is a censored observation.
 	EndCancelled EndReason = "cancelled"
-	// EndNotStarted means that the engine certainly did not start the work.
+	// EndNotStarted means that the engine has certainly not started the request.
 	EndNotStarted EndReason = "not_started"
-	// EndEndpointLost means that the endpoint died or the link to it broke.
+	// EndEndpointLost means that the endpoint died or the connection to it broke.
 	EndEndpointLost EndReason = "endpoint_lost"
 )
 
-// Release returns a permit.
+// Release returns a permit to the scheduler.
 type Release struct {
 	Permit Permit
 	End    EndReason
 }
 
-// Permits is how gateways get permits, from a scheduler of their own process or
-// of another. Acquire waits in the pool's queue until ctx ends; it returns a
-// *crocusreel.Refusal if the scheduler refuses.
+// Permits grants permits to gateways, from a scheduler in the same process or in another one.
+// Acquire waits in the pool's queue until ctx ends. It returns a *crocusreel.Refusal if the
+// scheduler refuses the request.
 type Permits interface {
 	Acquire(ctx context.Context, req Request) (Permit, error)
-	// Update tells how many tokens a held permit has produced.
+	// Update records how many tokens the request of a held permit has produced.
 	Update(permitID string, produced int)
-	// Release returns the permit. It waits for the scheduler, for a fraction of a
-	// second at most, only if the endpoint was lost.
+	// Release returns the permit. It waits for the scheduler only if the endpoint was lost, and
+	// then for at most a fraction of a second.
 	Release(r Release)
 }
--- a/scheduler/scheduler_suite_test.go
+++ b/scheduler/scheduler_suite_test.go
@@ -22,10 +22,10 @@
 	RunSpecs(t, "scheduler")
 }
 
-// specTimeout bounds what the specs wait for; it is generous, since machines are busy.
+// specTimeout bounds the waits of the specs. It is generous, since test machines may be busy.
 const specTimeout = 20 * time.Second
 
-// fakeEngine answers load polls; nothing else is asked of an engine here.
+// fakeEngine answers load polls and requests for cache events; other methods are not implemented.
 type fakeEngine struct {
 	endpoint.Engine
 	mu     sync.Mutex
@@ -63,7 +63,7 @@
 	change(f)
 }
 
-// testRegion is a set of gateways with managers of their own over the same engines.
+// testRegion is a set of gateways, each with its own manager, that share engines.
 type testRegion struct {
 	engines  map[string]*fakeEngine
 	cfg      *config.Config
@@ -72,7 +72,7 @@
 	calls    *callCount
 }
 
-// callCount counts the calls that managers get, by procedure.
+// callCount counts the RPC calls to managers by procedure.
 type callCount struct {
 	mu sync.Mutex
 	n  map[string]int
@@ -158,7 +158,7 @@
 	}
 }
 
-// apply passes the members that are left and the configuration to all managers.
+// apply passes the remaining members and the configuration to all managers.
 func (r *testRegion) apply() {
 	var members []*peerv1.Member
 	for id, s := range r.servers {
@@ -172,7 +172,7 @@
 	}
 }
 
-// schedulerID returns the VM ID of the schedulerID in the view of any manager.
+// schedulerID returns the VM ID of the scheduler in the view of an arbitrary manager.
 func (r *testRegion) schedulerID() string {
 	for _, m := range r.managers {
 		return m.view.Load().byModel["m"].schedulerID
@@ -180,7 +180,7 @@
 	return ""
 }
 
-// nonScheduler returns a gateway that is not the scheduler.
+// nonScheduler returns the manager of a gateway that is not the scheduler.
 func (r *testRegion) nonScheduler() *Manager {
 	chosen := r.schedulerID()
 	for id, m := range r.managers {
@@ -198,7 +198,7 @@
 	}
 }
 
-// openPermits counts the permits that a manager's pool knows.
+// openPermits counts the open permits in a manager's primary pool.
 func openPermits(m *Manager) func() int {
 	return func() (n int) {
 		pv := m.view.Load().byModel["m"]
@@ -213,7 +213,7 @@
 	return m.Acquire(ctx, req)
 }
 
-// leave takes a gateway out of the members that all managers see.
+// leave removes a gateway from the members that all managers see.
 func (r *testRegion) leave(id string) {
 	s := r.servers[id]
 	delete(r.servers, id)
@@ -224,7 +224,7 @@
 	r.apply()
 }
 
-// acquireAsync asks for a permit in the background.
+// acquireAsync requests a permit in the background.
 func acquireAsync(m *Manager) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -234,7 +234,7 @@
 	return done
 }
 
-// queuedRequests counts the requests that wait in a manager's pool.
+// queuedRequests counts the queued requests in a manager's primary pool.
 func queuedRequests(m *Manager) func() int {
 	return func() (n int) {
 		m.view.Load().byModel["m"].primary.stats(func(c *core) {
--- a/scheduler/suspects_test.go
+++ b/scheduler/suspects_test.go
@@ -13,8 +13,8 @@
 	"github.com/crocusreel/crocusreel/endpoint"
 )
 
-// multiEngineCore is a core with healthy engines whose deaths a spec brings about one event at
-// a time, without the races of real polls.
+// multiEngineCore is a core with healthy engines. Specs trigger engine deaths one event at a time,
+// without the races of real polls.
 type multiEngineCore struct {
 	*core
 	now    time.Duration
@@ -41,7 +41,7 @@
 	return c
 }
 
-// pollEngine is an answer of the engine's present incarnation.
+// pollEngine applies a poll answered by the engine's current incarnation.
 func (c *multiEngineCore) pollEngine(name string) {
 	c.now += time.Millisecond
 	report := endpoint.LoadReport{KVCapacity: 100000, Incarnation: fmt.Sprint(name, "-", c.starts[name])}
@@ -51,7 +51,7 @@
 
 func (c *multiEngineCore) restart(name string) { c.starts[name]++ }
 
-// submit asks for a place for a request; granted is empty while it waits.
+// submit enqueues a request and dispatches; permitID is empty while the request waits.
 func (c *multiEngineCore) submit(fingerprint uint64) *queuedRequest {
 	c.now += time.Millisecond
 	w := &queuedRequest{req: request(fingerprint), reply: make(chan result, 1)}
@@ -60,14 +60,15 @@
 	return w
 }
 
-// loseResponse tells of the lost answer of a granted request.
+// loseResponse reports the lost response of a granted request.
 func (c *multiEngineCore) loseResponse(w *queuedRequest) {
 	c.now += time.Millisecond
 	c.release(&Release{Permit: c.permits[w.permitID].Permit, End: EndEndpointLost}, c.now)
 	c.dispatch(c.now)
 }
 
-// killEngineOf is the death of the engine that runs a request, with all that tells of it.
+// killEngineOf restarts the engine that runs a request, with the lost response and the poll that
+// follow.
 func (c *multiEngineCore) killEngineOf(w *queuedRequest) {
 	name := c.permits[w.permitID].Endpoint
 	c.restart(name)
@@ -75,7 +76,8 @@
 	c.pollEngine(name)
 }
 
-// refusalOfWaiting is the reason for which a request was refused, empty if it was not.
+// refusalOfWaiting returns the reason for which a request was refused, or an empty string if it was
+// not.
 func refusalOfWaiting(w *queuedRequest) crocusreel.Reason {
 	select {
 	case r := <-w.reply:
@@ -87,7 +89,7 @@
 	return ""
 }
 
-// crashEngine lets the engine restart and the gateway lose the answer that ran there.
+// crashEngine changes the engine's incarnation and reports the given permits as lost with it.
 func crashEngine(m *Manager, e *fakeEngine, lost ...Permit) {
 	e.set(func(f *fakeEngine) { f.report.Incarnation += "+" })
 	for _, p := range lost {
@@ -95,7 +97,7 @@
 	}
 }
 
-// strikesOf reads the strikes against a request at a manager's pool.
+// strikesOf counts the strikes against a request in a manager's primary pool.
 func strikesOf(m *Manager, fingerprint uint64) func() int {
 	return func() (n int) {
 		pv := m.view.Load().byModel["m"]
@@ -107,9 +109,9 @@
 var _ = Describe("a request that kills engines", func() {
 	const deadly, innocent = 13, 14
 
-	// A request crashes each engine that runs it, and its caller sends it again and
-	// again under new keys. Unchecked it takes the region's engines down one after
-	// the other, and every caller there loses its answer with them.
+	// A request crashes each engine that runs it, and its caller repeats it under new keys. Without
+	// a limit it takes down the engines of the region one after the other, and every response
+	// running there is lost.
 	It("is refused after the bound, and the requests beside it are not", func() {
 		e1, e2 := newFakeEngine("e1", 100000), newFakeEngine("e2", 100000)
 		r := newTestRegion([]string{"a"}, e1, e2)
@@ -136,8 +138,8 @@
 		Eventually(strikesOf(m, innocent), specTimeout).Should(BeZero())
 	})
 
-	// The link to an engine breaks, and all its answers are lost at once. Nobody is
-	// to blame, and none of these requests may be refused for it.
+	// The connection to an engine breaks and its responses are lost, but the engine lives on. No
+	// request may be refused because of that.
 	It("is not suspected when only the link broke", func() {
 		e := newFakeEngine("e1", 100000)
 		r := newTestRegion([]string{"a"}, e)
@@ -153,8 +155,8 @@
 		Expect(strikesOf(m, innocent)()).To(BeZero())
 	})
 
-	// An engine is reclaimed by its owner with answers on it. They were cut off, but
-	// not through their own fault.
+	// An engine is reclaimed by its owner while it runs requests. They are cut off, but did not
+	// cause the stop.
 	It("is not suspected when the engine was reclaimed", func() {
 		e := newFakeEngine("e1", 100000)
 		r := newTestRegion([]string{"a"}, e)
@@ -173,8 +175,8 @@
 		Expect(strikesOf(m, innocent)()).To(BeZero())
 	})
 
-	// The gateway that counted the strikes dies. If its successor began anew, the
-	// deadly request would take down as many engines again.
+	// The gateway that counted the strikes dies. If its successor counted from zero, the request
+	// would kill as many engines again.
 	It("is known to the next scheduler", func() {
 		e := newFakeEngine("e1", 100000)
 		r := newTestRegion([]string{"a", "b", "c"}, e)
@@ -197,9 +199,9 @@
 		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
 	})
 
-	// The scheduler can't be reached right after the first death, before it told the
-	// gateway of a strike. The gateway decides alone, and would begin to count anew: the
-	// request would kill one engine more than the bound.
+	// The scheduler becomes unreachable right after the first death, before it has sent the strike
+	// to the gateway. If the gateway's fallback pool counted from zero, the request would kill one
+	// engine more than the limit.
 	It("is refused at the bound where the scheduler is lost between two deaths", func() {
 		var engines []*fakeEngine
 		for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
@@ -220,8 +222,8 @@
 		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
 	})
 
-	// A gateway takes over as scheduler while an engine that died is starting again. It
-	// has never seen the engine before, so that the new incarnation is nothing new to it.
+	// A gateway becomes the scheduler while an engine that died restarts. It has not seen the old
+	// incarnation, so it cannot detect the death by a change of incarnation.
 	It("gets its strike from a scheduler that has only seen the engine's new incarnation", func() {
 		e := newFakeEngine("e1", 100000)
 		r := newTestRegion([]string{"a"}, e)
@@ -235,12 +237,9 @@
 		Expect(strikesOf(m, deadly)()).To(Equal(1))
 	})
 
-	// A caller whose request has just killed a third engine sends it again at once. The
-	// scheduler has heard of the lost answer but not yet why it was lost, so the request is
-	// held back until the engine is polled. The poll shows the death: with it the request has
-	// as many strikes as the bound, and it must be refused then. In the log of a failing run
-	// "permit granted" with strikes=3 comes in the same millisecond as "strike", and a fourth
-	// engine dies with every answer on it.
+	// A request that killed a third engine is repeated and held back until a poll explains the loss.
+	// That poll adds the last strike allowed. A failing run logs "permit granted" with strikes=3 in
+	// the same millisecond as "strike", and a fourth engine dies with all its responses.
 	It("is refused if the loss that it waited for turns out to be the last death allowed", func() {
 		c := newMultiEngineCore(4)
 		for range 2 {
@@ -257,10 +256,9 @@
 		Expect(refusalOfWaiting(again)).To(Equal(crocusreel.ReasonSuspect))
 	})
 
-	// A caller sends a request several times at once, and it crashes the engine that runs it.
-	// Its first death is known when the next ones are placed. If each got an engine they would
-	// all die together, before any of these deaths could be counted: as many as there are
-	// copies, for a bound of three.
+	// Several copies of a request that crashes engines are sent at once, after its first death is
+	// known. If each copy got an engine, all would die before their deaths are counted: as many
+	// engines as copies, with a limit of three.
 	It("runs at no more engines at once than it may still kill", func() {
 		c := newMultiEngineCore(6)
 		c.killEngineOf(c.submit(deadly))
@@ -287,10 +285,10 @@
 		Expect(refused).To(Equal(len(copies) - (deaths - 1)))
 	})
 
-	// An engine dies of something else while it runs a prompt that many callers send alike.
-	// They wait for the first of them to have its answer; then nothing is held against the
-	// prompt, and it may run everywhere again.
-	It("waits no longer than for the first whole answer if it is innocent", func() {
+	// An engine dies of another cause while it runs a prompt that many callers send. Copies wait
+	// for the first complete response, which clears the strikes, and may then run on all engines
+	// again.
+	It("waits only for the first complete response if it is innocent", func() {
 		c := newMultiEngineCore(6)
 		for range 2 {
 			c.killEngineOf(c.submit(innocent))
