--- a/scheduler/holdings.go
+++ b/scheduler/holdings.go
@@ -128,8 +128,8 @@
 	return h.strikes[pool]
 }
 
-func (h *permitStore) add(p Permit, pool string, spare bool) {
-	h.open.Store(p.ID, &heldPermit{permit: p, pool: pool, fallback: spare})
+func (h *permitStore) add(p Permit, pool string, fallback bool) {
+	h.open.Store(p.ID, &heldPermit{permit: p, pool: pool, fallback: fallback})
 }
 
 // update records the tokens produced. It is called for every token and has to be cheap.
--- a/scheduler/manager.go
+++ b/scheduler/manager.go
@@ -166,16 +166,16 @@
 			pv.remote = m.remoteTo(chosen)
 		}
 	}
-	main := poolConfig{spec: spec, cfg: v.cfg, share: 1, gateways: v.gateways}
-	spare := main
-	spare.share = 1 / float64(v.gateways)
+	primaryConfig := poolConfig{spec: spec, cfg: v.cfg, share: 1, gateways: v.gateways}
+	fallbackConfig := primaryConfig
+	fallbackConfig.share = 1 / float64(v.gateways)
 	if before == nil {
-		pv.primary = m.newPool(spec.key, main)
-		pv.fallback = m.newPool(spec.key+"-spare", spare)
+		pv.primary = m.newPool(spec.key, primaryConfig)
+		pv.fallback = m.newPool(spec.key+"-spare", fallbackConfig)
 	} else {
 		pv.primary, pv.fallback = before.primary, before.fallback
-		pv.primary.send(configEvent{main})
-		pv.fallback.send(configEvent{spare})
+		pv.primary.send(configEvent{primaryConfig})
+		pv.fallback.send(configEvent{fallbackConfig})
 	}
 	pv.primary.chosen.Store(pv.remote == nil)
 	if before != nil && before.schedulerID == pv.schedulerID && before.remote == pv.remote {
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -154,12 +154,12 @@
 // setActive activates or deactivates the pool, and with it the polling of engines.
 func (p *pool) setActive(now time.Duration) {
 	// A pool with queued requests stays active: once stopped, it would never answer them.
-	busy := p.chosen.Load() || p.core.anyWaiting() || now-time.Duration(p.lastUsed.Load()) < idleTimeout
-	if busy == p.active {
+	shouldBeActive := p.chosen.Load() || p.core.anyWaiting() || now-time.Duration(p.lastUsed.Load()) < idleTimeout
+	if shouldBeActive == p.active {
 		return
 	}
-	p.active = busy
-	if busy {
+	p.active = shouldBeActive
+	if shouldBeActive {
 		p.core.activate(now)
 		p.startPollers()
 		return
--- a/scheduler/reporting.go
+++ b/scheduler/reporting.go
@@ -42,9 +42,9 @@
 func (m *Manager) reportLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var sent sync.WaitGroup
-	defer sent.Wait()
-	s := &reporter{m: m, ctx: ctx, inFlight: &sent, busy: make(map[string]bool), lastFullReport: make(map[string]*poolView)}
+	var inFlightReports sync.WaitGroup
+	defer inFlightReports.Wait()
+	s := &reporter{m: m, ctx: ctx, inFlightReports: &inFlightReports, busy: make(map[string]bool), lastFullReport: make(map[string]*poolView)}
 	for {
 		select {
 		case <-ctx.Done():
@@ -65,9 +65,9 @@
 
 // reporter sends reports in separate goroutines, at most one at a time for each pool.
 type reporter struct {
-	m        *Manager
-	ctx      context.Context
-	inFlight *sync.WaitGroup
+	m               *Manager
+	ctx             context.Context
+	inFlightReports *sync.WaitGroup
 
 	mu   sync.Mutex
 	busy map[string]bool
@@ -142,9 +142,9 @@
 	if !r.Partial && !s.hasFullReport(pv) {
 		r.Strikes = s.m.permits.strikesFrom(pv.key)
 	}
-	s.inFlight.Add(1)
+	s.inFlightReports.Add(1)
 	go func() {
-		defer s.inFlight.Done()
+		defer s.inFlightReports.Done()
 		ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
 		defer cancel()
 		strikes, err := s.deliver(ctx, pv, r)
--- a/scheduler/suspects_test.go
+++ b/scheduler/suspects_test.go
@@ -76,9 +76,9 @@
 	c.pollEngine(name)
 }
 
-// refusalOfWaiting returns the reason for which a request was refused, or an empty string if it was
+// refusalOfQueued returns the reason for which a request was refused, or an empty string if it was
 // not.
-func refusalOfWaiting(w *queuedRequest) crocusreel.Reason {
+func refusalOfQueued(w *queuedRequest) crocusreel.Reason {
 	select {
 	case r := <-w.reply:
 		if r.refusal != nil {
@@ -253,7 +253,7 @@
 		Expect(again.done).To(BeFalse(), "held back")
 		c.pollEngine(engine)
 		Expect(again.permitID).To(BeEmpty())
-		Expect(refusalOfWaiting(again)).To(Equal(crocusreel.ReasonSuspect))
+		Expect(refusalOfQueued(again)).To(Equal(crocusreel.ReasonSuspect))
 	})
 
 	// Several copies of a request that crashes engines are sent at once, after its first death is
@@ -278,7 +278,7 @@
 		Expect(deaths).To(Equal(c.pc.cfg.Limits.Strikes))
 		refused := 0
 		for _, w := range copies {
-			if refusalOfWaiting(w) == crocusreel.ReasonSuspect {
+			if refusalOfQueued(w) == crocusreel.ReasonSuspect {
 				refused++
 			}
 		}
