--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -13,102 +13,105 @@
 )
 
 const (
-	// graceAfterTakeover is how long admission is conservative after a pool became
-	// active: permits of an earlier scheduler are still being reported.
-	graceAfterTakeover = 2 * time.Second
-	// graceShare is the part of the engines' memory used meanwhile.
-	graceShare = 0.7
-	// reportGrace is the age over which a permit that its gateway does not report
-	// is dropped: the answer with the grant was lost. It is longer than a grant and
-	// a report can pass each other on the way.
-	reportGrace = 3 * time.Second
-	// tombstoneLife is how long an ended permit is remembered, so that a late
-	// report does not revive it.
-	tombstoneLife = 15 * time.Second
+	// takeoverGracePeriod is how long admission is conservative after a pool becomes active, while
+	// gateways still report permits that an earlier scheduler granted.
+	takeoverGracePeriod = 2 * time.Second
+	// takeoverGraceShare is the fraction of the engines' memory that is used during that period.
+	takeoverGraceShare = 0.7
+	// unreportedPermitGrace is the age from which a permit that its gateway does not report is
+	// dropped, because the response with the grant was lost. It is longer than the time during
+	// which a grant and a report can cross in transit.
+	unreportedPermitGrace = 3 * time.Second
+	// tombstoneTTL is how long an ended permit is remembered, so that a late report does not
+	// restore it.
+	tombstoneTTL = 15 * time.Second
 )
 
-// poolConfig is what a pool needs to know of the configuration and of the region.
+// poolConfig is the part of the configuration and of the region's state that a pool needs.
 type poolConfig struct {
 	spec *poolSpec
 	cfg  *config.Config
-	// share is the part of the engines' memory that this scheduler may use.
+	// share is the fraction of the engines' memory that this scheduler may use.
 	share float64
-	// gateways is the number of gateways that report.
+	// gateways is the number of gateways that send reports.
 	gateways int
 }
 
-// waiting is a request in the queue.
-type waiting struct {
+// queuedRequest is a request that waits for a permit or a refusal.
+type queuedRequest struct {
 	req Request
-	// deadline is when the caller gives up; 0 if it told none.
-	deadline time.Duration
-	item     *policy.Item[*waiting]
-	place    policy.Request
-	expected float64
-	reply    chan result
-	done     bool
-	granted  string
-	// held tells that the request was held back, so that this is logged once.
-	held bool
+	// deadline is the caller's deadline on the pool's clock; 0 means none.
+	deadline       time.Duration
+	item           *policy.Item[*queuedRequest]
+	placement      policy.Request
+	expectedTokens float64
+	reply          chan result
+	done           bool
+	permitID       string
+	// holdLogged is set once it was logged that the request is held back, so that this is logged
+	// only once.
+	holdLogged bool
 }
 
-// result is the answer to a waiting request: a permit or a refusal.
+// result is the response to a queued request: a permit or a refusal.
 type result struct {
 	permit  Permit
 	refusal *crocusreel.Refusal
 }
 
-// grant is an open permit as the scheduler sees it.
+// grant is the scheduler's record of an open permit.
 type grant struct {
 	Permit
-	gateway    string
-	grantedAt  time.Duration
-	reportedAt time.Duration
-	expected   float64
+	gateway        string
+	grantedAt      time.Duration
+	reportedAt     time.Duration
+	expectedTokens float64
 }
 
-// core is the state of a pool. It is owned by the pool's goroutine, and does no
-// input or output: what it wants done is in its return values and hooks.
+// core is the state of a pool. It is owned by the pool's goroutine and does no I/O itself: effects
+// are requested through return values and hooks.
 type core struct {
-	vm     string
-	pc     poolConfig
-	hooks  hooks
-	est    *policy.Estimator
-	prefix *policy.PrefixIndex
-	queues map[crocusreel.Class]*policy.Queue[*waiting]
+	vm        string
+	pc        poolConfig
+	hooks     hooks
+	estimator *policy.Estimator
+	prefix    *policy.PrefixIndex
+	queues    map[crocusreel.Class]*policy.Queue[*queuedRequest]
 	// backlogs holds the service rate of each class.
-	backlogs  map[crocusreel.Class]*backlog
-	suspects  *policy.Suspects
-	feedback  *policy.RiskController
-	picker    policy.Picker
-	reserve   *policy.Reservation
-	engines   map[string]*engine
-	order     []*engine
-	byModel   map[string][]*policy.Endpoint
-	weights   map[string]config.WorkspaceSpec
-	permits   map[string]*grant
-	ended     map[string]time.Duration
-	reporters map[string]time.Duration
-	activeAt  time.Duration
-	sequence  uint64
-	ejector   policy.Ejector
-	judgedAt  time.Duration
-	listedAt  time.Duration
-	refreshed int
-	blocked   []string
+	backlogs          map[crocusreel.Class]*backlog
+	suspects          *policy.Suspects
+	feedback          *policy.RiskController
+	picker            policy.Picker
+	reservation       *policy.Reservation
+	engines           map[string]*engine
+	sortedEngines     []*engine
+	endpointsByModel  map[string][]*policy.Endpoint
+	workspaces        map[string]config.WorkspaceSpec
+	permits           map[string]*grant
+	tombstones        map[string]time.Duration
+	lastReports       map[string]time.Duration
+	activatedAt       time.Duration
+	sequence          uint64
+	ejector           policy.Ejector
+	ejectionCheckedAt time.Duration
+	runningSampledAt  time.Duration
+	refreshCursor     int
+	blockedModels     []string
 }
 
-// hooks connect a core with its surroundings.
+// hooks connect a core to its environment.
 type hooks struct {
-	// poll asks for a load report of an engine at once.
+	// poll requests an immediate load report from an engine.
 	poll func(engine string)
-	// notice returns what an engine last said of itself; nil if nobody listens.
+	// notice returns the latest notice of an engine. The hook may be nil if notices are not
+	// collected.
 	notice func(config.EndpointSpec) notice.Notice
-	// log gets a line for each decision on a request and each change of belief.
+	// log receives an entry for each decision on a request and for each change in what is known
+	// about engines and strikes.
 	log *zap.Logger
-	// count adds to a named event counter.
+	// count adds n to a named event counter.
 	count func(event string, n int64)
-	// id returns the prefix of permit IDs, unique for the process.
+	// id is the prefix of permit IDs, unique for each core of each process.
 	id string
 }
 
@@ -121,58 +124,58 @@
 	}
 	return &core{
 		vm: vm, hooks: h,
-		est:    policy.NewEstimator(),
-		prefix: policy.NewPrefixIndex(),
-		queues: map[crocusreel.Class]*policy.Queue[*waiting]{
-			crocusreel.ClassShort:      policy.NewQueue[*waiting](),
-			crocusreel.ClassGeneration: policy.NewQueue[*waiting](),
+		estimator: policy.NewEstimator(),
+		prefix:    policy.NewPrefixIndex(),
+		queues: map[crocusreel.Class]*policy.Queue[*queuedRequest]{
+			crocusreel.ClassShort:      policy.NewQueue[*queuedRequest](),
+			crocusreel.ClassGeneration: policy.NewQueue[*queuedRequest](),
 		},
 		backlogs: map[crocusreel.Class]*backlog{
 			crocusreel.ClassShort:      {},
 			crocusreel.ClassGeneration: {},
 		},
-		suspects:  policy.NewSuspects(policy.StrikeTTL),
-		feedback:  policy.NewRiskController(1, 1),
-		engines:   make(map[string]*engine),
-		permits:   make(map[string]*grant),
-		ended:     make(map[string]time.Duration),
-		reporters: make(map[string]time.Duration),
+		suspects:    policy.NewSuspects(policy.StrikeTTL),
+		feedback:    policy.NewRiskController(1, 1),
+		engines:     make(map[string]*engine),
+		permits:     make(map[string]*grant),
+		tombstones:  make(map[string]time.Duration),
+		lastReports: make(map[string]time.Duration),
 	}
 }
 
-// configure takes over a configuration.
+// configure applies a configuration.
 func (c *core) configure(pc poolConfig, now time.Duration) {
 	old := c.pc
 	c.pc = pc
 	c.feedback.SetWeights(pc.cfg.Weights.Stall, pc.cfg.Weights.Preemption)
-	c.weights = make(map[string]config.WorkspaceSpec, len(pc.cfg.Workspaces))
+	c.workspaces = make(map[string]config.WorkspaceSpec, len(pc.cfg.Workspaces))
 	for _, w := range pc.cfg.Workspaces {
-		c.weights[w.Name] = w
+		c.workspaces[w.Name] = w
 	}
 	c.configureEngines(now)
 	if old.cfg == nil || old.cfg.Scheduling != pc.cfg.Scheduling || c.picker == nil {
-		c.picker, c.reserve = newPicker(pc.cfg.Scheduling)
+		c.picker, c.reservation = newPicker(pc.cfg.Scheduling)
 	}
-	if c.reserve != nil {
-		c.reserve.ShortReserve = pc.cfg.Limits.ShortReserve
+	if c.reservation != nil {
+		c.reservation.ShortReserve = pc.cfg.Limits.ShortReserve
 	}
 }
 
 func (c *core) configureEngines(now time.Duration) {
 	engines := make(map[string]*engine, len(c.pc.spec.engines))
-	c.order = c.order[:0]
-	c.byModel = make(map[string][]*policy.Endpoint)
+	c.sortedEngines = c.sortedEngines[:0]
+	c.endpointsByModel = make(map[string][]*policy.Endpoint)
 	for _, s := range c.pc.spec.engines {
 		e, ok := c.engines[s.Name]
 		if !ok || e.spec.Address != s.Address {
 			e = newEngine(s)
 		}
 		e.spec = s
-		e.settle(now)
+		e.updateState(now)
 		engines[s.Name] = e
-		c.order = append(c.order, e)
+		c.sortedEngines = append(c.sortedEngines, e)
 		for _, m := range s.Models {
-			c.byModel[m] = append(c.byModel[m], e.view)
+			c.endpointsByModel[m] = append(c.endpointsByModel[m], e.view)
 		}
 	}
 	for name := range c.engines {
@@ -181,11 +184,11 @@
 		}
 	}
 	c.engines = engines
-	sort.Slice(c.order, func(i, j int) bool { return c.order[i].spec.Name < c.order[j].spec.Name })
+	sort.Slice(c.sortedEngines, func(i, j int) bool { return c.sortedEngines[i].spec.Name < c.sortedEngines[j].spec.Name })
 }
 
-// newPicker returns the picker of a policy, and the same one again if it is a
-// reservation.
+// newPicker returns the picker of a scheduling policy. If that is a reservation, it is returned a
+// second time under its concrete type; otherwise the second result is nil.
 func newPicker(s config.SchedulingSpec) (policy.Picker, *policy.Reservation) {
 	w := policy.Watermark(s.Watermark)
 	switch s.Policy {
@@ -206,73 +209,77 @@
 }
 
 const (
-	// defaultWatermark is that of the policy "watermark" without a fraction.
+	// defaultWatermark applies to the policy "watermark" if the configuration sets no fraction.
 	defaultWatermark = 0.9
 	powerOfTwoSeed   = 1
 )
 
-func (c *core) oracle() bool { return c.pc.cfg.Scheduling.Policy == config.PolicyOracle }
+func (c *core) isOraclePolicy() bool { return c.pc.cfg.Scheduling.Policy == config.PolicyOracle }
 
-// activate tells that the pool begins to schedule. What it knew before is old.
+// activate resets the pool when it begins to schedule: permits, report times and engine states from
+// an earlier active period are stale.
 func (c *core) activate(now time.Duration) {
 	c.hooks.log.Info("pool active", zap.Int("permits_dropped", len(c.permits)))
-	c.activeAt = now
+	c.activatedAt = now
 	for id := range c.permits {
-		c.drop(id)
+		c.dropPermit(id)
 	}
-	clear(c.reporters)
-	for _, e := range c.order {
+	clear(c.lastReports)
+	for _, e := range c.sortedEngines {
 		e.view.State = policy.StateUnknown
 	}
 }
 
-func (c *core) weight(workspace string) float64 {
-	if w, ok := c.weights[workspace]; ok && w.Weight > 0 {
+func (c *core) workspaceWeight(workspace string) float64 {
+	if w, ok := c.workspaces[workspace]; ok && w.Weight > 0 {
 		return w.Weight
 	}
 	return 1
 }
 
-// tick does what is due with time. It is called some tens of times a second.
+// tick does the periodic work: samples running requests, refreshes demand, ejects slow engines,
+// refuses requests that can no longer be served, and deletes expired tombstones. It is called every
+// tickInterval while the pool is active.
 func (c *core) tick(now time.Duration) {
-	c.listRunning(now)
-	c.refreshSome(now)
-	c.judge(now)
+	c.sampleRunning(now)
+	c.refreshNextEngines(now)
+	c.ejectSlowEngines(now)
 	c.sweep(now)
-	for id, at := range c.ended {
-		if now-at > tombstoneLife {
-			delete(c.ended, id)
+	for id, at := range c.tombstones {
+		if now-at > tombstoneTTL {
+			delete(c.tombstones, id)
 		}
 	}
 }
 
-// listInterval is the time between two listings of the running answers for the
-// estimate of lengths.
-const listInterval = 200 * time.Millisecond
+// runningSampleInterval is the time between two samples of the running requests, which the
+// estimator of response lengths uses.
+const runningSampleInterval = 200 * time.Millisecond
 
-func (c *core) listRunning(now time.Duration) {
-	if now-c.listedAt < listInterval {
+func (c *core) sampleRunning(now time.Duration) {
+	if now-c.runningSampledAt < runningSampleInterval {
 		return
 	}
-	c.listedAt = now
-	c.est.BeginListing()
-	for _, e := range c.order {
-		e.view.EachRunning(now, c.est.AddRunning)
+	c.runningSampledAt = now
+	c.estimator.BeginListing()
+	for _, e := range c.sortedEngines {
+		e.view.EachRunning(now, c.estimator.AddRunning)
 	}
-	c.est.EndListing()
+	c.estimator.EndListing()
 }
 
-// judgeInterval is the time between two looks for slow engines.
-const judgeInterval = time.Second
+// ejectionInterval is the time between two checks for slow engines.
+const ejectionInterval = time.Second
 
-// judge ejects slow engines. The baselines do without, to be plain.
-func (c *core) judge(now time.Duration) {
-	if c.reserve == nil || now-c.judgedAt < judgeInterval {
+// ejectSlowEngines checks for slow engines and ejects them. The baseline policies do not eject, to
+// keep them simple.
+func (c *core) ejectSlowEngines(now time.Duration) {
+	if c.reservation == nil || now-c.ejectionCheckedAt < ejectionInterval {
 		return
 	}
-	c.judgedAt = now
-	views := make([]*policy.Endpoint, len(c.order))
-	for i, e := range c.order {
+	c.ejectionCheckedAt = now
+	views := make([]*policy.Endpoint, len(c.sortedEngines))
+	for i, e := range c.sortedEngines {
 		views[i] = e.view
 	}
 	if n := c.ejector.Update(views, now); n > 0 {
@@ -280,24 +287,25 @@
 	}
 }
 
-// ramp returns the share of an engine's memory to be used. Engines that were there
-// when the pool became active did not join it.
-func (c *core) ramp(e *engine, now time.Duration) float64 {
-	if e.view.HealthySince-c.activeAt < graceAfterTakeover {
+// rampShare returns the fraction of an engine's memory that may be used while the engine ramps up.
+// Engines that became healthy within takeoverGracePeriod of the pool's activation count as already
+// serving and do not ramp up.
+func (c *core) rampShare(e *engine, now time.Duration) float64 {
+	if e.view.HealthySince-c.activatedAt < takeoverGracePeriod {
 		return 1
 	}
 	return policy.Ramp(now - e.view.HealthySince)
 }
 
-// refreshBatch bounds the engines refreshed in one tick.
-const refreshBatch = 32
+// refreshBatchSize bounds the number of engines refreshed in one tick.
+const refreshBatchSize = 32
 
-// refreshSome brings the demand of some engines up to date, in turn.
-func (c *core) refreshSome(now time.Duration) {
-	for range min(refreshBatch, len(c.order)) {
-		c.refreshed++
-		e := c.order[c.refreshed%len(c.order)]
-		e.view.Share = c.ramp(e, now)
-		e.view.Refresh(c.est, now, c.oracle())
+// refreshNextEngines refreshes the demand of the next engines in round-robin order.
+func (c *core) refreshNextEngines(now time.Duration) {
+	for range min(refreshBatchSize, len(c.sortedEngines)) {
+		c.refreshCursor++
+		e := c.sortedEngines[c.refreshCursor%len(c.sortedEngines)]
+		e.view.Share = c.rampShare(e, now)
+		e.view.Refresh(c.estimator, now, c.isOraclePolicy())
 	}
 }
--- a/scheduler/manager.go
+++ b/scheduler/manager.go
@@ -16,77 +16,79 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// Options set up a Manager.
+// Options configure a Manager.
 type Options struct {
-	// VMID and Region are those of this gateway.
+	// VMID and Region identify this gateway.
 	VMID   string
 	Region string
-	// Engines returns a client for an engine.
-	Engines func(spec config.EndpointSpec) endpoint.Engine
-	// Notice returns what an engine last said of itself; nil if nobody listens.
+	// EngineClient returns the client for an engine.
+	EngineClient func(spec config.EndpointSpec) endpoint.Engine
+	// Notice returns the latest notice of an engine. It may be nil if notices are not collected.
 	Notice func(spec config.EndpointSpec) notice.Notice
-	// Now is the clock; nil means time.Now. It has to be monotonic.
+	// Now is the clock and has to be monotonic; nil means time.Now.
 	Now func() time.Time
-	// Client reaches other gateways; nil means HTTP/2 without TLS.
+	// Client sends requests to other gateways; nil means HTTP/2 without TLS.
 	Client connect.HTTPClient
-	// Scheme is "http" or "https"; empty means "http".
+	// Scheme is the URL scheme of other gateways, "http" or "https"; empty means "http".
 	Scheme string
 	// Log may be nil.
 	Log *zap.Logger
 }
 
-// Snapshot is what a Manager needs to know of the world. It is not changed after
-// it was passed on.
+// Snapshot is the cluster membership and configuration that a Manager works with. It must not be
+// modified after it was passed to Apply.
 type Snapshot struct {
 	Members []*peerv1.Member
 	Config  *config.Config
 }
 
-// Manager gets permits for one gateway, and schedules the pools that this gateway
-// was chosen for. It implements Permits.
+// Manager acquires permits for one gateway, and schedules the pools for which this gateway is the
+// scheduler. It implements Permits.
 type Manager struct {
-	opts  Options
-	epoch time.Duration
-	begun time.Time
-	ctx   context.Context
-	stop  context.CancelFunc
-	view  atomic.Pointer[view]
-	// mu is held while a snapshot is taken in; readers use view.
-	mu      sync.Mutex
-	remotes map[string]*remote
-	ledger  *holdings
-	wake    chan struct{}
-	changed chan struct{}
+	opts        Options
+	startOffset time.Duration
+	startedAt   time.Time
+	ctx         context.Context
+	stop        context.CancelFunc
+	view        atomic.Pointer[view]
+	// mu guards remotes and is held while view is replaced. Request goroutines read view without it.
+	mu            sync.Mutex
+	remotes       map[string]*remoteScheduler
+	permits       *permitStore
+	releasesDue   chan struct{}
+	fullReportDue chan struct{}
 }
 
-// view is what traffic goroutines see; it is immutable.
+// view is an immutable snapshot of pools and schedulers, read by request goroutines.
 type view struct {
 	cfg *config.Config
-	// pools holds the pool of each model.
-	pools map[string]*poolView
-	byKey map[string]*poolView
-	// gateways is the number of gateways of the region.
+	// byModel holds the pool of each model.
+	byModel map[string]*poolView
+	byKey   map[string]*poolView
+	// gateways is the number of gateways in the region.
 	gateways int
 	scope    string
 }
 
-// poolView is one pool with the way to its scheduler.
+// poolView is one pool and the connection to its scheduler.
 type poolView struct {
 	key string
-	// main schedules the pool if this gateway is chosen; spare does so with a share
-	// of the engines while the chosen gateway can't be reached.
-	main, spare *pool
-	// scheduler is the VM ID of the chosen gateway.
-	scheduler string
-	// remote reaches it; nil if it is this gateway.
-	remote *remote
-	// moved ends when another gateway becomes the scheduler.
-	moved context.Context
-	end   context.CancelFunc
+	// primary schedules the pool while this gateway is its scheduler. fallback (the spare scheduler
+	// in logs and metrics) schedules with a share of the engines while the chosen gateway is
+	// unreachable.
+	primary, fallback *pool
+	// schedulerID is the VM ID of the gateway chosen as scheduler.
+	schedulerID string
+	// remote is the client of that gateway; nil if it is this one.
+	remote *remoteScheduler
+	// schedulerCtx is cancelled when the scheduler changes, that is, another gateway becomes the
+	// scheduler or its address changes, and when the pool is removed.
+	schedulerCtx       context.Context
+	cancelSchedulerCtx context.CancelFunc
 }
 
-// NewManager returns a manager without a snapshot; it refuses with not_ready until
-// Apply was called.
+// NewManager returns a Manager without a snapshot. It refuses all requests with not_ready until
+// Apply has set a configuration.
 func NewManager(o Options) *Manager {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -95,37 +97,38 @@
 		o.Log = zap.NewNop()
 	}
 	if o.Client == nil {
-		o.Client = plainHTTP2()
+		o.Client = newH2CClient()
 	}
 	if o.Scheme == "" {
 		o.Scheme = "http"
 	}
 	m := &Manager{
-		opts: o, begun: o.Now(), remotes: make(map[string]*remote),
-		ledger: newHoldings(), wake: make(chan struct{}, 1), changed: make(chan struct{}, 1),
+		opts: o, startedAt: o.Now(), remotes: make(map[string]*remoteScheduler),
+		permits: newPermitStore(), releasesDue: make(chan struct{}, 1), fullReportDue: make(chan struct{}, 1),
 	}
-	m.epoch = m.begun.Sub(priorityEpoch)
+	m.startOffset = m.startedAt.Sub(priorityEpoch)
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	return m
 }
 
-// priorityEpoch is the same for all schedulers, so that the priorities they give
-// at one engine can be compared.
+// priorityEpoch is the same for all schedulers, so that the engine priorities assigned by different
+// schedulers are comparable.
 var priorityEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// now is the time since priorityEpoch, on the monotonic clock from the start of
-// the process on.
-func (m *Manager) now() time.Duration { return m.epoch + m.opts.Now().Sub(m.begun) }
+// now returns the time since priorityEpoch. It follows the monotonic clock from the start of the
+// process.
+func (m *Manager) now() time.Duration { return m.startOffset + m.opts.Now().Sub(m.startedAt) }
 
-// plainHTTP2 returns a client that speaks HTTP/2 without TLS, so that all requests
-// to one gateway share a connection.
-func plainHTTP2() *http.Client {
+// newH2CClient returns a client for HTTP/2 without TLS, so that all requests to one gateway share a
+// connection.
+func newH2CClient() *http.Client {
 	t := &http.Transport{Protocols: new(http.Protocols)}
 	t.Protocols.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: t}
 }
 
-// Apply takes over a snapshot of members and configuration.
+// Apply replaces the view by one for the given members and configuration. A snapshot without a
+// configuration is ignored.
 func (m *Manager) Apply(s Snapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,7 +138,7 @@
 	old := m.view.Load()
 	gateways := gatewaysOf(s.Members, m.opts.Region)
 	v := &view{
-		cfg: s.Config, pools: make(map[string]*poolView), byKey: make(map[string]*poolView),
+		cfg: s.Config, byModel: make(map[string]*poolView), byKey: make(map[string]*poolView),
 		gateways: max(len(gateways), 1), scope: s.Config.Scheduling.Scope,
 	}
 	m.dropRemotes(gateways)
@@ -144,83 +147,85 @@
 		if old != nil {
 			before = old.byKey[key]
 		}
-		pv := m.poolView(before, spec, v, gateways)
+		pv := m.buildPoolView(before, spec, v, gateways)
 		v.byKey[key] = pv
 		for _, model := range spec.models {
-			v.pools[model] = pv
+			v.byModel[model] = pv
 		}
 	}
 	m.view.Store(v)
-	m.retire(old, v)
-	signal(m.changed)
+	m.closeUnused(old, v)
+	signal(m.fullReportDue)
 }
 
-func (m *Manager) poolView(before *poolView, spec *poolSpec, v *view, gateways []*peerv1.Member) *poolView {
-	pv := &poolView{key: spec.key, scheduler: m.opts.VMID}
+func (m *Manager) buildPoolView(before *poolView, spec *poolSpec, v *view, gateways []*peerv1.Member) *poolView {
+	pv := &poolView{key: spec.key, schedulerID: m.opts.VMID}
 	if chosen := schedulerOf(gateways, spec.key); chosen != nil && v.scope != config.ScopeGateway {
-		pv.scheduler = chosen.GetId()
-		if pv.scheduler != m.opts.VMID {
+		pv.schedulerID = chosen.GetId()
+		if pv.schedulerID != m.opts.VMID {
 			pv.remote = m.remoteTo(chosen)
 		}
 	}
-	main := poolConfig{spec: spec, cfg: v.cfg, share: 1, gateways: v.gateways}
-	spare := main
-	spare.share = 1 / float64(v.gateways)
+	primaryConfig := poolConfig{spec: spec, cfg: v.cfg, share: 1, gateways: v.gateways}
+	fallbackConfig := primaryConfig
+	fallbackConfig.share = 1 / float64(v.gateways)
 	if before == nil {
-		pv.main = m.newPool(spec.key, main)
-		pv.spare = m.newPool(spec.key+"-spare", spare)
+		pv.primary = m.newPool(spec.key, primaryConfig)
+		pv.fallback = m.newPool(spec.key+"-spare", fallbackConfig)
 	} else {
-		pv.main, pv.spare = before.main, before.spare
-		pv.main.send(configEvent{main})
-		pv.spare.send(configEvent{spare})
+		pv.primary, pv.fallback = before.primary, before.fallback
+		pv.primary.send(configEvent{primaryConfig})
+		pv.fallback.send(configEvent{fallbackConfig})
 	}
-	pv.main.chosen.Store(pv.remote == nil)
-	if before != nil && before.scheduler == pv.scheduler && before.remote == pv.remote {
-		pv.moved, pv.end = before.moved, before.end
+	pv.primary.chosen.Store(pv.remote == nil)
+	if before != nil && before.schedulerID == pv.schedulerID && before.remote == pv.remote {
+		pv.schedulerCtx, pv.cancelSchedulerCtx = before.schedulerCtx, before.cancelSchedulerCtx
 	} else {
 		m.logChosen(before, pv, v)
-		pv.moved, pv.end = context.WithCancel(m.ctx)
+		pv.schedulerCtx, pv.cancelSchedulerCtx = context.WithCancel(m.ctx)
 	}
 	return pv
 }
 
 func (m *Manager) logChosen(before, pv *poolView, v *view) {
 	fields := []zap.Field{
-		zap.String("pool", pv.key), zap.String("scheduler", pv.scheduler), zap.Bool("here", pv.remote == nil),
+		zap.String("pool", pv.key), zap.String("scheduler", pv.schedulerID), zap.Bool("here", pv.remote == nil),
 		zap.Int("gateways", v.gateways),
 	}
 	if before != nil {
-		fields = append(fields, zap.String("before", before.scheduler))
+		fields = append(fields, zap.String("before", before.schedulerID))
 	}
 	m.opts.Log.Info("scheduler chosen", fields...)
 }
 
 func (m *Manager) newPool(name string, pc poolConfig) *pool {
-	return newPool(m.ctx, poolOptions{vm: m.opts.VMID, name: name, now: m.now, log: m.opts.Log, engines: m.opts.Engines, notice: m.opts.Notice}, pc)
+	return newPool(m.ctx, poolOptions{vm: m.opts.VMID, name: name, now: m.now, log: m.opts.Log, engineClient: m.opts.EngineClient, notice: m.opts.Notice}, pc)
 }
 
-// retire ends what the new view no longer uses.
-func (m *Manager) retire(old, v *view) {
+// closeUnused cancels the scheduler contexts and closes the pools of the old view that the new one
+// no longer uses.
+func (m *Manager) closeUnused(old, v *view) {
 	if old == nil {
 		return
 	}
 	for key, pv := range old.byKey {
 		next, kept := v.byKey[key]
-		if !kept || next.moved != pv.moved {
-			pv.end()
+		if !kept || next.schedulerCtx != pv.schedulerCtx {
+			pv.cancelSchedulerCtx()
 		}
 		if !kept {
-			pv.main.close()
-			pv.spare.close()
+			pv.primary.close()
+			pv.fallback.close()
 		}
 	}
 }
 
-// remoteTo returns the way to a gateway; a gateway with a new address is another.
-func (m *Manager) remoteTo(g *peerv1.Member) *remote {
+// remoteTo returns the client for a gateway. A gateway whose address changed gets a new client. The
+// caller holds mu.
+func (m *Manager) remoteTo(g *peerv1.Member) *remoteScheduler {
 	r, ok := m.remotes[g.GetId()]
 	if !ok || r.address != g.GetGatewayAddress() {
-		r = newRemote(g, m.opts)
+		r = newRemoteScheduler(g, m.opts)
 		m.remotes[g.GetId()] = r
 	}
 	return r
@@ -238,22 +243,22 @@
 	}
 }
 
-// Run reports open permits to schedulers until ctx ends, and then stops all pools.
+// Run sends reports on open permits to the schedulers until ctx ends, and then closes all pools.
 func (m *Manager) Run(ctx context.Context) error {
 	defer m.Close()
 	m.reportLoop(ctx)
 	return ctx.Err()
 }
 
-// Close stops all pools.
+// Close closes all pools and waits for their goroutines.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stop()
 	if v := m.view.Load(); v != nil {
 		for _, pv := range v.byKey {
-			pv.main.close()
-			pv.spare.close()
+			pv.primary.close()
+			pv.fallback.close()
 		}
 	}
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -9,11 +9,11 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// poolSpec is one pool as the configuration describes it: engines of one region
-// that are connected through the models they share. One scheduler has to count
-// all work of an engine, so models that share an engine share a scheduler.
+// poolSpec is one pool of the configuration: engines of one region that are connected through the
+// models they share. One scheduler has to count all requests of an engine, so models that share an
+// engine share a scheduler.
 type poolSpec struct {
-	// key is the least name of the pool's models.
+	// key is the lexicographically smallest name of the pool's models.
 	key     string
 	models  []string
 	engines []config.EndpointSpec
@@ -21,25 +21,25 @@
 
 // poolsOf returns the pools of a region, by key.
 func poolsOf(cfg *config.Config, region string) map[string]*poolSpec {
-	leader := make(map[string]string)
+	parent := make(map[string]string)
 	var find func(string) string
 	find = func(m string) string {
-		if l, ok := leader[m]; ok && l != m {
+		if l, ok := parent[m]; ok && l != m {
 			return find(l)
 		}
 		return m
 	}
-	join := func(a, b string) {
+	union := func(a, b string) {
 		a, b = find(a), find(b)
-		leader[max(a, b)] = min(a, b)
+		parent[max(a, b)] = min(a, b)
 	}
 	for _, m := range cfg.Models {
-		leader[m.Name] = m.Name
+		parent[m.Name] = m.Name
 	}
 	engines := enginesOf(cfg, region)
 	for _, e := range engines {
 		for _, m := range e.Models {
-			join(e.Models[0], m)
+			union(e.Models[0], m)
 		}
 	}
 	pools := make(map[string]*poolSpec)
@@ -60,21 +60,21 @@
 	return pools
 }
 
-// enginesOf returns the engines of a region that serve a model. An endpoint
-// without a region counts for all.
+// enginesOf returns the engines of a region that serve at least one model. An endpoint without a
+// region belongs to every region.
 func enginesOf(cfg *config.Config, region string) []config.EndpointSpec {
 	var engines []config.EndpointSpec
 	for _, e := range cfg.Endpoints {
-		here := e.Region == region || e.Region == ""
-		if here && e.Kind == config.KindEngine && len(e.Models) > 0 {
+		inRegion := e.Region == region || e.Region == ""
+		if inRegion && e.Kind == config.KindEngine && len(e.Models) > 0 {
 			engines = append(engines, e)
 		}
 	}
 	return engines
 }
 
-// gatewaysOf returns the gateways of a region that may be schedulers, by VM ID.
-// A leaving gateway is none: its pools have to move before it stops.
+// gatewaysOf returns the gateways of a region that may be schedulers, sorted by VM ID. A leaving
+// gateway is left out: its pools have to move before it stops.
 func gatewaysOf(members []*peerv1.Member, region string) []*peerv1.Member {
 	var gateways []*peerv1.Member
 	for _, m := range members {
@@ -87,14 +87,14 @@
 	return gateways
 }
 
-// schedulerOf chooses the scheduler of a pool by rendezvous hashing, nil if there
-// is no gateway. Only pools of a lost gateway move.
+// schedulerOf chooses the scheduler of a pool by rendezvous hashing, or nil if there is no gateway.
+// When a gateway is lost, only its own pools move.
 func schedulerOf(gateways []*peerv1.Member, key string) *peerv1.Member {
 	if len(gateways) == 0 {
 		return nil
 	}
 	return slices.MaxFunc(gateways, func(a, b *peerv1.Member) int {
-		x, y := rendezvous(a.GetId(), key), rendezvous(b.GetId(), key)
+		x, y := rendezvousWeight(a.GetId(), key), rendezvousWeight(b.GetId(), key)
 		switch {
 		case x < y:
 			return -1
@@ -105,12 +105,12 @@
 	})
 }
 
-func rendezvous(id, key string) uint64 {
+func rendezvousWeight(id, key string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(key))
-	// FNV alone leaves the high bits of similar names alike; this mixes them.
+	// Finalizer of MurmurHash3: FNV alone leaves the high bits of similar names alike.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
