--- a/gateway/addresses.go
+++ b/gateway/addresses.go
@@ -8,13 +8,12 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// maxAddresses bounds an address answer.
+// maxAddresses bounds the number of addresses in an answer.
 const maxAddresses = 8
 
-// Addresses implements caller.Core. Gateways of this data centre come first, then
-// those of the region, then all others; equals are shuffled, since callers that
-// all took the first address would overload one gateway. A gateway that is leaving
-// is not in the answer.
+// Addresses implements caller.Core. Gateways of this data centre come first, then those of the
+// region, then all others. Gateways at the same distance are shuffled, since callers that all used
+// the first address would overload one gateway. A gateway that is leaving is not included.
 func (g *Gateway) Addresses() ([]string, time.Duration) {
 	var members []*peerv1.Member
 	if s := g.state.Load(); s != nil {
@@ -32,8 +31,9 @@
 	return addresses, g.settings.addressTTL
 }
 
-// offers tells whether callers may be sent to the member. The local controller may
-// not have told of this gateway's own leaving yet.
+// mayAdvertise reports whether callers may be sent to the member. It checks the drain state of this
+// gateway itself, because the local controller may not have published yet that this gateway is
+// leaving.
 func (g *Gateway) offers(m *peerv1.Member) bool {
 	if m.GetCallerAddress() == "" || m.GetState() != peerv1.MemberState_MEMBER_STATE_ALIVE {
 		return false
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -13,13 +13,13 @@
 	ejectLimit = 10 * time.Second
 )
 
-// balancer chooses among a route's plain services by outstanding calls and ejects
-// those that fail, for a time that doubles with each failure in a row.
+// balancer chooses among a route's plain services by the number of outstanding calls. It ejects a
+// service that fails for a time that doubles with each consecutive failure, up to maxEjection.
 type balancer struct {
 	mu    sync.Mutex
 	now   func() time.Time
 	known map[string]*serviceState
-	// latency is that of all services' calls.
+	// latency covers the calls to all services.
 	latency latency
 }
 
@@ -29,13 +29,13 @@
 	ejectedUntil time.Time
 }
 
-// callEnd tells how a call ended.
+// callEnd is how a call ended.
 type callEnd int
 
 const (
 	callOK callEnd = iota
 	callFailed
-	// callCancelled says nothing about the endpoint.
+	// callCancelled has no bearing on the health of the endpoint.
 	callCancelled
 )
 
@@ -52,9 +52,9 @@
 	return s
 }
 
-// pick returns the candidate with the fewest outstanding calls; ties are broken at
-// random, so that gateways do not all choose the same one. If every candidate is
-// ejected, the choice is among all: a wrong suspicion must not stop a route.
+// pick returns the candidate with the fewest outstanding calls. Ties are broken at random, so that
+// gateways do not all choose the same service. If every candidate is ejected, it chooses among all
+// of them, since wrongly ejected services must not take down a route.
 func (b *balancer) pick(candidates []*config.EndpointSpec) (*config.EndpointSpec, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,8 +64,8 @@
 	return b.fewest(candidates, time.Time{})
 }
 
-// fewest considers those whose ejection has ended at the given time; the zero time
-// stands for all.
+// leastOutstanding returns the candidate with the fewest outstanding calls among those whose
+// ejection has ended at the given time. With the zero time it considers all candidates.
 func (b *balancer) fewest(candidates []*config.EndpointSpec, at time.Time) (*config.EndpointSpec, bool) {
 	var best *config.EndpointSpec
 	lowest, ties := 0, 0
@@ -86,7 +86,8 @@
 	return best, best != nil
 }
 
-// begin counts a call; the returned function tells how it ended and how long it took.
+// begin counts an outstanding call. The returned function must be called once, with how the call
+// ended and how long it took.
 func (b *balancer) begin(name string) func(callEnd, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// hedgeDelay is the time after which a call is late.
+// hedgeDelay returns the time after which a call is late.
 func (b *balancer) hedgeDelay() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -17,24 +17,25 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// aliveTimeout bounds the question to a service whether it lives.
+// livenessTimeout bounds the readiness check of a service that lost an answer.
 const aliveTimeout = 300 * time.Millisecond
 
-// call is one call to a plain service on its way through the gateway.
+// call is one call to a plain service that the gateway is handling.
 type call struct {
 	g *Gateway
 	caller.ServiceCall
 	snap  *snapshot
 	route *config.RouteSpec
 	track *tracker
-	// content is the fingerprint of the call, whatever key it is sent under.
+	// contentHash identifies the content of the call, regardless of its idempotency key.
 	content  uint64
 	claim    *ledger.Claim
 	claimed  chan struct{}
 	excluded []string
 }
 
-// callResult is how a call ended; refusal is nil if there is a reply.
+// callResult is the result of a call. refusal is nil if there is a reply; retryable is set if
+// another attempt is allowed.
 type callResult struct {
 	reply   endpoint.Reply
 	refusal *crocusreel.Refusal
@@ -48,8 +49,8 @@
 	if !ok {
 		return endpoint.Reply{}, crocusreel.Refuse(crocusreel.ReasonUnknownRoute, crocusreel.OutcomeNotRun, 0, "no route for %q", sc.Path)
 	}
-	// The operators' list wins over a caller's header: a header may make a call
-	// stricter, and a wrong one must not let a booking run twice.
+	// The configured list of methods takes precedence over the caller's header. A header can make a
+	// call stricter, but a wrong one must not let a booking run twice.
 	sc.NonIdempotent = sc.NonIdempotent || slices.Contains(route.NonIdempotentMethods, sc.Method)
 	if sc.NonIdempotent && sc.IdempotencyKey == "" {
 		return endpoint.Reply{}, crocusreel.Refuse(crocusreel.ReasonKeyRequired, crocusreel.OutcomeNotRun, 0, "calls of this route need an idempotency key")
@@ -101,8 +102,8 @@
 	}
 }
 
-// attempt makes the call once, and a second time elsewhere if it is late. Attempts
-// after the first are paid for.
+// attempt makes one attempt at the call, which may be hedged to a second endpoint if it is late.
+// Attempts after the first are charged to the retry budgets.
 func (c *call) attempt(ctx context.Context, number int) callResult {
 	spec, wait := c.choose()
 	if spec == nil && wait > 0 {
@@ -143,7 +144,7 @@
 	return callResult{reply: reply}
 }
 
-// keep stores the reply of claimed work before its caller sees it.
+// storeReply stores the reply of claimed work in the ledger before the caller receives it.
 func (c *call) keep(reply endpoint.Reply) {
 	if c.claim == nil {
 		return
@@ -152,7 +153,7 @@
 	c.claim = nil
 }
 
-// exchange makes the call at one endpoint.
+// sendTo sends the call to one endpoint and records the result in the balancer and the strikes.
 func (c *call) exchange(ctx context.Context, spec *config.EndpointSpec) (endpoint.Reply, error) {
 	done := c.g.balancer.begin(spec.Name)
 	started := time.Now()
@@ -181,7 +182,7 @@
 	return reply, err
 }
 
-// struck holds the death of a service against the call, at all gateways.
+// recordStrike counts the death of a service against the call at all gateways.
 func (c *call) struck(spec *config.EndpointSpec, began time.Time) {
 	n, counted := c.g.strikes.add(spec.Name, c.content, began)
 	if !counted {
@@ -194,9 +195,9 @@
 	c.g.tellStruck(strike)
 }
 
-// alive asks a service that has lost an answer whether it is still there. If it is,
-// the link or the answer was lost and the call is not to blame: during an outage
-// that loses answers, calls would else be refused long after its end.
+// isAlive reports whether a service that lost an answer is still ready. If it is, the connection or
+// the answer was lost and the call is not to blame. Otherwise, calls would be refused long after
+// the end of an outage that merely loses answers.
 func (c *call) alive(ctx context.Context, spec *config.EndpointSpec) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), aliveTimeout)
 	defer cancel()
@@ -214,7 +215,7 @@
 	}
 }
 
-// candidates are the route's endpoints that take new work and were not tried yet.
+// candidates returns the route's endpoints that accept new work and have not been tried yet.
 func (c *call) candidates() []*config.EndpointSpec {
 	snap := c.g.state.Load()
 	var specs []*config.EndpointSpec
@@ -227,7 +228,7 @@
 	return specs
 }
 
-// leaves tells whether the endpoint has said in an answer that it is about to stop.
+// isLeaving reports whether the endpoint has announced in an answer that it is about to stop.
 func (c *call) leaves(spec *config.EndpointSpec) bool {
 	leaves, recheck := c.g.endpoints.notices.leaving(spec)
 	if recheck {
@@ -236,8 +237,8 @@
 	return leaves
 }
 
-// choose returns the endpoint of the next exchange; nil if none takes a call now, with the time
-// until one does.
+// chooseEndpoint returns the endpoint to send the call to next. If no endpoint accepts a call now,
+// it returns nil and the time until one does, which is 0 if there are no candidates.
 func (c *call) choose() (spec *config.EndpointSpec, wait time.Duration) {
 	candidates := c.candidates()
 	for {
@@ -252,8 +253,8 @@
 	}
 }
 
-// open returns the candidates that take a call from this gateway now, and the time until the next
-// one of the others does.
+// available returns the candidates that accept a call from this gateway now, and the time until the
+// next of the others does.
 func (c *call) open(candidates []*config.EndpointSpec) (open []*config.EndpointSpec, wait time.Duration) {
 	gateways := c.g.state.Load().gateways()
 	for _, spec := range candidates {
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -37,7 +37,7 @@
 	return endpoint.Reply{Status: http.StatusOK}, nil
 }
 
-// Ready fails once a call has broken the service: a crashed one answers nobody.
+// Ready fails once a call has broken the service, as a crashed service does not answer.
 func (s *fakeService) Ready(context.Context) error {
 	if s.breaks && s.calls.Load() > 0 {
 		return &endpoint.Error{Outcome: crocusreel.OutcomeNotRun, Kind: endpoint.KindUnreachable}
@@ -68,8 +68,8 @@
 	})
 }
 
-// One of two services freezes. It breaks no connection, so without a second call a
-// clerk at the counter waits for the route's whole timeout.
+// Guards against lookups that wait for the route's whole timeout when one of two services freezes.
+// A frozen service does not break its connections, so only a hedged call gets an answer in time.
 func TestLateLookupIsAnsweredByAnother(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := newTestGateway(t, nil)
@@ -81,7 +81,7 @@
 	}
 }
 
-// A booking is late. A second call could book a second bed, so it is made only once.
+// Guards against hedging a non-idempotent call that is late, which could make a booking twice.
 func TestLateBookingIsNotRepeated(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := &fakeService{frozen: true}, &fakeService{frozen: true}
@@ -101,8 +101,8 @@
 	g.Expect(a.calls.Load() + b.calls.Load()).To(gomega.Equal(int64(1)))
 }
 
-// A route's method is non-idempotent, and a caller's header says otherwise or is
-// missing. The call must not go out without a key.
+// Guards against non-idempotent calls without a key when the route lists the method as
+// non-idempotent and the caller's header says otherwise or is missing.
 func TestRouteDecidesWhatMayBeRepeated(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &fakeService{}
@@ -113,8 +113,8 @@
 	g.Expect(s.calls.Load()).To(gomega.BeZero())
 }
 
-// A call crashes each service that runs it, and its caller sends it again under new
-// keys. Without a bound it takes every service down, one after the other.
+// Guards against a call that crashes each service that runs it, one after the other, because its
+// caller resends it under new keys.
 func TestCrashingCallIsStopped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := &fakeService{breaks: true}, &fakeService{breaks: true}
@@ -130,9 +130,9 @@
 	g.Expect(a.calls.Load() + b.calls.Load()).To(gomega.Equal(int64(3)))
 }
 
-// All services of a route fail, and many workspaces call at once. Each within its own
-// budget, their retries would add up to a multiple of the load. The number of calls
-// that reach the services stays within the first attempts plus the budgets.
+// Guards against retry storms when all services of a route fail and many workspaces call at once:
+// their retries, each within its own budget, would multiply the load. The services must get no more
+// calls than the first attempts plus the budgets.
 func TestRetriesOfManyWorkspacesAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := &fakeService{breaks: true}, &fakeService{breaks: true}
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -14,19 +14,20 @@
 	"github.com/crocusreel/crocusreel/ledger"
 )
 
-// keepTimeout bounds the wait for a result to be kept; after it the ledger goes on
-// in the background and the caller gets its answer.
+// ledgerTimeout bounds the wait for a write to the ledger. After it, the ledger retries in the
+// background and the caller gets its answer.
 const keepTimeout = time.Second
 
-// claim claims the run of non-idempotent work. Exactly one of its results is set.
+// claim claims the run of non-idempotent work. Exactly one of its results is set: the claim, the
+// stored result of an earlier attempt, or a refusal.
 func (g *Gateway) claim(ctx context.Context, a caller.Attempt) (*ledger.Claim, *ledger.Result, *crocusreel.Refusal) {
 	key := ledger.Key{Workspace: a.Workspace.Name, IdempotencyKey: a.IdempotencyKey}
 	res := g.ledger.Claim(ctx, key, a.BodySHA256, a.First)
 	return res.Claim, res.Done, res.Refusal
 }
 
-// endClaim ends the claim of work that is given up and returns the refusal with the
-// outcome that is true for the key: an earlier attempt may have run.
+// endClaim ends the claim of work that is given up. It returns the refusal with the outcome that
+// holds for the idempotency key, since an earlier attempt may have run.
 func (g *Gateway) endClaim(ctx context.Context, claim *ledger.Claim, refusal *crocusreel.Refusal) *crocusreel.Refusal {
 	if claim == nil {
 		return refusal
@@ -47,13 +48,13 @@
 	defer cancel()
 	if err := g.ledger.Done(ctx, claim, result); err != nil {
 		metrics.Count("result_kept_late")
-		g.log.Warn("result not kept yet", zap.Error(err))
+		g.log.Warn("result of non-idempotent work not stored yet", zap.Error(err))
 	}
 }
 
-// outlive runs f to its end even if ctx ends, once claimed is closed. It returns
-// f's result, or left if ctx ended while claimed work goes on in the background.
-// Before the claim f itself ends with ctx, and the work has not run.
+// runUntilDetached runs f in the background and waits for its result. If ctx ends after claimed was
+// closed, f continues in the background and detached is true. If ctx ends before that, f itself
+// ends with ctx and the work has not run.
 func outlive[T any](ctx context.Context, g *Gateway, claimed <-chan struct{}, f func() T) (result T, left bool) {
 	done := make(chan T, 1)
 	g.background(func() { done <- f() })
@@ -70,7 +71,7 @@
 	}
 }
 
-// keptAnswer is the stored form of a finished generation.
+// storedAnswer is the form in which the answer of a finished generation is stored in the ledger.
 type keptAnswer struct {
 	Model    string        `json:"model"`
 	Endpoint string        `json:"endpoint"`
@@ -81,13 +82,13 @@
 func answerResult(model, endpoint string, texts []string, f caller.Finish) ledger.Result {
 	body, err := json.Marshal(keptAnswer{Model: model, Endpoint: endpoint, Texts: texts, Finish: f})
 	if err != nil {
-		// Strings and integers always encode.
+		// Strings and integers can always be encoded.
 		panic(err)
 	}
 	return ledger.Result{Status: http.StatusOK, ContentType: "application/json", Body: body}
 }
 
-// replay delivers the kept answer of an earlier attempt.
+// replay delivers the stored answer of an earlier attempt.
 func replay(kept ledger.Result, sink caller.Sink) *crocusreel.Refusal {
 	var a keptAnswer
 	if err := json.Unmarshal(kept.Body, &a); err != nil {
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// spreadAllowance is the time in which every gateway learns that this one is
-	// leaving. Until then others may still name it in address answers.
+	// leavePropagation is the time within which every gateway learns that this one is leaving.
+	// Until then, others may still include it in their address answers.
 	spreadAllowance = 3 * time.Second
 	drainPoll       = 50 * time.Millisecond
 )
 
-// drain tracks the leaving of this gateway.
+// drain tracks the drain of this gateway.
 type drain struct {
 	mu         sync.Mutex
-	since      time.Time // zero while serving
-	closed     bool      // no new work is taken
+	since      time.Time // when the drain began; zero before
+	closed     bool      // new requests are refused
 	lastAnswer time.Time
 }
 
@@ -37,7 +37,7 @@
 	return d.closed
 }
 
-// answered records that an address answer was handed out.
+// recordAddressAnswer records that an address answer was returned.
 func (d *drain) answered() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,12 +60,13 @@
 	d.closed = true
 }
 
-// Drain takes the gateway out of service without cutting off a request:
-//  1. it leaves the address answers, its own at once and others' as they learn;
-//  2. it serves new requests until the last answer that named it has expired;
-//  3. it waits for the running requests, queued ones included.
+// Drain takes the gateway out of service without aborting a request:
+//  1. It is removed from the address answers: from its own at once, and from those of other
+//     gateways as they learn that it is leaving.
+//  2. It serves new requests until the last answer that included it has expired.
+//  3. It waits for the running requests, including queued ones, and for background tasks.
 //
-// It returns when all has ended or ctx ends.
+// It returns when all of them have ended or ctx ends.
 func (g *Gateway) Drain(ctx context.Context) {
 	g.drain.begin()
 	g.log.Info("drain began")
@@ -80,7 +81,7 @@
 	g.log.Info("drain ended", zap.Int("running", g.running.total()))
 }
 
-// background runs f in a goroutine that a drain waits for.
+// background runs f in a goroutine that Drain waits for.
 func (g *Gateway) background(f func()) {
 	g.tasks.Add(1)
 	go func() {
--- a/gateway/ending.go
+++ b/gateway/ending.go
@@ -9,13 +9,13 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// errShuttingDown is the cause of contexts that end with the process.
+// errShuttingDown is the cancellation cause of requests that are aborted because the process ends.
 var errShuttingDown = errors.New("the gateway is shutting down")
 
-// endingWait is how long requests that are ended have for their last words.
+// abortWait is how long aborted requests have to send their final answer.
 const endingWait = 500 * time.Millisecond
 
-// untilEnd returns a context that also ends when running requests must end.
+// withShutdown returns a context that also ends when running requests are aborted.
 func (g *Gateway) untilEnd(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(g.ending, func() { cancel(errShuttingDown) })
@@ -25,8 +25,8 @@
 	}
 }
 
-// endRequests ends what still runs after a drain that was cut short. Each caller
-// gets a typed error and may resume its stream through another gateway.
+// abortRequests aborts the requests that are still running after a drain that was cut short. Each
+// caller gets a typed error and may resume its stream through another gateway.
 func (g *Gateway) endRequests() {
 	if g.running.total() == 0 {
 		return
@@ -39,8 +39,8 @@
 	}
 }
 
-// contextRefusal tells why a context ended: the gateway's end, the caller's
-// deadline or the caller's leaving.
+// contextRefusal returns the refusal for a context that ended: because the gateway is shutting
+// down, the caller's deadline has passed, or the caller closed its connection.
 func contextRefusal(ctx context.Context, outcome crocusreel.Outcome) *crocusreel.Refusal {
 	if errors.Is(context.Cause(ctx), errShuttingDown) {
 		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, outcome, leavingRetry, "the gateway is shutting down")
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -9,8 +9,8 @@
 	"github.com/crocusreel/crocusreel/notice"
 )
 
-// endpoints keeps one client for each endpoint address, so that connections are
-// reused across requests and configurations.
+// endpoints holds one client per endpoint address, so that connections are reused across requests
+// and configuration versions.
 type endpoints struct {
 	mu       sync.Mutex
 	engines  map[string]endpoint.Engine
@@ -22,7 +22,7 @@
 	return &endpoints{engines: make(map[string]endpoint.Engine), services: make(map[string]endpoint.Service), notices: n}
 }
 
-// options are those of the client of the endpoint at an address.
+// options returns the client options for the endpoint at an address.
 func (e *endpoints) options(address string) endpoint.Options {
 	return endpoint.Options{Noticed: func(said notice.Notice) { e.notices.note(address, said) }}
 }
@@ -58,7 +58,7 @@
 	return c
 }
 
-// pause is how much longer a configured endpoint wants nothing from this gateway.
+// remainingPause returns how much longer a configured endpoint wants no requests from this gateway.
 func (e *endpoints) pause(s *snapshot, name string) time.Duration {
 	spec, ok := s.endpoints[name]
 	if !ok {
@@ -67,7 +67,7 @@
 	return e.notices.pause(spec.Address)
 }
 
-// paused returns the names of the engines that want nothing from this gateway for now.
+// paused returns the names of the engines that currently want no requests from this gateway.
 func (e *endpoints) paused(s *snapshot) []string {
 	var names []string
 	for name, spec := range s.endpoints {
--- a/gateway/enginerun.go
+++ b/gateway/enginerun.go
@@ -17,35 +17,36 @@
 )
 
 const (
-	// resumeAttempts bounds the tries to reach a generation again after its stream
-	// broke.
+	// resumeAttempts bounds the consecutive attempts to resume a broken stream that yield no new
+	// token.
 	resumeAttempts     = 4
 	resumeBackoff      = 25 * time.Millisecond
 	resumeBackoffLimit = 400 * time.Millisecond
-	// resumeGrace is how long a generation whose caller is gone is kept for a resume
-	// through another gateway before it is cancelled.
+	// resumeGrace is how long a generation whose caller is gone is kept, so that the caller can
+	// resume it through another gateway, before it is cancelled.
 	resumeGrace = 2 * time.Second
-	// cancelTimeout bounds the order to cancel.
+	// cancelTimeout bounds a cancel request to an engine.
 	cancelTimeout = 2 * time.Second
-	// handleLifetime bounds the use of a resume handle.
+	// handleLifetime is how long a resume handle is valid.
 	handleLifetime = time.Hour
-	// updateEvery is how many tokens pass between two updates of a permit.
+	// permitUpdateTokens is the number of tokens between two updates of a permit.
 	updateEvery = 8
 
-	// endLater marks a permit that is released when its generation is cancelled.
+	// releasedLater marks a permit that is released in the background, after its generation is
+	// cancelled.
 	endLater scheduler.End = ""
 )
 
-// engineRun is one generation at one engine. All its tokens come from that generation: a
-// broken stream is resumed, never replaced.
+// engineRun is one generation at one engine. All its tokens come from that generation: a broken
+// stream is resumed, never replaced by the stream of another generation.
 type engineRun struct {
 	r      *generation
 	permit scheduler.Permit
 	engine endpoint.Engine
 	id     string
-	// next is the index of the first token not yet delivered.
+	// next is the index of the first token that is not delivered yet.
 	next  int
-	texts []string // kept for the ledger only
+	texts []string // only for claimed work, whose result is stored in the ledger
 	begun bool
 }
 
@@ -53,7 +54,7 @@
 	return &engineRun{r: r, permit: permit, id: uuid.NewString()}
 }
 
-// do runs the generation and says how the permit ended.
+// run runs the generation and returns its result and how the permit ended.
 func (u *engineRun) do(ctx context.Context) (verdict, scheduler.End) {
 	engine, ok := u.r.g.endpoints.engine(u.r.g.state.Load(), u.permit.Endpoint)
 	if !ok {
@@ -65,8 +66,8 @@
 		v.refusal.RetryAfter = wait
 		return v, scheduler.EndNotStarted
 	}
-	// The generation must outlive a break of its stream, so streams get the
-	// caller's context and the generation itself is cancelled on purpose only.
+	// The generation must outlive a break of its stream. Streams therefore use the caller's
+	// context, and the generation itself is cancelled only explicitly.
 	stream, err := engine.Generate(ctx, u.request())
 	if err != nil {
 		if outcomeOf(err) == crocusreel.OutcomeNotRun {
@@ -92,8 +93,8 @@
 	}
 }
 
-// key is empty for idempotent work: an engine that drops repeats would refuse the
-// second try of a request whose first one it lost.
+// idempotencyKey is empty for idempotent work: an engine that drops repeats would refuse the second
+// attempt of a request if it lost the first one.
 func (u *engineRun) key() string {
 	if u.r.NonIdempotent {
 		return u.r.IdempotencyKey
@@ -101,8 +102,8 @@
 	return ""
 }
 
-// follow delivers the generation's tokens and resumes its stream when it breaks.
-// With a nil stream, cause tells how the first one broke.
+// deliverResuming delivers the generation's tokens and resumes its stream when it breaks. With a
+// nil stream, cause is the error that broke the first one.
 func (u *engineRun) follow(ctx context.Context, stream endpoint.Stream, cause error) (verdict, scheduler.End) {
 	for broken := 0; ; broken++ {
 		if stream != nil {
@@ -138,14 +139,15 @@
 	}
 }
 
-// replaceable tells whether another generation may take the place of this one. Then
-// a frozen engine, which accepts connections and says nothing, is left at its first
-// stall; resuming it again and again would cost a stall timeout each.
+// replaceable reports whether another generation may replace this one. If so, a frozen engine,
+// which accepts connections but sends nothing, is abandoned at its first stall: each further resume
+// would cost another stall timeout.
 func (u *engineRun) replaceable() bool {
 	return !u.r.NonIdempotent && (u.next == 0 || u.r.Restartable)
 }
 
-// deliver passes frames to the caller until the stream ends or breaks.
+// deliver passes frames to the caller until the stream ends or breaks. It returns nil only if the
+// answer is complete.
 func (u *engineRun) deliver(raw endpoint.Stream) error {
 	stream := endpoint.Checked(raw, u.r.RequestID, u.id, u.next, metrics.Count)
 	for {
@@ -201,8 +203,8 @@
 	return nil
 }
 
-// finish keeps the result of claimed work before the caller sees the end: a caller
-// that missed the end asks again with the same key and gets the kept result.
+// finish stores the result of claimed work in the ledger before it sends the end of the answer: a
+// caller that missed the end retries with the same key and gets the stored result.
 func (u *engineRun) finish(f endpoint.Frame) error {
 	done := caller.Finish{Reason: f.FinishReason, Tokens: f.Index, PromptTokens: f.PromptTokens, Preemptions: f.Preemptions}
 	if u.r.claim != nil {
@@ -213,17 +215,17 @@
 	return u.r.sink.Finish(done)
 }
 
-// abandoned handles a caller that is gone or whose deadline has passed. A gone
-// caller may resume elsewhere, so its generation is cancelled only after a while
-// and only if nobody reads it by then.
+// abandon handles a caller that is gone or whose deadline has passed. A caller that is gone may
+// resume through another gateway, so its generation is cancelled only after resumeGrace, and only
+// if nothing is attached to it at that time.
 func (u *engineRun) abandoned(ctx context.Context) (verdict, scheduler.End) {
 	outcome := crocusreel.OutcomeRan
 	if u.next == 0 {
 		outcome = crocusreel.OutcomeUnknown
 	}
 	if errors.Is(context.Cause(ctx), errShuttingDown) {
-		// The caller resumes through another gateway; the engine cancels by itself if
-		// nobody comes.
+		// The caller resumes through another gateway. If it does not, the engine cancels the
+		// generation by itself.
 		return verdict{refusal: contextRefusal(ctx, outcome)}, scheduler.EndCancelled
 	}
 	grace := resumeGrace
@@ -243,14 +245,15 @@
 func (u *engineRun) cancel() {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	// An engine that cannot be reached cancels by itself once nothing is attached.
+	// An engine that cannot be reached cancels the generation by itself once nothing is attached to
+	// it.
 	if err := u.engine.Cancel(ctx, u.id, true); err != nil {
 		metrics.Count("cancel_failed")
 	}
 }
 
-// lost handles a generation that can no longer be reached. It is replaced by
-// another only if the caller has seen none of its tokens.
+// endpointLost handles a generation that can no longer be reached. It is replaced by another only
+// if the caller has received none of its tokens.
 func (u *engineRun) lost() verdict {
 	u.r.g.background(u.cancel)
 	if u.r.NonIdempotent {
@@ -282,8 +285,8 @@
 
 func isStalled(err error) bool { return isKind(err, endpoint.KindStalled) }
 
-// isLost tells whether the connection ended after the work was sent, as it does when
-// the endpoint dies.
+// isLost reports whether the connection ended after the work was sent, as it does when the endpoint
+// dies.
 func isLost(err error) bool { return isKind(err, endpoint.KindLost) }
 
 func isKind(err error, kind endpoint.ErrorKind) bool {
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -22,7 +22,7 @@
 	"github.com/crocusreel/crocusreel/scheduler"
 )
 
-// fakePermits grants engines in the order given.
+// fakePermits grants permits for the engines in the given order.
 type fakePermits struct {
 	mu       sync.Mutex
 	order    []string
@@ -50,13 +50,12 @@
 
 func (p *fakePermits) Apply(scheduler.Snapshot) {}
 
-// fakeEngine yields the tokens of one answer; break after gives the index at which
-// the stream breaks.
+// fakeEngine yields the tokens of one answer.
 type fakeEngine struct {
 	endpoint.Engine
 	mu         sync.Mutex
 	refuse     *endpoint.Error
-	breakAfter []int // one entry for each stream; none means whole
+	breakAfter []int // index at which each stream breaks, in order; further streams are complete
 	forgets    bool
 	// frozen makes every stream stall at once; stalls counts them.
 	frozen  bool
@@ -131,7 +130,7 @@
 	return generation[:8] + "." + strconv.Itoa(index) + " "
 }
 
-// fakeTables keeps rows in memory; down makes every call fail before it applies.
+// fakeTables keeps rows in memory. If down is set, every call fails before it has an effect.
 type fakeTables struct {
 	version int64
 	mu      sync.Mutex
@@ -171,7 +170,7 @@
 	return t.version, nil
 }
 
-// fakeSink keeps the answer; it fails once failAt tokens came, if that is set.
+// fakeSink keeps the answer. If failAt is set, it fails after that many tokens.
 type fakeSink struct {
 	begins   []caller.Begin
 	tokens   []string
@@ -200,7 +199,7 @@
 
 func (s *fakeSink) text() string { return strings.Join(s.tokens, "") }
 
-// testGateway is a gateway whose neighbours are fakes.
+// testGateway is a gateway with fake dependencies.
 type testGateway struct {
 	*Gateway
 	permits *fakePermits
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the core of crocusreel-gateway: it takes callers' requests,
-// gets permits for them, sends them to endpoints and brings back whole answers.
+// Package gateway is the core of crocusreel-gateway: it receives callers' requests, acquires
+// permits for them, sends them to endpoints and returns complete answers.
 package gateway
 
 import (
@@ -22,26 +22,26 @@
 )
 
 const (
-	// notReadyRetry is when callers of a gateway without a configuration are told to
-	// come back.
+	// notReadyRetryAfter is the retry delay sent to callers of a gateway that has no configuration
+	// yet.
 	notReadyRetry = time.Second
-	// leavingRetry is when callers of a gateway that takes no new work are told to
-	// come back; other gateways serve them at once.
+	// leavingRetryAfter is the retry delay sent to callers of a gateway that accepts no new work.
+	// It is short because other gateways can serve them at once.
 	leavingRetry = 100 * time.Millisecond
-	// retryBurst is the number of retries that a workspace can save, and
-	// endpointRetryBurst those that a plain service can.
+	// retryBurst is the maximum number of retries that a workspace can accumulate, and
+	// endpointRetryBurst that of a plain service.
 	retryBurst         = 20
 	endpointRetryBurst = 50
 )
 
-// permitSource is what the gateway needs of the scheduler.
+// permitSource is the part of the scheduler that the gateway uses.
 type permitSource interface {
 	scheduler.Permits
-	// Apply tells of new members or a new configuration.
+	// Apply passes new members or a new configuration to the scheduler.
 	Apply(s scheduler.Snapshot)
 }
 
-// processSettings are the settings in the units of the code.
+// processSettings are the settings that the gateway uses, with times as durations.
 type processSettings struct {
 	vm            settings.VM
 	callerAddress string
@@ -50,15 +50,15 @@
 	drainLimit    time.Duration
 }
 
-// Gateway serves callers. Its control state is written by one goroutine, watch;
-// traffic reads the latest snapshot.
+// Gateway serves callers. Only the goroutine that runs watch writes state; requests read its latest
+// snapshot.
 type Gateway struct {
 	neighbours
 	settings processSettings
 	log      *zap.Logger
 	state    atomic.Pointer[snapshot]
 	balancer *balancer
-	// budgets are those of workspaces, endpointBudgets those of plain services.
+	// Retry budgets, by workspace and by plain service.
 	budgets, endpointBudgets *retry.Budgets
 	strikes                  *strikes
 	teller                   teller
@@ -67,12 +67,12 @@
 	drain                    drain
 	tasks                    sync.WaitGroup
 	callers                  *http.Server
-	// ending is done when running requests must end although they are not whole.
+	// shutdown is done when running requests must be aborted; abortAll cancels it.
 	ending context.Context
 	end    context.CancelFunc
 }
 
-// neighbours are the parts around a gateway that do input and output.
+// dependencies are the components of a gateway that do input and output.
 type neighbours struct {
 	permits   permitSource
 	ledger    *ledger.Ledger
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// lostRetryAfter is when a caller whose work was lost is told to come back.
+	// lostRetryAfter is the retry delay sent to callers whose work was lost or found no endpoint.
 	lostRetryAfter = time.Second
-	// maxPrefixes bounds the hashes sent with one request.
+	// maxPrefixes bounds the number of prefix hashes sent to the scheduler with one request.
 	maxPrefixes = 32
 )
 
-// generation is one caller's generation on its way through the gateway.
+// generation is one caller's generation that the gateway is handling.
 type generation struct {
 	g *Gateway
 	caller.Generation
@@ -36,11 +36,11 @@
 	excluded []string
 }
 
-// verdict is how one attempt at an endpoint ended.
+// attemptResult is the result of one attempt at an endpoint.
 type verdict struct {
-	// refusal is nil if the answer is whole.
+	// refusal is nil if the answer is complete.
 	refusal *crocusreel.Refusal
-	// again is set if another attempt is allowed.
+	// retryable is set if another attempt is allowed.
 	again bool
 }
 
@@ -66,9 +66,9 @@
 	return refusal
 }
 
-// runGuarded runs the generation. Claimed work goes on when its caller leaves or
-// its deadline passes, so that the result is kept for the caller's next attempt
-// with the same key; the caller itself is answered at once.
+// runDetachable runs the generation. Claimed work continues when its caller disconnects or its
+// deadline passes, so that the result is stored for the caller's next attempt with the same key;
+// the caller itself is answered at once.
 func (r *generation) runGuarded(ctx context.Context) *crocusreel.Refusal {
 	if !r.NonIdempotent {
 		return r.run(ctx)
@@ -95,8 +95,8 @@
 		if !v.again || attempt >= limits.Attempts {
 			return r.g.endClaim(ctx, r.claim, v.refusal)
 		}
-		// Endpoints need no budget of their own here: their scheduler's permits bound
-		// what retries can send them.
+		// Engines need no retry budget of their own: the permits of their scheduler bound the
+		// retries that reach them.
 		if !budget.AllowRetry() {
 			metrics.Count("retry_denied")
 			return r.g.endClaim(ctx, r.claim, v.refusal)
@@ -106,14 +106,15 @@
 	}
 }
 
-// attempt gets a permit, claims the run if it needs a claim, and runs it once.
+// attempt gets a permit, claims the run if the work is non-idempotent, and runs it once.
 func (r *generation) attempt(ctx context.Context) verdict {
 	permit, refusal := r.acquire(ctx)
 	if refusal != nil {
 		return verdict{refusal: refusal}
 	}
 	if r.NonIdempotent && r.claim == nil {
-		// The claim comes last, so that no time is spent waiting while it is held.
+		// The claim is made after the permit was granted, so that it is not held while the request
+		// is queued.
 		if done, refusal := r.takeClaim(ctx); done || refusal != nil {
 			r.g.permits.Release(scheduler.Release{Permit: permit, End: scheduler.EndNotStarted})
 			return verdict{refusal: refusal}
@@ -164,7 +165,7 @@
 	}
 }
 
-// takeClaim claims the run. Done is set if an earlier attempt's result was replayed.
+// takeClaim claims the run. done is set if the result of an earlier attempt was replayed.
 func (r *generation) takeClaim(ctx context.Context) (done bool, refusal *crocusreel.Refusal) {
 	claim, kept, refusal := r.g.claim(ctx, r.Attempt)
 	if refusal != nil {
@@ -179,15 +180,16 @@
 	return false, nil
 }
 
-// fingerprint names the content of a request, whatever key it is sent under.
+// fingerprint returns a hash of the content of a request, which does not depend on its idempotency
+// key.
 func fingerprint(workspace, model, prompt string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(workspace + "\x00" + model + "\x00" + prompt))
 	return h.Sum64()
 }
 
-// prefixes returns the hashes of the prompt's leading blocks, thinned out evenly to
-// the bound; the longest is always among them.
+// prefixes returns the hashes of the prompt's leading blocks. If there are more than maxPrefixes,
+// it returns an evenly spaced selection that includes the longest prefix.
 func prefixes(model, prompt string) []uint64 {
 	all := endpoint.PrefixHashes(model, prompt)
 	if len(all) <= maxPrefixes {
@@ -200,7 +202,7 @@
 	return some
 }
 
-// backoff waits before another try at the same endpoint.
+// backoff waits before the next attempt to resume at the same endpoint.
 func backoff(ctx context.Context, attempt int) {
 	retry.Sleep(ctx, retry.Backoff(attempt, resumeBackoff, resumeBackoffLimit))
 }
--- a/gateway/generate_test.go
+++ b/gateway/generate_test.go
@@ -14,7 +14,7 @@
 
 func lostBefore(index int) []int { return []int{index} }
 
-// expectWhole checks that the answer is whole, in order and from one generation.
+// expectComplete checks that the answer is complete, in order and from one generation.
 func expectWhole(g *gomega.WithT, sink *fakeSink, e *fakeEngine) {
 	want := ""
 	for i := range e.length {
@@ -24,8 +24,9 @@
 	g.Expect(sink.text()).To(gomega.Equal(want))
 }
 
-// The link to an engine breaks in mid-answer while the engine goes on. The caller
-// must get the rest of the same generation and notice nothing.
+// Guards against incomplete answers when the connection to an engine breaks in the middle of an
+// answer while the engine continues. The caller must get the rest of the same generation and see no
+// error.
 func TestBrokenStreamIsResumed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := &fakeEngine{length: 20, breakAfter: []int{5, 9}}
@@ -36,8 +37,9 @@
 	g.Expect(e.starts).To(gomega.HaveLen(1))
 }
 
-// An engine dies after the caller has seen some tokens. Another engine would give
-// other tokens, so the stream ends with a typed error instead of a mixed answer.
+// Guards against answers mixed from two generations. When an engine dies after the caller has
+// received some tokens, another engine would produce other tokens, so the stream must end with a
+// typed error.
 func TestLostGenerationIsNotSpliced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dying := &fakeEngine{length: 20, breakAfter: lostBefore(5), forgets: true}
@@ -52,8 +54,8 @@
 	g.Expect(other.starts).To(gomega.BeEmpty())
 }
 
-// An engine dies before the caller has seen anything, or while the answer is still
-// collected. The caller gets a whole answer from another engine.
+// Guards against failed requests when an engine dies before the caller has received any token, or
+// while the answer is still being collected. Another engine must deliver a complete answer.
 func TestUnseenLossIsRetriedElsewhere(t *testing.T) {
 	for name, restartable := range map[string]bool{"streamed, no token yet": false, "collected": true} {
 		t.Run(name, func(t *testing.T) {
@@ -74,8 +76,9 @@
 	}
 }
 
-// An engine freezes before its first token. It still accepts connections, so each
-// resume would wait for a whole stall timeout while the caller sees nothing.
+// Guards against repeated stall timeouts when an engine freezes before its first token. It still
+// accepts connections, so each resume would wait for a whole stall timeout without output to the
+// caller.
 func TestFrozenEngineIsLeftAtItsFirstStall(t *testing.T) {
 	g := gomega.NewWithT(t)
 	frozen := &fakeEngine{length: 20, frozen: true}
@@ -87,8 +90,8 @@
 	g.Expect(frozen.stalls).To(gomega.Equal(1))
 }
 
-// An engine drops repeats by key, and the gateway tries an idempotent request again
-// after a loss. With the caller's key on it, the second try would be refused.
+// Guards against refused retries of idempotent requests. An engine drops repeats by key, so a retry
+// after a loss would be refused if it carried the caller's key.
 func TestOnlyNonIdempotentWorkCarriesItsKey(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := &fakeEngine{length: 1}
@@ -101,8 +104,8 @@
 	g.Expect(e.starts[1].IdempotencyKey).To(gomega.BeEmpty())
 }
 
-// An engine dies while it runs an idempotent request, and no other has room. The
-// last refusal says that this try did not run, but the request as a whole may have.
+// Guards against a false not_run when an engine dies while it runs an idempotent request and no
+// other has capacity. The last attempt did not run, but the request may have.
 func TestLostThenRefusedIsNotNotRun(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dying := &fakeEngine{length: 20, breakAfter: lostBefore(0), forgets: true}
@@ -113,8 +116,8 @@
 	g.Expect(refusal.Outcome).To(gomega.Equal(crocusreel.OutcomeUnknown))
 }
 
-// A draft is sent to print and its engine dies. Running it elsewhere would print it
-// twice, so the caller is told that the outcome is unknown, also when it asks again.
+// Guards against running non-idempotent work (such as a print job) twice when its engine dies. The
+// caller must get the outcome unknown, also when it retries.
 func TestNonIdempotentIsNeverRunTwice(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dying := &fakeEngine{length: 20, breakAfter: lostBefore(0), forgets: true}
@@ -129,8 +132,8 @@
 	g.Expect(other.starts).To(gomega.BeEmpty())
 }
 
-// An engine refuses the work before starting it. The claim stays with the gateway,
-// which proves by the refusal that a second engine may run it.
+// Guards against losing non-idempotent work that an engine refused before starting it. The gateway
+// keeps the claim, and the refusal proves that a second engine may run the work.
 func TestRefusedNonIdempotentRunsElsewhereOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	refusing := &fakeEngine{refuse: &endpoint.Error{Kind: endpoint.KindRefused, Outcome: crocusreel.OutcomeNotRun}}
@@ -143,8 +146,8 @@
 	g.Expect(other.starts).To(gomega.HaveLen(1))
 }
 
-// A caller hangs up while its non-idempotent work runs and asks again with the same
-// key. The first run must end and its result be kept, or the caller never learns it.
+// Guards against lost results when a caller disconnects while its non-idempotent work runs, and
+// retries with the same key. The first run must finish and its result must be stored.
 func TestGoneCallerFindsItsResult(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := &fakeEngine{length: 20, gate: make(chan struct{})}
@@ -163,8 +166,8 @@
 	g.Expect(e.starts).To(gomega.HaveLen(1))
 }
 
-// A gateway dies and the caller resumes at another one, which must continue the
-// same generation and refuse the handle of another workspace.
+// Guards against streams that cannot be continued after their gateway died. Another gateway must
+// resume the same generation, and refuse the handle to another workspace.
 func TestResumeElsewhere(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := &fakeEngine{length: 20}
@@ -185,8 +188,8 @@
 	g.Expect(tg.Resume(context.Background(), req, rest)).To(gomega.HaveField("Reason", crocusreel.ReasonForbidden))
 }
 
-// Every engine fails. Retries stop at the bound and the caller gets its final answer
-// with a time to come back.
+// Guards against unbounded retries when every engine fails. The caller must get a final answer with
+// a retry delay.
 func TestAttemptsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := &fakeEngine{refuse: &endpoint.Error{Kind: endpoint.KindUnreachable, Outcome: crocusreel.OutcomeNotRun}}
@@ -198,9 +201,9 @@
 	g.Expect(tg.permits.released).To(gomega.HaveLen(3))
 }
 
-// The platform is down and the caller says that this is its first attempt. Nothing
-// may be sent, and not_run is true. Without that statement an earlier attempt may
-// have run, so only unknown is true.
+// Guards against unclaimed runs and false outcomes while the platform is down. Nothing may be sent.
+// The outcome is not_run if the caller states that this is its first attempt; otherwise, an earlier
+// attempt may have run and the outcome is unknown.
 func TestLedgerOutage(t *testing.T) {
 	for first, outcome := range map[bool]crocusreel.Outcome{true: crocusreel.OutcomeNotRun, false: crocusreel.OutcomeUnknown} {
 		g := gomega.NewWithT(t)
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// leastHedgeDelay keeps ordinary jitter from causing a second call.
+	// minHedgeDelay keeps normal jitter from causing a hedged call.
 	leastHedgeDelay = 20 * time.Millisecond
-	// firstHedgeDelay is used until latencies are known.
+	// initialHedgeDelay is the hedge delay while no latency has been recorded.
 	firstHedgeDelay = 100 * time.Millisecond
-	// lateDeviations is the number of mean deviations above the mean at which a call
-	// is late.
+	// hedgeDeviations is the number of mean deviations above the mean latency at which a call is
+	// late.
 	lateDeviations = 6
-	// latencyWeight is the weight of one call in the running mean.
+	// latencyWeight is the weight of one call in the moving averages.
 	latencyWeight = 0.05
 )
 
-// errOvertaken is the cause of cancelling the slower of two calls.
+// errHedgeLost is the cancellation cause of the slower of two hedged calls.
 var errOvertaken = errors.New("another endpoint replied first")
 
-// latency keeps a running mean and mean deviation of call times.
+// latency holds the moving averages of call latencies and of their deviations from the mean.
 type latency struct {
 	known           bool
 	mean, deviation float64 // seconds
@@ -49,18 +49,18 @@
 	return max(time.Duration((l.mean+lateDeviations*l.deviation)*float64(time.Second)), leastHedgeDelay)
 }
 
-// exchanged is the end of one of a call's exchanges.
+// sendResult is the result of sending a call to one endpoint.
 type exchanged struct {
 	spec  *config.EndpointSpec
 	reply endpoint.Reply
 	err   error
 }
 
-// send makes the call. An idempotent call that is late is sent to a second endpoint
-// as well, and the first reply wins: a frozen endpoint breaks no connection, and a
-// lookup would otherwise wait for the route's whole timeout. Each second call is
-// paid from the workspace's retry budget, so that slow endpoints are not given
-// twice the load.
+// sendHedged sends the call. If an idempotent call is late, it is also sent to a second endpoint,
+// and the first reply is used: a frozen endpoint does not break its connections, and a lookup would
+// otherwise wait for the route's whole timeout. The second call is charged to the retry budgets of
+// the workspace and of the second endpoint, so that hedging does not double the load on slow
+// endpoints.
 func (c *call) send(ctx context.Context, first *config.EndpointSpec) (endpoint.Reply, *config.EndpointSpec, error) {
 	c.excluded = append(c.excluded, first.Name)
 	if c.NonIdempotent {
@@ -96,8 +96,7 @@
 	}
 }
 
-// second chooses another endpoint for a late call, if one is left and the budget
-// allows it.
+// hedgeEndpoint chooses another endpoint for a late call, if one is left and the budgets allow it.
 func (c *call) second() (*config.EndpointSpec, bool) {
 	spec, _ := c.choose()
 	if spec == nil || !c.g.payRetry(c.Workspace.Name, spec.Name, c.snap.config.Limits.RetryRatio) {
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -9,11 +9,11 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// streamLimitRetry is when a workspace at its limit is told to come back.
+// streamLimitRetryAfter is the retry delay sent to callers of a workspace that is at its limit.
 const streamLimitRetry = 500 * time.Millisecond
 
-// concurrency counts the running requests of each workspace. Without a bound one
-// workspace's burst takes this gateway's memory from all others.
+// concurrency counts the running requests of each workspace. Without a limit, a burst from one
+// workspace would use up this gateway's memory at the expense of all others.
 type concurrency struct {
 	mu      sync.Mutex
 	running map[string]int
@@ -59,9 +59,9 @@
 	return func() { g.running.leave(ws.Name) }, nil
 }
 
-// payRetry takes one retry from the budgets of the workspace and of the plain service
-// that would get it. Without a budget for each endpoint the retries of many
-// workspaces, each within its own, add up at the last service that is alive.
+// allowRetry takes one retry from the budgets of the workspace and of the plain service that would
+// receive it. Without a budget per endpoint, the retries of many workspaces, each within its own
+// budget, would add up at the last service that is alive.
 func (g *Gateway) payRetry(workspace, endpoint string, ratio float64) bool {
 	if g.endpointBudgets.Get(endpoint, ratio).AllowRetry() && g.budgets.Get(workspace, ratio).AllowRetry() {
 		return true
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/pace"
 )
 
-// notices hold what endpoints last said of themselves to this gateway, by address.
+// notices holds what endpoints last reported about themselves to this gateway, by address.
 type notices struct {
 	vm  string
 	now func() time.Time
@@ -22,16 +22,17 @@
 	known map[string]*noticed
 }
 
-// noticed is what one endpoint said.
+// endpointNotice is the state derived from the notices of one endpoint. Times are those of
+// notices.monotonic.
 type noticed struct {
 	last notice.Notice
-	// unreadable is set while it names figures that cannot be read.
+	// invalid is set while the endpoint reports values that cannot be parsed.
 	unreadable bool
-	// turnUsed is when this gateway last used a turn.
+	// lastSlotUsed is when this gateway last used a time slot of the endpoint.
 	turnUsed time.Duration
-	// pausedUntil is until when it wants nothing from this gateway.
+	// pausedUntil is the time until which the endpoint wants no requests from this gateway.
 	pausedUntil time.Duration
-	// checked is when it was last asked whether it still leaves.
+	// lastRecheck is when the gateway last checked whether the endpoint is still leaving.
 	checked time.Duration
 }
 
@@ -39,7 +40,7 @@
 	return &notices{vm: vm, now: now, log: log, known: make(map[string]*noticed)}
 }
 
-// note takes what the endpoint at an address says of itself in an answer that has just come.
+// record records the notice from an answer that was just received from the endpoint at an address.
 func (n *notices) note(address string, said notice.Notice) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -58,7 +59,7 @@
 	}
 	known.unreadable = faulty
 	if said.LimitErr != nil {
-		// The limit before holds on.
+		// The previous limit stays in force.
 		said.Limited, said.Limit = known.last.Limited, known.last.Limit
 	}
 	if said.Limited != known.last.Limited || said.Limit != known.last.Limit {
@@ -66,7 +67,7 @@
 			zap.Float64("requests_per_second", said.Limit), zap.Float64("before", known.last.Limit))
 	}
 	if said.Leaving != known.last.Leaving {
-		n.log.Info("endpoint announced leaving, or took it back", zap.String("address", address), zap.Bool("leaving", said.Leaving))
+		n.log.Info("endpoint's leaving state changed", zap.String("address", address), zap.Bool("leaving", said.Leaving))
 	}
 	if now := n.clock(); said.Pause > 0 {
 		if now >= known.pausedUntil {
@@ -78,7 +79,8 @@
 	known.last = said
 }
 
-// pause is how much longer the endpoint at an address wants nothing from this gateway.
+// remainingPause returns how much longer the endpoint at an address wants no requests from this
+// gateway.
 func (n *notices) pause(address string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -88,12 +90,13 @@
 	return 0
 }
 
-// recheckEvery is the time between two checks whether an endpoint that leaves has gone and
-// another one started at its address.
+// leavingRecheckInterval is the time between two checks whether a leaving endpoint has stopped and
+// another one has started at its address.
 const recheckEvery = time.Second
 
-// leaving tells whether an endpoint has said that it is about to stop, and whether to check that
-// again: no call brings an answer that could take it back.
+// leaving reports whether an endpoint has announced that it is about to stop, and whether to check
+// that again now. The check is needed because a leaving endpoint gets no calls, whose answers could
+// withdraw the announcement.
 func (n *notices) leaving(e *config.EndpointSpec) (leaves, recheck bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -108,7 +111,7 @@
 	return true, recheck
 }
 
-// of returns the last notice of the endpoint at an address.
+// last returns the latest notice of the endpoint at an address.
 func (n *notices) of(address string) notice.Notice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,8 +121,9 @@
 	return notice.Notice{}
 }
 
-// untilTurn is the time until this gateway, one of so many, may send the next call to an endpoint,
-// by its pause and its limit; 0 for now. Gateways are the VM IDs of all.
+// timeUntilSlot returns the time until this gateway may send the next call to an endpoint, given
+// the endpoint's pause and limit; 0 means now. gateways holds the VM IDs of all gateways, which
+// share the limit.
 func (n *notices) untilTurn(e *config.EndpointSpec, gateways []string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -144,7 +148,8 @@
 	return slots.Until(n.now(), now, known.turnUsed)
 }
 
-// takeTurn uses up the turn of this gateway at an endpoint; it returns false if there is none.
+// useSlot reports whether this gateway may call an endpoint now. If the endpoint has a limit, it
+// uses the current time slot.
 func (n *notices) takeTurn(e *config.EndpointSpec, gateways []string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -156,8 +161,9 @@
 	return wait == 0
 }
 
-// clock is a monotonic time; that of day may jump.
+// monotonic returns the time since clockOrigin on the monotonic clock; the wall clock may jump.
 func (n *notices) clock() time.Duration { return n.now().Sub(clockStart) }
 
-// clockStart lies long before any turn.
+// clockOrigin lies long before any slot is used, so that the zero values in endpointNotice lie in
+// the past.
 var clockStart = time.Now().Add(-24 * time.Hour)
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -20,7 +20,8 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// Figures of the bound on an endpoint that names a limit.
+// Parameters of the test that a limited endpoint gets at most 1.5 times its limit, plus 5 requests,
+// within limitWindow, once limitLearnTime has passed.
 const (
 	limitPerSecond = 3.0
 	limitWindow    = 4 * time.Second
@@ -28,7 +29,7 @@
 	limitAllowed   = int(1.5*limitPerSecond*4) + 5
 )
 
-// noticeService is a plain service whose answers carry headers.
+// noticeService is a plain service that sets the given status and headers on its answers.
 type noticeService struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -56,7 +57,7 @@
 
 func (s *noticeService) address() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// say puts a header on all answers from now on.
+// setAnswer replaces the status and the headers of all further answers.
 func (s *noticeService) say(status int, name, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +70,7 @@
 	return len(s.arrivals)
 }
 
-// mostWithin returns the most arrivals after the given time within one window.
+// maxArrivals returns the largest number of arrivals after the given time within one window.
 func (s *noticeService) mostWithin(after time.Time, window time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +90,7 @@
 	return most
 }
 
-// gatewaysBefore returns so many gateways with a route to the services.
+// newGatewaysTo returns the given number of gateways with a route to the services.
 func gatewaysBefore(t *testing.T, count int, services ...*noticeService) []*testGateway {
 	var members []*peerv1.Member
 	for i := range count {
@@ -114,7 +115,7 @@
 	return all
 }
 
-// press calls through all gateways for the given time and returns the refusals.
+// callRepeatedly calls through all gateways for the given time and returns the refusals.
 func press(gateways []*testGateway, length time.Duration) []*crocusreel.Refusal {
 	var mu sync.Mutex
 	var refusals []*crocusreel.Refusal
@@ -138,13 +139,13 @@
 	return refusals
 }
 
-// Guards against gateways that together call a service more often than it takes, by first calls,
-// repeats and second calls for late ones.
+// Guards against gateways that together exceed the request limit of a service, by first attempts,
+// retries and hedged calls.
 func TestServiceThatNamesALimitIsNotOverrun(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		others int
-	}{{"beside one that is well", http.StatusOK}, {"beside one that refuses all calls", http.StatusServiceUnavailable}} {
+	}{{"other service healthy", http.StatusOK}, {"other service refuses all calls", http.StatusServiceUnavailable}} {
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			limited := newNoticeService(t, http.StatusOK, map[string]string{endpoint.HeaderRequestLimit: fmt.Sprint(limitPerSecond)})
@@ -166,7 +167,7 @@
 	return string(crocusreel.OutcomeNotRun)
 }
 
-// Guards against calls that are held although no service takes them in time.
+// Guards against calls that wait although the only service has reached its limit.
 func TestCallBeyondTheOnlyServicesLimitIsRefusedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limited := newNoticeService(t, http.StatusOK, map[string]string{endpoint.HeaderRequestLimit: "0.5"})
@@ -187,8 +188,8 @@
 	g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second))
 }
 
-// Guards against calls to a service that has said in an answer that it is about to stop, and against
-// one that is left out for good when another starts at its address.
+// Guards against calls to a service that has announced in an answer that it is about to stop, and
+// against excluding its address for good when another service starts there.
 func TestServiceThatSaidThatItLeavesGetsNoCalls(t *testing.T) {
 	g := gomega.NewWithT(t)
 	leaving := newNoticeService(t, http.StatusOK, map[string]string{endpoint.HeaderLeaving: "1"})
@@ -206,8 +207,8 @@
 	}, 3*recheckEvery, 10*time.Millisecond).Should(gomega.BeNumerically(">", 1))
 }
 
-// Guards against calls to a service that has refused one and asked this gateway for a pause, first
-// calls and repeats alike.
+// Guards against calls, first attempts as well as retries, to a service that has refused one and
+// asked this gateway for a pause.
 func TestServiceThatAsksForAPauseGetsIt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const pause = 2 * time.Second
@@ -233,7 +234,7 @@
 	}).Should(gomega.BeNumerically(">", before))
 }
 
-// Guards against callers that are not told when the only service takes calls again.
+// Guards against refusals without a retry delay while the only service has asked for a pause.
 func TestCallWithinTheOnlyServicesPauseIsRefusedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	paused := newNoticeService(t, http.StatusServiceUnavailable,
@@ -249,7 +250,7 @@
 	g.Expect(paused.arrived()).To(gomega.Equal(1))
 }
 
-// Guards against generations at an engine that has asked this gateway for a pause.
+// Guards against sending generations to an engine that has asked this gateway for a pause.
 func TestEngineThatAsksForAPauseGetsIt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	paused, other := &fakeEngine{length: 3}, &fakeEngine{length: 3}
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -31,7 +31,7 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// closeTimeout bounds the closing of listeners once nothing runs any more.
+// closeTimeout bounds the closing of the ledger after the servers have stopped.
 const closeTimeout = 2 * time.Second
 
 // Process is a gateway with its listeners.
@@ -46,7 +46,7 @@
 	callerTLS, peerTLS       *tlsreload.Source
 }
 
-// New builds the process from checked settings.
+// New returns a process for settings that were already validated.
 func New(s *settings.Gateway, log *zap.Logger) (*Process, error) {
 	signer, err := handle.NewSigner(s.HandleKeys)
 	if err != nil {
@@ -116,8 +116,8 @@
 	return mux
 }
 
-// Run serves until a signal: the first drains, a second one or the drain limit ends
-// what still runs.
+// Run serves until it receives SIGINT or SIGTERM. The first signal starts a drain; a second one or
+// the drain limit aborts the requests that are still running.
 func (p *Process) Run() error {
 	callerListener, err := net.Listen("tcp", p.callerListen)
 	if err != nil {
--- a/gateway/records.go
+++ b/gateway/records.go
@@ -10,10 +10,10 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// maxRecords bounds the recent requests that a gateway can explain.
+// maxRecords bounds the number of recent requests whose records are kept.
 const maxRecords = 4096
 
-// records keeps the latest requests in a ring.
+// records keeps the records of the latest requests in a ring buffer.
 type records struct {
 	mu   sync.Mutex
 	ring []*api.Record
@@ -26,7 +26,7 @@
 	return &records{log: log, ring: make([]*api.Record, maxRecords), byID: make(map[string]*api.Record)}
 }
 
-// tracker writes one record.
+// tracker writes the record of one request.
 type tracker struct {
 	all *records
 	rec *api.Record
--- a/gateway/resume.go
+++ b/gateway/resume.go
@@ -10,8 +10,8 @@
 	"github.com/crocusreel/crocusreel/scheduler"
 )
 
-// Resume implements caller.Core. The handle names the engine and the generation, so
-// any gateway can continue a stream whose own gateway died.
+// Resume implements caller.Core. The handle identifies the engine and the generation, so any
+// gateway can continue a stream whose own gateway died.
 func (g *Gateway) Resume(ctx context.Context, req caller.Resume, sink caller.Sink) *crocusreel.Refusal {
 	h, err := g.signer.Verify(req.Handle, time.Now())
 	if err != nil {
@@ -42,8 +42,8 @@
 		engine: engine,
 		id:     h.GenerationID,
 		next:   req.Next,
-		// Work that is already running needs no permit; the permit's fields only say
-		// where it runs.
+		// Work that is already running needs no permit; the permit's fields only identify where it
+		// runs.
 		permit: scheduler.Permit{Endpoint: h.Endpoint, Model: h.Model},
 	}
 	ctx, cancel := g.untilEnd(ctx)
@@ -53,8 +53,8 @@
 	return v.refusal
 }
 
-// resume continues the generation. Whatever happens, it is not replaced by another:
-// the caller already holds some of its tokens.
+// resume continues the generation. It is never replaced by another one, since the caller already
+// holds some of its tokens.
 func (u *engineRun) resume(ctx context.Context) (verdict, scheduler.End) {
 	first := u.next
 	stream, err := u.engine.Resume(ctx, u.id, u.next)
--- a/gateway/sink.go
+++ b/gateway/sink.go
@@ -7,11 +7,11 @@
 	"github.com/crocusreel/crocusreel/caller"
 )
 
-// errCallerGone means that the answer can no longer be delivered.
+// errCallerGone means that the answer can no longer be delivered to the caller.
 var errCallerGone = errors.New("the caller is gone")
 
-// guardedSink marks errors of the caller's side, so that they are not taken for a
-// fault of the endpoint. With optional set a gone caller does not end the run.
+// guardedSink marks errors on the caller's side, so that they are not attributed to the endpoint.
+// If optional is set, a caller that is gone does not end the run.
 type guardedSink struct {
 	sink     caller.Sink
 	optional bool
@@ -35,8 +35,8 @@
 	return s.deliver(func() error { return s.sink.Finish(f) })
 }
 
-// detach keeps everything later from the sink. It must be called before the
-// caller's handler returns, since the sink writes to that handler's response.
+// detach discards all further output. It must be called before the caller's handler returns, since
+// the sink writes to that handler's response.
 func (s *guardedSink) detach() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/snapshot.go
+++ b/gateway/snapshot.go
@@ -8,8 +8,8 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// snapshot is what traffic reads: the configuration in force and the members, with
-// the look-ups that requests need. It is immutable.
+// snapshot is the state that requests read: the configuration in force and the members, with lookup
+// tables. It is immutable.
 type snapshot struct {
 	version    uint64
 	config     *config.Config
@@ -47,8 +47,8 @@
 	return s
 }
 
-// gateways are the VM IDs of those that may send calls. One that counts as dead may be cut off and
-// go on.
+// gateways returns the VM IDs of the gateways that may send calls. These include members that are
+// considered dead, since such a gateway may only be partitioned and still running.
 func (s *snapshot) gateways() []string {
 	var ids []string
 	for _, m := range s.members {
@@ -59,7 +59,7 @@
 	return ids
 }
 
-// withMembers returns a copy with other members.
+// withMembers returns a copy of the snapshot with the given members.
 func (s *snapshot) withMembers(members []*peerv1.Member) *snapshot {
 	c := *s
 	c.members = members
@@ -73,7 +73,8 @@
 	return len(ws.Models) == 0 || slices.Contains(ws.Models, model)
 }
 
-// route finds the route with the longest prefix that ends at a path separator.
+// route returns the route with the longest prefix that matches path up to a path separator or its
+// end.
 func (s *snapshot) route(path string) (*config.RouteSpec, bool) {
 	for _, r := range s.routes {
 		rest, ok := strings.CutPrefix(path, strings.TrimSuffix(r.Prefix, "/"))
--- a/gateway/strikes.go
+++ b/gateway/strikes.go
@@ -8,20 +8,21 @@
 	"github.com/crocusreel/crocusreel/policy"
 )
 
-// maxStruck bounds the pairs of service and content that are remembered.
+// maxStrikeKeys bounds the number of pairs of service and content in strikes.lastStrike, which is
+// emptied when it is full.
 const maxStruck = 4096
 
-// strikes remembers which calls were lost together with plain services. A call that
-// crashes each service that runs it is refused at the bound, also under new keys.
-// Engines' strikes are kept by the pools' schedulers. For plain services each gateway counts,
-// and the gateways tell each other of each strike.
+// strikes records which calls were running at plain services that died. A call that crashes each
+// service that runs it is refused at the limit, even under new idempotency keys. The strikes of
+// engines are kept by the schedulers of their pools. For plain services each gateway counts strikes
+// itself, and gateways notify each other of each strike.
 type strikes struct {
 	mu       sync.Mutex
 	began    time.Time
 	suspects *policy.Suspects
-	// deaths numbers the deaths that were seen here.
+	// deaths numbers the deaths that were recorded at this gateway.
 	deaths uint64
-	// struck is when a content last got a strike at a service.
+	// lastStrike is the time of the latest strike against a content at a service.
 	struck map[struckKey]time.Time
 }
 
@@ -34,12 +35,12 @@
 	return &strikes{began: time.Now(), suspects: policy.NewSuspects(policy.StrikeTTL), struck: make(map[struckKey]time.Time)}
 }
 
-// add gives the content of a call a strike for the death of a service. A lookup that
-// many callers send alike is lost many times at one death; counted each time, it
-// would be refused for minutes after the service is back. So calls that were already
-// running at the last strike belong to the death that was counted then.
+// add records a strike against the content of a call that was running when a service died. When
+// many callers send the same lookup, one death breaks many of these calls; if each of them counted,
+// the lookup would be refused for minutes after the service is back. A call that began before the
+// latest strike is therefore attributed to the death that was already counted.
 //
-// It returns the strikes that count now, and whether this is a new one.
+// It returns the current number of strikes, and whether this one was counted.
 func (s *strikes) add(service string, content uint64, callBegan time.Time) (strikes int, counted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +64,7 @@
 	s.suspects.Clear(content, time.Since(s.began))
 }
 
-// refuse returns a refusal if the call has as many strikes as the bound; a bound of 0
-// is none.
+// refuse returns a refusal if the call has at least bound strikes. A bound of 0 means no limit.
 func (s *strikes) refuse(content uint64, bound int) *crocusreel.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/struck.go
+++ b/gateway/struck.go
@@ -16,40 +16,42 @@
 )
 
 const (
-	// struckTimeout bounds the wait for other gateways to learn of a strike, as that of a
-	// pool's scheduler is bounded for a loss: one that is frozen or cut off costs the caller
-	// of a lost call no more.
+	// strikeTimeout bounds the wait for other gateways to receive a strike, just as the wait for a
+	// pool's scheduler to receive a loss is bounded. It is the longest delay that a frozen or
+	// partitioned gateway can cause to the caller of a lost call.
 	struckTimeout = 300 * time.Millisecond
-	// struckGather is how long strikes are gathered before they are told. A service that dies
-	// with some hundred calls would otherwise cost as many messages to each gateway.
+	// strikeBatchDelay is how long strikes are collected before they are sent. Otherwise, a service
+	// that dies with several hundred calls would cause as many messages to each gateway.
 	struckGather = 5 * time.Millisecond
-	// maxStrikesTold bounds the strikes of one message; those beyond are not told.
+	// maxBatchStrikes bounds the number of strikes in one message; further ones are dropped and
+	// counted.
 	maxStrikesTold = 1024
 )
 
-// gatewayPeers reaches other gateways.
+// gatewayPeers holds what is needed to connect to other gateways.
 type gatewayPeers struct {
 	client connect.HTTPClient
 	scheme string
 }
 
-// teller gathers the strikes that other gateways have to be told of.
+// strikeBroadcaster collects the strikes to be sent to other gateways.
 type teller struct {
 	mu sync.Mutex
-	// next is the round that is being gathered, nil if none is.
+	// next is the batch that is being collected, nil if there is none.
 	next *strikeRound
 }
 
-// strikeRound is one message to all gateways; done is closed once they know, or do not answer.
+// strikeBatch is one message to all gateways. done is closed once each of them has received it,
+// failed or timed out.
 type strikeRound struct {
 	strikes []*peerv1.ServiceStrike
 	done    chan struct{}
 }
 
-// tellStruck tells all other gateways that a service died of a call, and waits until they
-// know. The caller is answered right after and may send the call again through any of them:
-// were it there before the strike, a deadly call would take one more service down at each
-// gateway.
+// broadcastStrike notifies all other gateways that a service died of a call, and waits until they
+// have received it or strikeTimeout has passed. The caller is answered right after that and may
+// send the call again through any of them: if its retry arrived before the strike, a call that
+// crashes services would take down one more service at each gateway.
 func (g *Gateway) tellStruck(strike *peerv1.ServiceStrike) {
 	g.teller.mu.Lock()
 	round := g.teller.next
@@ -67,7 +69,7 @@
 	<-round.done
 }
 
-// tellRound sends a round to all gateways at a time.
+// sendStrikeBatch sends a batch to all gateways in parallel.
 func (g *Gateway) tellRound(round *strikeRound) {
 	defer close(round.done)
 	g.teller.mu.Lock()
@@ -95,15 +97,16 @@
 	}
 }
 
-// struckHandler returns the path and the handler of what other gateways tell.
+// strikeHandler returns the path and the handler of the RPCs from other gateways.
 func (g *Gateway) struckHandler() (string, http.Handler) {
 	return peerv1.NewGatewayHandler(gatewayRPC{g}, peer.HandlerOptions())
 }
 
-// gatewayRPC serves other gateways.
+// gatewayRPC serves the RPCs from other gateways.
 type gatewayRPC struct{ g *Gateway }
 
-// Struck implements peer.v1.Gateway.
+// Struck implements the Gateway service of peer.v1. It records the strikes reported by another
+// gateway.
 func (s gatewayRPC) Struck(_ context.Context, r *connect.Request[peerv1.StruckRequest]) (*connect.Response[peerv1.StruckResponse], error) {
 	now := time.Now()
 	for _, strike := range r.Msg.GetStrikes() {
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -22,9 +22,9 @@
 	setLeavingTimeout = time.Second
 )
 
-// watch follows the controller of this VM until ctx ends. It is the only goroutine
-// that changes the gateway's state. While the controller is away, traffic goes on
-// with the last snapshot.
+// watch follows the controller of this VM until ctx ends. It runs in the only goroutine that
+// changes the gateway's state. While the controller is unreachable, requests are served with the
+// last snapshot.
 func (g *Gateway) watch(ctx context.Context) error {
 	for attempt := 1; ctx.Err() == nil; attempt++ {
 		received, err := g.watchOnce(ctx)
@@ -32,7 +32,7 @@
 			attempt = 1
 		}
 		metrics.Count("watch_ended")
-		g.log.Info("watch ended", zap.Error(err))
+		g.log.Info("watch stream from the controller ended", zap.Error(err))
 		retry.Sleep(ctx, retry.Backoff(attempt, watchBackoff, watchBackoffLimit))
 	}
 	return nil
@@ -40,8 +40,8 @@
 
 func (g *Gateway) watchOnce(ctx context.Context) (received bool, err error) {
 	if g.drain.leaving() {
-		// A controller that was restarted since does not know that we are leaving and
-		// would advertise this gateway as soon as the watch opens.
+		// A controller that was restarted in the meantime does not know that this gateway is
+		// leaving and would advertise it as soon as the watch opens.
 		g.tellLeaving(ctx)
 	}
 	stream, err := g.node.Watch(ctx, connect.NewRequest(&peerv1.WatchRequest{
@@ -60,8 +60,8 @@
 	return received, stream.Err()
 }
 
-// apply takes a snapshot of the controller. The version never goes back: a
-// controller that was just restarted may know less than this gateway.
+// apply applies a snapshot from the controller. The configuration version never decreases: a
+// controller that was just restarted may have an older configuration than this gateway.
 func (g *Gateway) apply(m *peerv1.WatchResponse) {
 	current := g.state.Load()
 	next := current
@@ -86,7 +86,7 @@
 func compile(doc *peerv1.ConfigDocument, dataCentre string) (*config.Config, error) {
 	var d config.Document
 	if err := json.Unmarshal(doc.GetDocument(), &d); err != nil {
-		return nil, eris.Wrap(err, "configuration document")
+		return nil, eris.Wrap(err, "decode configuration document")
 	}
 	return config.Compile(d, dataCentre)
 }
@@ -95,6 +95,6 @@
 	ctx, cancel := context.WithTimeout(ctx, setLeavingTimeout)
 	defer cancel()
 	if _, err := g.node.SetLeaving(ctx, connect.NewRequest(&peerv1.SetLeavingRequest{})); err != nil {
-		g.log.Warn("controller not told of leaving", zap.Error(err))
+		g.log.Warn("failed to report to the controller that this gateway is leaving", zap.Error(err))
 	}
 }
