--- a/gateway/addresses.go
+++ b/gateway/addresses.go
@@ -23,18 +23,18 @@
 	slices.SortStableFunc(members, func(a, b *peerv1.Member) int { return g.distance(a) - g.distance(b) })
 	addresses := []string{}
 	for _, m := range members {
-		if len(addresses) < maxAddresses && g.offers(m) {
+		if len(addresses) < maxAddresses && g.mayAdvertise(m) {
 			addresses = append(addresses, m.GetCallerAddress())
 		}
 	}
-	g.drain.answered()
+	g.drain.recordAddressAnswer()
 	return addresses, g.settings.addressTTL
 }
 
 // mayAdvertise reports whether callers may be sent to the member. It checks the drain state of this
 // gateway itself, because the local controller may not have published yet that this gateway is
 // leaving.
-func (g *Gateway) offers(m *peerv1.Member) bool {
+func (g *Gateway) mayAdvertise(m *peerv1.Member) bool {
 	if m.GetCallerAddress() == "" || m.GetState() != peerv1.MemberState_MEMBER_STATE_ALIVE {
 		return false
 	}
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	ejectBase  = 500 * time.Millisecond
-	ejectLimit = 10 * time.Second
+	baseEjection = 500 * time.Millisecond
+	maxEjection  = 10 * time.Second
 )
 
 // balancer chooses among a route's plain services by the number of outstanding calls. It ejects a
 // service that fails for a time that doubles with each consecutive failure, up to maxEjection.
 type balancer struct {
-	mu    sync.Mutex
-	now   func() time.Time
-	known map[string]*serviceState
+	mu       sync.Mutex
+	now      func() time.Time
+	services map[string]*serviceState
 	// latency covers the calls to all services.
 	latency latency
 }
@@ -40,14 +40,14 @@
 )
 
 func newBalancer(now func() time.Time) *balancer {
-	return &balancer{now: now, known: make(map[string]*serviceState)}
+	return &balancer{now: now, services: make(map[string]*serviceState)}
 }
 
 func (b *balancer) state(name string) *serviceState {
-	s, ok := b.known[name]
+	s, ok := b.services[name]
 	if !ok {
 		s = &serviceState{}
-		b.known[name] = s
+		b.services[name] = s
 	}
 	return s
 }
@@ -58,15 +58,15 @@
 func (b *balancer) pick(candidates []*config.EndpointSpec) (*config.EndpointSpec, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if best, ok := b.fewest(candidates, b.now()); ok {
+	if best, ok := b.leastOutstanding(candidates, b.now()); ok {
 		return best, true
 	}
-	return b.fewest(candidates, time.Time{})
+	return b.leastOutstanding(candidates, time.Time{})
 }
 
-// leastOutstanding returns the candidate with the fewest outstanding calls among those whose
+// leastOutstanding returns the candidate with the leastOutstanding outstanding calls among those whose
 // ejection has ended at the given time. With the zero time it considers all candidates.
-func (b *balancer) fewest(candidates []*config.EndpointSpec, at time.Time) (*config.EndpointSpec, bool) {
+func (b *balancer) leastOutstanding(candidates []*config.EndpointSpec, at time.Time) (*config.EndpointSpec, bool) {
 	var best *config.EndpointSpec
 	lowest, ties := 0, 0
 	for _, c := range candidates {
@@ -106,7 +106,7 @@
 		s.ejectedUntil = time.Time{}
 		b.latency.add(took)
 	case callFailed:
-		s.ejectedUntil = b.now().Add(min(ejectBase<<min(s.failures, 10), ejectLimit))
+		s.ejectedUntil = b.now().Add(min(baseEjection<<min(s.failures, 10), maxEjection))
 		s.failures++
 	}
 }
@@ -115,5 +115,5 @@
 func (b *balancer) hedgeDelay() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.latency.late()
+	return b.latency.hedgeDelay()
 }
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -88,7 +88,7 @@
 	tg := newTestGateway(t, nil)
 	tg.withServices(map[string]*fakeService{"a": a, "b": b})
 	ended := make(chan *crocusreel.Refusal, 1)
-	ctx, cancel := context.WithTimeout(context.Background(), 10*firstHedgeDelay)
+	ctx, cancel := context.WithTimeout(context.Background(), 10*initialHedgeDelay)
 	defer cancel()
 	go func() {
 		_, refusal := tg.Call(ctx, caller.ServiceCall{
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -16,7 +16,7 @@
 
 // ledgerTimeout bounds the wait for a write to the ledger. After it, the ledger retries in the
 // background and the caller gets its answer.
-const keepTimeout = time.Second
+const ledgerTimeout = time.Second
 
 // claim claims the run of non-idempotent work. Exactly one of its results is set: the claim, the
 // stored result of an earlier attempt, or a refusal.
@@ -32,7 +32,7 @@
 	if claim == nil {
 		return refusal
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ledgerTimeout)
 	defer cancel()
 	if refusal.Outcome != crocusreel.OutcomeNotRun {
 		g.ledger.Unknown(ctx, claim)
@@ -43,8 +43,8 @@
 	return &final
 }
 
-func (g *Gateway) keepResult(claim *ledger.Claim, result ledger.Result) {
-	ctx, cancel := context.WithTimeout(context.Background(), keepTimeout)
+func (g *Gateway) storeResult(claim *ledger.Claim, result ledger.Result) {
+	ctx, cancel := context.WithTimeout(context.Background(), ledgerTimeout)
 	defer cancel()
 	if err := g.ledger.Done(ctx, claim, result); err != nil {
 		metrics.Count("result_kept_late")
@@ -55,7 +55,7 @@
 // runUntilDetached runs f in the background and waits for its result. If ctx ends after claimed was
 // closed, f continues in the background and detached is true. If ctx ends before that, f itself
 // ends with ctx and the work has not run.
-func outlive[T any](ctx context.Context, g *Gateway, claimed <-chan struct{}, f func() T) (result T, left bool) {
+func runUntilDetached[T any](ctx context.Context, g *Gateway, claimed <-chan struct{}, f func() T) (result T, detached bool) {
 	done := make(chan T, 1)
 	g.background(func() { done <- f() })
 	select {
@@ -72,15 +72,15 @@
 }
 
 // storedAnswer is the form in which the answer of a finished generation is stored in the ledger.
-type keptAnswer struct {
+type storedAnswer struct {
 	Model    string        `json:"model"`
 	Endpoint string        `json:"endpoint"`
 	Texts    []string      `json:"texts"`
 	Finish   caller.Finish `json:"finish"`
 }
 
-func answerResult(model, endpoint string, texts []string, f caller.Finish) ledger.Result {
-	body, err := json.Marshal(keptAnswer{Model: model, Endpoint: endpoint, Texts: texts, Finish: f})
+func encodeAnswer(model, endpoint string, texts []string, f caller.Finish) ledger.Result {
+	body, err := json.Marshal(storedAnswer{Model: model, Endpoint: endpoint, Texts: texts, Finish: f})
 	if err != nil {
 		// Strings and integers can always be encoded.
 		panic(err)
@@ -89,9 +89,9 @@
 }
 
 // replay delivers the stored answer of an earlier attempt.
-func replay(kept ledger.Result, sink caller.Sink) *crocusreel.Refusal {
-	var a keptAnswer
-	if err := json.Unmarshal(kept.Body, &a); err != nil {
+func replay(stored ledger.Result, sink caller.Sink) *crocusreel.Refusal {
+	var a storedAnswer
+	if err := json.Unmarshal(stored.Body, &a); err != nil {
 		return crocusreel.Refuse(crocusreel.ReasonKeyReused, crocusreel.OutcomeRan, 0, "the key belongs to another kind of work")
 	}
 	err := sink.Begin(caller.Begin{Model: a.Model, Endpoint: a.Endpoint})
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -13,35 +13,35 @@
 const (
 	// leavePropagation is the time within which every gateway learns that this one is leaving.
 	// Until then, others may still include it in their address answers.
-	spreadAllowance = 3 * time.Second
-	drainPoll       = 50 * time.Millisecond
+	leavePropagation  = 3 * time.Second
+	drainPollInterval = 50 * time.Millisecond
 )
 
 // drain tracks the drain of this gateway.
 type drain struct {
 	mu         sync.Mutex
-	since      time.Time // when the drain began; zero before
-	closed     bool      // new requests are refused
+	startedAt  time.Time // when the drain began; zero before
+	refuseNew  bool      // new requests are refused
 	lastAnswer time.Time
 }
 
 func (d *drain) leaving() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.since.IsZero()
+	return !d.startedAt.IsZero()
 }
 
 func (d *drain) refusing() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.closed
+	return d.refuseNew
 }
 
 // recordAddressAnswer records that an address answer was returned.
-func (d *drain) answered() {
+func (d *drain) recordAddressAnswer() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.since.IsZero() {
+	if d.startedAt.IsZero() {
 		d.lastAnswer = time.Now()
 	}
 }
@@ -49,15 +49,15 @@
 func (d *drain) begin() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.since.IsZero() {
-		d.since = time.Now()
+	if d.startedAt.IsZero() {
+		d.startedAt = time.Now()
 	}
 }
 
-func (d *drain) close() {
+func (d *drain) closeToNew() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.closed = true
+	d.refuseNew = true
 }
 
 // Drain takes the gateway out of service without aborting a request:
@@ -70,12 +70,12 @@
 func (g *Gateway) Drain(ctx context.Context) {
 	g.drain.begin()
 	g.log.Info("drain began")
-	g.tellLeaving(ctx)
-	g.callers.SetKeepAlivesEnabled(false)
-	retry.Sleep(ctx, spreadAllowance+g.settings.addressTTL)
-	g.drain.close()
+	g.reportLeaving(ctx)
+	g.callerServer.SetKeepAlivesEnabled(false)
+	retry.Sleep(ctx, leavePropagation+g.settings.addressTTL)
+	g.drain.closeToNew()
 	for ctx.Err() == nil && g.running.total() > 0 {
-		retry.Sleep(ctx, drainPoll)
+		retry.Sleep(ctx, drainPollInterval)
 	}
 	g.waitBackground(ctx)
 	g.log.Info("drain ended", zap.Int("running", g.running.total()))
@@ -83,9 +83,9 @@
 
 // background runs f in a goroutine that Drain waits for.
 func (g *Gateway) background(f func()) {
-	g.tasks.Add(1)
+	g.backgroundTasks.Add(1)
 	go func() {
-		defer g.tasks.Done()
+		defer g.backgroundTasks.Done()
 		f()
 	}()
 }
@@ -93,7 +93,7 @@
 func (g *Gateway) waitBackground(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		g.tasks.Wait()
+		g.backgroundTasks.Wait()
 		close(done)
 	}()
 	select {
--- a/gateway/ending.go
+++ b/gateway/ending.go
@@ -13,12 +13,12 @@
 var errShuttingDown = errors.New("the gateway is shutting down")
 
 // abortWait is how long aborted requests have to send their final answer.
-const endingWait = 500 * time.Millisecond
+const abortWait = 500 * time.Millisecond
 
 // withShutdown returns a context that also ends when running requests are aborted.
-func (g *Gateway) untilEnd(ctx context.Context) (context.Context, func()) {
+func (g *Gateway) withShutdown(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(g.ending, func() { cancel(errShuttingDown) })
+	stop := context.AfterFunc(g.shutdown, func() { cancel(errShuttingDown) })
 	return ctx, func() {
 		stop()
 		cancel(nil)
@@ -27,15 +27,15 @@
 
 // abortRequests aborts the requests that are still running after a drain that was cut short. Each
 // caller gets a typed error and may resume its stream through another gateway.
-func (g *Gateway) endRequests() {
+func (g *Gateway) abortRequests() {
 	if g.running.total() == 0 {
 		return
 	}
-	g.end()
-	ctx, cancel := context.WithTimeout(context.Background(), endingWait)
+	g.abortAll()
+	ctx, cancel := context.WithTimeout(context.Background(), abortWait)
 	defer cancel()
 	for ctx.Err() == nil && g.running.total() > 0 {
-		retry.Sleep(ctx, drainPoll)
+		retry.Sleep(ctx, drainPollInterval)
 	}
 }
 
@@ -43,7 +43,7 @@
 // down, the caller's deadline has passed, or the caller closed its connection.
 func contextRefusal(ctx context.Context, outcome crocusreel.Outcome) *crocusreel.Refusal {
 	if errors.Is(context.Cause(ctx), errShuttingDown) {
-		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, outcome, leavingRetry, "the gateway is shutting down")
+		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, outcome, leavingRetryAfter, "the gateway is shutting down")
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return crocusreel.Refuse(crocusreel.ReasonDeadline, outcome, lostRetryAfter, "the caller's deadline has passed")
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -24,7 +24,7 @@
 
 // options returns the client options for the endpoint at an address.
 func (e *endpoints) options(address string) endpoint.Options {
-	return endpoint.Options{Noticed: func(said notice.Notice) { e.notices.note(address, said) }}
+	return endpoint.Options{Noticed: func(received notice.Notice) { e.notices.record(address, received) }}
 }
 
 // engine returns the client of a configured engine.
@@ -59,19 +59,19 @@
 }
 
 // remainingPause returns how much longer a configured endpoint wants no requests from this gateway.
-func (e *endpoints) pause(s *snapshot, name string) time.Duration {
+func (e *endpoints) remainingPause(s *snapshot, name string) time.Duration {
 	spec, ok := s.endpoints[name]
 	if !ok {
 		return 0
 	}
-	return e.notices.pause(spec.Address)
+	return e.notices.remainingPause(spec.Address)
 }
 
 // paused returns the names of the engines that currently want no requests from this gateway.
 func (e *endpoints) paused(s *snapshot) []string {
 	var names []string
 	for name, spec := range s.endpoints {
-		if spec.Kind == config.KindEngine && e.notices.pause(spec.Address) > 0 {
+		if spec.Kind == config.KindEngine && e.notices.remainingPause(spec.Address) > 0 {
 			names = append(names, name)
 		}
 	}
--- a/gateway/enginerun.go
+++ b/gateway/enginerun.go
@@ -30,17 +30,17 @@
 	// handleLifetime is how long a resume handle is valid.
 	handleLifetime = time.Hour
 	// permitUpdateTokens is the number of tokens between two updates of a permit.
-	updateEvery = 8
+	permitUpdateTokens = 8
 
 	// releasedLater marks a permit that is released in the background, after its generation is
 	// cancelled.
-	endLater scheduler.End = ""
+	releasedLater scheduler.End = ""
 )
 
 // engineRun is one generation at one engine. All its tokens come from that generation: a broken
 // stream is resumed, never replaced by the stream of another generation.
 type engineRun struct {
-	r      *generation
+	gen    *generation
 	permit scheduler.Permit
 	engine endpoint.Engine
 	id     string
@@ -51,17 +51,17 @@
 }
 
 func newEngineRun(r *generation, permit scheduler.Permit) *engineRun {
-	return &engineRun{r: r, permit: permit, id: uuid.NewString()}
+	return &engineRun{gen: r, permit: permit, id: uuid.NewString()}
 }
 
 // run runs the generation and returns its result and how the permit ended.
-func (u *engineRun) do(ctx context.Context) (verdict, scheduler.End) {
-	engine, ok := u.r.g.endpoints.engine(u.r.g.state.Load(), u.permit.Endpoint)
+func (u *engineRun) run(ctx context.Context) (attemptResult, scheduler.End) {
+	engine, ok := u.gen.g.endpoints.engine(u.gen.g.state.Load(), u.permit.Endpoint)
 	if !ok {
 		return u.notStarted(crocusreel.ReasonNoEndpoint, "endpoint is not in the configuration"), scheduler.EndNotStarted
 	}
 	u.engine = engine
-	if wait := u.r.g.endpoints.pause(u.r.g.state.Load(), u.permit.Endpoint); wait > 0 {
+	if wait := u.gen.g.endpoints.remainingPause(u.gen.g.state.Load(), u.permit.Endpoint); wait > 0 {
 		v := u.notStarted(crocusreel.ReasonEndpointLimit, "the engine asked this gateway for a pause")
 		v.refusal.RetryAfter = wait
 		return v, scheduler.EndNotStarted
@@ -73,67 +73,67 @@
 		if outcomeOf(err) == crocusreel.OutcomeNotRun {
 			return u.notStarted(crocusreel.ReasonEndpointRefused, err.Error()), scheduler.EndNotStarted
 		}
-		u.r.track.step("stream broke", u.permit.Endpoint, err.Error())
+		u.gen.track.step("stream broke", u.permit.Endpoint, err.Error())
 		stream = nil
 	}
-	return u.follow(ctx, stream, err)
+	return u.deliverResuming(ctx, stream, err)
 }
 
 func (u *engineRun) request() endpoint.GenerateRequest {
 	return endpoint.GenerateRequest{
-		RequestID:      u.r.RequestID,
+		RequestID:      u.gen.RequestID,
 		GenerationID:   u.id,
-		Workspace:      u.r.Workspace.Name,
-		Model:          u.r.Model,
-		Adapter:        u.r.Adapter,
-		Prompt:         u.r.Prompt,
-		MaxTokens:      u.r.MaxTokens,
+		Workspace:      u.gen.Workspace.Name,
+		Model:          u.gen.Model,
+		Adapter:        u.gen.Adapter,
+		Prompt:         u.gen.Prompt,
+		MaxTokens:      u.gen.MaxTokens,
 		Priority:       u.permit.EnginePriority,
-		IdempotencyKey: u.key(),
+		IdempotencyKey: u.idempotencyKey(),
 	}
 }
 
 // idempotencyKey is empty for idempotent work: an engine that drops repeats would refuse the second
 // attempt of a request if it lost the first one.
-func (u *engineRun) key() string {
-	if u.r.NonIdempotent {
-		return u.r.IdempotencyKey
+func (u *engineRun) idempotencyKey() string {
+	if u.gen.NonIdempotent {
+		return u.gen.IdempotencyKey
 	}
 	return ""
 }
 
 // deliverResuming delivers the generation's tokens and resumes its stream when it breaks. With a
 // nil stream, cause is the error that broke the first one.
-func (u *engineRun) follow(ctx context.Context, stream endpoint.Stream, cause error) (verdict, scheduler.End) {
+func (u *engineRun) deliverResuming(ctx context.Context, stream endpoint.Stream, cause error) (attemptResult, scheduler.End) {
 	for broken := 0; ; broken++ {
 		if stream != nil {
 			before := u.next
 			cause = u.deliver(stream)
 			_ = stream.Close()
 			if cause == nil {
-				return verdict{}, scheduler.EndFinished
+				return attemptResult{}, scheduler.EndFinished
 			}
 			if ctx.Err() != nil || errors.Is(cause, errCallerGone) {
-				return u.abandoned(ctx)
+				return u.abandon(ctx)
 			}
 			if u.next > before {
 				broken = 0
 			}
-			u.r.track.step("stream broke", u.permit.Endpoint, cause.Error())
+			u.gen.track.step("stream broke", u.permit.Endpoint, cause.Error())
 		}
 		if broken >= resumeAttempts || (u.replaceable() && isStalled(cause)) {
-			return u.lost(), scheduler.EndEndpointLost
+			return u.endpointLost(), scheduler.EndEndpointLost
 		}
 		backoff(ctx, broken+1)
 		if ctx.Err() != nil {
-			return u.abandoned(ctx)
+			return u.abandon(ctx)
 		}
 		metrics.Retried("resume")
 		stream, cause = u.engine.Resume(ctx, u.id, u.next)
 		if cause != nil {
 			stream = nil
 			if isUnknownGeneration(cause) {
-				return u.lost(), scheduler.EndEndpointLost
+				return u.endpointLost(), scheduler.EndEndpointLost
 			}
 		}
 	}
@@ -143,13 +143,13 @@
 // which accepts connections but sends nothing, is abandoned at its first stall: each further resume
 // would cost another stall timeout.
 func (u *engineRun) replaceable() bool {
-	return !u.r.NonIdempotent && (u.next == 0 || u.r.Restartable)
+	return !u.gen.NonIdempotent && (u.next == 0 || u.gen.Restartable)
 }
 
 // deliver passes frames to the caller until the stream ends or breaks. It returns nil only if the
 // answer is complete.
 func (u *engineRun) deliver(raw endpoint.Stream) error {
-	stream := endpoint.Checked(raw, u.r.RequestID, u.id, u.next, metrics.Count)
+	stream := endpoint.Checked(raw, u.gen.RequestID, u.id, u.next, metrics.Count)
 	for {
 		f, err := stream.Next()
 		if err != nil {
@@ -164,7 +164,7 @@
 		if f.Done {
 			return u.finish(f)
 		}
-		if err := u.token(f); err != nil {
+		if err := u.deliverToken(f); err != nil {
 			return err
 		}
 	}
@@ -175,30 +175,30 @@
 		return nil
 	}
 	u.begun = true
-	text, err := u.r.g.signer.Sign(handle.Handle{
+	text, err := u.gen.g.signer.Sign(handle.Handle{
 		Endpoint:     u.permit.Endpoint,
 		GenerationID: u.id,
-		RequestID:    u.r.RequestID,
-		Workspace:    u.r.Workspace.Name,
-		Model:        u.r.Model,
+		RequestID:    u.gen.RequestID,
+		Workspace:    u.gen.Workspace.Name,
+		Model:        u.gen.Model,
 		Expires:      time.Now().Add(handleLifetime),
 	})
 	if err != nil {
 		return err
 	}
-	return u.r.sink.Begin(caller.Begin{Model: u.r.Model, Handle: text, Endpoint: u.permit.Endpoint})
+	return u.gen.sink.Begin(caller.Begin{Model: u.gen.Model, Handle: text, Endpoint: u.permit.Endpoint})
 }
 
-func (u *engineRun) token(f endpoint.Frame) error {
-	if err := u.r.sink.Token(f.Index, f.Text); err != nil {
+func (u *engineRun) deliverToken(f endpoint.Frame) error {
+	if err := u.gen.sink.Token(f.Index, f.Text); err != nil {
 		return err
 	}
 	u.next = f.Index + 1
-	if u.r.claim != nil {
+	if u.gen.claim != nil {
 		u.texts = append(u.texts, f.Text)
 	}
-	if u.next%updateEvery == 0 {
-		u.r.g.permits.Update(u.permit.ID, u.next)
+	if u.next%permitUpdateTokens == 0 {
+		u.gen.g.permits.Update(u.permit.ID, u.next)
 	}
 	return nil
 }
@@ -207,18 +207,18 @@
 // caller that missed the end retries with the same key and gets the stored result.
 func (u *engineRun) finish(f endpoint.Frame) error {
 	done := caller.Finish{Reason: f.FinishReason, Tokens: f.Index, PromptTokens: f.PromptTokens, Preemptions: f.Preemptions}
-	if u.r.claim != nil {
-		u.r.g.keepResult(u.r.claim, answerResult(u.r.Model, u.permit.Endpoint, u.texts, done))
-		u.r.claim = nil
+	if u.gen.claim != nil {
+		u.gen.g.storeResult(u.gen.claim, encodeAnswer(u.gen.Model, u.permit.Endpoint, u.texts, done))
+		u.gen.claim = nil
 	}
-	u.r.track.step("finished", u.permit.Endpoint, f.FinishReason)
-	return u.r.sink.Finish(done)
+	u.gen.track.step("finished", u.permit.Endpoint, f.FinishReason)
+	return u.gen.sink.Finish(done)
 }
 
 // abandon handles a caller that is gone or whose deadline has passed. A caller that is gone may
 // resume through another gateway, so its generation is cancelled only after resumeGrace, and only
 // if nothing is attached to it at that time.
-func (u *engineRun) abandoned(ctx context.Context) (verdict, scheduler.End) {
+func (u *engineRun) abandon(ctx context.Context) (attemptResult, scheduler.End) {
 	outcome := crocusreel.OutcomeRan
 	if u.next == 0 {
 		outcome = crocusreel.OutcomeUnknown
@@ -226,7 +226,7 @@
 	if errors.Is(context.Cause(ctx), errShuttingDown) {
 		// The caller resumes through another gateway. If it does not, the engine cancels the
 		// generation by itself.
-		return verdict{refusal: contextRefusal(ctx, outcome)}, scheduler.EndCancelled
+		return attemptResult{refusal: contextRefusal(ctx, outcome)}, scheduler.EndCancelled
 	}
 	grace := resumeGrace
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -234,12 +234,12 @@
 	}
 	permit := u.permit
 	permit.Produced = u.next
-	u.r.g.background(func() {
+	u.gen.g.background(func() {
 		time.Sleep(grace)
 		u.cancel()
-		u.r.g.permits.Release(scheduler.Release{Permit: permit, End: scheduler.EndCancelled})
+		u.gen.g.permits.Release(scheduler.Release{Permit: permit, End: scheduler.EndCancelled})
 	})
-	return verdict{refusal: contextRefusal(ctx, outcome)}, endLater
+	return attemptResult{refusal: contextRefusal(ctx, outcome)}, releasedLater
 }
 
 func (u *engineRun) cancel() {
@@ -254,23 +254,23 @@
 
 // endpointLost handles a generation that can no longer be reached. It is replaced by another only
 // if the caller has received none of its tokens.
-func (u *engineRun) lost() verdict {
-	u.r.g.background(u.cancel)
-	if u.r.NonIdempotent {
-		return verdict{refusal: crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetryAfter,
+func (u *engineRun) endpointLost() attemptResult {
+	u.gen.g.background(u.cancel)
+	if u.gen.NonIdempotent {
+		return attemptResult{refusal: crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetryAfter,
 			"the endpoint was lost after the work was sent")}
 	}
 	if u.replaceable() {
-		return verdict{again: true, refusal: crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetryAfter,
+		return attemptResult{retryable: true, refusal: crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetryAfter,
 			"the endpoint was lost before the answer was whole")}
 	}
-	return verdict{refusal: crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, lostRetryAfter,
+	return attemptResult{refusal: crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, lostRetryAfter,
 		"the endpoint was lost after %d tokens; the rest of this generation cannot be had", u.next)}
 }
 
-func (u *engineRun) notStarted(reason crocusreel.Reason, detail string) verdict {
-	u.r.track.step("not started", u.permit.Endpoint, detail)
-	return verdict{again: true, refusal: crocusreel.Refuse(reason, crocusreel.OutcomeNotRun, lostRetryAfter, "%s", detail)}
+func (u *engineRun) notStarted(reason crocusreel.Reason, detail string) attemptResult {
+	u.gen.track.step("not started", u.permit.Endpoint, detail)
+	return attemptResult{retryable: true, refusal: crocusreel.Refuse(reason, crocusreel.OutcomeNotRun, lostRetryAfter, "%s", detail)}
 }
 
 func outcomeOf(err error) crocusreel.Outcome {
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -53,10 +53,10 @@
 // fakeEngine yields the tokens of one answer.
 type fakeEngine struct {
 	endpoint.Engine
-	mu         sync.Mutex
-	refuse     *endpoint.Error
-	breakAfter []int // index at which each stream breaks, in order; further streams are complete
-	forgets    bool
+	mu                sync.Mutex
+	refuse            *endpoint.Error
+	breakAt           []int // index at which each stream breaks, in order; further streams are complete
+	forgetsGeneration bool
 	// frozen makes every stream stall at once; stalls counts them.
 	frozen  bool
 	stalls  int
@@ -80,7 +80,7 @@
 func (e *fakeEngine) Resume(_ context.Context, id string, next int) (endpoint.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.forgets || id != e.request.GenerationID {
+	if e.forgetsGeneration || id != e.request.GenerationID {
 		return nil, &endpoint.Error{Kind: endpoint.KindUnknownGeneration, Outcome: crocusreel.OutcomeUnknown}
 	}
 	return e.stream(next), nil
@@ -90,9 +90,9 @@
 
 func (e *fakeEngine) stream(next int) endpoint.Stream {
 	s := &fakeStream{e: e, next: next, end: -1}
-	if len(e.breakAfter) > 0 {
-		s.end = e.breakAfter[0]
-		e.breakAfter = e.breakAfter[1:]
+	if len(e.breakAt) > 0 {
+		s.end = e.breakAt[0]
+		e.breakAt = e.breakAt[1:]
 	}
 	return s
 }
@@ -218,20 +218,20 @@
 		Workspaces: []config.WorkspaceSpec{{Name: "w", MaxStreams: 10}},
 		Limits:     config.LimitSpec{Attempts: 3, RetryRatio: 0.1},
 	}
-	known := newEndpoints(newNotices("vm", time.Now, zap.NewNop()))
+	clients := newEndpoints(newNotices("vm", time.Now, zap.NewNop()))
 	for name, e := range engines {
 		cfg.Endpoints = append(cfg.Endpoints, config.EndpointSpec{Name: name, Kind: config.KindEngine, Address: name})
-		known.engines[name] = e
+		clients.engines[name] = e
 	}
 	tables := &fakeTables{rows: map[string]platform.Row{}}
 	tg := &testGateway{permits: &fakePermits{order: order}, tables: tables, engines: engines}
-	book := ledger.New(tables, nil, ledger.Options{Gateway: "vm", Now: time.Now, NewAttemptID: uuid.NewString})
+	resultLedger := ledger.New(tables, nil, ledger.Options{Gateway: "vm", Now: time.Now, NewAttemptID: uuid.NewString})
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		book.Close(ctx)
+		resultLedger.Close(ctx)
 	})
-	g := newGateway(processSettings{}, neighbours{permits: tg.permits, ledger: book, signer: signer, endpoints: known}, zap.NewNop())
+	g := newGateway(processSettings{}, dependencies{permits: tg.permits, ledger: resultLedger, signer: signer, endpoints: clients}, zap.NewNop())
 	g.state.Store(newSnapshot(1, cfg, nil))
 	tg.Gateway = g
 	tg.ws = &cfg.Workspaces[0]
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,10 +24,10 @@
 const (
 	// notReadyRetryAfter is the retry delay sent to callers of a gateway that has no configuration
 	// yet.
-	notReadyRetry = time.Second
+	notReadyRetryAfter = time.Second
 	// leavingRetryAfter is the retry delay sent to callers of a gateway that accepts no new work.
 	// It is short because other gateways can serve them at once.
-	leavingRetry = 100 * time.Millisecond
+	leavingRetryAfter = 100 * time.Millisecond
 	// retryBurst is the maximum number of retries that a workspace can accumulate, and
 	// endpointRetryBurst that of a plain service.
 	retryBurst         = 20
@@ -53,27 +53,27 @@
 // Gateway serves callers. Only the goroutine that runs watch writes state; requests read its latest
 // snapshot.
 type Gateway struct {
-	neighbours
+	dependencies
 	settings processSettings
 	log      *zap.Logger
 	state    atomic.Pointer[snapshot]
 	balancer *balancer
-	// Retry budgets, by workspace and by plain service.
-	budgets, endpointBudgets *retry.Budgets
-	strikes                  *strikes
-	teller                   teller
-	records                  *records
-	running                  *concurrency
-	drain                    drain
-	tasks                    sync.WaitGroup
-	callers                  *http.Server
+	// Retry workspaceRetryBudgets, by workspace and by plain service.
+	workspaceRetryBudgets, endpointRetryBudgets *retry.Budgets
+	strikes                                     *strikes
+	strikeBroadcaster                           strikeBroadcaster
+	records                                     *records
+	running                                     *concurrency
+	drain                                       drain
+	backgroundTasks                             sync.WaitGroup
+	callerServer                                *http.Server
 	// shutdown is done when running requests must be aborted; abortAll cancels it.
-	ending context.Context
-	end    context.CancelFunc
+	shutdown context.Context
+	abortAll context.CancelFunc
 }
 
 // dependencies are the components of a gateway that do input and output.
-type neighbours struct {
+type dependencies struct {
 	permits   permitSource
 	ledger    *ledger.Ledger
 	signer    *handle.Signer
@@ -82,29 +82,29 @@
 	peers     gatewayPeers
 }
 
-func newGateway(s processSettings, n neighbours, log *zap.Logger) *Gateway {
+func newGateway(s processSettings, n dependencies, log *zap.Logger) *Gateway {
 	g := &Gateway{
-		settings:        s,
-		neighbours:      n,
-		log:             log,
-		balancer:        newBalancer(time.Now),
-		budgets:         retry.NewBudgets(retryBurst),
-		endpointBudgets: retry.NewBudgets(endpointRetryBurst),
-		strikes:         newStrikes(),
-		records:         newRecords(log),
-		running:         newConcurrency(),
+		settings:              s,
+		dependencies:          n,
+		log:                   log,
+		balancer:              newBalancer(time.Now),
+		workspaceRetryBudgets: retry.NewBudgets(retryBurst),
+		endpointRetryBudgets:  retry.NewBudgets(endpointRetryBurst),
+		strikes:               newStrikes(),
+		records:               newRecords(log),
+		running:               newConcurrency(),
 	}
-	g.ending, g.end = context.WithCancel(context.Background())
+	g.shutdown, g.abortAll = context.WithCancel(context.Background())
 	return g
 }
 
 // Ready implements caller.Core.
 func (g *Gateway) Ready() *crocusreel.Refusal {
 	if g.state.Load() == nil {
-		return crocusreel.Refuse(crocusreel.ReasonNotReady, crocusreel.OutcomeNotRun, notReadyRetry, "no configuration yet")
+		return crocusreel.Refuse(crocusreel.ReasonNotReady, crocusreel.OutcomeNotRun, notReadyRetryAfter, "no configuration yet")
 	}
 	if g.drain.refusing() {
-		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, crocusreel.OutcomeNotRun, leavingRetry, "this gateway is leaving; use another address")
+		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, crocusreel.OutcomeNotRun, leavingRetryAfter, "this gateway is leaving; use another address")
 	}
 	return nil
 }
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -37,11 +37,11 @@
 }
 
 // attemptResult is the result of one attempt at an endpoint.
-type verdict struct {
+type attemptResult struct {
 	// refusal is nil if the answer is complete.
 	refusal *crocusreel.Refusal
 	// retryable is set if another attempt is allowed.
-	again bool
+	retryable bool
 }
 
 // Generate implements caller.Core.
@@ -59,9 +59,9 @@
 	if limit := snap.models[gen.Model].MaxTokens; r.MaxTokens == 0 || r.MaxTokens > limit {
 		r.MaxTokens = limit
 	}
-	ctx, cancel := g.untilEnd(ctx)
+	ctx, cancel := g.withShutdown(ctx)
 	defer cancel()
-	refusal := r.runGuarded(ctx)
+	refusal := r.runDetachable(ctx)
 	track.end(refusal)
 	return refusal
 }
@@ -69,12 +69,12 @@
 // runDetachable runs the generation. Claimed work continues when its caller disconnects or its
 // deadline passes, so that the result is stored for the caller's next attempt with the same key;
 // the caller itself is answered at once.
-func (r *generation) runGuarded(ctx context.Context) *crocusreel.Refusal {
+func (r *generation) runDetachable(ctx context.Context) *crocusreel.Refusal {
 	if !r.NonIdempotent {
 		return r.run(ctx)
 	}
-	refusal, left := outlive(ctx, r.g, r.claimed, func() *crocusreel.Refusal { return r.run(ctx) })
-	if left {
+	refusal, detached := runUntilDetached(ctx, r.g, r.claimed, func() *crocusreel.Refusal { return r.run(ctx) })
+	if detached {
 		r.sink.detach()
 		return contextRefusal(ctx, crocusreel.OutcomeUnknown)
 	}
@@ -83,7 +83,7 @@
 
 func (r *generation) run(ctx context.Context) *crocusreel.Refusal {
 	limits := r.snap.config.Limits
-	budget := r.g.budgets.Get(r.Workspace.Name, limits.RetryRatio)
+	budget := r.g.workspaceRetryBudgets.Get(r.Workspace.Name, limits.RetryRatio)
 	budget.RecordAttempt()
 	var tries outcomes
 	for attempt := 1; ; attempt++ {
@@ -92,7 +92,7 @@
 			return nil
 		}
 		v.refusal = tries.add(v.refusal)
-		if !v.again || attempt >= limits.Attempts {
+		if !v.retryable || attempt >= limits.Attempts {
 			return r.g.endClaim(ctx, r.claim, v.refusal)
 		}
 		// Engines need no retry budget of their own: the permits of their scheduler bound the
@@ -107,26 +107,26 @@
 }
 
 // attempt gets a permit, claims the run if the work is non-idempotent, and runs it once.
-func (r *generation) attempt(ctx context.Context) verdict {
+func (r *generation) attempt(ctx context.Context) attemptResult {
 	permit, refusal := r.acquire(ctx)
 	if refusal != nil {
-		return verdict{refusal: refusal}
+		return attemptResult{refusal: refusal}
 	}
 	if r.NonIdempotent && r.claim == nil {
 		// The claim is made after the permit was granted, so that it is not held while the request
 		// is queued.
 		if done, refusal := r.takeClaim(ctx); done || refusal != nil {
 			r.g.permits.Release(scheduler.Release{Permit: permit, End: scheduler.EndNotStarted})
-			return verdict{refusal: refusal}
+			return attemptResult{refusal: refusal}
 		}
 	}
 	if r.claim != nil {
 		ctx = context.WithoutCancel(ctx)
 	}
 	run := newEngineRun(r, permit)
-	v, end := run.do(ctx)
+	v, end := run.run(ctx)
 	permit.Produced = run.next
-	if end != endLater {
+	if end != releasedLater {
 		r.g.permits.Release(scheduler.Release{Permit: permit, End: end})
 	}
 	r.excluded = append(r.excluded, permit.Endpoint)
@@ -167,13 +167,13 @@
 
 // takeClaim claims the run. done is set if the result of an earlier attempt was replayed.
 func (r *generation) takeClaim(ctx context.Context) (done bool, refusal *crocusreel.Refusal) {
-	claim, kept, refusal := r.g.claim(ctx, r.Attempt)
+	claim, stored, refusal := r.g.claim(ctx, r.Attempt)
 	if refusal != nil {
 		return false, refusal
 	}
-	if kept != nil {
+	if stored != nil {
 		r.track.step("replay", "", "")
-		return true, replay(*kept, r.sink)
+		return true, replay(*stored, r.sink)
 	}
 	r.claim = claim
 	close(r.claimed)
@@ -195,11 +195,11 @@
 	if len(all) <= maxPrefixes {
 		return all
 	}
-	some := make([]uint64, maxPrefixes)
-	for i := range some {
-		some[i] = all[(i+1)*len(all)/maxPrefixes-1]
+	selected := make([]uint64, maxPrefixes)
+	for i := range selected {
+		selected[i] = all[(i+1)*len(all)/maxPrefixes-1]
 	}
-	return some
+	return selected
 }
 
 // backoff waits before the next attempt to resume at the same endpoint.
--- a/gateway/generate_test.go
+++ b/gateway/generate_test.go
@@ -12,10 +12,10 @@
 	"github.com/crocusreel/crocusreel/endpoint"
 )
 
-func lostBefore(index int) []int { return []int{index} }
+func breakOnceAt(index int) []int { return []int{index} }
 
 // expectComplete checks that the answer is complete, in order and from one generation.
-func expectWhole(g *gomega.WithT, sink *fakeSink, e *fakeEngine) {
+func expectComplete(g *gomega.WithT, sink *fakeSink, e *fakeEngine) {
 	want := ""
 	for i := range e.length {
 		want += token(e.request.GenerationID, i)
@@ -29,11 +29,11 @@
 // error.
 func TestBrokenStreamIsResumed(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := &fakeEngine{length: 20, breakAfter: []int{5, 9}}
+	e := &fakeEngine{length: 20, breakAt: []int{5, 9}}
 	tg := newTestGateway(t, map[string]*fakeEngine{"e1": e}, "e1")
 	sink := &fakeSink{}
 	g.Expect(tg.Generate(context.Background(), tg.generation(""), sink)).To(gomega.BeNil())
-	expectWhole(g, sink, e)
+	expectComplete(g, sink, e)
 	g.Expect(e.starts).To(gomega.HaveLen(1))
 }
 
@@ -42,7 +42,7 @@
 // typed error.
 func TestLostGenerationIsNotSpliced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	dying := &fakeEngine{length: 20, breakAfter: lostBefore(5), forgets: true}
+	dying := &fakeEngine{length: 20, breakAt: breakOnceAt(5), forgetsGeneration: true}
 	other := &fakeEngine{length: 20}
 	tg := newTestGateway(t, map[string]*fakeEngine{"e1": dying, "e2": other}, "e1", "e2")
 	sink := &fakeSink{}
@@ -64,14 +64,14 @@
 			if restartable {
 				at = 7
 			}
-			dying := &fakeEngine{length: 20, breakAfter: lostBefore(at), forgets: true}
+			dying := &fakeEngine{length: 20, breakAt: breakOnceAt(at), forgetsGeneration: true}
 			other := &fakeEngine{length: 20}
 			tg := newTestGateway(t, map[string]*fakeEngine{"e1": dying, "e2": other}, "e1", "e2")
 			sink := &fakeSink{}
 			gen := tg.generation("")
 			gen.Restartable = restartable
 			g.Expect(tg.Generate(context.Background(), gen, sink)).To(gomega.BeNil())
-			expectWhole(g, sink, other)
+			expectComplete(g, sink, other)
 		})
 	}
 }
@@ -86,7 +86,7 @@
 	tg := newTestGateway(t, map[string]*fakeEngine{"e1": frozen, "e2": other}, "e1", "e2")
 	sink := &fakeSink{}
 	g.Expect(tg.Generate(context.Background(), tg.generation(""), sink)).To(gomega.BeNil())
-	expectWhole(g, sink, other)
+	expectComplete(g, sink, other)
 	g.Expect(frozen.stalls).To(gomega.Equal(1))
 }
 
@@ -106,9 +106,9 @@
 
 // Guards against a false not_run when an engine dies while it runs an idempotent request and no
 // other has capacity. The last attempt did not run, but the request may have.
-func TestLostThenRefusedIsNotNotRun(t *testing.T) {
+func TestLostThenRefusedHasUnknownOutcome(t *testing.T) {
 	g := gomega.NewWithT(t)
-	dying := &fakeEngine{length: 20, breakAfter: lostBefore(0), forgets: true}
+	dying := &fakeEngine{length: 20, breakAt: breakOnceAt(0), forgetsGeneration: true}
 	tg := newTestGateway(t, map[string]*fakeEngine{"e1": dying}, "e1")
 	refusal := tg.Generate(context.Background(), tg.generation(""), &fakeSink{})
 	g.Expect(refusal).NotTo(gomega.BeNil())
@@ -120,7 +120,7 @@
 // caller must get the outcome unknown, also when it retries.
 func TestNonIdempotentIsNeverRunTwice(t *testing.T) {
 	g := gomega.NewWithT(t)
-	dying := &fakeEngine{length: 20, breakAfter: lostBefore(0), forgets: true}
+	dying := &fakeEngine{length: 20, breakAt: breakOnceAt(0), forgetsGeneration: true}
 	other := &fakeEngine{length: 20}
 	tg := newTestGateway(t, map[string]*fakeEngine{"e1": dying, "e2": other}, "e1", "e2", "e2")
 	for range 2 {
@@ -159,7 +159,7 @@
 	hangUp()
 	g.Eventually(ended).Should(gomega.Receive(gomega.HaveField("Outcome", crocusreel.OutcomeUnknown)))
 	close(e.gate)
-	tg.tasks.Wait()
+	tg.backgroundTasks.Wait()
 	sink := &fakeSink{}
 	g.Expect(tg.Generate(context.Background(), tg.generation("key"), sink)).To(gomega.BeNil())
 	g.Expect(sink.tokens).To(gomega.HaveLen(20))
@@ -180,7 +180,7 @@
 	g.Expect(tg.Resume(context.Background(), req, rest)).To(gomega.BeNil())
 	first.tokens = append(first.tokens, rest.tokens...)
 	first.finished = rest.finished
-	expectWhole(g, first, e)
+	expectComplete(g, first, e)
 
 	stranger := *tg.ws
 	stranger.Name = "other"
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -12,18 +12,18 @@
 
 const (
 	// minHedgeDelay keeps normal jitter from causing a hedged call.
-	leastHedgeDelay = 20 * time.Millisecond
+	minHedgeDelay = 20 * time.Millisecond
 	// initialHedgeDelay is the hedge delay while no latency has been recorded.
-	firstHedgeDelay = 100 * time.Millisecond
+	initialHedgeDelay = 100 * time.Millisecond
 	// hedgeDeviations is the number of mean deviations above the mean latency at which a call is
 	// late.
-	lateDeviations = 6
+	hedgeDeviations = 6
 	// latencyWeight is the weight of one call in the moving averages.
 	latencyWeight = 0.05
 )
 
 // errHedgeLost is the cancellation cause of the slower of two hedged calls.
-var errOvertaken = errors.New("another endpoint replied first")
+var errHedgeLost = errors.New("another endpoint replied first")
 
 // latency holds the moving averages of call latencies and of their deviations from the mean.
 type latency struct {
@@ -42,15 +42,15 @@
 	l.deviation += latencyWeight * (max(difference, -difference) - l.deviation)
 }
 
-func (l *latency) late() time.Duration {
+func (l *latency) hedgeDelay() time.Duration {
 	if !l.known {
-		return firstHedgeDelay
+		return initialHedgeDelay
 	}
-	return max(time.Duration((l.mean+lateDeviations*l.deviation)*float64(time.Second)), leastHedgeDelay)
+	return max(time.Duration((l.mean+hedgeDeviations*l.deviation)*float64(time.Second)), minHedgeDelay)
 }
 
 // sendResult is the result of sending a call to one endpoint.
-type exchanged struct {
+type sendResult struct {
 	spec  *config.EndpointSpec
 	reply endpoint.Reply
 	err   error
@@ -61,35 +61,35 @@
 // otherwise wait for the route's whole timeout. The second call is charged to the retry budgets of
 // the workspace and of the second endpoint, so that hedging does not double the load on slow
 // endpoints.
-func (c *call) send(ctx context.Context, first *config.EndpointSpec) (endpoint.Reply, *config.EndpointSpec, error) {
+func (c *call) sendHedged(ctx context.Context, first *config.EndpointSpec) (endpoint.Reply, *config.EndpointSpec, error) {
 	c.excluded = append(c.excluded, first.Name)
 	if c.NonIdempotent {
-		reply, err := c.exchange(ctx, first)
+		reply, err := c.sendTo(ctx, first)
 		return reply, first, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(errOvertaken)
-	ends := make(chan exchanged, 2)
-	begin := func(spec *config.EndpointSpec) {
+	defer cancel(errHedgeLost)
+	results := make(chan sendResult, 2)
+	start := func(spec *config.EndpointSpec) {
 		go func() {
-			reply, err := c.exchange(ctx, spec)
-			ends <- exchanged{spec: spec, reply: reply, err: err}
+			reply, err := c.sendTo(ctx, spec)
+			results <- sendResult{spec: spec, reply: reply, err: err}
 		}()
 	}
-	begin(first)
+	start(first)
 	running := 1
-	late := time.NewTimer(c.g.balancer.hedgeDelay())
-	defer late.Stop()
+	hedgeTimer := time.NewTimer(c.g.balancer.hedgeDelay())
+	defer hedgeTimer.Stop()
 	for {
 		select {
-		case e := <-ends:
+		case e := <-results:
 			running--
 			if e.err == nil || running == 0 {
 				return e.reply, e.spec, e.err
 			}
-		case <-late.C:
-			if second, ok := c.second(); ok {
-				begin(second)
+		case <-hedgeTimer.C:
+			if second, ok := c.hedgeEndpoint(); ok {
+				start(second)
 				running++
 			}
 		}
@@ -97,9 +97,9 @@
 }
 
 // hedgeEndpoint chooses another endpoint for a late call, if one is left and the budgets allow it.
-func (c *call) second() (*config.EndpointSpec, bool) {
-	spec, _ := c.choose()
-	if spec == nil || !c.g.payRetry(c.Workspace.Name, spec.Name, c.snap.config.Limits.RetryRatio) {
+func (c *call) hedgeEndpoint() (*config.EndpointSpec, bool) {
+	spec, _ := c.chooseEndpoint()
+	if spec == nil || !c.g.allowRetry(c.Workspace.Name, spec.Name, c.snap.config.Limits.RetryRatio) {
 		return nil, false
 	}
 	c.excluded = append(c.excluded, spec.Name)
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -10,14 +10,14 @@
 )
 
 // streamLimitRetryAfter is the retry delay sent to callers of a workspace that is at its limit.
-const streamLimitRetry = 500 * time.Millisecond
+const streamLimitRetryAfter = 500 * time.Millisecond
 
 // concurrency counts the running requests of each workspace. Without a limit, a burst from one
 // workspace would use up this gateway's memory at the expense of all others.
 type concurrency struct {
-	mu      sync.Mutex
-	running map[string]int
-	all     int
+	mu           sync.Mutex
+	running      map[string]int
+	runningTotal int
 }
 
 func newConcurrency() *concurrency {
@@ -31,14 +31,14 @@
 		return false
 	}
 	c.running[workspace]++
-	c.all++
+	c.runningTotal++
 	return true
 }
 
 func (c *concurrency) leave(workspace string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.all--
+	c.runningTotal--
 	if c.running[workspace]--; c.running[workspace] == 0 {
 		delete(c.running, workspace)
 	}
@@ -47,13 +47,13 @@
 func (c *concurrency) total() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.all
+	return c.runningTotal
 }
 
 // Enter implements caller.Core.
 func (g *Gateway) Enter(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal) {
 	if !g.running.enter(ws.Name, ws.MaxStreams) {
-		return nil, crocusreel.Refuse(crocusreel.ReasonStreamLimit, crocusreel.OutcomeNotRun, streamLimitRetry,
+		return nil, crocusreel.Refuse(crocusreel.ReasonStreamLimit, crocusreel.OutcomeNotRun, streamLimitRetryAfter,
 			"workspace has %d requests running at this gateway", ws.MaxStreams)
 	}
 	return func() { g.running.leave(ws.Name) }, nil
@@ -62,8 +62,8 @@
 // allowRetry takes one retry from the budgets of the workspace and of the plain service that would
 // receive it. Without a budget per endpoint, the retries of many workspaces, each within its own
 // budget, would add up at the last service that is alive.
-func (g *Gateway) payRetry(workspace, endpoint string, ratio float64) bool {
-	if g.endpointBudgets.Get(endpoint, ratio).AllowRetry() && g.budgets.Get(workspace, ratio).AllowRetry() {
+func (g *Gateway) allowRetry(workspace, endpoint string, ratio float64) bool {
+	if g.endpointRetryBudgets.Get(endpoint, ratio).AllowRetry() && g.workspaceRetryBudgets.Get(workspace, ratio).AllowRetry() {
 		return true
 	}
 	metrics.Count("retry_denied")
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -25,7 +25,7 @@
 const (
 	limitPerSecond = 3.0
 	limitWindow    = 4 * time.Second
-	limitKnown     = 500 * time.Millisecond
+	limitLearnTime = 500 * time.Millisecond
 	limitAllowed   = int(1.5*limitPerSecond*4) + 5
 )
 
@@ -34,19 +34,19 @@
 	*httptest.Server
 	mu       sync.Mutex
 	status   int
-	says     map[string]string
+	headers  map[string]string
 	arrivals []time.Time
 }
 
-func newNoticeService(t *testing.T, status int, says map[string]string) *noticeService {
-	s := &noticeService{status: status, says: says}
+func newNoticeService(t *testing.T, status int, headers map[string]string) *noticeService {
+	s := &noticeService{status: status, headers: headers}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if r.URL.Path != endpoint.PathHealth {
 			s.arrivals = append(s.arrivals, time.Now())
 		}
-		for name, value := range s.says {
+		for name, value := range s.headers {
 			w.Header().Set(name, value)
 		}
 		w.WriteHeader(s.status)
@@ -58,20 +58,20 @@
 func (s *noticeService) address() string { return strings.TrimPrefix(s.URL, "http://") }
 
 // setAnswer replaces the status and the headers of all further answers.
-func (s *noticeService) say(status int, name, value string) {
+func (s *noticeService) setAnswer(status int, name, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status, s.says = status, map[string]string{name: value}
+	s.status, s.headers = status, map[string]string{name: value}
 }
 
-func (s *noticeService) arrived() int {
+func (s *noticeService) arrivalCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.arrivals)
 }
 
 // maxArrivals returns the largest number of arrivals after the given time within one window.
-func (s *noticeService) mostWithin(after time.Time, window time.Duration) int {
+func (s *noticeService) maxArrivals(after time.Time, window time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var late []time.Time
@@ -91,7 +91,7 @@
 }
 
 // newGatewaysTo returns the given number of gateways with a route to the services.
-func gatewaysBefore(t *testing.T, count int, services ...*noticeService) []*testGateway {
+func newGatewaysTo(t *testing.T, count int, services ...*noticeService) []*testGateway {
 	var members []*peerv1.Member
 	for i := range count {
 		members = append(members, &peerv1.Member{Id: fmt.Sprint("vm", i), GatewayAddress: fmt.Sprintf("10.0.0.%d:1", i)})
@@ -116,7 +116,7 @@
 }
 
 // callRepeatedly calls through all gateways for the given time and returns the refusals.
-func press(gateways []*testGateway, length time.Duration) []*crocusreel.Refusal {
+func callRepeatedly(gateways []*testGateway, length time.Duration) []*crocusreel.Refusal {
 	var mu sync.Mutex
 	var refusals []*crocusreel.Refusal
 	var callers sync.WaitGroup
@@ -151,8 +151,8 @@
 			limited := newNoticeService(t, http.StatusOK, map[string]string{endpoint.HeaderRequestLimit: fmt.Sprint(limitPerSecond)})
 			other := newNoticeService(t, c.others, map[string]string{endpoint.HeaderOutcome: refusedOutcome(c.others)})
 			began := time.Now()
-			refusals := press(gatewaysBefore(t, 3, limited, other), limitKnown+limitWindow+time.Second)
-			g.Expect(limited.mostWithin(began.Add(limitKnown), limitWindow)).To(gomega.BeNumerically("<=", limitAllowed))
+			refusals := callRepeatedly(newGatewaysTo(t, 3, limited, other), limitLearnTime+limitWindow+time.Second)
+			g.Expect(limited.maxArrivals(began.Add(limitLearnTime), limitWindow)).To(gomega.BeNumerically("<=", limitAllowed))
 			if c.others == http.StatusOK {
 				g.Expect(refusals).To(gomega.BeEmpty())
 			}
@@ -171,7 +171,7 @@
 func TestCallBeyondTheOnlyServicesLimitIsRefusedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limited := newNoticeService(t, http.StatusOK, map[string]string{endpoint.HeaderRequestLimit: "0.5"})
-	tg := gatewaysBefore(t, 3, limited)[0]
+	tg := newGatewaysTo(t, 3, limited)[0]
 	_, refusal := tg.call(http.MethodGet, "")
 	g.Expect(refusal).To(gomega.BeNil())
 	began := time.Now()
@@ -194,17 +194,17 @@
 	g := gomega.NewWithT(t)
 	leaving := newNoticeService(t, http.StatusOK, map[string]string{endpoint.HeaderLeaving: "1"})
 	other := newNoticeService(t, http.StatusOK, nil)
-	tg := gatewaysBefore(t, 1, leaving, other)[0]
+	tg := newGatewaysTo(t, 1, leaving, other)[0]
 	for range 40 {
 		_, refusal := tg.call(http.MethodGet, "")
 		g.Expect(refusal).To(gomega.BeNil())
 	}
-	g.Expect(leaving.arrived()).To(gomega.BeNumerically("<=", 1))
-	leaving.say(http.StatusOK, endpoint.HeaderLeaving, "")
+	g.Expect(leaving.arrivalCount()).To(gomega.BeNumerically("<=", 1))
+	leaving.setAnswer(http.StatusOK, endpoint.HeaderLeaving, "")
 	g.Eventually(func() int {
 		_, _ = tg.call(http.MethodGet, "")
-		return leaving.arrived()
-	}, 3*recheckEvery, 10*time.Millisecond).Should(gomega.BeNumerically(">", 1))
+		return leaving.arrivalCount()
+	}, 3*leavingRecheckInterval, 10*time.Millisecond).Should(gomega.BeNumerically(">", 1))
 }
 
 // Guards against calls, first attempts as well as retries, to a service that has refused one and
@@ -215,22 +215,22 @@
 	paused := newNoticeService(t, http.StatusServiceUnavailable,
 		map[string]string{"Retry-After": "2", endpoint.HeaderOutcome: string(crocusreel.OutcomeNotRun)})
 	other := newNoticeService(t, http.StatusOK, nil)
-	tg := gatewaysBefore(t, 1, paused, other)[0]
-	for paused.arrived() == 0 {
+	tg := newGatewaysTo(t, 1, paused, other)[0]
+	for paused.arrivalCount() == 0 {
 		_, _ = tg.call(http.MethodGet, "")
 	}
-	before := paused.arrived()
+	before := paused.arrivalCount()
 	end := time.Now().Add(pause - 200*time.Millisecond)
 	for time.Now().Before(end) {
 		_, refusal := tg.call(http.MethodGet, "")
 		g.Expect(refusal).To(gomega.BeNil())
 		time.Sleep(5 * time.Millisecond)
 	}
-	g.Expect(paused.arrived()).To(gomega.Equal(before))
+	g.Expect(paused.arrivalCount()).To(gomega.Equal(before))
 	time.Sleep(400 * time.Millisecond)
 	g.Eventually(func() int {
 		_, _ = tg.call(http.MethodGet, "")
-		return paused.arrived()
+		return paused.arrivalCount()
 	}).Should(gomega.BeNumerically(">", before))
 }
 
@@ -239,7 +239,7 @@
 	g := gomega.NewWithT(t)
 	paused := newNoticeService(t, http.StatusServiceUnavailable,
 		map[string]string{"Retry-After": "2", endpoint.HeaderOutcome: string(crocusreel.OutcomeNotRun)})
-	tg := gatewaysBefore(t, 1, paused)[0]
+	tg := newGatewaysTo(t, 1, paused)[0]
 	_, _ = tg.call(http.MethodGet, "")
 	began := time.Now()
 	_, refusal := tg.call(http.MethodGet, "")
@@ -247,7 +247,7 @@
 	g.Expect(refusal.Outcome).To(gomega.Equal(crocusreel.OutcomeNotRun))
 	g.Expect(refusal.RetryAfter).To(gomega.BeNumerically("~", 2*time.Second, 200*time.Millisecond))
 	g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second))
-	g.Expect(paused.arrived()).To(gomega.Equal(1))
+	g.Expect(paused.arrivalCount()).To(gomega.Equal(1))
 }
 
 // Guards against sending generations to an engine that has asked this gateway for a pause.
@@ -255,7 +255,7 @@
 	g := gomega.NewWithT(t)
 	paused, other := &fakeEngine{length: 3}, &fakeEngine{length: 3}
 	tg := newTestGateway(t, map[string]*fakeEngine{"e1": paused, "e2": other}, "e1", "e2")
-	tg.endpoints.notices.note("e1", notice.Notice{Pause: time.Minute})
+	tg.endpoints.notices.record("e1", notice.Notice{Pause: time.Minute})
 	g.Expect(tg.Generate(context.Background(), tg.generation(""), &fakeSink{})).To(gomega.BeNil())
 	g.Expect(paused.starts).To(gomega.BeEmpty())
 	g.Expect(other.starts).To(gomega.HaveLen(1))
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -36,11 +36,11 @@
 
 // Process is a gateway with its listeners.
 type Process struct {
-	gateway *Gateway
-	manager *scheduler.Manager
-	ledger  *ledger.Ledger
-	peers   *http.Server
-	log     *zap.Logger
+	gateway    *Gateway
+	manager    *scheduler.Manager
+	ledger     *ledger.Ledger
+	peerServer *http.Server
+	log        *zap.Logger
 
 	callerListen, peerListen string
 	callerTLS, peerTLS       *tlsreload.Source
@@ -60,15 +60,15 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "caller_tls")
 	}
-	plat := platform.New(s.Platform.Address, milliseconds(s.Platform.TimeoutMS))
-	book := ledger.New(plat, plat, ledger.Options{Gateway: s.VM.ID, Now: time.Now, NewAttemptID: uuid.NewString})
-	known := newEndpoints(newNotices(s.VM.ID, time.Now, log))
+	platformClient := platform.New(s.Platform.Address, milliseconds(s.Platform.TimeoutMS))
+	resultLedger := ledger.New(platformClient, platformClient, ledger.Options{Gateway: s.VM.ID, Now: time.Now, NewAttemptID: uuid.NewString})
+	clients := newEndpoints(newNotices(s.VM.ID, time.Now, log))
 	client := peerTLS.HTTPClient()
 	manager := scheduler.NewManager(scheduler.Options{
 		VMID:    s.VM.ID,
 		Region:  s.VM.Region,
-		Engines: func(spec config.EndpointSpec) endpoint.Engine { return known.engineAt(spec.Address) },
-		Notice:  func(spec config.EndpointSpec) notice.Notice { return known.notices.of(spec.Address) },
+		Engines: func(spec config.EndpointSpec) endpoint.Engine { return clients.engineAt(spec.Address) },
+		Notice:  func(spec config.EndpointSpec) notice.Notice { return clients.notices.last(spec.Address) },
 		Client:  client,
 		Scheme:  scheme(peerTLS),
 		Log:     log,
@@ -79,15 +79,15 @@
 		peerAddress:   s.PeerAddress,
 		addressTTL:    milliseconds(s.AddressTTLMS),
 		drainLimit:    milliseconds(s.DrainLimitMS),
-	}, neighbours{
+	}, dependencies{
 		permits:   manager,
-		ledger:    book,
+		ledger:    resultLedger,
 		signer:    signer,
 		node:      peerv1.NewNodeClient(client, peer.BaseURL(s.ControllerAddress, peerTLS.Config())),
-		endpoints: known,
+		endpoints: clients,
 		peers:     gatewayPeers{client: client, scheme: scheme(peerTLS)},
 	}, log)
-	g.callers = caller.NewServer(g, caller.Options{
+	g.callerServer = caller.NewServer(g, caller.Options{
 		VM:            s.VM.ID,
 		MaxBodyBytes:  s.MaxBodyBytes,
 		MaxHeaderTime: milliseconds(s.MaxHeaderMS),
@@ -95,18 +95,18 @@
 	})
 	metrics.GaugeFunc("requests_running", func() any { return g.running.total() })
 	p := &Process{
-		gateway: g, manager: manager, ledger: book, log: log,
+		gateway: g, manager: manager, ledger: resultLedger, log: log,
 		callerListen: s.CallerListenAddress(), peerListen: s.PeerListenAddress(),
 		callerTLS: callerTLS, peerTLS: peerTLS,
 	}
-	p.peers = peer.NewServer(p.peerHandler(), nil)
+	p.peerServer = peer.NewServer(p.peerHandler(), nil)
 	return p, nil
 }
 
 func (p *Process) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(p.manager.Handler())
-	mux.Handle(p.gateway.struckHandler())
+	mux.Handle(p.gateway.strikeHandler())
 	mux.Handle("/debug/vars", expvar.Handler())
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
 		if p.gateway.Ready() != nil {
@@ -129,8 +129,8 @@
 	}
 	p.log.Info("gateway serves", zap.String("caller_address", p.gateway.settings.callerAddress))
 	var group run.Group
-	daemon.AddServer(&group, p.gateway.callers, p.callerTLS.Listener(callerListener))
-	daemon.AddServer(&group, p.peers, p.peerTLS.Listener(peerListener))
+	daemon.AddServer(&group, p.gateway.callerServer, p.callerTLS.Listener(callerListener))
+	daemon.AddServer(&group, p.peerServer, p.peerTLS.Listener(peerListener))
 	daemon.AddTask(&group, p.gateway.watch)
 	daemon.AddTask(&group, p.manager.Run)
 	daemon.AddTask(&group, p.awaitSignal)
@@ -161,7 +161,7 @@
 		}
 	}()
 	p.gateway.Drain(drainCtx)
-	p.gateway.endRequests()
+	p.gateway.abortRequests()
 	return nil
 }
 
--- a/gateway/records.go
+++ b/gateway/records.go
@@ -28,9 +28,9 @@
 
 // tracker writes the record of one request.
 type tracker struct {
-	all *records
-	rec *api.Record
-	log *zap.Logger
+	records *records
+	rec     *api.Record
+	log     *zap.Logger
 }
 
 func (r *records) start(rec api.Record) *tracker {
@@ -43,12 +43,12 @@
 	r.ring[r.next] = &rec
 	r.next = (r.next + 1) % len(r.ring)
 	r.byID[rec.RequestID] = &rec
-	return &tracker{all: r, rec: &rec, log: r.log.With(zap.String("request", rec.RequestID))}
+	return &tracker{records: r, rec: &rec, log: r.log.With(zap.String("request", rec.RequestID))}
 }
 
 func (t *tracker) step(event, endpoint, detail string) {
-	t.all.mu.Lock()
-	defer t.all.mu.Unlock()
+	t.records.mu.Lock()
+	defer t.records.mu.Unlock()
 	at := time.Since(t.rec.Started).Milliseconds()
 	t.rec.Steps = append(t.rec.Steps, api.Step{AtMS: at, Event: event, Endpoint: endpoint, Detail: detail})
 	t.log.Info("request step", zap.String("event", event), zap.String("endpoint", endpoint), zap.String("detail", detail),
@@ -56,8 +56,8 @@
 }
 
 func (t *tracker) end(refusal *crocusreel.Refusal) {
-	t.all.mu.Lock()
-	defer t.all.mu.Unlock()
+	t.records.mu.Lock()
+	defer t.records.mu.Unlock()
 	now := time.Now()
 	t.rec.Ended = &now
 	t.rec.Outcome = crocusreel.OutcomeRan
--- a/gateway/resume.go
+++ b/gateway/resume.go
@@ -38,7 +38,7 @@
 		},
 	}
 	u := &engineRun{
-		r:      r,
+		gen:    r,
 		engine: engine,
 		id:     h.GenerationID,
 		next:   req.Next,
@@ -46,7 +46,7 @@
 		// runs.
 		permit: scheduler.Permit{Endpoint: h.Endpoint, Model: h.Model},
 	}
-	ctx, cancel := g.untilEnd(ctx)
+	ctx, cancel := g.withShutdown(ctx)
 	defer cancel()
 	v, _ := u.resume(ctx)
 	track.end(v.refusal)
@@ -55,19 +55,19 @@
 
 // resume continues the generation. It is never replaced by another one, since the caller already
 // holds some of its tokens.
-func (u *engineRun) resume(ctx context.Context) (verdict, scheduler.End) {
+func (u *engineRun) resume(ctx context.Context) (attemptResult, scheduler.End) {
 	first := u.next
 	stream, err := u.engine.Resume(ctx, u.id, u.next)
 	if err != nil && isUnknownGeneration(err) {
-		return verdict{refusal: crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, 0,
-			"the engine no longer knows this generation")}, endLater
+		return attemptResult{refusal: crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, 0,
+			"the engine no longer knows this generation")}, releasedLater
 	}
 	if err != nil {
 		stream = nil
 	}
-	v, end := u.follow(ctx, stream, err)
-	if v.again {
-		v.again = false
+	v, end := u.deliverResuming(ctx, stream, err)
+	if v.retryable {
+		v.retryable = false
 		v.refusal = crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, lostRetryAfter,
 			"the endpoint was lost %d tokens after the resume", u.next-first)
 	}
--- a/gateway/strikes.go
+++ b/gateway/strikes.go
@@ -10,29 +10,29 @@
 
 // maxStrikeKeys bounds the number of pairs of service and content in strikes.lastStrike, which is
 // emptied when it is full.
-const maxStruck = 4096
+const maxStrikeKeys = 4096
 
 // strikes records which calls were running at plain services that died. A call that crashes each
 // service that runs it is refused at the limit, even under new idempotency keys. The strikes of
 // engines are kept by the schedulers of their pools. For plain services each gateway counts strikes
 // itself, and gateways notify each other of each strike.
 type strikes struct {
-	mu       sync.Mutex
-	began    time.Time
-	suspects *policy.Suspects
+	mu        sync.Mutex
+	startedAt time.Time
+	suspects  *policy.Suspects
 	// deaths numbers the deaths that were recorded at this gateway.
 	deaths uint64
 	// lastStrike is the time of the latest strike against a content at a service.
-	struck map[struckKey]time.Time
+	lastStrike map[strikeKey]time.Time
 }
 
-type struckKey struct {
-	service string
-	content uint64
+type strikeKey struct {
+	service     string
+	contentHash uint64
 }
 
 func newStrikes() *strikes {
-	return &strikes{began: time.Now(), suspects: policy.NewSuspects(policy.StrikeTTL), struck: make(map[struckKey]time.Time)}
+	return &strikes{startedAt: time.Now(), suspects: policy.NewSuspects(policy.StrikeTTL), lastStrike: make(map[strikeKey]time.Time)}
 }
 
 // add records a strike against the content of a call that was running when a service died. When
@@ -41,37 +41,37 @@
 // latest strike is therefore attributed to the death that was already counted.
 //
 // It returns the current number of strikes, and whether this one was counted.
-func (s *strikes) add(service string, content uint64, callBegan time.Time) (strikes int, counted bool) {
+func (s *strikes) add(service string, contentHash uint64, callBegan time.Time) (strikes int, counted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	key := struckKey{service, content}
-	if callBegan.Before(s.struck[key]) {
-		return s.suspects.Count(content, time.Since(s.began)), false
+	key := strikeKey{service, contentHash}
+	if callBegan.Before(s.lastStrike[key]) {
+		return s.suspects.Count(contentHash, time.Since(s.startedAt)), false
 	}
-	if len(s.struck) >= maxStruck {
-		clear(s.struck)
+	if len(s.lastStrike) >= maxStrikeKeys {
+		clear(s.lastStrike)
 	}
-	s.struck[key] = time.Now()
+	s.lastStrike[key] = time.Now()
 	s.deaths++
-	now := time.Since(s.began)
-	s.suspects.Record(policy.Strike{Fingerprint: content, Death: s.deaths, At: now})
-	return s.suspects.Count(content, now), true
+	now := time.Since(s.startedAt)
+	s.suspects.Record(policy.Strike{Fingerprint: contentHash, Death: s.deaths, At: now})
+	return s.suspects.Count(contentHash, now), true
 }
 
-func (s *strikes) clear(content uint64) {
+func (s *strikes) clear(contentHash uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.suspects.Clear(content, time.Since(s.began))
+	s.suspects.Clear(contentHash, time.Since(s.startedAt))
 }
 
 // refuse returns a refusal if the call has at least bound strikes. A bound of 0 means no limit.
-func (s *strikes) refuse(content uint64, bound int) *crocusreel.Refusal {
+func (s *strikes) refuse(contentHash uint64, bound int) *crocusreel.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := time.Since(s.began)
-	if bound <= 0 || s.suspects.Count(content, now) < bound {
+	now := time.Since(s.startedAt)
+	if bound <= 0 || s.suspects.Count(contentHash, now) < bound {
 		return nil
 	}
-	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun, s.suspects.TimeUntilBelow(content, bound, now),
+	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun, s.suspects.TimeUntilBelow(contentHash, bound, now),
 		"endpoints were lost while they ran this call")
 }
--- a/gateway/struck.go
+++ b/gateway/struck.go
@@ -19,13 +19,13 @@
 	// strikeTimeout bounds the wait for other gateways to receive a strike, just as the wait for a
 	// pool's scheduler to receive a loss is bounded. It is the longest delay that a frozen or
 	// partitioned gateway can cause to the caller of a lost call.
-	struckTimeout = 300 * time.Millisecond
+	strikeTimeout = 300 * time.Millisecond
 	// strikeBatchDelay is how long strikes are collected before they are sent. Otherwise, a service
 	// that dies with several hundred calls would cause as many messages to each gateway.
-	struckGather = 5 * time.Millisecond
+	strikeBatchDelay = 5 * time.Millisecond
 	// maxBatchStrikes bounds the number of strikes in one message; further ones are dropped and
 	// counted.
-	maxStrikesTold = 1024
+	maxBatchStrikes = 1024
 )
 
 // gatewayPeers holds what is needed to connect to other gateways.
@@ -35,15 +35,15 @@
 }
 
 // strikeBroadcaster collects the strikes to be sent to other gateways.
-type teller struct {
+type strikeBroadcaster struct {
 	mu sync.Mutex
-	// next is the batch that is being collected, nil if there is none.
-	next *strikeRound
+	// collecting is the batch that is being collected, nil if there is none.
+	collecting *strikeBatch
 }
 
 // strikeBatch is one message to all gateways. done is closed once each of them has received it,
 // failed or timed out.
-type strikeRound struct {
+type strikeBatch struct {
 	strikes []*peerv1.ServiceStrike
 	done    chan struct{}
 }
@@ -52,42 +52,42 @@
 // have received it or strikeTimeout has passed. The caller is answered right after that and may
 // send the call again through any of them: if its retry arrived before the strike, a call that
 // crashes services would take down one more service at each gateway.
-func (g *Gateway) tellStruck(strike *peerv1.ServiceStrike) {
-	g.teller.mu.Lock()
-	round := g.teller.next
-	if round == nil {
-		round = &strikeRound{done: make(chan struct{})}
-		g.teller.next = round
-		time.AfterFunc(struckGather, func() { g.tellRound(round) })
+func (g *Gateway) broadcastStrike(strike *peerv1.ServiceStrike) {
+	g.strikeBroadcaster.mu.Lock()
+	batch := g.strikeBroadcaster.collecting
+	if batch == nil {
+		batch = &strikeBatch{done: make(chan struct{})}
+		g.strikeBroadcaster.collecting = batch
+		time.AfterFunc(strikeBatchDelay, func() { g.sendStrikeBatch(batch) })
 	}
-	if len(round.strikes) < maxStrikesTold {
-		round.strikes = append(round.strikes, strike)
+	if len(batch.strikes) < maxBatchStrikes {
+		batch.strikes = append(batch.strikes, strike)
 	} else {
 		metrics.Count("strike_not_told")
 	}
-	g.teller.mu.Unlock()
-	<-round.done
+	g.strikeBroadcaster.mu.Unlock()
+	<-batch.done
 }
 
 // sendStrikeBatch sends a batch to all gateways in parallel.
-func (g *Gateway) tellRound(round *strikeRound) {
-	defer close(round.done)
-	g.teller.mu.Lock()
-	g.teller.next = nil
-	g.teller.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), struckTimeout)
+func (g *Gateway) sendStrikeBatch(batch *strikeBatch) {
+	defer close(batch.done)
+	g.strikeBroadcaster.mu.Lock()
+	g.strikeBroadcaster.collecting = nil
+	g.strikeBroadcaster.mu.Unlock()
+	ctx, cancel := context.WithTimeout(context.Background(), strikeTimeout)
 	defer cancel()
-	var told sync.WaitGroup
+	var sends sync.WaitGroup
 	for _, m := range g.state.Load().members {
 		if m.GetGatewayAddress() == "" || m.GetId() == g.settings.vm.ID || m.GetState() == peerv1.MemberState_MEMBER_STATE_DEAD {
 			continue
 		}
-		told.Go(func() { g.tellGateway(ctx, m, round.strikes) })
+		sends.Go(func() { g.sendStrikes(ctx, m, batch.strikes) })
 	}
-	told.Wait()
+	sends.Wait()
 }
 
-func (g *Gateway) tellGateway(ctx context.Context, m *peerv1.Member, strikes []*peerv1.ServiceStrike) {
+func (g *Gateway) sendStrikes(ctx context.Context, m *peerv1.Member, strikes []*peerv1.ServiceStrike) {
 	client := peerv1.NewGatewayClient(g.peers.client, g.peers.scheme+"://"+m.GetGatewayAddress())
 	_, err := client.Struck(ctx, connect.NewRequest(&peerv1.StruckRequest{Gateway: g.settings.vm.ID, Strikes: strikes}))
 	if err != nil {
@@ -98,7 +98,7 @@
 }
 
 // strikeHandler returns the path and the handler of the RPCs from other gateways.
-func (g *Gateway) struckHandler() (string, http.Handler) {
+func (g *Gateway) strikeHandler() (string, http.Handler) {
 	return peerv1.NewGatewayHandler(gatewayRPC{g}, peer.HandlerOptions())
 }
 
@@ -112,13 +112,13 @@
 	for _, strike := range r.Msg.GetStrikes() {
 		began := now.Add(-time.Duration(strike.GetBeganMs()) * time.Millisecond)
 		if n, counted := s.g.strikes.add(strike.GetService(), strike.GetContent(), began); counted {
-			s.g.logStruck(strike, n, r.Msg.GetGateway())
+			s.g.logStrike(strike, n, r.Msg.GetGateway())
 		}
 	}
 	return connect.NewResponse(&peerv1.StruckResponse{}), nil
 }
 
-func (g *Gateway) logStruck(strike *peerv1.ServiceStrike, strikes int, by string) {
+func (g *Gateway) logStrike(strike *peerv1.ServiceStrike, strikes int, reporter string) {
 	g.log.Info("service died of a call", zap.String("service", strike.GetService()), logging.Work(strike.GetContent()),
-		zap.Int("strikes", strikes), zap.String("gateway", by))
+		zap.Int("strikes", strikes), zap.String("gateway", reporter))
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -42,7 +42,7 @@
 	if g.drain.leaving() {
 		// A controller that was restarted in the meantime does not know that this gateway is
 		// leaving and would advertise it as soon as the watch opens.
-		g.tellLeaving(ctx)
+		g.reportLeaving(ctx)
 	}
 	stream, err := g.node.Watch(ctx, connect.NewRequest(&peerv1.WatchRequest{
 		GatewayAddress: g.settings.peerAddress,
@@ -91,7 +91,7 @@
 	return config.Compile(d, dataCentre)
 }
 
-func (g *Gateway) tellLeaving(ctx context.Context) {
+func (g *Gateway) reportLeaving(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, setLeavingTimeout)
 	defer cancel()
 	if _, err := g.node.SetLeaving(ctx, connect.NewRequest(&peerv1.SetLeavingRequest{})); err != nil {
