--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -64,7 +64,7 @@
 	return b.leastOutstanding(candidates, time.Time{})
 }
 
-// leastOutstanding returns the candidate with the leastOutstanding outstanding calls among those whose
+// leastOutstanding returns the candidate with the fewest outstanding calls among those whose
 // ejection has ended at the given time. With the zero time it considers all candidates.
 func (b *balancer) leastOutstanding(candidates []*config.EndpointSpec, at time.Time) (*config.EndpointSpec, bool) {
 	var best *config.EndpointSpec
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -27,7 +27,7 @@
 	snap  *snapshot
 	route *config.RouteSpec
 	track *tracker
-	// contentHash identifies the contentHash of the call, regardless of its idempotency key.
+	// contentHash identifies the content of the call, regardless of its idempotency key.
 	contentHash uint64
 	claim       *ledger.Claim
 	claimed     chan struct{}
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func (d *drain) closeToNew() {
+func (d *drain) stopAccepting() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refuseNew = true
@@ -73,7 +73,7 @@
 	g.reportLeaving(ctx)
 	g.callerServer.SetKeepAlivesEnabled(false)
 	retry.Sleep(ctx, leavePropagation+g.settings.addressTTL)
-	g.drain.closeToNew()
+	g.drain.stopAccepting()
 	for ctx.Err() == nil && g.running.total() > 0 {
 		retry.Sleep(ctx, drainPollInterval)
 	}
--- a/gateway/enginerun.go
+++ b/gateway/enginerun.go
@@ -54,8 +54,8 @@
 	return &engineRun{gen: r, permit: permit, id: uuid.NewString()}
 }
 
-// run runs the generation and returns its result and how the permit ended.
-func (u *engineRun) run(ctx context.Context) (attemptResult, scheduler.End) {
+// execute runs the generation and returns its result and how the permit ended.
+func (u *engineRun) execute(ctx context.Context) (attemptResult, scheduler.End) {
 	engine, ok := u.gen.g.endpoints.engine(u.gen.g.state.Load(), u.permit.Endpoint)
 	if !ok {
 		return u.notStarted(crocusreel.ReasonNoEndpoint, "endpoint is not in the configuration"), scheduler.EndNotStarted
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -58,7 +58,7 @@
 	log      *zap.Logger
 	state    atomic.Pointer[snapshot]
 	balancer *balancer
-	// Retry workspaceRetryBudgets, by workspace and by plain service.
+	// Retry budgets, by workspace and by plain service.
 	workspaceRetryBudgets, endpointRetryBudgets *retry.Budgets
 	strikes                                     *strikes
 	strikeBroadcaster                           strikeBroadcaster
@@ -82,10 +82,10 @@
 	peers     gatewayPeers
 }
 
-func newGateway(s processSettings, n dependencies, log *zap.Logger) *Gateway {
+func newGateway(s processSettings, deps dependencies, log *zap.Logger) *Gateway {
 	g := &Gateway{
 		settings:              s,
-		dependencies:          n,
+		dependencies:          deps,
 		log:                   log,
 		balancer:              newBalancer(time.Now),
 		workspaceRetryBudgets: retry.NewBudgets(retryBurst),
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -124,7 +124,7 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	run := newEngineRun(r, permit)
-	v, end := run.run(ctx)
+	v, end := run.execute(ctx)
 	permit.Produced = run.next
 	if end != releasedLater {
 		r.g.permits.Release(scheduler.Release{Permit: permit, End: end})
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -60,8 +60,8 @@
 }
 
 // allowRetry takes one retry from the budgets of the workspace and of the plain service that would
-// receive it. Without a budget per endpoint, the retries of many workspaces, each within its own
-// budget, would add up at the last service that is alive.
+// receive it, and returns false if either has none left. Without a budget per endpoint, the retries
+// of many workspaces, each within its own budget, would add up at the last service that is alive.
 func (g *Gateway) allowRetry(workspace, endpoint string, ratio float64) bool {
 	if g.endpointRetryBudgets.Get(endpoint, ratio).AllowRetry() && g.workspaceRetryBudgets.Get(workspace, ratio).AllowRetry() {
 		return true
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -32,7 +32,7 @@
 	lastSlotUsed time.Duration
 	// pausedUntil is the time until which the endpoint wants no requests from this gateway.
 	pausedUntil time.Duration
-	// lastRecheck is when the gateway last lastRecheck whether the endpoint is still leaving.
+	// lastRecheck is when the gateway last checked whether the endpoint is still leaving.
 	lastRecheck time.Duration
 }
 
@@ -40,7 +40,7 @@
 	return &notices{vm: vm, now: now, log: log, byAddress: make(map[string]*endpointNotice)}
 }
 
-// record records the notice from an answer that was just received from the endpoint at an address.
+// record stores the notice from an answer that was just received from the endpoint at an address.
 func (n *notices) record(address string, received notice.Notice) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,7 +111,7 @@
 	return true, recheck
 }
 
-// last returns the latest notice last the endpoint at an address.
+// last returns the latest notice of the endpoint at an address.
 func (n *notices) last(address string) notice.Notice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -161,7 +161,7 @@
 	return wait == 0
 }
 
-// monotonic returns the time since clockOrigin on the monotonic monotonic; the wall monotonic may jump.
+// monotonic returns the time since clockOrigin on the monotonic clock; the wall clock may jump.
 func (n *notices) monotonic() time.Duration { return n.now().Sub(clockOrigin) }
 
 // clockOrigin lies long before any slot is used, so that the zero values in endpointNotice lie in
--- a/gateway/strikes.go
+++ b/gateway/strikes.go
@@ -22,7 +22,7 @@
 	suspects  *policy.Suspects
 	// deaths numbers the deaths that were recorded at this gateway.
 	deaths uint64
-	// lastStrike is the time of the latest strike against a content at a service.
+	// lastStrike is the time of the latest strike against a content hash at a service.
 	lastStrike map[strikeKey]time.Time
 }
 
