--- a/gateway/addresses.go
+++ b/gateway/addresses.go
@@ -8,13 +8,12 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// maxAddresses bounds an address answer.
+// maxAddresses bounds the number of addresses in an answer.
 const maxAddresses = 8
 
-// Addresses implements caller.Core. Gateways of this data centre come first, then
-// those of the region, then all others; equals are shuffled, since callers that
-// all took the first address would overload one gateway. A gateway that is leaving
-// is not in the answer.
+// Addresses implements caller.Core. Gateways of this data centre come first, then those of the
+// region, then all others. Gateways at the same distance are shuffled, since callers that all used
+// the first address would overload one gateway. A gateway that is leaving is not included.
 func (g *Gateway) Addresses() ([]string, time.Duration) {
 	var members []*peerv1.Member
 	if s := g.state.Load(); s != nil {
@@ -24,17 +23,18 @@
 	slices.SortStableFunc(members, func(a, b *peerv1.Member) int { return g.distance(a) - g.distance(b) })
 	addresses := []string{}
 	for _, m := range members {
-		if len(addresses) < maxAddresses && g.offers(m) {
+		if len(addresses) < maxAddresses && g.mayAdvertise(m) {
 			addresses = append(addresses, m.GetCallerAddress())
 		}
 	}
-	g.drain.answered()
+	g.drain.recordAddressAnswer()
 	return addresses, g.settings.addressTTL
 }
 
-// offers tells whether callers may be sent to the member. The local controller may
-// not have told of this gateway's own leaving yet.
-func (g *Gateway) offers(m *peerv1.Member) bool {
+// mayAdvertise reports whether callers may be sent to the member. It checks the drain state of this
+// gateway itself, because the local controller may not have published yet that this gateway is
+// leaving.
+func (g *Gateway) mayAdvertise(m *peerv1.Member) bool {
 	if m.GetCallerAddress() == "" || m.GetState() != peerv1.MemberState_MEMBER_STATE_ALIVE {
 		return false
 	}
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// spreadAllowance is the time in which every gateway learns that this one is
-	// leaving. Until then others may still name it in address answers.
-	spreadAllowance = 3 * time.Second
-	drainPoll       = 50 * time.Millisecond
+	// leavePropagation is the time within which every gateway learns that this one is leaving.
+	// Until then, others may still include it in their address answers.
+	leavePropagation  = 3 * time.Second
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// drain tracks the leaving of this gateway.
+// drain tracks the drain of this gateway.
 type drain struct {
 	mu         sync.Mutex
-	since      time.Time // zero while serving
-	closed     bool      // no new work is taken
+	startedAt  time.Time // when the drain began; zero before
+	refuseNew  bool      // new requests are refused
 	lastAnswer time.Time
 }
 
 func (d *drain) leaving() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.since.IsZero()
+	return !d.startedAt.IsZero()
 }
 
 func (d *drain) refusing() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.closed
+	return d.refuseNew
 }
 
-// answered records that an address answer was handed out.
-func (d *drain) answered() {
+// recordAddressAnswer records that an address answer was returned.
+func (d *drain) recordAddressAnswer() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.since.IsZero() {
+	if d.startedAt.IsZero() {
 		d.lastAnswer = time.Now()
 	}
 }
@@ -49,42 +49,43 @@
 func (d *drain) begin() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.since.IsZero() {
-		d.since = time.Now()
+	if d.startedAt.IsZero() {
+		d.startedAt = time.Now()
 	}
 }
 
-func (d *drain) close() {
+func (d *drain) stopAccepting() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.closed = true
+	d.refuseNew = true
 }
 
-// Drain takes the gateway out of service without cutting off a request:
-//  1. it leaves the address answers, its own at once and others' as they learn;
-//  2. it serves new requests until the last answer that named it has expired;
-//  3. it waits for the running requests, queued ones included.
+// Drain takes the gateway out of service without aborting a request:
+//  1. It is removed from the address answers: from its own at once, and from those of other
+//     gateways as they learn that it is leaving.
+//  2. It serves new requests until the last answer that included it has expired.
+//  3. It waits for the running requests, including queued ones, and for background tasks.
 //
-// It returns when all has ended or ctx ends.
+// It returns when all of them have ended or ctx ends.
 func (g *Gateway) Drain(ctx context.Context) {
 	g.drain.begin()
 	g.log.Info("drain began")
-	g.tellLeaving(ctx)
-	g.callers.SetKeepAlivesEnabled(false)
-	retry.Sleep(ctx, spreadAllowance+g.settings.addressTTL)
-	g.drain.close()
+	g.reportLeaving(ctx)
+	g.callerServer.SetKeepAlivesEnabled(false)
+	retry.Sleep(ctx, leavePropagation+g.settings.addressTTL)
+	g.drain.stopAccepting()
 	for ctx.Err() == nil && g.running.total() > 0 {
-		retry.Sleep(ctx, drainPoll)
+		retry.Sleep(ctx, drainPollInterval)
 	}
 	g.waitBackground(ctx)
 	g.log.Info("drain ended", zap.Int("running", g.running.total()))
 }
 
-// background runs f in a goroutine that a drain waits for.
+// background runs f in a goroutine that Drain waits for.
 func (g *Gateway) background(f func()) {
-	g.tasks.Add(1)
+	g.backgroundTasks.Add(1)
 	go func() {
-		defer g.tasks.Done()
+		defer g.backgroundTasks.Done()
 		f()
 	}()
 }
@@ -92,7 +93,7 @@
 func (g *Gateway) waitBackground(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		g.tasks.Wait()
+		g.backgroundTasks.Wait()
 		close(done)
 	}()
 	select {
--- a/gateway/ending.go
+++ b/gateway/ending.go
@@ -9,41 +9,41 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// errShuttingDown is the cause of contexts that end with the process.
+// errShuttingDown is the cancellation cause of requests that are aborted because the process ends.
 var errShuttingDown = errors.New("the gateway is shutting down")
 
-// endingWait is how long requests that are ended have for their last words.
-const endingWait = 500 * time.Millisecond
+// abortWait is how long aborted requests have to send their final answer.
+const abortWait = 500 * time.Millisecond
 
-// untilEnd returns a context that also ends when running requests must end.
-func (g *Gateway) untilEnd(ctx context.Context) (context.Context, func()) {
+// withShutdown returns a context that also ends when running requests are aborted.
+func (g *Gateway) withShutdown(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(g.ending, func() { cancel(errShuttingDown) })
+	stop := context.AfterFunc(g.shutdown, func() { cancel(errShuttingDown) })
 	return ctx, func() {
 		stop()
 		cancel(nil)
 	}
 }
 
-// endRequests ends what still runs after a drain that was cut short. Each caller
-// gets a typed error and may resume its stream through another gateway.
-func (g *Gateway) endRequests() {
+// abortRequests aborts the requests that are still running after a drain that was cut short. Each
+// caller gets a typed error and may resume its stream through another gateway.
+func (g *Gateway) abortRequests() {
 	if g.running.total() == 0 {
 		return
 	}
-	g.end()
-	ctx, cancel := context.WithTimeout(context.Background(), endingWait)
+	g.abortAll()
+	ctx, cancel := context.WithTimeout(context.Background(), abortWait)
 	defer cancel()
 	for ctx.Err() == nil && g.running.total() > 0 {
-		retry.Sleep(ctx, drainPoll)
+		retry.Sleep(ctx, drainPollInterval)
 	}
 }
 
-// contextRefusal tells why a context ended: the gateway's end, the caller's
-// deadline or the caller's leaving.
+// contextRefusal returns the refusal for a context that ended: because the gateway is shutting
+// down, the caller's deadline has passed, or the caller closed its connection.
 func contextRefusal(ctx context.Context, outcome crocusreel.Outcome) *crocusreel.Refusal {
 	if errors.Is(context.Cause(ctx), errShuttingDown) {
-		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, outcome, leavingRetry, "the gateway is shutting down")
+		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, outcome, leavingRetryAfter, "the gateway is shutting down")
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return crocusreel.Refuse(crocusreel.ReasonDeadline, outcome, lostRetryAfter, "the caller's deadline has passed")
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -22,7 +22,7 @@
 	"github.com/crocusreel/crocusreel/scheduler"
 )
 
-// fakePermits grants engines in the order given.
+// fakePermits grants permits for the engines in the given order.
 type fakePermits struct {
 	mu       sync.Mutex
 	order    []string
@@ -50,14 +50,13 @@
 
 func (p *fakePermits) Apply(scheduler.Snapshot) {}
 
-// fakeEngine yields the tokens of one answer; break after gives the index at which
-// the stream breaks.
+// fakeEngine yields the tokens of one answer.
 type fakeEngine struct {
 	endpoint.Engine
-	mu         sync.Mutex
-	refuse     *endpoint.Error
-	breakAfter []int // one entry for each stream; none means whole
-	forgets    bool
+	mu                sync.Mutex
+	refuse            *endpoint.Error
+	breakAt           []int // index at which each stream breaks, in order; further streams are complete
+	forgetsGeneration bool
 	// frozen makes every stream stall at once; stalls counts them.
 	frozen  bool
 	stalls  int
@@ -81,7 +80,7 @@
 func (e *fakeEngine) Resume(_ context.Context, id string, next int) (endpoint.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.forgets || id != e.request.GenerationID {
+	if e.forgetsGeneration || id != e.request.GenerationID {
 		return nil, &endpoint.Error{Kind: endpoint.KindUnknownGeneration, Outcome: crocusreel.OutcomeUnknown}
 	}
 	return e.stream(next), nil
@@ -91,9 +90,9 @@
 
 func (e *fakeEngine) stream(next int) endpoint.Stream {
 	s := &fakeStream{e: e, next: next, end: -1}
-	if len(e.breakAfter) > 0 {
-		s.end = e.breakAfter[0]
-		e.breakAfter = e.breakAfter[1:]
+	if len(e.breakAt) > 0 {
+		s.end = e.breakAt[0]
+		e.breakAt = e.breakAt[1:]
 	}
 	return s
 }
@@ -131,7 +130,7 @@
 	return generation[:8] + "." + strconv.Itoa(index) + " "
 }
 
-// fakeTables keeps rows in memory; down makes every call fail before it applies.
+// fakeTables keeps rows in memory. If down is set, every call fails before it has an effect.
 type fakeTables struct {
 	version int64
 	mu      sync.Mutex
@@ -171,7 +170,7 @@
 	return t.version, nil
 }
 
-// fakeSink keeps the answer; it fails once failAt tokens came, if that is set.
+// fakeSink keeps the answer. If failAt is set, it fails after that many tokens.
 type fakeSink struct {
 	begins   []caller.Begin
 	tokens   []string
@@ -200,7 +199,7 @@
 
 func (s *fakeSink) text() string { return strings.Join(s.tokens, "") }
 
-// testGateway is a gateway whose neighbours are fakes.
+// testGateway is a gateway with fake dependencies.
 type testGateway struct {
 	*Gateway
 	permits *fakePermits
@@ -219,20 +218,20 @@
 		Workspaces: []config.WorkspaceSpec{{Name: "w", MaxStreams: 10}},
 		Limits:     config.LimitSpec{Attempts: 3, RetryRatio: 0.1},
 	}
-	known := newEndpoints(newNotices("vm", time.Now, zap.NewNop()))
+	clients := newEndpoints(newNotices("vm", time.Now, zap.NewNop()))
 	for name, e := range engines {
 		cfg.Endpoints = append(cfg.Endpoints, config.EndpointSpec{Name: name, Kind: config.KindEngine, Address: name})
-		known.engines[name] = e
+		clients.engines[name] = e
 	}
 	tables := &fakeTables{rows: map[string]platform.Row{}}
 	tg := &testGateway{permits: &fakePermits{order: order}, tables: tables, engines: engines}
-	book := ledger.New(tables, nil, ledger.Options{Gateway: "vm", Now: time.Now, NewAttemptID: uuid.NewString})
+	resultLedger := ledger.New(tables, nil, ledger.Options{Gateway: "vm", Now: time.Now, NewAttemptID: uuid.NewString})
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		book.Close(ctx)
+		resultLedger.Close(ctx)
 	})
-	g := newGateway(processSettings{}, neighbours{permits: tg.permits, ledger: book, signer: signer, endpoints: known}, zap.NewNop())
+	g := newGateway(processSettings{}, dependencies{permits: tg.permits, ledger: resultLedger, signer: signer, endpoints: clients}, zap.NewNop())
 	g.state.Store(newSnapshot(1, cfg, nil))
 	tg.Gateway = g
 	tg.ws = &cfg.Workspaces[0]
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the core of crocusreel-gateway: it takes callers' requests,
-// gets permits for them, sends them to endpoints and brings back whole answers.
+// Package gateway is the core of crocusreel-gateway: it receives callers' requests, acquires
+// permits for them, sends them to endpoints and returns complete answers.
 package gateway
 
 import (
@@ -22,26 +22,26 @@
 )
 
 const (
-	// notReadyRetry is when callers of a gateway without a configuration are told to
-	// come back.
-	notReadyRetry = time.Second
-	// leavingRetry is when callers of a gateway that takes no new work are told to
-	// come back; other gateways serve them at once.
-	leavingRetry = 100 * time.Millisecond
-	// retryBurst is the number of retries that a workspace can save, and
-	// endpointRetryBurst those that a plain service can.
+	// notReadyRetryAfter is the retry delay sent to callers of a gateway that has no configuration
+	// yet.
+	notReadyRetryAfter = time.Second
+	// leavingRetryAfter is the retry delay sent to callers of a gateway that accepts no new work.
+	// It is short because other gateways can serve them at once.
+	leavingRetryAfter = 100 * time.Millisecond
+	// retryBurst is the maximum number of retries that a workspace can accumulate, and
+	// endpointRetryBurst that of a plain service.
 	retryBurst         = 20
 	endpointRetryBurst = 50
 )
 
-// permitSource is what the gateway needs of the scheduler.
+// permitSource is the part of the scheduler that the gateway uses.
 type permitSource interface {
 	scheduler.Permits
-	// Apply tells of new members or a new configuration.
+	// Apply passes new members or a new configuration to the scheduler.
 	Apply(s scheduler.Snapshot)
 }
 
-// processSettings are the settings in the units of the code.
+// processSettings are the settings that the gateway uses, with times as durations.
 type processSettings struct {
 	vm            settings.VM
 	callerAddress string
@@ -50,30 +50,30 @@
 	drainLimit    time.Duration
 }
 
-// Gateway serves callers. Its control state is written by one goroutine, watch;
-// traffic reads the latest snapshot.
+// Gateway serves callers. Only the goroutine that runs watch writes state; requests read its latest
+// snapshot.
 type Gateway struct {
-	neighbours
+	dependencies
 	settings processSettings
 	log      *zap.Logger
 	state    atomic.Pointer[snapshot]
 	balancer *balancer
-	// budgets are those of workspaces, endpointBudgets those of plain services.
-	budgets, endpointBudgets *retry.Budgets
-	strikes                  *strikes
-	teller                   teller
-	records                  *records
-	running                  *concurrency
-	drain                    drain
-	tasks                    sync.WaitGroup
-	callers                  *http.Server
-	// ending is done when running requests must end although they are not whole.
-	ending context.Context
-	end    context.CancelFunc
+	// Retry budgets, by workspace and by plain service.
+	workspaceRetryBudgets, endpointRetryBudgets *retry.Budgets
+	strikes                                     *strikes
+	strikeBroadcaster                           strikeBroadcaster
+	records                                     *records
+	running                                     *concurrency
+	drain                                       drain
+	backgroundTasks                             sync.WaitGroup
+	callerServer                                *http.Server
+	// shutdown is done when running requests must be aborted; abortAll cancels it.
+	shutdown context.Context
+	abortAll context.CancelFunc
 }
 
-// neighbours are the parts around a gateway that do input and output.
-type neighbours struct {
+// dependencies are the components of a gateway that do input and output.
+type dependencies struct {
 	permits   permitSource
 	ledger    *ledger.Ledger
 	signer    *handle.Signer
@@ -82,29 +82,29 @@
 	peers     gatewayPeers
 }
 
-func newGateway(s processSettings, n neighbours, log *zap.Logger) *Gateway {
+func newGateway(s processSettings, deps dependencies, log *zap.Logger) *Gateway {
 	g := &Gateway{
-		settings:        s,
-		neighbours:      n,
-		log:             log,
-		balancer:        newBalancer(time.Now),
-		budgets:         retry.NewBudgets(retryBurst),
-		endpointBudgets: retry.NewBudgets(endpointRetryBurst),
-		strikes:         newStrikes(),
-		records:         newRecords(log),
-		running:         newConcurrency(),
+		settings:              s,
+		dependencies:          deps,
+		log:                   log,
+		balancer:              newBalancer(time.Now),
+		workspaceRetryBudgets: retry.NewBudgets(retryBurst),
+		endpointRetryBudgets:  retry.NewBudgets(endpointRetryBurst),
+		strikes:               newStrikes(),
+		records:               newRecords(log),
+		running:               newConcurrency(),
 	}
-	g.ending, g.end = context.WithCancel(context.Background())
+	g.shutdown, g.abortAll = context.WithCancel(context.Background())
 	return g
 }
 
 // Ready implements caller.Core.
 func (g *Gateway) Ready() *crocusreel.Refusal {
 	if g.state.Load() == nil {
-		return crocusreel.Refuse(crocusreel.ReasonNotReady, crocusreel.OutcomeNotRun, notReadyRetry, "no configuration yet")
+		return crocusreel.Refuse(crocusreel.ReasonNotReady, crocusreel.OutcomeNotRun, notReadyRetryAfter, "no configuration yet")
 	}
 	if g.drain.refusing() {
-		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, crocusreel.OutcomeNotRun, leavingRetry, "this gateway is leaving; use another address")
+		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, crocusreel.OutcomeNotRun, leavingRetryAfter, "this gateway is leaving; use another address")
 	}
 	return nil
 }
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// leastHedgeDelay keeps ordinary jitter from causing a second call.
-	leastHedgeDelay = 20 * time.Millisecond
-	// firstHedgeDelay is used until latencies are known.
-	firstHedgeDelay = 100 * time.Millisecond
-	// lateDeviations is the number of mean deviations above the mean at which a call
-	// is late.
-	lateDeviations = 6
-	// latencyWeight is the weight of one call in the running mean.
+	// minHedgeDelay keeps normal jitter from causing a hedged call.
+	minHedgeDelay = 20 * time.Millisecond
+	// initialHedgeDelay is the hedge delay while no latency has been recorded.
+	initialHedgeDelay = 100 * time.Millisecond
+	// hedgeDeviations is the number of mean deviations above the mean latency at which a call is
+	// late.
+	hedgeDeviations = 6
+	// latencyWeight is the weight of one call in the moving averages.
 	latencyWeight = 0.05
 )
 
-// errOvertaken is the cause of cancelling the slower of two calls.
-var errOvertaken = errors.New("another endpoint replied first")
+// errHedgeLost is the cancellation cause of the slower of two hedged calls.
+var errHedgeLost = errors.New("another endpoint replied first")
 
-// latency keeps a running mean and mean deviation of call times.
+// latency holds the moving averages of call latencies and of their deviations from the mean.
 type latency struct {
 	known           bool
 	mean, deviation float64 // seconds
@@ -42,65 +42,64 @@
 	l.deviation += latencyWeight * (max(difference, -difference) - l.deviation)
 }
 
-func (l *latency) late() time.Duration {
+func (l *latency) hedgeDelay() time.Duration {
 	if !l.known {
-		return firstHedgeDelay
+		return initialHedgeDelay
 	}
-	return max(time.Duration((l.mean+lateDeviations*l.deviation)*float64(time.Second)), leastHedgeDelay)
+	return max(time.Duration((l.mean+hedgeDeviations*l.deviation)*float64(time.Second)), minHedgeDelay)
 }
 
-// exchanged is the end of one of a call's exchanges.
-type exchanged struct {
+// sendResult is the result of sending a call to one endpoint.
+type sendResult struct {
 	spec  *config.EndpointSpec
 	reply endpoint.Reply
 	err   error
 }
 
-// send makes the call. An idempotent call that is late is sent to a second endpoint
-// as well, and the first reply wins: a frozen endpoint breaks no connection, and a
-// lookup would otherwise wait for the route's whole timeout. Each second call is
-// paid from the workspace's retry budget, so that slow endpoints are not given
-// twice the load.
-func (c *call) send(ctx context.Context, first *config.EndpointSpec) (endpoint.Reply, *config.EndpointSpec, error) {
+// sendHedged sends the call. If an idempotent call is late, it is also sent to a second endpoint,
+// and the first reply is used: a frozen endpoint does not break its connections, and a lookup would
+// otherwise wait for the route's whole timeout. The second call is charged to the retry budgets of
+// the workspace and of the second endpoint, so that hedging does not double the load on slow
+// endpoints.
+func (c *call) sendHedged(ctx context.Context, first *config.EndpointSpec) (endpoint.Reply, *config.EndpointSpec, error) {
 	c.excluded = append(c.excluded, first.Name)
 	if c.NonIdempotent {
-		reply, err := c.exchange(ctx, first)
+		reply, err := c.sendTo(ctx, first)
 		return reply, first, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(errOvertaken)
-	ends := make(chan exchanged, 2)
-	begin := func(spec *config.EndpointSpec) {
+	defer cancel(errHedgeLost)
+	results := make(chan sendResult, 2)
+	start := func(spec *config.EndpointSpec) {
 		go func() {
-			reply, err := c.exchange(ctx, spec)
-			ends <- exchanged{spec: spec, reply: reply, err: err}
+			reply, err := c.sendTo(ctx, spec)
+			results <- sendResult{spec: spec, reply: reply, err: err}
 		}()
 	}
-	begin(first)
+	start(first)
 	running := 1
-	late := time.NewTimer(c.g.balancer.hedgeDelay())
-	defer late.Stop()
+	hedgeTimer := time.NewTimer(c.g.balancer.hedgeDelay())
+	defer hedgeTimer.Stop()
 	for {
 		select {
-		case e := <-ends:
+		case e := <-results:
 			running--
 			if e.err == nil || running == 0 {
 				return e.reply, e.spec, e.err
 			}
-		case <-late.C:
-			if second, ok := c.second(); ok {
-				begin(second)
+		case <-hedgeTimer.C:
+			if second, ok := c.hedgeEndpoint(); ok {
+				start(second)
 				running++
 			}
 		}
 	}
 }
 
-// second chooses another endpoint for a late call, if one is left and the budget
-// allows it.
-func (c *call) second() (*config.EndpointSpec, bool) {
-	spec, _ := c.choose()
-	if spec == nil || !c.g.payRetry(c.Workspace.Name, spec.Name, c.snap.config.Limits.RetryRatio) {
+// hedgeEndpoint chooses another endpoint for a late call, if one is left and the budgets allow it.
+func (c *call) hedgeEndpoint() (*config.EndpointSpec, bool) {
+	spec, _ := c.chooseEndpoint()
+	if spec == nil || !c.g.allowRetry(c.Workspace.Name, spec.Name, c.snap.config.Limits.RetryRatio) {
 		return nil, false
 	}
 	c.excluded = append(c.excluded, spec.Name)
--- a/gateway/resume.go
+++ b/gateway/resume.go
@@ -10,8 +10,8 @@
 	"github.com/crocusreel/crocusreel/scheduler"
 )
 
-// Resume implements caller.Core. The handle names the engine and the generation, so
-// any gateway can continue a stream whose own gateway died.
+// Resume implements caller.Core. The handle identifies the engine and the generation, so any
+// gateway can continue a stream whose own gateway died.
 func (g *Gateway) Resume(ctx context.Context, req caller.Resume, sink caller.Sink) *crocusreel.Refusal {
 	h, err := g.signer.Verify(req.Handle, time.Now())
 	if err != nil {
@@ -38,36 +38,36 @@
 		},
 	}
 	u := &engineRun{
-		r:      r,
+		gen:    r,
 		engine: engine,
 		id:     h.GenerationID,
 		next:   req.Next,
-		// Work that is already running needs no permit; the permit's fields only say
-		// where it runs.
+		// Work that is already running needs no permit; the permit's fields only identify where it
+		// runs.
 		permit: scheduler.Permit{Endpoint: h.Endpoint, Model: h.Model},
 	}
-	ctx, cancel := g.untilEnd(ctx)
+	ctx, cancel := g.withShutdown(ctx)
 	defer cancel()
 	v, _ := u.resume(ctx)
 	track.end(v.refusal)
 	return v.refusal
 }
 
-// resume continues the generation. Whatever happens, it is not replaced by another:
-// the caller already holds some of its tokens.
-func (u *engineRun) resume(ctx context.Context) (verdict, scheduler.EndReason) {
+// resume continues the generation. It is never replaced by another one, since the caller already
+// holds some of its tokens.
+func (u *engineRun) resume(ctx context.Context) (attemptResult, scheduler.EndReason) {
 	first := u.next
 	stream, err := u.engine.Resume(ctx, u.id, u.next)
 	if err != nil && isUnknownGeneration(err) {
-		return verdict{refusal: crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, 0,
-			"the engine no longer knows this generation")}, endLater
+		return attemptResult{refusal: crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, 0,
+			"the engine no longer knows this generation")}, releasedLater
 	}
 	if err != nil {
 		stream = nil
 	}
-	v, end := u.follow(ctx, stream, err)
-	if v.again {
-		v.again = false
+	v, end := u.deliverResuming(ctx, stream, err)
+	if v.retryable {
+		v.retryable = false
 		v.refusal = crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, lostRetryAfter,
 			"the endpoint was lost %d tokens after the resume", u.next-first)
 	}
--- a/gateway/struck.go
+++ b/gateway/struck.go
@@ -16,76 +16,78 @@
 )
 
 const (
-	// struckTimeout bounds the wait for other gateways to learn of a strike, as that of a
-	// pool's scheduler is bounded for a loss: one that is frozen or cut off costs the caller
-	// of a lost call no more.
-	struckTimeout = 300 * time.Millisecond
-	// struckGather is how long strikes are gathered before they are told. A service that dies
-	// with some hundred calls would otherwise cost as many messages to each gateway.
-	struckGather = 5 * time.Millisecond
-	// maxStrikesTold bounds the strikes of one message; those beyond are not told.
-	maxStrikesTold = 1024
+	// strikeTimeout bounds the wait for other gateways to receive a strike, just as the wait for a
+	// pool's scheduler to receive a loss is bounded. It is the longest delay that a frozen or
+	// partitioned gateway can cause to the caller of a lost call.
+	strikeTimeout = 300 * time.Millisecond
+	// strikeBatchDelay is how long strikes are collected before they are sent. Otherwise, a service
+	// that dies with several hundred calls would cause as many messages to each gateway.
+	strikeBatchDelay = 5 * time.Millisecond
+	// maxBatchStrikes bounds the number of strikes in one message; further ones are dropped and
+	// counted.
+	maxBatchStrikes = 1024
 )
 
-// gatewayPeers reaches other gateways.
+// gatewayPeers holds what is needed to connect to other gateways.
 type gatewayPeers struct {
 	client connect.HTTPClient
 	scheme string
 }
 
-// teller gathers the strikes that other gateways have to be told of.
-type teller struct {
+// strikeBroadcaster collects the strikes to be sent to other gateways.
+type strikeBroadcaster struct {
 	mu sync.Mutex
-	// next is the round that is being gathered, nil if none is.
-	next *strikeRound
+	// collecting is the batch that is being collected, nil if there is none.
+	collecting *strikeBatch
 }
 
-// strikeRound is one message to all gateways; done is closed once they know, or do not answer.
-type strikeRound struct {
+// strikeBatch is one message to all gateways. done is closed once each of them has received it,
+// failed or timed out.
+type strikeBatch struct {
 	strikes []*peerv1.ServiceStrike
 	done    chan struct{}
 }
 
-// tellStruck tells all other gateways that a service died of a call, and waits until they
-// know. The caller is answered right after and may send the call again through any of them:
-// were it there before the strike, a deadly call would take one more service down at each
-// gateway.
-func (g *Gateway) tellStruck(strike *peerv1.ServiceStrike) {
-	g.teller.mu.Lock()
-	round := g.teller.next
-	if round == nil {
-		round = &strikeRound{done: make(chan struct{})}
-		g.teller.next = round
-		time.AfterFunc(struckGather, func() { g.tellRound(round) })
+// broadcastStrike notifies all other gateways that a service died of a call, and waits until they
+// have received it or strikeTimeout has passed. The caller is answered right after that and may
+// send the call again through any of them: if its retry arrived before the strike, a call that
+// crashes services would take down one more service at each gateway.
+func (g *Gateway) broadcastStrike(strike *peerv1.ServiceStrike) {
+	g.strikeBroadcaster.mu.Lock()
+	batch := g.strikeBroadcaster.collecting
+	if batch == nil {
+		batch = &strikeBatch{done: make(chan struct{})}
+		g.strikeBroadcaster.collecting = batch
+		time.AfterFunc(strikeBatchDelay, func() { g.sendStrikeBatch(batch) })
 	}
-	if len(round.strikes) < maxStrikesTold {
-		round.strikes = append(round.strikes, strike)
+	if len(batch.strikes) < maxBatchStrikes {
+		batch.strikes = append(batch.strikes, strike)
 	} else {
 		metrics.Count("strike_not_told")
 	}
-	g.teller.mu.Unlock()
-	<-round.done
+	g.strikeBroadcaster.mu.Unlock()
+	<-batch.done
 }
 
-// tellRound sends a round to all gateways at a time.
-func (g *Gateway) tellRound(round *strikeRound) {
-	defer close(round.done)
-	g.teller.mu.Lock()
-	g.teller.next = nil
-	g.teller.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), struckTimeout)
+// sendStrikeBatch sends a batch to all gateways in parallel.
+func (g *Gateway) sendStrikeBatch(batch *strikeBatch) {
+	defer close(batch.done)
+	g.strikeBroadcaster.mu.Lock()
+	g.strikeBroadcaster.collecting = nil
+	g.strikeBroadcaster.mu.Unlock()
+	ctx, cancel := context.WithTimeout(context.Background(), strikeTimeout)
 	defer cancel()
-	var told sync.WaitGroup
+	var sends sync.WaitGroup
 	for _, m := range g.state.Load().members {
 		if m.GetGatewayAddress() == "" || m.GetId() == g.settings.vm.ID || m.GetState() == peerv1.MemberState_MEMBER_STATE_DEAD {
 			continue
 		}
-		told.Go(func() { g.tellGateway(ctx, m, round.strikes) })
+		sends.Go(func() { g.sendStrikes(ctx, m, batch.strikes) })
 	}
-	told.Wait()
+	sends.Wait()
 }
 
-func (g *Gateway) tellGateway(ctx context.Context, m *peerv1.Member, strikes []*peerv1.ServiceStrike) {
+func (g *Gateway) sendStrikes(ctx context.Context, m *peerv1.Member, strikes []*peerv1.ServiceStrike) {
 	client := peerv1.NewGatewayClient(g.peers.client, g.peers.scheme+"://"+m.GetGatewayAddress())
 	_, err := client.Struck(ctx, connect.NewRequest(&peerv1.StruckRequest{Gateway: g.settings.vm.ID, Strikes: strikes}))
 	if err != nil {
@@ -95,27 +97,28 @@
 	}
 }
 
-// struckHandler returns the path and the handler of what other gateways tell.
-func (g *Gateway) struckHandler() (string, http.Handler) {
+// strikeHandler returns the path and the handler of the RPCs from other gateways.
+func (g *Gateway) strikeHandler() (string, http.Handler) {
 	return peerv1.NewGatewayHandler(gatewayRPC{g}, peer.HandlerOptions())
 }
 
-// gatewayRPC serves other gateways.
+// gatewayRPC serves the RPCs from other gateways.
 type gatewayRPC struct{ g *Gateway }
 
-// Struck implements peer.v1.Gateway.
+// Struck implements the Gateway service of peer.v1. It records the strikes reported by another
+// gateway.
 func (s gatewayRPC) Struck(_ context.Context, r *connect.Request[peerv1.StruckRequest]) (*connect.Response[peerv1.StruckResponse], error) {
 	now := time.Now()
 	for _, strike := range r.Msg.GetStrikes() {
 		began := now.Add(-time.Duration(strike.GetBeganMs()) * time.Millisecond)
 		if n, counted := s.g.strikes.add(strike.GetService(), strike.GetContent(), began); counted {
-			s.g.logStruck(strike, n, r.Msg.GetGateway())
+			s.g.logStrike(strike, n, r.Msg.GetGateway())
 		}
 	}
 	return connect.NewResponse(&peerv1.StruckResponse{}), nil
 }
 
-func (g *Gateway) logStruck(strike *peerv1.ServiceStrike, strikes int, by string) {
+func (g *Gateway) logStrike(strike *peerv1.ServiceStrike, strikes int, reporter string) {
 	g.log.Info("service died of a call", zap.String("service", strike.GetService()), logging.Work(strike.GetContent()),
-		zap.Int("strikes", strikes), zap.String("gateway", by))
+		zap.Int("strikes", strikes), zap.String("gateway", reporter))
 }
