--- a/api/api.go
+++ b/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds the callers' API as both of its sides see it: headers, paths and
-// the JSON that is not part of the OpenAI API. docs/API.md describes it.
+// Package api defines the callers' HTTP API as shared by server and client: the headers, the stream
+// markers and the JSON bodies that are not part of the OpenAI API. docs/API.md documents it.
 package api
 
 import (
@@ -10,44 +10,44 @@
 
 // Headers of the API.
 const (
-	// HeaderRequestID names the request in logs and in /v1/requests.
+	// HeaderRequestID is the request's ID, as used in logs and by /v1/requests.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderGateway names the VM that served the request.
+	// HeaderGateway is the ID of the VM whose gateway served the request.
 	HeaderGateway = "Crocusreel-Gateway"
-	// HeaderEndpoint names the endpoint that ran the work.
+	// HeaderEndpoint is the name of the endpoint that ran the work.
 	HeaderEndpoint = "Crocusreel-Endpoint"
-	// HeaderIdempotencyKey names a piece of work across attempts.
+	// HeaderIdempotencyKey identifies the same work across attempts.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderIdempotent is "false" for work that may run at most once.
 	HeaderIdempotent = "Crocusreel-Idempotent"
-	// HeaderAttempt counts the caller's attempts with one key, from 1.
+	// HeaderAttempt is the number of the caller's attempt with this idempotency key, starting at 1.
 	HeaderAttempt = "Crocusreel-Attempt"
-	// HeaderPriority is an integer from MinPriority to MaxPriority.
+	// HeaderPriority is an integer from crocusreel.MinPriority to crocusreel.MaxPriority.
 	HeaderPriority = "Crocusreel-Priority"
 	// HeaderClass is "generation" (default) or "short".
 	HeaderClass = "Crocusreel-Class"
-	// HeaderDeadline is the time that the caller will wait, in milliseconds.
+	// HeaderDeadline is how long the caller waits for the answer, in milliseconds.
 	HeaderDeadline = "Crocusreel-Deadline-Ms"
 	// HeaderLengthHint is the expected length of the answer, in tokens.
 	HeaderLengthHint = "Crocusreel-Length-Hint"
-	// HeaderPreemptions counts how often the generation was preempted.
+	// HeaderPreemptions is how often the engine preempted the generation.
 	HeaderPreemptions = "Crocusreel-Preemptions"
-	// HeaderRetryAfterMS is Retry-After in milliseconds.
+	// HeaderRetryAfterMS is the Retry-After time in milliseconds.
 	HeaderRetryAfterMS = "Crocusreel-Retry-After-Ms"
 )
 
-// Markers of an event stream.
+// Markers in the server-sent event stream of an answer.
 const (
-	// DoneMarker is the data of the event that follows the last chunk.
+	// DoneMarker is the data of the event that follows the last chunk of a complete answer.
 	DoneMarker = "[DONE]"
-	// ErrorEvent is the name of the event that ends a stream which is not whole.
+	// ErrorEvent is the name of the event that ends an incomplete stream.
 	ErrorEvent = "error"
 )
 
 // Addresses is the body of GET /v1/addresses.
 type Addresses struct {
 	Addresses []string `json:"addresses"`
-	// TTLMS is how long the answer may be kept, in milliseconds.
+	// TTLMS is how long the list may be cached, in milliseconds.
 	TTLMS int64 `json:"ttl_ms"`
 }
 
@@ -55,28 +55,28 @@
 type ResumeRequest struct {
 	Handle    string `json:"handle"`
 	NextIndex int    `json:"next_index"`
-	// Chat selects the chunks' form: chat completion chunks if set.
+	// Chat selects chat completion chunks instead of completion chunks.
 	Chat bool `json:"chat,omitempty"`
 }
 
-// Extension is the part of a chunk that is not in the OpenAI API.
+// Extension holds the fields of a chunk that are not part of the OpenAI API.
 type Extension struct {
-	// Handle is on the first chunk only.
+	// Handle is the resume handle. It is set on the first chunk only.
 	Handle string `json:"handle,omitempty"`
-	// Index is the token's index; on the last chunk, the number of tokens.
+	// Index is the index of the chunk's token. On the last chunk it is the number of tokens.
 	Index *int `json:"index"`
-	// Preemptions is on the last chunk only.
+	// Preemptions is how often the generation was preempted. It is set on the last chunk only.
 	Preemptions *int `json:"preemptions,omitempty"`
 }
 
-// ErrorBody is the body of every refusal and of a stream's error event. Its first
-// field follows the OpenAI API.
+// ErrorBody is the body of every refusal and the data of a stream's error event. The Error field
+// follows the OpenAI API.
 type ErrorBody struct {
 	Error   ErrorDetail        `json:"error"`
 	Reason  crocusreel.Reason  `json:"reason"`
 	Outcome crocusreel.Outcome `json:"outcome"`
-	// RetryAfterMS is how long to wait before another attempt, in milliseconds; 0
-	// means that another attempt will not help.
+	// RetryAfterMS is how long to wait before another attempt, in milliseconds. Zero means that
+	// retrying will not succeed.
 	RetryAfterMS int64 `json:"retry_after_ms"`
 }
 
@@ -87,10 +87,10 @@
 	Code    string `json:"code"`
 }
 
-// errorType is the type of every error object.
+// errorType is the value of ErrorDetail.Type in every error object.
 const errorType = "crocusreel_error"
 
-// NewErrorBody returns the body that carries a refusal.
+// NewErrorBody returns the body that represents the refusal.
 func NewErrorBody(r *crocusreel.Refusal) ErrorBody {
 	return ErrorBody{
 		Error:        ErrorDetail{Message: r.Message, Type: errorType, Code: string(r.Reason)},
@@ -100,7 +100,7 @@
 	}
 }
 
-// Refusal returns the refusal that a body carries.
+// Refusal returns the refusal that the body represents.
 func (b ErrorBody) Refusal() *crocusreel.Refusal {
 	return &crocusreel.Refusal{
 		Reason:     b.Reason,
--- a/api/record.go
+++ b/api/record.go
@@ -6,7 +6,7 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// Record tells what happened to a recent request; see `crocusreel explain`.
+// Record is the history of a recent request, as shown by `crocusreel explain`.
 type Record struct {
 	RequestID string    `json:"request_id"`
 	Workspace string    `json:"workspace"`
@@ -14,15 +14,15 @@
 	Model     string    `json:"model,omitempty"`
 	Path      string    `json:"path,omitempty"`
 	Started   time.Time `json:"started"`
-	// Steps lists what was done, in order.
+	// Steps lists the request's events in chronological order.
 	Steps []Step `json:"steps"`
-	// Ended is nil while the request runs.
+	// Ended is nil while the request is running.
 	Ended   *time.Time         `json:"ended,omitempty"`
 	Reason  crocusreel.Reason  `json:"reason,omitempty"`
 	Outcome crocusreel.Outcome `json:"outcome,omitempty"`
 }
 
-// Step is one event of a request.
+// Step is one event in the history of a request.
 type Step struct {
 	// AtMS is the time since the request started, in milliseconds.
 	AtMS     int64  `json:"at_ms"`
--- a/caller/answers.go
+++ b/caller/answers.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// format is the form of an answer's JSON.
+// format selects the JSON format of an answer: text completion or chat completion.
 type format int
 
 const (
@@ -39,6 +39,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
+// answer is the body of a completion or chat completion, or one chunk of a streamed one.
 type answer struct {
 	ID        string         `json:"id"`
 	Object    string         `json:"object"`
@@ -53,7 +54,7 @@
 	return &usage{PromptTokens: f.PromptTokens, CompletionTokens: f.Tokens, TotalTokens: f.PromptTokens + f.Tokens}
 }
 
-// wholeSink keeps an answer until it is whole.
+// wholeSink buffers an answer until it is complete.
 type wholeSink struct {
 	model    string
 	endpoint string
@@ -83,6 +84,7 @@
 	return nil
 }
 
+// wholeAnswer runs a generation and writes its answer as one JSON body.
 func (s *server) wholeAnswer(c echo.Context, f format, model string, run func(Sink) *crocusreel.Refusal) error {
 	sink := &wholeSink{model: model}
 	if refusal := run(sink); refusal != nil {
@@ -106,7 +108,7 @@
 	}))
 }
 
-// modelList is the body of GET /v1/models.
+// modelList is the response body of GET /v1/models.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
--- a/caller/core.go
+++ b/caller/core.go
@@ -1,6 +1,6 @@
-// Package caller serves the HTTP API towards callers: OpenAI-compatible
-// generations, plain services, resume and addresses. It checks and translates;
-// the decisions lie behind the Core interface.
+// Package caller serves the callers' HTTP API: OpenAI-compatible generations, resumption of streams,
+// calls to plain services and gateway addresses. It validates requests and translates them to and
+// from the Core interface, which implements the serving logic.
 package caller
 
 import (
@@ -12,46 +12,47 @@
 	"github.com/crocusreel/crocusreel/endpoint"
 )
 
-// Core is the gateway behind the API.
+// Core implements the serving logic behind the HTTP API.
 type Core interface {
-	// Ready returns nil if requests can be served.
+	// Ready returns nil if the gateway can serve requests.
 	Ready() *crocusreel.Refusal
-	// Workspace finds the workspace of a caller key by the key's hex SHA-256.
+	// Workspace returns the workspace to which a caller key belongs. The key is given by the hex
+	// digest of its SHA-256.
 	Workspace(keyDigest string) (*config.WorkspaceSpec, bool)
 	// Models lists the models that the workspace may use.
 	Models(ws *config.WorkspaceSpec) []string
-	// Addresses lists the caller addresses of serving gateways, nearest first, and
-	// how long the answer may be kept.
+	// Addresses lists the caller addresses of serving gateways, nearest first, and how long callers
+	// may cache the list.
 	Addresses() ([]string, time.Duration)
-	// Enter takes one of the workspace's concurrent requests; the returned function
-	// gives it back.
+	// Enter acquires one of the workspace's slots for concurrent requests. The returned function
+	// releases the slot.
 	Enter(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal)
-	// Generate runs one generation and feeds its answer to the sink. It returns
-	// nil after Sink.Finish.
+	// Generate runs one generation and writes its answer to the sink. It returns nil once
+	// Sink.Finish has been called.
 	Generate(ctx context.Context, g Generation, sink Sink) *crocusreel.Refusal
-	// Resume continues an existing generation.
+	// Resume writes the rest of an existing generation to the sink.
 	Resume(ctx context.Context, r Resume, sink Sink) *crocusreel.Refusal
-	// Call makes one call to a plain service.
+	// Call sends one call to a plain service and returns its reply.
 	Call(ctx context.Context, c ServiceCall) (endpoint.Reply, *crocusreel.Refusal)
-	// Record returns what is known of a recent request of the workspace.
+	// Record returns the history of a recent request of the workspace, and whether it is known.
 	Record(workspace, requestID string) (any, bool)
 }
 
-// Attempt holds what every piece of work carries, whatever its kind.
+// Attempt holds the fields that generations and service calls have in common.
 type Attempt struct {
 	RequestID string
 	Workspace *config.WorkspaceSpec
-	// IdempotencyKey is the caller's; it is never empty if NonIdempotent is set.
+	// IdempotencyKey is the key that the caller sent. It is never empty if NonIdempotent is set.
 	IdempotencyKey string
-	// NonIdempotent work runs at most once for its key.
+	// NonIdempotent marks work that may run at most once for its idempotency key.
 	NonIdempotent bool
-	// First is the caller's statement that no earlier attempt used this key.
+	// First is set if the caller declares that no earlier attempt used this idempotency key.
 	First bool
-	// BodySHA256 is the hex digest of method, path and body.
+	// BodySHA256 is the hex SHA-256 digest of the request's method, path, query and body.
 	BodySHA256 string
 }
 
-// Generation is one generation as a caller asked for it.
+// Generation is a caller's request for one generation.
 type Generation struct {
 	Attempt
 	Model     string
@@ -60,23 +61,23 @@
 	MaxTokens int
 	Class     crocusreel.Class
 	Priority  crocusreel.Priority
-	// LengthHint is the length that the caller expects, in tokens; 0 if unknown.
+	// LengthHint is the caller's estimate of the answer's length in tokens, 0 if there is none.
 	LengthHint int
-	// Restartable is set if nothing reaches the caller before the answer is whole,
-	// so that a lost generation may be replaced by another.
+	// Restartable is set if the caller receives nothing before the answer is complete, so that a
+	// lost generation may be replaced by a new one.
 	Restartable bool
 }
 
-// Resume asks for the rest of a generation.
+// Resume is a request for the rest of a generation.
 type Resume struct {
 	RequestID string
 	Workspace *config.WorkspaceSpec
 	Handle    string
-	// Next is the index of the first token that the caller lacks.
+	// Next is the index of the first token that the caller has not received.
 	Next int
 }
 
-// ServiceCall is one call to a plain service.
+// ServiceCall is a caller's call to a plain service.
 type ServiceCall struct {
 	Attempt
 	Method      string
@@ -86,10 +87,10 @@
 	Body        []byte
 }
 
-// Begin describes a generation whose first token is about to come.
+// Begin holds what is known of a generation before its first token.
 type Begin struct {
 	Model string
-	// Handle lets the caller resume the stream at any gateway.
+	// Handle allows the caller to resume the stream at any gateway.
 	Handle   string
 	Endpoint string
 }
@@ -103,9 +104,9 @@
 	Preemptions  int
 }
 
-// Sink takes one answer. Begin comes first; a second Begin, which happens only for
-// restartable generations, discards all that came before it. An error means that
-// the caller is gone.
+// Sink receives one answer. Begin is called first. A further call of Begin, which happens only for
+// restartable generations, discards everything received before it. An error means that the answer
+// can no longer be delivered because the caller has disconnected.
 type Sink interface {
 	Begin(b Begin) error
 	Token(index int, text string) error
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -14,7 +14,7 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// statuses gives the HTTP status of each reason; any other reason is 503.
+// statuses maps reasons to HTTP statuses. Reasons that are not listed map to 503.
 var statuses = map[crocusreel.Reason]int{
 	crocusreel.ReasonBadRequest:     http.StatusBadRequest,
 	crocusreel.ReasonKeyRequired:    http.StatusBadRequest,
@@ -40,7 +40,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// writeError turns every error of a handler into a typed refusal.
+// writeError is Echo's error handler. It converts every error of a handler to a refusal, records it
+// and writes it, unless the response has already been started.
 func (s *server) writeError(err error, c echo.Context) {
 	r := trueForKey(c, asRefusal(err))
 	s.countRefusal(c, r)
@@ -53,12 +54,12 @@
 		h.Set(api.HeaderRetryAfterMS, strconv.FormatInt(r.RetryAfter.Milliseconds(), 10))
 	}
 	if werr := c.JSON(statusOf(r), api.NewErrorBody(r)); werr != nil {
-		s.opts.Log.Debug("refusal not delivered", zap.String("request", requestID(c)), zap.Error(werr))
+		s.opts.Log.Debug("failed to write refusal", zap.String("request", requestID(c)), zap.Error(werr))
 	}
 }
 
-// contentReasons are refusals of a request's own content: it is not work at all,
-// whatever its key.
+// contentReasons are the reasons for which a request is invalid in itself. Such a request never runs,
+// whatever its idempotency key, so its outcome stays OutcomeNotRun.
 var contentReasons = map[crocusreel.Reason]bool{
 	crocusreel.ReasonBadRequest:    true,
 	crocusreel.ReasonKeyRequired:   true,
@@ -67,11 +68,11 @@
 	crocusreel.ReasonTooLarge:      true,
 }
 
-// trueForKey makes the outcome true for the idempotency key. This attempt did not
-// run, but an earlier one with the same key may have, or may sit in a frozen
-// gateway that will send it when it wakes. A caller that took not_run at its word
-// would send the work under a new key, and it would run twice. Only the caller can
-// state that there was no earlier attempt.
+// trueForKey returns the refusal with an outcome that holds for the idempotency key and not only for
+// this attempt. This attempt did not run, but an earlier attempt with the same key may have run, or
+// may be held by a frozen gateway that sends it once it resumes. A caller that trusted not_run would
+// send the work under a new key, and it would run twice. OutcomeNotRun is therefore replaced by
+// OutcomeUnknown unless the caller declares that this is its first attempt.
 func trueForKey(c echo.Context, r *crocusreel.Refusal) *crocusreel.Refusal {
 	h := c.Request().Header
 	keyed := h.Get(api.HeaderIdempotencyKey) != ""
@@ -83,12 +84,12 @@
 	return &t
 }
 
-// delivered takes the error of writing an answer to work that ran. It must not
-// become a refusal, which would say that the work did not run.
+// delivered records an error of writing the response to work that ran. It always returns nil: as a
+// handler's error it would become a refusal that claims that the work did not run.
 func (s *server) delivered(c echo.Context, err error) error {
 	if err != nil {
 		metrics.Count("answer_not_delivered")
-		s.opts.Log.Info("answer not delivered", zap.String("request", requestID(c)), zap.Error(err))
+		s.opts.Log.Info("failed to write response", zap.String("request", requestID(c)), zap.Error(err))
 	}
 	return nil
 }
@@ -117,8 +118,8 @@
 	return refuseNotRun(crocusreel.ReasonBadRequest, "header %s: allowed is %s", name, allowed)
 }
 
-// wholeSeconds rounds up, since Retry-After has no fractions and an early retry
-// would be refused again.
+// wholeSeconds rounds the duration up to whole seconds. Retry-After has no fractions, and a retry
+// that comes too early would be refused again.
 func wholeSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/caller/generations.go
+++ b/caller/generations.go
@@ -14,8 +14,8 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// completionRequest is the body of POST /v1/completions. Fields of the OpenAI API
-// that have no meaning here are accepted and ignored.
+// completionRequest is the body of POST /v1/completions. Other fields of the OpenAI API are accepted
+// and ignored.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -136,13 +136,15 @@
 	return nil
 }
 
-// deadlineContext returns the request's context with the caller's own deadline.
+// deadlineContext returns the request's context, limited by the deadline header if the caller sent
+// one. It must be called after the body has been read.
 func deadlineContext(c echo.Context) (context.Context, context.CancelFunc, error) {
 	d, err := readDeadline(c.Request().Header)
 	if err != nil {
 		return nil, nil, err
 	}
-	// The body has been read; a deadline for reading would now end the request.
+	// The body has been read. The read deadline set for it must be cleared, since on expiry it would
+	// cancel the request.
 	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Time{})
 	if d == 0 {
 		ctx, cancel := context.WithCancel(c.Request().Context())
--- a/caller/headers.go
+++ b/caller/headers.go
@@ -42,8 +42,8 @@
 	return ""
 }
 
-// authenticate finds the workspace of the caller's key. Keys are compared through
-// their digests, so the time that it takes tells nothing about a key.
+// authenticate looks up the workspace of the caller's key. The lookup uses the key's digest, so that
+// its duration reveals nothing about valid keys.
 func (s *server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if r := s.core.Ready(); r != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// readAttempt reads the headers that every kind of work shares.
+// readAttempt reads the headers that generations and service calls have in common.
 func readAttempt(c echo.Context, body []byte) (Attempt, error) {
 	h := c.Request().Header
 	a := Attempt{
@@ -93,6 +93,7 @@
 	return a, nil
 }
 
+// digestRequest returns the hex SHA-256 digest of the request's method, path, query and body.
 func digestRequest(r *http.Request, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(r.Method + "\n" + r.URL.Path + "\n" + r.URL.RawQuery + "\n"))
@@ -116,6 +117,8 @@
 	}
 }
 
+// intHeader parses an integer header. It returns missing if the header is absent or empty, and a
+// refusal if the value is not an integer from lowest to highest.
 func intHeader(h http.Header, name string, missing, lowest, highest int) (int, error) {
 	text := h.Get(name)
 	if text == "" {
--- a/caller/server.go
+++ b/caller/server.go
@@ -13,30 +13,30 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// Options bound what one caller can cost.
+// Options configures the server and limits the resources that one caller can use.
 type Options struct {
-	// VM is the ID that answers carry in the Crocusreel-Gateway header.
+	// VM is the ID of the gateway's VM, sent in the Crocusreel-Gateway header of every response.
 	VM string
-	// MaxBodyBytes bounds a request body.
+	// MaxBodyBytes limits the size of a request body.
 	MaxBodyBytes int64
-	// MaxHeaderTime bounds the time for a caller to send its headers.
+	// MaxHeaderTime limits the time in which a caller has to send its headers.
 	MaxHeaderTime time.Duration
-	// WriteTimeout bounds the writing of one event of a stream, or of one whole answer.
-	// A caller that takes longer to read it counts as gone, so that it cannot hold an
-	// engine's memory or a goroutine for ever. Default 20 seconds.
+	// WriteTimeout limits the time for writing one event of a stream, or one unstreamed response. A
+	// caller that takes longer to read it is treated as disconnected, so that it cannot hold engine
+	// memory or a goroutine indefinitely. Default: 20 seconds.
 	WriteTimeout time.Duration
 	Log          *zap.Logger
 }
 
 const (
-	// bodyTimeout bounds the time for a caller to send its body, so that a caller
-	// that sends a byte a minute does not hold a connection for hours.
+	// bodyTimeout limits the time in which a caller has to send its body. Without it, a caller that
+	// sends one byte per minute would hold a connection for hours.
 	bodyTimeout = 30 * time.Second
-	// idleTimeout closes connections that carry no request.
+	// idleTimeout is the time after which idle keep-alive connections are closed.
 	idleTimeout = 2 * time.Minute
-	// defaultWriteTimeout is that of Options.
+	// defaultWriteTimeout is the default of Options.WriteTimeout.
 	defaultWriteTimeout = 20 * time.Second
-	// maxHeaderBytes bounds the size of all headers of a request.
+	// maxHeaderBytes limits the total size of a request's headers.
 	maxHeaderBytes = 32 << 10
 )
 
@@ -45,8 +45,8 @@
 	opts Options
 }
 
-// NewServer returns an HTTP server for the API. Whoever calls NewServer serves it
-// and shuts it down.
+// NewServer returns an HTTP server for the API. Starting it and shutting it down is up to the
+// caller of NewServer.
 func NewServer(core Core, opts Options) *http.Server {
 	return &http.Server{
 		Handler:           NewHandler(core, opts),
@@ -56,7 +56,7 @@
 	}
 }
 
-// NewHandler returns the API's routes.
+// NewHandler returns a handler that serves the API's routes.
 func NewHandler(core Core, opts Options) http.Handler {
 	if opts.WriteTimeout <= 0 {
 		opts.WriteTimeout = defaultWriteTimeout
@@ -80,7 +80,8 @@
 	return e
 }
 
-// identify gives each request an ID and names the gateway in the answer.
+// identify assigns an ID to each request, adds the request ID and the gateway's VM to the response
+// headers and sets a write deadline as the response starts.
 func (s *server) identify(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		id := uuid.NewString()
@@ -93,18 +94,19 @@
 	}
 }
 
-// boundWrite gives the next write a deadline. A server without support for deadlines
-// (a test recorder) says so.
+// boundWrite sets the deadline for the next write of the response. Response writers without support
+// for deadlines, such as httptest.ResponseRecorder, return an error, which is ignored.
 func boundWrite(c echo.Context, timeout time.Duration) {
 	_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Now().Add(timeout))
 }
 
+// limitBody limits the size of the request body and the time for sending it.
 func (s *server) limitBody(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		r := c.Request()
 		r.Body = http.MaxBytesReader(c.Response(), r.Body, s.opts.MaxBodyBytes)
-		// A server without support for deadlines (a test recorder) says so; the
-		// body limit still holds there.
+		// Response writers without support for deadlines, such as httptest.ResponseRecorder,
+		// return an error, which is ignored. The size limit applies to them as well.
 		_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Now().Add(bodyTimeout))
 		return next(c)
 	}
@@ -130,7 +132,7 @@
 	return c.JSON(http.StatusOK, rec)
 }
 
-// countRefusal writes the log line and the counter of a refusal.
+// countRefusal counts and logs a refusal.
 func (s *server) countRefusal(c echo.Context, r *crocusreel.Refusal) {
 	metrics.Refused(r.Reason)
 	s.opts.Log.Info("request refused",
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -24,10 +24,10 @@
 
 const testKey = "caller-key"
 
-// fakeCore answers each generation with two tokens, or refuses it.
+// fakeCore is a Core that answers each generation with two tokens, or refuses it.
 type fakeCore struct {
 	refusal *crocusreel.Refusal
-	// refuseAfter is the number of tokens that come before the refusal.
+	// refuseAfter is the number of tokens that are sent before the refusal.
 	refuseAfter int
 	got         []Generation
 }
@@ -83,8 +83,8 @@
 	return w
 }
 
-// A caller sends something that cannot be served. It must be told what is wrong and
-// that nothing ran, and the core must never see the request.
+// An invalid request must be refused with a reason and the outcome not_run, and must not reach the
+// core.
 func TestBadRequestsAreRefusedBeforeTheCore(t *testing.T) {
 	const good = `{"model":"m","prompt":"p"}`
 	cases := map[string]struct {
@@ -118,8 +118,8 @@
 	}
 }
 
-// The system is full. A caller that is not told when to come back tries again at
-// once and makes it worse.
+// A refusal due to overload must carry a retry time. Without one, callers retry immediately and add
+// to the overload. Retry-After is rounded up to whole seconds.
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	core := &fakeCore{refusal: crocusreel.Refuse(crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, 1200*time.Millisecond, "full")}
@@ -129,9 +129,9 @@
 	g.Expect(w.Header().Get(api.HeaderRetryAfterMS)).To(gomega.Equal("1200"))
 }
 
-// A gateway is full and refuses the second attempt with a key, while the first
-// attempt may have booked the bed. Told not_run, the caller would book again under a
-// new key. Only a first attempt may be told so.
+// A gateway that refuses a second attempt with an idempotency key must not report not_run, since the
+// first attempt may have run. The caller would repeat the work under a new key, and it would run
+// twice. Only a declared first attempt gets not_run.
 func TestNotRunIsTrueForTheKey(t *testing.T) {
 	for attempt, outcome := range map[string]crocusreel.Outcome{
 		"1": crocusreel.OutcomeNotRun,
@@ -147,8 +147,8 @@
 	}
 }
 
-// A generation is lost after its first token. A stream that just stopped would look
-// like a whole answer to a caller that ignores the missing end mark.
+// A generation that is lost after its first token must end its stream with an error event. A stream
+// that merely stopped would look complete to a caller that ignores the missing [DONE] marker.
 func TestLostStreamEndsInATypedError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	core := &fakeCore{refuseAfter: 1, refusal: crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, time.Second, "lost")}
@@ -158,8 +158,8 @@
 	g.Expect(w.Body.String()).NotTo(gomega.ContainSubstring("[DONE]"))
 }
 
-// Anyone can send anything to the API. Whatever the body, the answer is a status
-// below 500 or a typed refusal, and the process lives on.
+// Arbitrary bodies and priority headers must yield status 200, 400 or 413, and must not crash the
+// process.
 func FuzzCompletions(f *testing.F) {
 	f.Add(`{"model":"m:a","prompt":"p","max_tokens":-1}`, "5")
 	f.Add(`{"model":"m","prompt":["p"]}`, "-99999999999999999999")
@@ -172,9 +172,9 @@
 	})
 }
 
-// A caller streams an answer, pauses, and uses the connection again. The deadline of
-// the stream's last write must not end the next answer, which the caller would see as
-// a broken connection after its work ran.
+// A caller streams an answer, pauses, and reuses the connection. The write deadline left over from
+// the stream must not break the next response, since that request's work would run and its answer be
+// lost.
 func TestConnectionOutlivesAStreamsDeadline(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const timeout = 100 * time.Millisecond
@@ -194,8 +194,8 @@
 	}
 }
 
-// A caller asks for a large answer and never reads it. The write must end, or each
-// such caller holds a goroutine, a concurrency slot and the answer for ever.
+// A caller requests a large response and never reads it. The write must time out; otherwise each such
+// caller holds a goroutine, a concurrency slot and the response's memory indefinitely.
 func TestCallerThatReadsNothingIsLetGo(t *testing.T) {
 	g := gomega.NewWithT(t)
 	done := make(chan struct{})
@@ -214,7 +214,7 @@
 	g.Eventually(done, "20s").Should(gomega.BeClosed())
 }
 
-// blobCore answers calls with a large body.
+// blobCore is a Core that answers service calls with a body of size bytes.
 type blobCore struct {
 	fakeCore
 	size int
--- a/caller/services.go
+++ b/caller/services.go
@@ -7,11 +7,11 @@
 	"github.com/labstack/echo/v4"
 )
 
-// servicesPath is where plain services are mounted.
+// servicesPath is the path prefix of plain services.
 const servicesPath = "/services"
 
-// service passes one call to a plain service. Whether it may be repeated is for the
-// route to say; the caller's header can only make it stricter.
+// service forwards one call to a plain service. The route determines whether the call is idempotent;
+// the caller's header can only declare it non-idempotent, never the reverse.
 func (s *server) service(c echo.Context) error {
 	r := c.Request()
 	body, err := io.ReadAll(r.Body)
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -23,6 +23,8 @@
 	started bool
 }
 
+// streamAnswer runs a generation and streams its answer as server-sent events. A refusal before the
+// first event is returned; after it, the refusal ends the stream as an error event.
 func (s *server) streamAnswer(c echo.Context, f format, model string, run func(Sink) *crocusreel.Refusal) error {
 	sink := &streamSink{c: c, timeout: s.opts.WriteTimeout, form: f, model: model, created: time.Now().Unix()}
 	refusal := run(sink)
@@ -37,12 +39,12 @@
 	if err != nil {
 		return err
 	}
-	// A caller that is gone cannot be told; the refusal is already in the log.
+	// A write error means that the caller has disconnected. The refusal is already logged.
 	_ = sink.write("event: "+api.ErrorEvent+"\ndata: ", body)
 	return nil
 }
 
-// Begin implements Sink. Headers are sent with the first token's chunk.
+// Begin implements Sink. The headers are sent with the first event.
 func (k *streamSink) Begin(b Begin) error {
 	if b.Model != "" {
 		k.model = b.Model
@@ -106,7 +108,8 @@
 	return k.write("data: ", data)
 }
 
-// write sends one event whole: a caller never sees half of one.
+// write sends one event in a single write, so that callers do not receive partial events, and
+// flushes it.
 func (k *streamSink) write(prefix string, data []byte) error {
 	var b bytes.Buffer
 	b.Grow(len(prefix) + len(data) + 2)
--- a/config/check.go
+++ b/config/check.go
@@ -4,8 +4,8 @@
 	"strings"
 )
 
-// check finds mistakes that no single key shows: references to names that do not
-// exist, and demands that cannot be met together.
+// check reports mistakes that involve more than one key: references to names that do not exist, and
+// settings that contradict each other.
 func check(file string, c *Config, problems *Problems) {
 	k := checks{file: file, c: c, problems: problems}
 	k.weights()
@@ -86,8 +86,8 @@
 	}
 }
 
-// replicas checks that enough engines are to hold each model. Fewer would leave
-// min_replicas unreachable, and no unload would ever be allowed.
+// replicas checks that in each region at least min_replicas engines are configured for each model.
+// With fewer engines min_replicas could never be met, and no unload would ever be allowed.
 func (k checks) replicas() {
 	holders := make(map[string]map[string]int)
 	for _, e := range k.c.Endpoints {
--- a/config/compile.go
+++ b/config/compile.go
@@ -7,20 +7,20 @@
 	"github.com/crocusreel/crocusreel/internal/tomlcheck"
 )
 
-// Problem is one mistake in a document.
+// Problem describes one mistake in a document.
 type Problem = tomlcheck.Problem
 
-// Problems is the error that lists every mistake of a document.
+// Problems is an error that lists every mistake in a document.
 type Problems = tomlcheck.Problems
 
-// baseName and overlayName name the parts of a document in problems and diffs.
+// baseName and overlayName identify the parts of a document in problems and diffs.
 const baseName = "base"
 
 func overlayName(dataCentre string) string { return "overlays/" + dataCentre }
 
-// Compile returns the configuration in force at one data centre: the base, then
-// the data centre's overlay, merged by name. Endpoints are taken from every
-// overlay, since all data centres must know all endpoints. The error is Problems.
+// Compile returns the effective configuration of one data centre: the base with the data centre's
+// overlay merged into it by name. Endpoints are taken from all overlays, since every data centre must
+// know every endpoint. A non-nil error is of type Problems.
 func Compile(doc Document, dataCentre string) (*Config, error) {
 	parsed, problems := parse(doc)
 	if len(problems) > 0 {
@@ -33,14 +33,14 @@
 	return c, nil
 }
 
-// Validate checks the base alone and with each overlay. The error is Problems and
+// Validate checks the base on its own and with each overlay. A non-nil error is of type Problems and
 // lists every mistake.
 func Validate(doc Document) error {
 	parsed, problems := parse(doc)
 	if parsed == nil {
 		return problems.Err()
 	}
-	// The base alone is what a data centre without an overlay gets.
+	// A data centre without an overlay uses the base on its own.
 	base, found := parsed.compile("")
 	problems = append(problems, found...)
 	for _, dataCentre := range parsed.dataCentres() {
@@ -53,6 +53,7 @@
 	return distinct(problems).Err()
 }
 
+// checkOverlayKey reports an overlay for a data centre that the base does not list.
 func checkOverlayKey(dataCentre string, base *Config, problems *Problems) {
 	known := base.Service.DataCentres
 	if len(known) > 0 && !contains(known, dataCentre) {
@@ -60,7 +61,7 @@
 	}
 }
 
-// parsedDocument holds the tables of a document before they are merged.
+// parsedDocument holds the parsed parts of a document before they are merged.
 type parsedDocument struct {
 	base     tomlcheck.Table
 	overlays map[string]tomlcheck.Table
@@ -75,8 +76,7 @@
 	return names
 }
 
-// parse reads and checks each part on its own. The result is nil if some part is
-// not TOML.
+// parse parses and checks each part on its own. It returns nil if any part has a syntax error.
 func parse(doc Document) (*parsedDocument, Problems) {
 	p := &parsedDocument{overlays: make(map[string]tomlcheck.Table, len(doc.Overlays))}
 	var problems Problems
@@ -103,9 +103,9 @@
 	return p, problems
 }
 
-// checkOverlayEndpoints keeps an overlay to endpoints of its own data centre. Two
-// overlays that describe one endpoint in two ways would leave data centres with
-// different views of it. An endpoint that names no data centre gets the overlay's.
+// checkOverlayEndpoints reports endpoints of an overlay that name another data centre. If two overlays
+// could define the same endpoint differently, data centres would have different views of it. An
+// endpoint without a data centre gets that of the overlay.
 func checkOverlayEndpoints(dataCentre string, overlay tomlcheck.Table, problems *Problems) {
 	for _, e := range namedEntries(overlay["endpoints"]) {
 		named, present := e["data_centre"].(string)
@@ -115,7 +115,7 @@
 	}
 }
 
-// compile merges, fills in defaults and checks the whole.
+// compile merges the parts for the data centre, fills in defaults and checks the result.
 func (p *parsedDocument) compile(dataCentre string) (*Config, Problems) {
 	name := baseName
 	merged := p.base
@@ -139,7 +139,7 @@
 	return c, nil
 }
 
-// lowerDigests gives digests the one form in which they are compared.
+// lowerDigests converts key digests to lower case, the form in which they are compared.
 func lowerDigests(c *Config) {
 	for _, w := range c.Workspaces {
 		for i, digest := range w.KeySHA256 {
@@ -148,7 +148,8 @@
 	}
 }
 
-// endpointsOf returns the part of an overlay that every data centre sees.
+// endpointsOf returns a table with the endpoints of a data centre's overlay, which apply to every data
+// centre. Endpoints that neither name a data centre nor appear in the base get the overlay's.
 func (p *parsedDocument) endpointsOf(dataCentre string) tomlcheck.Table {
 	entries := namedEntries(p.overlays[dataCentre]["endpoints"])
 	if len(entries) == 0 {
@@ -175,7 +176,7 @@
 	return false
 }
 
-// distinct drops problems of the base that show up again with each overlay.
+// distinct removes duplicates, and problems of the base that recur with each overlay.
 func distinct(problems Problems) Problems {
 	type position struct{ key, found string }
 	inBase := make(map[position]bool)
--- a/config/config.go
+++ b/config/config.go
@@ -1,133 +1,134 @@
-// Package config describes the service that operators write: a base file and an
-// overlay for each site, compiled and validated as a whole.
+// Package config defines the service configuration that operators write: a base file and one overlay
+// per data centre, which are merged and validated as a whole.
 package config
 
-// Document is what is stored and spread: the operators' own texts, unmerged.
+// Document is the configuration as it is stored and distributed: the operators' texts, unmerged.
 type Document struct {
-	// Base is the text of the base file, TOML.
+	// Base is the TOML text of the base file.
 	Base string `json:"base"`
-	// Overlays holds the text of each site's overlay, TOML, keyed by data centre.
+	// Overlays holds the TOML text of each overlay, keyed by data centre.
 	Overlays map[string]string `json:"overlays,omitempty"`
 }
 
-// Config is the configuration in force at one data centre: the base with that
-// data centre's overlay applied. It is immutable once compiled.
+// Config is the effective configuration of one data centre: the base with the data centre's overlay
+// applied. It is immutable once compiled.
 type Config struct {
 	Service ServiceSpec `toml:"service"`
 	Weights WeightSpec  `toml:"weights"`
 	Limits  LimitSpec   `toml:"limits"`
-	// Scheduling chooses how engines are picked.
+	// Scheduling selects the policy that admits work to engines.
 	Scheduling SchedulingSpec `toml:"scheduling"`
-	// Models, Workspaces, Endpoints and Routes are merged by name with an
-	// overlay's entries of the same name.
+	// Entries of Models, Workspaces, Endpoints and Routes are merged with an overlay's entries of
+	// the same name.
 	Models     []ModelSpec     `toml:"models"`
 	Workspaces []WorkspaceSpec `toml:"workspaces"`
 	Endpoints  []EndpointSpec  `toml:"endpoints"`
 	Routes     []RouteSpec     `toml:"routes"`
 }
 
-// ServiceSpec names the service.
+// ServiceSpec holds the name of the service and its data centres.
 type ServiceSpec struct {
 	Name string `toml:"name" required:"yes" format:"name"`
-	// DataCentres lists the data centres that endpoints and overlays may name.
-	// Empty allows any.
+	// DataCentres lists the data centres that endpoints and overlays may name. An empty list allows
+	// any.
 	DataCentres []string `toml:"data_centres" format:"name"`
 }
 
-// WeightSpec weighs the two costs against each other at this site. Only their
-// ratio matters; both must be >= 0 and one must be > 0. Defaults: 1 and 1.
+// WeightSpec holds the relative weights of the two costs that scheduling trades off at this data
+// centre. Only their ratio matters. Both must be >= 0 and one must be > 0. Defaults: 1 and 1.
 type WeightSpec struct {
-	// Stall weighs a second in which a started answer makes no progress.
+	// Stall is the weight of one second in which a started answer makes no progress.
 	Stall float64 `toml:"stall" default:"1" min:"0"`
-	// Preemption weighs one preemption.
+	// Preemption is the weight of one preemption.
 	Preemption float64 `toml:"preemption" default:"1" min:"0"`
 }
 
-// LimitSpec bounds queues and retries.
+// LimitSpec holds the limits of queues and retries.
 type LimitSpec struct {
-	// QueueLength is the number of requests that may wait for one model in a
-	// region; more are refused with queue_full. Default 512.
+	// QueueLength is the number of requests per model that may wait at one scheduler in each class
+	// of work. If more wait, the excess is refused with queue_full. Models that share engines share
+	// a queue, whose limit is the sum over its models. Default: 512.
 	QueueLength int `toml:"queue_length" default:"512" min:"1" max:"1000000"`
-	// QueueWaitMS is the longest wait in a queue, in milliseconds. Default 30000.
+	// QueueWaitMS is the maximum wait in a queue, in milliseconds. Default: 30000.
 	QueueWaitMS int `toml:"queue_wait_ms" default:"30000" min:"1" max:"3600000"`
-	// Attempts bounds the endpoints tried for one request. Default 3.
+	// Attempts is the maximum number of attempts at endpoints for one request. Default: 3.
 	Attempts int `toml:"attempts" default:"3" min:"1" max:"10"`
-	// RetryRatio is the number of retries earned by each first attempt of a
-	// workspace. Default 0.1.
+	// RetryRatio is the number of retries that each first attempt of a workspace adds to its retry
+	// budget. Default: 0.1.
 	RetryRatio float64 `toml:"retry_ratio" default:"0.1" min:"0" max:"1"`
-	// Strikes is the number of endpoint deaths after which a request is refused
-	// with suspect_request. Default 3.
+	// Strikes is the number of endpoint deaths after which a request is refused with
+	// suspect_request. Default: 3.
 	Strikes int `toml:"strikes" default:"3" min:"1" max:"10"`
-	// ShortReserve is the share of each engine's memory kept for short work, 0 to
-	// 0.5. Default 0.1.
+	// ShortReserve is the fraction of each engine's memory that is reserved for short work, 0 to
+	// 0.5. Default: 0.1.
 	ShortReserve float64 `toml:"short_reserve" default:"0.1" min:"0" max:"0.5"`
 }
 
-// Names of policies for SchedulingSpec.Policy.
+// Values of SchedulingSpec.Policy.
 const (
-	// PolicyReservation admits by predicted memory use; it is the default.
+	// PolicyReservation admits work by its predicted memory use. It is the default.
 	PolicyReservation = "reservation"
-	// PolicyWatermark admits while memory in use is under a fixed fraction.
+	// PolicyWatermark admits work while an engine's memory use is below a fixed fraction.
 	PolicyWatermark = "watermark"
-	// PolicyRoundRobin takes the endpoints in turn.
+	// PolicyRoundRobin selects the endpoints in turn.
 	PolicyRoundRobin = "round_robin"
-	// PolicyLeastOutstanding takes the endpoint with the fewest open permits.
+	// PolicyLeastOutstanding selects the endpoint with the fewest outstanding permits.
 	PolicyLeastOutstanding = "least_outstanding"
-	// PolicyPowerOfTwo takes the better of two random endpoints by reported load.
+	// PolicyPowerOfTwo selects the less loaded of two random endpoints, by reported load.
 	PolicyPowerOfTwo = "power_of_two"
-	// PolicyOracle is reservation with lengths told by the callers.
+	// PolicyOracle is PolicyReservation with answer lengths supplied by the callers.
 	PolicyOracle = "oracle"
 )
 
-// Scopes for SchedulingSpec.Scope.
+// Values of SchedulingSpec.Scope.
 const (
-	// ScopePool has one scheduler for all gateways of a region.
+	// ScopePool uses one scheduler for all gateways of a region.
 	ScopePool = "pool"
-	// ScopeGateway lets each gateway decide alone, on lagged load reports.
+	// ScopeGateway makes each gateway schedule independently, based on delayed load reports.
 	ScopeGateway = "gateway"
 )
 
-// SchedulingSpec chooses the policy that admits work to engines. All policies but
-// reservation exist for comparison.
+// SchedulingSpec selects the policy that admits work to engines. All policies except reservation exist
+// for comparison.
 type SchedulingSpec struct {
-	// Policy is one of the Policy constants. Default "reservation".
+	// Policy is one of the Policy constants. Default: "reservation".
 	Policy string `toml:"policy" default:"reservation" oneof:"reservation|watermark|round_robin|least_outstanding|power_of_two|oracle"`
-	// Scope is one of the Scope constants. Default "pool".
+	// Scope is one of the Scope constants. Default: "pool".
 	Scope string `toml:"scope" default:"pool" oneof:"pool|gateway"`
-	// Watermark is the fraction of an engine's memory up to which the baselines
-	// admit, 0 to 1; 0 admits without limit, except that the policy "watermark"
-	// takes 0 as 0.9.
+	// Watermark is the fraction of an engine's memory up to which the baseline policies admit work,
+	// 0 to 1. 0 means no limit, except for the policy "watermark", which uses 0.9 instead.
 	Watermark float64 `toml:"watermark" default:"0" min:"0" max:"1"`
 }
 
-// ModelSpec is a model that the service offers.
+// ModelSpec describes a model that the service offers.
 type ModelSpec struct {
 	Name     string   `toml:"name" required:"yes" format:"name"`
 	Version  string   `toml:"version" required:"yes" format:"name"`
 	Adapters []string `toml:"adapters" format:"name"`
-	// MinReplicas is the number of endpoints that must keep the model. Default 1.
+	// MinReplicas is the number of endpoints in a region that must keep the model. Default: 1.
 	MinReplicas int `toml:"min_replicas" default:"1" min:"0" max:"10000"`
-	// MaxTokens bounds every answer, in tokens. Default 32768.
+	// MaxTokens is the maximum length of an answer, in tokens. Default: 32768.
 	MaxTokens int `toml:"max_tokens" default:"32768" min:"1" max:"10000000"`
 }
 
-// WorkspaceSpec is a customer's share of the service.
+// WorkspaceSpec describes a workspace: a customer's keys, permissions and share of the service.
 type WorkspaceSpec struct {
 	Name string `toml:"name" required:"yes" format:"name"`
-	// Weight is its share under contention, > 0. Default 1.
+	// Weight is the workspace's relative share under contention, > 0. Default: 1.
 	Weight float64 `toml:"weight" default:"1" min:"0.001" max:"1000"`
-	// KeySHA256 are hex SHA-256 digests of its caller keys; at least one. Several
-	// are valid at once, for rotation.
+	// KeySHA256 lists the hex SHA-256 digests of the workspace's caller keys, at least one. All are
+	// valid at the same time, to allow key rotation.
 	KeySHA256 []string `toml:"key_sha256" required:"yes" format:"sha256"`
-	// Models that it may use; empty means all.
+	// Models lists the models that the workspace may use. An empty list allows all.
 	Models []string `toml:"models" format:"name"`
-	// MaxStreams bounds its concurrent requests at one gateway. Default 256.
+	// MaxStreams is the maximum number of the workspace's concurrent requests at one gateway.
+	// Default: 256.
 	MaxStreams int `toml:"max_streams" default:"256" min:"1" max:"1000000"`
-	// Priority is added to the priority of each of its requests. Default 0.
+	// Priority is added to the priority of each of the workspace's requests. Default: 0.
 	Priority int `toml:"priority" default:"0" min:"-10" max:"10"`
 }
 
-// EndpointKind is "engine" or "service".
+// EndpointKind is the kind of an endpoint: "engine" or "service".
 type EndpointKind string
 
 const (
@@ -137,33 +138,34 @@
 	KindService EndpointKind = "service"
 )
 
-// EndpointSpec is one back end.
+// EndpointSpec describes one endpoint: an inference engine or an instance of a plain service.
 type EndpointSpec struct {
 	Name       string       `toml:"name" required:"yes" format:"name"`
 	Kind       EndpointKind `toml:"kind" required:"yes" oneof:"engine|service"`
 	Address    string       `toml:"address" required:"yes" format:"address"` // IP:port
 	DataCentre string       `toml:"data_centre" required:"yes" format:"name"`
 	Region     string       `toml:"region" required:"yes" format:"name"`
-	// Models that an engine shall have loaded; orders bring it there.
+	// Models lists the models that an engine is to have loaded. Controllers send it orders until it
+	// does.
 	Models []string `toml:"models" format:"name"`
-	// Role is the role an engine shall have; default "mixed".
+	// Role is the role that an engine is to have. Default: "mixed".
 	Role string `toml:"role" default:"mixed" format:"name"`
-	// ChecksFence tells that the engine refuses orders with an old fencing number.
+	// ChecksFence states that the engine rejects orders with an outdated fencing token.
 	ChecksFence bool `toml:"checks_fence"`
-	// Leaving takes the endpoint out of service for new work.
+	// Leaving excludes the endpoint from new work.
 	Leaving bool `toml:"leaving"`
 }
 
-// RouteSpec maps a path prefix to plain services.
+// RouteSpec maps a path prefix to endpoints of a plain service.
 type RouteSpec struct {
 	Name string `toml:"name" required:"yes" format:"name"`
-	// Prefix is the leading part of the path behind /services, such as "/beds".
+	// Prefix is the prefix of the path after /services, such as "/beds".
 	Prefix string `toml:"prefix" required:"yes"`
-	// Endpoints are names of endpoints of kind "service".
+	// Endpoints lists the names of endpoints of kind "service".
 	Endpoints []string `toml:"endpoints" required:"yes" format:"name"`
-	// NonIdempotentMethods lists HTTP methods whose calls may run at most once;
-	// default POST, PUT, PATCH and DELETE.
+	// NonIdempotentMethods lists the HTTP methods whose calls may run at most once. Default: POST,
+	// PUT, PATCH and DELETE.
 	NonIdempotentMethods []string `toml:"non_idempotent_methods" default:"POST|PUT|PATCH|DELETE" oneof:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"`
-	// TimeoutMS bounds one call, in milliseconds. Default 5000.
+	// TimeoutMS is the timeout of one call, in milliseconds. Default: 5000.
 	TimeoutMS int `toml:"timeout_ms" default:"5000" min:"1" max:"3600000"`
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -75,8 +75,8 @@
 		Expect(c2.Routes[0].NonIdempotentMethods).To(ConsistOf("POST", "PUT", "PATCH", "DELETE"))
 	})
 
-	// Each gateway schedules for its whole region. If a data centre's overlay adds
-	// an engine that only this data centre knew, the others would never use it.
+	// Gateways schedule for their whole region. An engine that is added by an overlay and known to
+	// that data centre only would not be used by the others.
 	It("shows an overlay's endpoints to every data centre, placed in the overlay's", func() {
 		c1, err := config.Compile(doc, "dc1")
 		Expect(err).NotTo(HaveOccurred())
--- a/config/diff.go
+++ b/config/diff.go
@@ -7,18 +7,19 @@
 	"github.com/crocusreel/crocusreel/internal/tomlcheck"
 )
 
-// Change is one key that differs between two documents.
+// Change describes one key that differs between two documents.
 type Change struct {
-	// Part is "base" or "overlays/" and a data centre.
+	// Part is "base", or "overlays/" followed by a data centre.
 	Part string `json:"part"`
-	// Key is the dotted path; entries of lists appear by name.
+	// Key is the dotted path of the key. List entries are identified by name, or by index if they
+	// have none.
 	Key string `json:"key"`
-	// Old and New are empty where the key is absent.
+	// Old and New are the key's values as text. Each is empty if the key is absent.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
 
-// String renders the change on one line.
+// String formats the change as one line.
 func (c Change) String() string {
 	switch {
 	case c.Old == "":
@@ -29,8 +30,8 @@
 	return fmt.Sprintf("%s: ~ %s = %s -> %s", c.Part, c.Key, c.Old, c.New)
 }
 
-// Diff lists the keys that differ, in a stable order. A part that is not TOML
-// counts as one value.
+// Diff lists the keys that differ between two documents, in a stable order. A part that is not valid
+// TOML is compared as a single value.
 func Diff(old, updated Document) []Change {
 	changes := diffPart(baseName, old.Base, updated.Base)
 	names := make(map[string]bool)
@@ -70,6 +71,7 @@
 	return changes
 }
 
+// flatten returns the values of a part as text, by dotted key.
 func flatten(part, text string) map[string]string {
 	out := make(map[string]string)
 	t, problems := tomlcheck.Parse(part, text)
--- a/config/merge.go
+++ b/config/merge.go
@@ -6,8 +6,8 @@
 	"github.com/crocusreel/crocusreel/internal/tomlcheck"
 )
 
-// mergeTables lays the overlay over the base and returns a new table. Tables merge
-// key by key, lists of named tables entry by entry; anything else is replaced.
+// mergeTables merges the overlay into the base and returns a new table. Tables are merged key by key
+// and lists of named tables entry by entry. Any other value of the overlay replaces that of the base.
 func mergeTables(base, overlay tomlcheck.Table) tomlcheck.Table {
 	out := make(tomlcheck.Table, len(base)+len(overlay))
 	for key, v := range base {
@@ -32,7 +32,8 @@
 	return overlay
 }
 
-// mergeEntries keeps the base's order and appends new names.
+// mergeEntries merges entries of the same name. It keeps the order of the base and appends entries with
+// new names.
 func mergeEntries(base, overlay []tomlcheck.Table) []tomlcheck.Table {
 	out := append([]tomlcheck.Table(nil), base...)
 	for _, entry := range overlay {
@@ -55,7 +56,7 @@
 	return -1
 }
 
-// namedEntries returns the tables of a list, or nothing if it is no such list.
+// namedEntries returns the tables in a list, or nil if v is not a list or holds no tables.
 func namedEntries(v any) []tomlcheck.Table {
 	switch l := v.(type) {
 	case []tomlcheck.Table:
@@ -77,11 +78,11 @@
 	return name
 }
 
-// namedLists are the keys whose entries merge by name.
+// namedLists holds the keys of the lists whose entries are merged by name.
 var namedLists = []string{"models", "workspaces", "endpoints", "routes"}
 
-// unnamed reports entries without a name and names that appear twice in one part;
-// neither can be merged.
+// unnamed reports entries without a name and names that occur twice in one part. Neither can be merged
+// by name.
 func unnamed(p *parsedDocument) Problems {
 	var problems Problems
 	one := func(part string, t tomlcheck.Table) {
--- a/config/text.go
+++ b/config/text.go
@@ -24,7 +24,7 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// valueText renders a TOML value as it would be written.
+// valueText formats a TOML value. Strings and lists are formatted as in TOML.
 func valueText(v any) string {
 	switch x := v.(type) {
 	case string:
--- a/handle/handle.go
+++ b/handle/handle.go
@@ -1,5 +1,5 @@
-// Package handle makes and checks resume handles: signed, opaque tokens that let a
-// caller continue a generation at any gateway, without state shared by gateways.
+// Package handle signs and verifies resume handles: opaque tokens with which a caller can resume a
+// generation at any gateway. Gateways need no shared state for this except the signing keys.
 package handle
 
 import (
@@ -14,17 +14,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// MinKeyBytes is the shortest signing key.
+// MinKeyBytes is the minimum length of a signing key.
 const MinKeyBytes = 32
 
-// maxLength bounds a handle's text, so that a hostile one costs little.
+// maxLength limits the encoded length of a handle in bytes, which bounds the cost of verifying a
+// malicious one.
 const maxLength = 2048
 
-// ErrInvalid is returned for every handle that cannot be trusted; it does not say
-// why, since the caller could use that to forge one.
+// ErrInvalid is returned for every handle that fails verification. It does not state the reason,
+// since that could help to forge a handle.
 var ErrInvalid = eris.New("invalid handle")
 
-// Handle names a running or lately finished generation.
+// Handle identifies a running or recently finished generation.
 type Handle struct {
 	Endpoint     string    `json:"e"`
 	GenerationID string    `json:"g"`
@@ -40,33 +41,36 @@
 	secret []byte
 }
 
-// Signer signs with its first key and accepts all of them, so that a key can be
-// replaced while handles signed by the old one are in use.
+// Signer signs handles with its first key and verifies them with any of its keys, so that a key can be
+// rotated while handles signed with the old one are in use. A Signer is immutable and safe for
+// concurrent use.
 type Signer struct {
 	keys []key
 }
 
-// NewSigner parses keys of the form "name:hex".
+// NewSigner returns a signer with keys of the form "name:hex". The name must not contain a dot, and
+// the decoded key must have at least MinKeyBytes bytes.
 func NewSigner(keys []string) (*Signer, error) {
 	if len(keys) == 0 {
-		return nil, eris.New("no handle key")
+		return nil, eris.New("no handle key configured: at least one is required")
 	}
 	s := &Signer{}
 	for _, text := range keys {
 		name, digits, ok := strings.Cut(text, ":")
 		if !ok || name == "" || strings.Contains(name, ".") {
-			return nil, eris.New("handle key: allowed is name:hex, with no dot in the name")
+			return nil, eris.New("malformed handle key: expected name:hex with no dot in the name")
 		}
 		secret, err := hex.DecodeString(digits)
 		if err != nil || len(secret) < MinKeyBytes {
-			return nil, eris.Errorf("handle key %q: allowed are at least %d bytes in hex", name, MinKeyBytes)
+			return nil, eris.Errorf("malformed handle key %q: expected at least %d hex-encoded bytes", name, MinKeyBytes)
 		}
 		s.keys = append(s.keys, key{name: name, secret: secret})
 	}
 	return s, nil
 }
 
-// Sign returns the handle's text: key name, payload and code, separated by dots.
+// Sign returns the encoded handle: key name, base64url payload and base64url HMAC-SHA256, separated by
+// dots.
 func (s *Signer) Sign(h Handle) (string, error) {
 	payload, err := json.Marshal(h)
 	if err != nil {
@@ -77,7 +81,7 @@
 	return body + "." + base64.RawURLEncoding.EncodeToString(k.code(body)), nil
 }
 
-// Verify returns the handle, or ErrInvalid if it is forged, malformed or expired.
+// Verify decodes the handle. It returns ErrInvalid if the handle is forged, malformed or expired.
 func (s *Signer) Verify(text string, now time.Time) (Handle, error) {
 	var h Handle
 	if len(text) > maxLength {
--- a/handle/handle_test.go
+++ b/handle/handle_test.go
@@ -20,8 +20,8 @@
 	return s
 }
 
-// An operator replaces the signing key while callers hold handles signed with the
-// old one. If the old key were dropped at once, their streams could not be resumed.
+// During key rotation callers still hold handles signed with the old key. These must verify as long
+// as the old key is listed; otherwise their streams could not be resumed.
 func TestRotationKeepsOldHandles(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := Handle{Endpoint: "e1", GenerationID: "g1", Workspace: "w", Expires: now.Add(time.Minute)}
@@ -43,8 +43,8 @@
 	g.Expect(err).To(gomega.MatchError(ErrInvalid))
 }
 
-// A caller changes a handle to reach another workspace's answer. Any text that was
-// not signed by a known key must be refused, whatever its form.
+// A caller might alter a handle to reach another workspace's answer. No text other than the signed
+// one may verify as a handle of a different workspace, whatever its form.
 func FuzzVerifyRefusesWhatWasNotSigned(f *testing.F) {
 	signer, err := NewSigner([]string{newKey})
 	if err != nil {
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -1,5 +1,5 @@
-// Package peer carries connect calls between crocusreel's own processes over
-// HTTP/2, cleartext or TLS. The messages are in package peerv1.
+// Package peer provides the HTTP/2 transport, with or without TLS, for Connect RPCs between
+// crocusreel's processes. The messages are defined in package peerv1.
 package peer
 
 import (
@@ -11,21 +11,21 @@
 )
 
 const (
-	// DialTimeout bounds the making of a connection to another process.
+	// DialTimeout is the timeout for connecting to another process.
 	DialTimeout = time.Second
-	// pingAfter is the idle time after which a connection is tested. A peer that
-	// vanished without closing would otherwise swallow every call on it.
+	// pingAfter is the time without received data after which a connection is checked by a ping.
+	// Without this check, calls on a connection whose peer vanished without closing it would hang.
 	pingAfter = 2 * time.Second
-	// pingTimeout is how long the test may take before the connection is closed.
+	// pingTimeout is the time after which a connection with an unanswered ping is closed.
 	pingTimeout = 2 * time.Second
-	// headerTimeout bounds the time for a peer to send its headers.
+	// headerTimeout limits the time in which a peer has to send its headers.
 	headerTimeout = 5 * time.Second
-	// maxIdlePeers bounds the connections kept for later calls.
+	// maxIdlePeers is the maximum number of idle connections that are kept for reuse.
 	maxIdlePeers = 512
 )
 
-// NewHTTPClient returns a client for peers. With a TLS configuration it speaks
-// TLS, without one cleartext HTTP/2. Calls are bounded by their contexts.
+// NewHTTPClient returns a client for calls to peers. It uses HTTP/2 over TLS if config is not nil, and
+// cleartext HTTP/2 otherwise. It sets no timeout for calls; their contexts limit them.
 func NewHTTPClient(config *tls.Config) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:     (&net.Dialer{Timeout: DialTimeout}).DialContext,
@@ -37,8 +37,8 @@
 	}}
 }
 
-// NewServer returns a server for a peer listener. With a TLS configuration it must
-// be served through a TLS listener.
+// NewServer returns a server for calls of peers. If config is not nil, the server must be started on a
+// TLS listener.
 func NewServer(handler http.Handler, config *tls.Config) *http.Server {
 	p := protocols()
 	p.SetHTTP1(true)
@@ -51,7 +51,8 @@
 	}
 }
 
-// BaseURL returns the URL of the peer at an IP:port.
+// BaseURL returns the base URL of the peer at address, an IP:port. The scheme is https if config is not
+// nil.
 func BaseURL(address string, config *tls.Config) string {
 	if config != nil {
 		return "https://" + address
@@ -59,16 +60,15 @@
 	return "http://" + address
 }
 
-// Shutdown ends a server: gently until ctx ends, then at once.
+// Shutdown shuts the server down gracefully. If ctx ends first, it closes all connections immediately.
 func Shutdown(ctx context.Context, s *http.Server) {
 	if err := s.Shutdown(ctx); err != nil {
 		_ = s.Close()
 	}
 }
 
-// protocols allows HTTP/2 only, with TLS or without. A client that may also use
-// HTTP/1 would choose it for every cleartext connection. Servers add HTTP/1 for
-// /healthz and /debug/vars.
+// protocols allows HTTP/2 only, with or without TLS. A client that also allows HTTP/1 would use it for
+// every cleartext connection. Servers additionally allow HTTP/1 for /healthz and /debug/vars.
 func protocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP2(true)
--- a/peer/transport_test.go
+++ b/peer/transport_test.go
@@ -9,8 +9,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Permits are asked for by many requests at once. Over HTTP/1 each would take a
-// connection of its own, and a burst would run out of ports.
+// Many requests acquire permits concurrently. Over HTTP/1 each would need its own connection, and a
+// burst would exhaust the ports. The server still accepts HTTP/1 from other clients.
 func TestClientAndServerSpeakHTTP2InCleartext(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/refusal_test.go
+++ b/refusal_test.go
@@ -8,8 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// A refusal without a line in the operators' page leaves whoever is on duty without
-// anything to do about it.
+// Every refusal reason must be documented in docs/OPERATIONS.md; otherwise operators have no
+// guidance when it occurs. A reason that is added without its table row fails this test.
 func TestEveryReasonIsInTheOperatorsPage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	source, err := os.ReadFile("refusal.go")
--- a/settings/docs_test.go
+++ b/settings/docs_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// keys lists the keys of a struct and of all in it.
+// keys returns the TOML keys of a struct type and of the structs nested in it.
 func keys(typ reflect.Type) []string {
 	var out []string
 	for i := range typ.NumField() {
--- a/settings/load.go
+++ b/settings/load.go
@@ -10,20 +10,20 @@
 	"github.com/crocusreel/crocusreel/internal/tomlcheck"
 )
 
-// ExitCode is the exit code of a process whose settings hold a mistake.
+// ExitCode is the exit code of a process whose settings are invalid.
 const ExitCode = 2
 
-// Problem is one mistake in a settings file.
+// Problem describes one mistake in a settings file.
 type Problem = tomlcheck.Problem
 
-// Problems is the error that lists every mistake of a settings file.
+// Problems is an error that lists every mistake in a settings file.
 type Problems = tomlcheck.Problems
 
-// handleKeyBytes is the least length of a key that signs resume handles.
+// handleKeyBytes is the minimum length of a key that signs resume handles.
 const handleKeyBytes = 32
 
-// LoadGateway reads a gateway's settings file. The error is Problems unless the
-// file cannot be read.
+// LoadGateway reads and checks a gateway's settings file. A non-nil error is of type Problems unless
+// the file cannot be read.
 func LoadGateway(path string) (*Gateway, error) {
 	text, err := read(path)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return ParseGateway(path, text)
 }
 
-// ParseGateway is LoadGateway for a text that was read already.
+// ParseGateway is LoadGateway for text that has already been read. Problems refer to it as file.
 func ParseGateway(file, text string) (*Gateway, error) {
 	g := new(Gateway)
 	problems := tomlcheck.Load(file, text, g)
@@ -48,8 +48,8 @@
 	return g, nil
 }
 
-// LoadController reads a controller's settings file. The error is Problems unless
-// the file cannot be read.
+// LoadController reads and checks a controller's settings file. A non-nil error is of type Problems
+// unless the file cannot be read.
 func LoadController(path string) (*Controller, error) {
 	text, err := read(path)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return ParseController(path, text)
 }
 
-// ParseController is LoadController for a text that was read already.
+// ParseController is LoadController for text that has already been read. Problems refer to it as file.
 func ParseController(file, text string) (*Controller, error) {
 	c := new(Controller)
 	problems := tomlcheck.Load(file, text, c)
@@ -75,12 +75,13 @@
 func read(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return "", eris.Wrap(err, "read settings")
+		return "", eris.Wrap(err, "read settings file")
 	}
 	return string(text), nil
 }
 
-// checkHandleKeys never shows a key: the report ends up in logs.
+// checkHandleKeys reports malformed keys and duplicate key names. The problems never contain a key,
+// since they are written to logs.
 func checkHandleKeys(file string, keys []string, problems *Problems) {
 	names := make(map[string]bool, len(keys))
 	for _, key := range keys {
@@ -91,30 +92,31 @@
 			continue
 		}
 		if names[name] {
-			problems.Add(file, "handle_keys", "two keys named "+name, "a name for each key")
+			problems.Add(file, "handle_keys", "two keys named "+name, "a unique name for each key")
 		}
 		names[name] = true
 	}
 }
 
+// checkDistinct reports two address settings with the same value.
 func checkDistinct(file string, problems *Problems, key, value, otherKey, other string) {
 	if value != "" && value == other {
 		problems.Add(file, key, value+", which is also "+otherKey, "an address of its own")
 	}
 }
 
-// checkCallerTLS checks a listener that demands client certificates only if an
-// authority is named.
+// checkCallerTLS checks the TLS files of a listener that requires client certificates only if a CA file
+// is set.
 func checkCallerTLS(file, key string, t TLS, problems *Problems) {
 	complete := t.CertFile != "" && t.KeyFile != ""
 	if t != (TLS{}) && !complete {
-		problems.Add(file, key, "no pair of cert_file and key_file", "both, or an empty table")
+		problems.Add(file, key, "cert_file and key_file not both set", "both, or an empty table")
 	}
 	checkReadable(file, key, t, problems)
 }
 
-// checkPeerTLS checks a listener with certificates on both sides. Without the
-// authority's file anyone could speak as a peer, so it is all or nothing.
+// checkPeerTLS checks the TLS files of a listener with mutual authentication. Without the CA file
+// anyone could pose as a peer, so either all three files or none must be set.
 func checkPeerTLS(file, key string, t TLS, problems *Problems) {
 	set := 0
 	for _, f := range []string{t.CertFile, t.KeyFile, t.CAFile} {
@@ -123,7 +125,7 @@
 		}
 	}
 	if set != 0 && set != 3 {
-		problems.Add(file, key, "some of cert_file, key_file and ca_file", "all three or none")
+		problems.Add(file, key, "only some of cert_file, key_file and ca_file", "all three or none")
 	}
 	checkReadable(file, key, t, problems)
 }
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -35,8 +35,8 @@
 		Expect(c.Log.Level).To(Equal("info"))
 	})
 
-	// An operator edits several keys at once and gets some wrong. Reported one at a
-	// time, each start would fail again with the next mistake.
+	// If mistakes were reported one at a time, each start after a faulty edit of several keys would
+	// fail again with the next mistake.
 	It("report every mistake in one run, with file, key, what was found and what is allowed", func() {
 		_, err := settings.ParseController("c.toml", `
 peer_address = "localhost:7001"
@@ -68,8 +68,8 @@
 			"lease_ms", "probe_interval_ms", "vm.id", "vm.data_centre", "log.level", "peer_tls", "peer_tls.cert_file"))
 	})
 
-	// A signing key is mistyped. The report of the mistake goes to the log, where
-	// more people read it than may know the key.
+	// The report of a mistyped signing key is written to the log, which more people may read than
+	// may know the key.
 	It("do not show secrets in reports", func() {
 		_, err := settings.ParseGateway("g.toml", `handle_keys = ["k1:deadbeef", 7]`)
 		Expect(err).To(MatchError(ContainSubstring("handle_keys")))
