--- a/caller/answers.go
+++ b/caller/answers.go
@@ -54,8 +54,8 @@
 	return &usage{PromptTokens: f.PromptTokens, CompletionTokens: f.Tokens, TotalTokens: f.PromptTokens + f.Tokens}
 }
 
-// wholeSink buffers an answer until it is complete.
-type wholeSink struct {
+// bufferedSink buffers an answer until it is complete.
+type bufferedSink struct {
 	model    string
 	endpoint string
 	text     strings.Builder
@@ -63,7 +63,7 @@
 }
 
 // Begin implements Sink.
-func (k *wholeSink) Begin(b Begin) error {
+func (k *bufferedSink) Begin(b Begin) error {
 	k.endpoint = b.Endpoint
 	if b.Model != "" {
 		k.model = b.Model
@@ -73,20 +73,20 @@
 }
 
 // Token implements Sink.
-func (k *wholeSink) Token(_ int, text string) error {
+func (k *bufferedSink) Token(_ int, text string) error {
 	k.text.WriteString(text)
 	return nil
 }
 
 // Finish implements Sink.
-func (k *wholeSink) Finish(f Finish) error {
+func (k *bufferedSink) Finish(f Finish) error {
 	k.finish = f
 	return nil
 }
 
-// wholeAnswer runs a generation and writes its answer as one JSON body.
-func (s *server) wholeAnswer(c echo.Context, f format, model string, run func(Sink) *crocusreel.Refusal) error {
-	sink := &wholeSink{model: model}
+// bufferAnswer runs a generation and writes its answer as one JSON body.
+func (s *server) bufferAnswer(c echo.Context, f format, model string, run func(Sink) *crocusreel.Refusal) error {
+	sink := &bufferedSink{model: model}
 	if refusal := run(sink); refusal != nil {
 		return refusal
 	}
@@ -102,7 +102,7 @@
 	h := c.Response().Header()
 	h.Set(api.HeaderEndpoint, sink.endpoint)
 	h.Set(api.HeaderPreemptions, strconv.Itoa(sink.finish.Preemptions))
-	return s.delivered(c, c.JSON(http.StatusOK, answer{
+	return s.logWriteError(c, c.JSON(http.StatusOK, answer{
 		ID: requestID(c), Object: object, Created: time.Now().Unix(), Model: sink.model,
 		Choices: []choice{ch}, Usage: newUsage(sink.finish),
 	}))
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -14,8 +14,8 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// statuses maps reasons to HTTP statuses. Reasons that are not listed map to 503.
-var statuses = map[crocusreel.Reason]int{
+// statusByReason maps reasons to HTTP statusByReason. Reasons that are not listed map to 503.
+var statusByReason = map[crocusreel.Reason]int{
 	crocusreel.ReasonBadRequest:     http.StatusBadRequest,
 	crocusreel.ReasonKeyRequired:    http.StatusBadRequest,
 	crocusreel.ReasonHandleInvalid:  http.StatusBadRequest,
@@ -34,7 +34,7 @@
 }
 
 func statusOf(r *crocusreel.Refusal) int {
-	if s, ok := statuses[r.Reason]; ok {
+	if s, ok := statusByReason[r.Reason]; ok {
 		return s
 	}
 	return http.StatusServiceUnavailable
@@ -43,14 +43,14 @@
 // writeError is Echo's error handler. It converts every error of a handler to a refusal, records it
 // and writes it, unless the response has already been started.
 func (s *server) writeError(err error, c echo.Context) {
-	r := trueForKey(c, asRefusal(err))
-	s.countRefusal(c, r)
+	r := adjustOutcomeForKey(c, asRefusal(err))
+	s.recordRefusal(c, r)
 	if c.Response().Committed {
 		return
 	}
 	h := c.Response().Header()
 	if r.RetryAfter > 0 {
-		h.Set(echo.HeaderRetryAfter, strconv.FormatInt(wholeSeconds(r.RetryAfter), 10))
+		h.Set(echo.HeaderRetryAfter, strconv.FormatInt(ceilSeconds(r.RetryAfter), 10))
 		h.Set(api.HeaderRetryAfterMS, strconv.FormatInt(r.RetryAfter.Milliseconds(), 10))
 	}
 	if werr := c.JSON(statusOf(r), api.NewErrorBody(r)); werr != nil {
@@ -58,9 +58,9 @@
 	}
 }
 
-// contentReasons are the reasons for which a request is invalid in itself. Such a request never runs,
+// invalidRequestReasons are the reasons for which a request is invalid in itself. Such a request never runs,
 // whatever its idempotency key, so its outcome stays OutcomeNotRun.
-var contentReasons = map[crocusreel.Reason]bool{
+var invalidRequestReasons = map[crocusreel.Reason]bool{
 	crocusreel.ReasonBadRequest:    true,
 	crocusreel.ReasonKeyRequired:   true,
 	crocusreel.ReasonUnauthorized:  true,
@@ -68,15 +68,15 @@
 	crocusreel.ReasonTooLarge:      true,
 }
 
-// trueForKey returns the refusal with an outcome that holds for the idempotency key and not only for
+// adjustOutcomeForKey returns the refusal with an outcome that holds for the idempotency key and not only for
 // this attempt. This attempt did not run, but an earlier attempt with the same key may have run, or
 // may be held by a frozen gateway that sends it once it resumes. A caller that trusted not_run would
 // send the work under a new key, and it would run twice. OutcomeNotRun is therefore replaced by
 // OutcomeUnknown unless the caller declares that this is its first attempt.
-func trueForKey(c echo.Context, r *crocusreel.Refusal) *crocusreel.Refusal {
+func adjustOutcomeForKey(c echo.Context, r *crocusreel.Refusal) *crocusreel.Refusal {
 	h := c.Request().Header
 	keyed := h.Get(api.HeaderIdempotencyKey) != ""
-	if r.Outcome != crocusreel.OutcomeNotRun || !keyed || h.Get(api.HeaderAttempt) == "1" || contentReasons[r.Reason] {
+	if r.Outcome != crocusreel.OutcomeNotRun || !keyed || h.Get(api.HeaderAttempt) == "1" || invalidRequestReasons[r.Reason] {
 		return r
 	}
 	t := *r
@@ -84,9 +84,9 @@
 	return &t
 }
 
-// delivered records an error of writing the response to work that ran. It always returns nil: as a
+// logWriteError records an error of writing the response to work that ran. It always returns nil: as a
 // handler's error it would become a refusal that claims that the work did not run.
-func (s *server) delivered(c echo.Context, err error) error {
+func (s *server) logWriteError(c echo.Context, err error) error {
 	if err != nil {
 		metrics.Count("answer_not_delivered")
 		s.opts.Log.Info("failed to write response", zap.String("request", requestID(c)), zap.Error(err))
@@ -118,8 +118,8 @@
 	return refuseNotRun(crocusreel.ReasonBadRequest, "header %s: allowed is %s", name, allowed)
 }
 
-// wholeSeconds rounds the duration up to whole seconds. Retry-After has no fractions, and a retry
+// ceilSeconds rounds the duration up to whole seconds. Retry-After has no fractions, and a retry
 // that comes too early would be refused again.
-func wholeSeconds(d time.Duration) int64 {
+func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/caller/generations.go
+++ b/caller/generations.go
@@ -95,17 +95,17 @@
 		return err
 	}
 	defer cancel()
-	leave, refusal := s.core.Enter(g.Workspace)
+	release, refusal := s.core.Enter(g.Workspace)
 	if refusal != nil {
 		return refusal
 	}
-	defer leave()
+	defer release()
 	g.Restartable = !stream
 	run := func(sink Sink) *crocusreel.Refusal { return s.core.Generate(ctx, g, sink) }
 	if stream {
 		return s.streamAnswer(c, f, g.Model, run)
 	}
-	return s.wholeAnswer(c, f, g.Model, run)
+	return s.bufferAnswer(c, f, g.Model, run)
 }
 
 func readGeneration(c echo.Context, body []byte, g *Generation) error {
@@ -123,7 +123,7 @@
 		return err
 	}
 	g.Priority = crocusreel.Priority(priority)
-	if g.LengthHint, err = intHeader(h, api.HeaderLengthHint, 0, 1, maxLengthHint); err != nil {
+	if g.LengthHint, err = intHeader(h, api.HeaderLengthHint, 0, 1, maxLengthHintTokens); err != nil {
 		return err
 	}
 	if g.Model == "" {
@@ -168,11 +168,11 @@
 	}
 	defer cancel()
 	ws := workspaceOf(c)
-	leave, refusal := s.core.Enter(ws)
+	release, refusal := s.core.Enter(ws)
 	if refusal != nil {
 		return refusal
 	}
-	defer leave()
+	defer release()
 	f := formatCompletion
 	if req.Chat {
 		f = formatChat
--- a/caller/headers.go
+++ b/caller/headers.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	maxKeyLength  = 255
-	maxAttempts   = 1 << 20
-	maxDeadline   = 24 * time.Hour
-	maxLengthHint = 1 << 20
+	maxIdempotencyKeyBytes = 255
+	maxAttempts            = 1 << 20
+	maxDeadline            = 24 * time.Hour
+	maxLengthHintTokens    = 1 << 20
 
-	keyRequestID = "request_id"
-	keyWorkspace = "workspace"
+	contextKeyRequestID = "request_id"
+	contextKeyWorkspace = "workspace"
 )
 
 func requestID(c echo.Context) string {
-	id, _ := c.Get(keyRequestID).(string)
+	id, _ := c.Get(contextKeyRequestID).(string)
 	return id
 }
 
 func workspaceOf(c echo.Context) *config.WorkspaceSpec {
-	ws, _ := c.Get(keyWorkspace).(*config.WorkspaceSpec)
+	ws, _ := c.Get(contextKeyWorkspace).(*config.WorkspaceSpec)
 	return ws
 }
 
@@ -58,7 +58,7 @@
 		if !ok {
 			return refuseNotRun(crocusreel.ReasonUnauthorized, "unknown key")
 		}
-		c.Set(keyWorkspace, ws)
+		c.Set(contextKeyWorkspace, ws)
 		return next(c)
 	}
 }
@@ -72,8 +72,8 @@
 		IdempotencyKey: h.Get(api.HeaderIdempotencyKey),
 		BodySHA256:     digestRequest(c.Request(), body),
 	}
-	if len(a.IdempotencyKey) > maxKeyLength {
-		return a, badHeader(api.HeaderIdempotencyKey, "at most "+strconv.Itoa(maxKeyLength)+" bytes")
+	if len(a.IdempotencyKey) > maxIdempotencyKeyBytes {
+		return a, badHeader(api.HeaderIdempotencyKey, "at most "+strconv.Itoa(maxIdempotencyKeyBytes)+" bytes")
 	}
 	switch h.Get(api.HeaderIdempotent) {
 	case "", "true":
@@ -117,16 +117,16 @@
 	}
 }
 
-// intHeader parses an integer header. It returns missing if the header is absent or empty, and a
-// refusal if the value is not an integer from lowest to highest.
-func intHeader(h http.Header, name string, missing, lowest, highest int) (int, error) {
+// intHeader parses an integer header. It returns defaultValue if the header is absent or empty, and
+// a refusal if the value is not an integer from minimum to maximum.
+func intHeader(h http.Header, name string, defaultValue, minimum, maximum int) (int, error) {
 	text := h.Get(name)
 	if text == "" {
-		return missing, nil
+		return defaultValue, nil
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < lowest || n > highest {
-		return 0, badHeader(name, "an integer from "+strconv.Itoa(lowest)+" to "+strconv.Itoa(highest))
+	if err != nil || n < minimum || n > maximum {
+		return 0, badHeader(name, "an integer from "+strconv.Itoa(minimum)+" to "+strconv.Itoa(maximum))
 	}
 	return n, nil
 }
--- a/caller/server.go
+++ b/caller/server.go
@@ -66,7 +66,7 @@
 	e.HideBanner = true
 	e.HidePort = true
 	e.HTTPErrorHandler = s.writeError
-	e.Use(s.identify, s.limitBody)
+	e.Use(s.assignRequestID, s.limitBody)
 	e.GET("/healthz", s.health)
 	e.GET("/v1/addresses", s.addresses)
 
@@ -80,23 +80,23 @@
 	return e
 }
 
-// identify assigns an ID to each request, adds the request ID and the gateway's VM to the response
+// assignRequestID assigns an ID to each request, adds the request ID and the gateway's VM to the response
 // headers and sets a write deadline as the response starts.
-func (s *server) identify(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *server) assignRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		id := uuid.NewString()
-		c.Set(keyRequestID, id)
+		c.Set(contextKeyRequestID, id)
 		h := c.Response().Header()
 		h.Set(api.HeaderRequestID, id)
 		h.Set(api.HeaderGateway, s.opts.VM)
-		c.Response().Before(func() { boundWrite(c, s.opts.WriteTimeout) })
+		c.Response().Before(func() { setWriteDeadline(c, s.opts.WriteTimeout) })
 		return next(c)
 	}
 }
 
-// boundWrite sets the deadline for the next write of the response. Response writers without support
+// setWriteDeadline sets the deadline for the next write of the response. Response writers without support
 // for deadlines, such as httptest.ResponseRecorder, return an error, which is ignored.
-func boundWrite(c echo.Context, timeout time.Duration) {
+func setWriteDeadline(c echo.Context, timeout time.Duration) {
 	_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Now().Add(timeout))
 }
 
@@ -132,8 +132,8 @@
 	return c.JSON(http.StatusOK, rec)
 }
 
-// countRefusal counts and logs a refusal.
-func (s *server) countRefusal(c echo.Context, r *crocusreel.Refusal) {
+// recordRefusal counts and logs a refusal.
+func (s *server) recordRefusal(c echo.Context, r *crocusreel.Refusal) {
 	metrics.Refused(r.Reason)
 	s.opts.Log.Info("request refused",
 		zap.String("request", requestID(c)),
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -29,7 +29,7 @@
 	refusal *crocusreel.Refusal
 	// refuseAfter is the number of tokens that are sent before the refusal.
 	refuseAfter int
-	got         []Generation
+	generations []Generation
 }
 
 func (f *fakeCore) Ready() *crocusreel.Refusal { return nil }
@@ -46,7 +46,7 @@
 func (f *fakeCore) Enter(*config.WorkspaceSpec) (func(), *crocusreel.Refusal) { return func() {}, nil }
 
 func (f *fakeCore) Generate(_ context.Context, g Generation, sink Sink) *crocusreel.Refusal {
-	f.got = append(f.got, g)
+	f.generations = append(f.generations, g)
 	texts := []string{"a ", "b "}
 	if f.refusal != nil {
 		texts = texts[:f.refuseAfter]
@@ -93,15 +93,15 @@
 		status  int
 		reason  crocusreel.Reason
 	}{
-		"wrong key":           {good, []string{"Authorization", "Bearer other"}, 401, crocusreel.ReasonUnauthorized},
-		"no key":              {good, []string{"Authorization", ""}, 401, crocusreel.ReasonUnauthorized},
-		"not JSON":            {`{`, nil, 400, crocusreel.ReasonBadRequest},
-		"no model":            {`{"prompt":"p"}`, nil, 400, crocusreel.ReasonBadRequest},
-		"too large":           {`{"model":"m","prompt":"` + strings.Repeat("x", 2000) + `"}`, nil, 413, crocusreel.ReasonTooLarge},
-		"no idempotency key":  {good, []string{api.HeaderIdempotent, "false"}, 400, crocusreel.ReasonKeyRequired},
-		"bad idempotent":      {good, []string{api.HeaderIdempotent, "no"}, 400, crocusreel.ReasonBadRequest},
-		"priority over bound": {good, []string{api.HeaderPriority, "11"}, 400, crocusreel.ReasonBadRequest},
-		"bad class":           {good, []string{api.HeaderClass, "lookup"}, 400, crocusreel.ReasonBadRequest},
+		"wrong key":             {good, []string{"Authorization", "Bearer other"}, 401, crocusreel.ReasonUnauthorized},
+		"no key":                {good, []string{"Authorization", ""}, 401, crocusreel.ReasonUnauthorized},
+		"not JSON":              {`{`, nil, 400, crocusreel.ReasonBadRequest},
+		"no model":              {`{"prompt":"p"}`, nil, 400, crocusreel.ReasonBadRequest},
+		"too large":             {`{"model":"m","prompt":"` + strings.Repeat("x", 2000) + `"}`, nil, 413, crocusreel.ReasonTooLarge},
+		"no idempotency key":    {good, []string{api.HeaderIdempotent, "false"}, 400, crocusreel.ReasonKeyRequired},
+		"bad idempotent":        {good, []string{api.HeaderIdempotent, "no"}, 400, crocusreel.ReasonBadRequest},
+		"priority out of range": {good, []string{api.HeaderPriority, "11"}, 400, crocusreel.ReasonBadRequest},
+		"bad class":             {good, []string{api.HeaderClass, "lookup"}, 400, crocusreel.ReasonBadRequest},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -113,14 +113,14 @@
 			g.Expect(w.Code).To(gomega.Equal(c.status))
 			g.Expect(body.Reason).To(gomega.Equal(c.reason))
 			g.Expect(body.Outcome).To(gomega.Equal(crocusreel.OutcomeNotRun))
-			g.Expect(core.got).To(gomega.BeEmpty())
+			g.Expect(core.generations).To(gomega.BeEmpty())
 		})
 	}
 }
 
 // A refusal due to overload must carry a retry time. Without one, callers retry immediately and add
 // to the overload. Retry-After is rounded up to whole seconds.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	g := gomega.NewWithT(t)
 	core := &fakeCore{refusal: crocusreel.Refuse(crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, 1200*time.Millisecond, "full")}
 	w := post(core, "/v1/completions", `{"model":"m","prompt":"p","stream":true}`)
@@ -132,7 +132,7 @@
 // A gateway that refuses a second attempt with an idempotency key must not report not_run, since the
 // first attempt may have run. The caller would repeat the work under a new key, and it would run
 // twice. Only a declared first attempt gets not_run.
-func TestNotRunIsTrueForTheKey(t *testing.T) {
+func TestNotRunOnlyForFirstAttemptWithKey(t *testing.T) {
 	for attempt, outcome := range map[string]crocusreel.Outcome{
 		"1": crocusreel.OutcomeNotRun,
 		"2": crocusreel.OutcomeUnknown,
@@ -196,10 +196,10 @@
 
 // A caller requests a large response and never reads it. The write must time out; otherwise each such
 // caller holds a goroutine, a concurrency slot and the response's memory indefinitely.
-func TestCallerThatReadsNothingIsLetGo(t *testing.T) {
+func TestWriteToStalledReaderTimesOut(t *testing.T) {
 	g := gomega.NewWithT(t)
 	done := make(chan struct{})
-	core := &blobCore{size: 64 << 20}
+	core := &largeReplyCore{size: 64 << 20}
 	handler := NewHandler(core, Options{MaxBodyBytes: 1000, WriteTimeout: 100 * time.Millisecond, Log: zap.NewNop()})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer close(done)
@@ -214,12 +214,12 @@
 	g.Eventually(done, "20s").Should(gomega.BeClosed())
 }
 
-// blobCore is a Core that answers service calls with a body of size bytes.
-type blobCore struct {
+// largeReplyCore is a Core that answers service calls with a body of size bytes.
+type largeReplyCore struct {
 	fakeCore
 	size int
 }
 
-func (b *blobCore) Call(context.Context, ServiceCall) (endpoint.Reply, *crocusreel.Refusal) {
+func (b *largeReplyCore) Call(context.Context, ServiceCall) (endpoint.Reply, *crocusreel.Refusal) {
 	return endpoint.Reply{Status: http.StatusOK, Body: make([]byte, b.size)}, nil
 }
--- a/caller/services.go
+++ b/caller/services.go
@@ -27,11 +27,11 @@
 		return err
 	}
 	defer cancel()
-	leave, refusal := s.core.Enter(a.Workspace)
+	release, refusal := s.core.Enter(a.Workspace)
 	if refusal != nil {
 		return refusal
 	}
-	defer leave()
+	defer release()
 	reply, refusal := s.core.Call(ctx, ServiceCall{
 		Attempt:     a,
 		Method:      r.Method,
@@ -43,5 +43,5 @@
 	if refusal != nil {
 		return refusal
 	}
-	return s.delivered(c, c.Blob(reply.Status, reply.ContentType, reply.Body))
+	return s.logWriteError(c, c.Blob(reply.Status, reply.ContentType, reply.Body))
 }
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -16,7 +16,7 @@
 type streamSink struct {
 	c       echo.Context
 	timeout time.Duration
-	form    format
+	format  format
 	model   string
 	created int64
 	handle  string
@@ -26,7 +26,7 @@
 // streamAnswer runs a generation and streams its answer as server-sent events. A refusal before the
 // first event is returned; after it, the refusal ends the stream as an error event.
 func (s *server) streamAnswer(c echo.Context, f format, model string, run func(Sink) *crocusreel.Refusal) error {
-	sink := &streamSink{c: c, timeout: s.opts.WriteTimeout, form: f, model: model, created: time.Now().Unix()}
+	sink := &streamSink{c: c, timeout: s.opts.WriteTimeout, format: f, model: model, created: time.Now().Unix()}
 	refusal := run(sink)
 	if refusal == nil {
 		return nil
@@ -34,7 +34,7 @@
 	if !sink.started {
 		return refusal
 	}
-	s.countRefusal(c, refusal)
+	s.recordRefusal(c, refusal)
 	body, err := json.Marshal(api.NewErrorBody(refusal))
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 // Token implements Sink.
 func (k *streamSink) Token(index int, text string) error {
 	ch := choice{}
-	if k.form == formatChat {
+	if k.format == formatChat {
 		ch.Delta = &message{Content: text}
 		if index == 0 {
 			ch.Delta.Role = "assistant"
@@ -76,7 +76,7 @@
 // Finish implements Sink.
 func (k *streamSink) Finish(f Finish) error {
 	ch := choice{FinishReason: &f.Reason}
-	if k.form == formatChat {
+	if k.format == formatChat {
 		ch.Delta = &message{}
 	} else {
 		ch.Text = new(string)
@@ -91,7 +91,7 @@
 
 func (k *streamSink) chunk(ch choice, ext api.Extension) answer {
 	object := "text_completion"
-	if k.form == formatChat {
+	if k.format == formatChat {
 		object = "chat.completion.chunk"
 	}
 	return answer{
@@ -117,7 +117,7 @@
 	b.Write(data)
 	b.WriteString("\n\n")
 	w := k.c.Response()
-	boundWrite(k.c, k.timeout)
+	setWriteDeadline(k.c, k.timeout)
 	if !k.started {
 		w.WriteHeader(http.StatusOK)
 		k.started = true
--- a/config/check.go
+++ b/config/check.go
@@ -7,7 +7,7 @@
 // check reports mistakes that involve more than one key: references to names that do not exist, and
 // settings that contradict each other.
 func check(file string, c *Config, problems *Problems) {
-	k := checks{file: file, c: c, problems: problems}
+	k := checker{file: file, c: c, problems: problems}
 	k.weights()
 	k.workspaces()
 	k.endpoints()
@@ -15,21 +15,21 @@
 	k.routes()
 }
 
-type checks struct {
+type checker struct {
 	file     string
 	c        *Config
 	problems *Problems
 }
 
-func (k checks) add(key, found, allowed string) { k.problems.Add(k.file, key, found, allowed) }
+func (k checker) add(key, found, allowed string) { k.problems.Add(k.file, key, found, allowed) }
 
-func (k checks) weights() {
+func (k checker) weights() {
 	if k.c.Weights.Stall == 0 && k.c.Weights.Preemption == 0 {
 		k.add("weights", "0 for both stall and preemption", "one of them above 0")
 	}
 }
 
-func (k checks) models() []string {
+func (k checker) modelNames() []string {
 	names := make([]string, len(k.c.Models))
 	for i, m := range k.c.Models {
 		names[i] = m.Name
@@ -37,20 +37,20 @@
 	return names
 }
 
-func (k checks) modelNames(key string, used []string) {
-	known := k.models()
+func (k checker) checkModelNames(key string, used []string) {
+	known := k.modelNames()
 	for _, m := range used {
 		if !contains(known, m) {
-			k.add(key+".models", m, listText(known))
+			k.add(key+".models", m, formatList(known))
 		}
 	}
 }
 
-func (k checks) workspaces() {
+func (k checker) workspaces() {
 	owner := make(map[string]string)
 	for _, w := range k.c.Workspaces {
 		key := "workspaces[" + w.Name + "]"
-		k.modelNames(key, w.Models)
+		k.checkModelNames(key, w.Models)
 		for _, digest := range w.KeySHA256 {
 			if first, taken := owner[digest]; taken {
 				k.add(key+".key_sha256", "a key that workspace "+first+" has too", "keys of its own")
@@ -61,14 +61,14 @@
 	}
 }
 
-func (k checks) endpoints() {
+func (k checker) endpoints() {
 	owner := make(map[string]string)
 	regionOf := make(map[string]string)
 	for _, e := range k.c.Endpoints {
 		key := "endpoints[" + e.Name + "]"
-		k.modelNames(key, e.Models)
+		k.checkModelNames(key, e.Models)
 		if e.Kind == KindService && len(e.Models) > 0 {
-			k.add(key+".models", listText(e.Models), "none for an endpoint of kind service")
+			k.add(key+".models", formatList(e.Models), "none for an endpoint of kind service")
 		}
 		if first, taken := owner[e.Address]; taken && e.Address != "" {
 			k.add(key+".address", e.Address+", which endpoint "+first+" has too", "an address of its own")
@@ -76,7 +76,7 @@
 		owner[e.Address] = e.Name
 		known := k.c.Service.DataCentres
 		if len(known) > 0 && e.DataCentre != "" && !contains(known, e.DataCentre) {
-			k.add(key+".data_centre", e.DataCentre, listText(known))
+			k.add(key+".data_centre", e.DataCentre, formatList(known))
 		}
 		if first, seen := regionOf[e.DataCentre]; seen && first != e.Region {
 			k.add(key+".region", e.Region, first+", as for the other endpoints of data centre "+e.DataCentre)
@@ -88,7 +88,7 @@
 
 // replicas checks that in each region at least min_replicas engines are configured for each model.
 // With fewer engines min_replicas could never be met, and no unload would ever be allowed.
-func (k checks) replicas() {
+func (k checker) replicas() {
 	holders := make(map[string]map[string]int)
 	for _, e := range k.c.Endpoints {
 		for _, m := range e.Models {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (k checks) routes() {
+func (k checker) routes() {
 	services := make(map[string]bool)
 	var names []string
 	for _, e := range k.c.Endpoints {
@@ -129,7 +129,7 @@
 		owner[r.Prefix] = r.Name
 		for _, e := range r.Endpoints {
 			if !services[e] {
-				k.add(key+".endpoints", e, "endpoints of kind service: "+listText(names))
+				k.add(key+".endpoints", e, "endpoints of kind service: "+formatList(names))
 			}
 		}
 	}
--- a/config/compile.go
+++ b/config/compile.go
@@ -50,14 +50,14 @@
 			checkOverlayKey(dataCentre, base, &problems)
 		}
 	}
-	return distinct(problems).Err()
+	return removeDuplicates(problems).Err()
 }
 
 // checkOverlayKey reports an overlay for a data centre that the base does not list.
 func checkOverlayKey(dataCentre string, base *Config, problems *Problems) {
 	known := base.Service.DataCentres
 	if len(known) > 0 && !contains(known, dataCentre) {
-		problems.Add(overlayName(dataCentre), "(file name)", dataCentre, listText(known))
+		problems.Add(overlayName(dataCentre), "(file name)", dataCentre, formatList(known))
 	}
 }
 
@@ -80,24 +80,24 @@
 func parse(doc Document) (*parsedDocument, Problems) {
 	p := &parsedDocument{overlays: make(map[string]tomlcheck.Table, len(doc.Overlays))}
 	var problems Problems
-	syntax := false
-	one := func(name, text string) tomlcheck.Table {
+	hasSyntaxError := false
+	parsePart := func(name, text string) tomlcheck.Table {
 		t, found := tomlcheck.Parse(name, text)
 		problems = append(problems, found...)
-		syntax = syntax || len(found) > 0
+		hasSyntaxError = hasSyntaxError || len(found) > 0
 		problems = append(problems, tomlcheck.Check(name, t, new(Config))...)
 		return t
 	}
-	p.base = one(baseName, doc.Base)
+	p.base = parsePart(baseName, doc.Base)
 	for name, text := range doc.Overlays {
-		p.overlays[name] = one(overlayName(name), text)
+		p.overlays[name] = parsePart(overlayName(name), text)
 	}
 	for _, name := range p.dataCentres() {
 		checkOverlayEndpoints(name, p.overlays[name], &problems)
 	}
-	problems = append(problems, unnamed(p)...)
+	problems = append(problems, checkEntryNames(p)...)
 	sort.SliceStable(problems, func(i, j int) bool { return problems[i].File < problems[j].File })
-	if syntax {
+	if hasSyntaxError {
 		return nil, problems
 	}
 	return p, problems
@@ -121,17 +121,17 @@
 	merged := p.base
 	for _, other := range p.dataCentres() {
 		if other != dataCentre {
-			merged = mergeTables(merged, p.endpointsOf(other))
+			merged = mergeTables(merged, p.overlayEndpoints(other))
 		}
 	}
 	if overlay, ok := p.overlays[dataCentre]; ok {
 		name = baseName + "+" + overlayName(dataCentre)
 		merged = mergeTables(merged, overlay)
-		merged = mergeTables(merged, p.endpointsOf(dataCentre))
+		merged = mergeTables(merged, p.overlayEndpoints(dataCentre))
 	}
 	c := new(Config)
 	problems := tomlcheck.Fill(name, merged, c)
-	lowerDigests(c)
+	lowercaseDigests(c)
 	check(name, c, &problems)
 	if len(problems) > 0 {
 		return nil, problems
@@ -139,8 +139,8 @@
 	return c, nil
 }
 
-// lowerDigests converts key digests to lower case, the form in which they are compared.
-func lowerDigests(c *Config) {
+// lowercaseDigests converts key digests to lower case, the form in which they are compared.
+func lowercaseDigests(c *Config) {
 	for _, w := range c.Workspaces {
 		for i, digest := range w.KeySHA256 {
 			w.KeySHA256[i] = strings.ToLower(digest)
@@ -148,9 +148,9 @@
 	}
 }
 
-// endpointsOf returns a table with the endpoints of a data centre's overlay, which apply to every data
+// overlayEndpoints returns a table with the endpoints of a data centre's overlay, which apply to every data
 // centre. Endpoints that neither name a data centre nor appear in the base get the overlay's.
-func (p *parsedDocument) endpointsOf(dataCentre string) tomlcheck.Table {
+func (p *parsedDocument) overlayEndpoints(dataCentre string) tomlcheck.Table {
 	entries := namedEntries(p.overlays[dataCentre]["endpoints"])
 	if len(entries) == 0 {
 		return nil
@@ -158,7 +158,7 @@
 	list := make([]tomlcheck.Table, len(entries))
 	for i, e := range entries {
 		list[i] = mergeTables(e, nil)
-		if !p.inBase(nameOf(e)) {
+		if !p.hasBaseEndpoint(nameOf(e)) {
 			if _, present := e["data_centre"]; !present {
 				list[i]["data_centre"] = dataCentre
 			}
@@ -167,7 +167,7 @@
 	return tomlcheck.Table{"endpoints": list}
 }
 
-func (p *parsedDocument) inBase(endpoint string) bool {
+func (p *parsedDocument) hasBaseEndpoint(endpoint string) bool {
 	for _, e := range namedEntries(p.base["endpoints"]) {
 		if nameOf(e) == endpoint {
 			return true
@@ -176,8 +176,8 @@
 	return false
 }
 
-// distinct removes duplicates, and problems of the base that recur with each overlay.
-func distinct(problems Problems) Problems {
+// removeDuplicates removes duplicates, and problems of the base that recur with each overlay.
+func removeDuplicates(problems Problems) Problems {
 	type position struct{ key, found string }
 	inBase := make(map[position]bool)
 	seen := make(map[Problem]bool)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -77,7 +77,7 @@
 
 	// Gateways schedule for their whole region. An engine that is added by an overlay and known to
 	// that data centre only would not be used by the others.
-	It("shows an overlay's endpoints to every data centre, placed in the overlay's", func() {
+	It("applies an overlay's endpoints to every data centre and assigns them to the overlay's", func() {
 		c1, err := config.Compile(doc, "dc1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c1.Endpoints).To(HaveLen(3))
@@ -132,7 +132,7 @@
 		valid := config.Validate(doc) == nil
 		_, err := config.Compile(doc, "dc1")
 		if valid && err != nil {
-			t.Fatalf("Validate accepts what Compile refuses: %v", err)
+			t.Fatalf("Validate accepted a document that Compile rejects: %v", err)
 		}
 		config.Diff(doc, config.Document{Base: overlay})
 	})
--- a/config/diff.go
+++ b/config/diff.go
@@ -96,7 +96,7 @@
 	}
 	entries := namedEntries(v)
 	if len(entries) == 0 {
-		out[path] = valueText(v)
+		out[path] = formatValue(v)
 		return
 	}
 	for i, e := range entries {
--- a/config/merge.go
+++ b/config/merge.go
@@ -81,11 +81,11 @@
 // namedLists holds the keys of the lists whose entries are merged by name.
 var namedLists = []string{"models", "workspaces", "endpoints", "routes"}
 
-// unnamed reports entries without a name and names that occur twice in one part. Neither can be merged
+// checkEntryNames reports entries without a name and names that occur twice in one part. Neither can be merged
 // by name.
-func unnamed(p *parsedDocument) Problems {
+func checkEntryNames(p *parsedDocument) Problems {
 	var problems Problems
-	one := func(part string, t tomlcheck.Table) {
+	checkPart := func(part string, t tomlcheck.Table) {
 		for _, list := range namedLists {
 			seen := make(map[string]bool)
 			for i, e := range namedEntries(t[list]) {
@@ -100,9 +100,9 @@
 			}
 		}
 	}
-	one(baseName, p.base)
+	checkPart(baseName, p.base)
 	for _, dataCentre := range p.dataCentres() {
-		one(overlayName(dataCentre), p.overlays[dataCentre])
+		checkPart(overlayName(dataCentre), p.overlays[dataCentre])
 	}
 	return problems
 }
--- a/config/text.go
+++ b/config/text.go
@@ -15,7 +15,7 @@
 	return false
 }
 
-func listText(names []string) string {
+func formatList(names []string) string {
 	if len(names) == 0 {
 		return "(there are none)"
 	}
@@ -24,15 +24,15 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// valueText formats a TOML value. Strings and lists are formatted as in TOML.
-func valueText(v any) string {
+// formatValue formats a TOML value. Strings and lists are formatted as in TOML.
+func formatValue(v any) string {
 	switch x := v.(type) {
 	case string:
 		return strconv.Quote(x)
 	case []any:
 		items := make([]string, len(x))
 		for i, item := range x {
-			items[i] = valueText(item)
+			items[i] = formatValue(item)
 		}
 		return "[" + strings.Join(items, ", ") + "]"
 	}
--- a/handle/handle.go
+++ b/handle/handle.go
@@ -17,9 +17,9 @@
 // MinKeyBytes is the minimum length of a signing key.
 const MinKeyBytes = 32
 
-// maxLength limits the encoded length of a handle in bytes, which bounds the cost of verifying a
+// maxHandleBytes limits the encoded length of a handle in bytes, which bounds the cost of verifying a
 // malicious one.
-const maxLength = 2048
+const maxHandleBytes = 2048
 
 // ErrInvalid is returned for every handle that fails verification. It does not state the reason,
 // since that could help to forge a handle.
@@ -56,11 +56,11 @@
 	}
 	s := &Signer{}
 	for _, text := range keys {
-		name, digits, ok := strings.Cut(text, ":")
+		name, hexSecret, ok := strings.Cut(text, ":")
 		if !ok || name == "" || strings.Contains(name, ".") {
 			return nil, eris.New("malformed handle key: expected name:hex with no dot in the name")
 		}
-		secret, err := hex.DecodeString(digits)
+		secret, err := hex.DecodeString(hexSecret)
 		if err != nil || len(secret) < MinKeyBytes {
 			return nil, eris.Errorf("malformed handle key %q: expected at least %d hex-encoded bytes", name, MinKeyBytes)
 		}
@@ -78,22 +78,22 @@
 	}
 	k := s.keys[0]
 	body := k.name + "." + base64.RawURLEncoding.EncodeToString(payload)
-	return body + "." + base64.RawURLEncoding.EncodeToString(k.code(body)), nil
+	return body + "." + base64.RawURLEncoding.EncodeToString(k.mac(body)), nil
 }
 
 // Verify decodes the handle. It returns ErrInvalid if the handle is forged, malformed or expired.
 func (s *Signer) Verify(text string, now time.Time) (Handle, error) {
 	var h Handle
-	if len(text) > maxLength {
+	if len(text) > maxHandleBytes {
 		return h, ErrInvalid
 	}
-	cut := strings.LastIndexByte(text, '.')
-	if cut < 0 {
+	lastDot := strings.LastIndexByte(text, '.')
+	if lastDot < 0 {
 		return h, ErrInvalid
 	}
-	body := text[:cut]
-	code, err := base64.RawURLEncoding.DecodeString(text[cut+1:])
-	if err != nil || !s.verifyCode(body, code) {
+	body := text[:lastDot]
+	mac, err := base64.RawURLEncoding.DecodeString(text[lastDot+1:])
+	if err != nil || !s.verifyMAC(body, mac) {
 		return h, ErrInvalid
 	}
 	_, encoded, _ := strings.Cut(body, ".")
@@ -107,17 +107,17 @@
 	return h, nil
 }
 
-func (s *Signer) verifyCode(body string, code []byte) bool {
+func (s *Signer) verifyMAC(body string, mac []byte) bool {
 	name, _, _ := strings.Cut(body, ".")
 	for _, k := range s.keys {
-		if k.name == name && hmac.Equal(code, k.code(body)) {
+		if k.name == name && hmac.Equal(mac, k.mac(body)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (k key) code(body string) []byte {
+func (k key) mac(body string) []byte {
 	m := hmac.New(sha256.New, k.secret)
 	m.Write([]byte(body))
 	return m.Sum(nil)
--- a/handle/handle_test.go
+++ b/handle/handle_test.go
@@ -64,7 +64,7 @@
 		}
 		h, err := signer.Verify(text, now)
 		if err == nil && h.Workspace != "w" {
-			t.Fatalf("accepted %q", text)
+			t.Fatalf("Verify accepted the unsigned handle %q", text)
 		}
 	})
 }
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -13,15 +13,15 @@
 const (
 	// DialTimeout is the timeout for connecting to another process.
 	DialTimeout = time.Second
-	// pingAfter is the time without received data after which a connection is checked by a ping.
+	// pingIdleTime is the time without received data after which a connection is checked by a ping.
 	// Without this check, calls on a connection whose peer vanished without closing it would hang.
-	pingAfter = 2 * time.Second
+	pingIdleTime = 2 * time.Second
 	// pingTimeout is the time after which a connection with an unanswered ping is closed.
 	pingTimeout = 2 * time.Second
 	// headerTimeout limits the time in which a peer has to send its headers.
 	headerTimeout = 5 * time.Second
-	// maxIdlePeers is the maximum number of idle connections that are kept for reuse.
-	maxIdlePeers = 512
+	// maxIdleConnections is the maximum number of idle connections that are kept for reuse.
+	maxIdleConnections = 512
 )
 
 // NewHTTPClient returns a client for calls to peers. It uses HTTP/2 over TLS if config is not nil, and
@@ -31,9 +31,9 @@
 		DialContext:     (&net.Dialer{Timeout: DialTimeout}).DialContext,
 		TLSClientConfig: config,
 		Protocols:       protocols(),
-		MaxIdleConns:    maxIdlePeers,
+		MaxIdleConns:    maxIdleConnections,
 		IdleConnTimeout: time.Minute,
-		HTTP2:           pings(),
+		HTTP2:           pingConfig(),
 	}}
 }
 
@@ -47,7 +47,7 @@
 		TLSConfig:         config,
 		Protocols:         p,
 		ReadHeaderTimeout: headerTimeout,
-		HTTP2:             pings(),
+		HTTP2:             pingConfig(),
 	}
 }
 
@@ -76,6 +76,6 @@
 	return p
 }
 
-func pings() *http.HTTP2Config {
-	return &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout}
+func pingConfig() *http.HTTP2Config {
+	return &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout}
 }
--- a/settings/docs_test.go
+++ b/settings/docs_test.go
@@ -11,8 +11,8 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// keys returns the TOML keys of a struct type and of the structs nested in it.
-func keys(typ reflect.Type) []string {
+// tomlKeys returns the TOML tomlKeys of a struct type and of the structs nested in it.
+func tomlKeys(typ reflect.Type) []string {
 	var out []string
 	for i := range typ.NumField() {
 		field := typ.Field(i)
@@ -26,7 +26,7 @@
 			inner = inner.Elem()
 		}
 		if inner.Kind() == reflect.Struct {
-			out = append(out, keys(inner)...)
+			out = append(out, tomlKeys(inner)...)
 		}
 	}
 	return out
@@ -37,7 +37,7 @@
 		text, err := os.ReadFile("../docs/CONFIG.md")
 		Expect(err).NotTo(HaveOccurred())
 		for _, v := range []any{config.Config{}, settings.Gateway{}, settings.Controller{}} {
-			for _, key := range keys(reflect.TypeOf(v)) {
+			for _, key := range tomlKeys(reflect.TypeOf(v)) {
 				Expect(string(text)).To(MatchRegexp("[`\\[ ]" + key + "[`\\]]"))
 			}
 		}
--- a/settings/load.go
+++ b/settings/load.go
@@ -19,13 +19,13 @@
 // Problems is an error that lists every mistake in a settings file.
 type Problems = tomlcheck.Problems
 
-// handleKeyBytes is the minimum length of a key that signs resume handles.
-const handleKeyBytes = 32
+// minHandleKeyBytes is the minimum length of a key that signs resume handles.
+const minHandleKeyBytes = 32
 
 // LoadGateway reads and checks a gateway's settings file. A non-nil error is of type Problems unless
 // the file cannot be read.
 func LoadGateway(path string) (*Gateway, error) {
-	text, err := read(path)
+	text, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -40,8 +40,8 @@
 	checkDistinct(file, &problems, "peer_address", g.PeerAddress, "caller_address", g.CallerAddress)
 	checkDistinct(file, &problems, "controller_address", g.ControllerAddress, "peer_address", g.PeerAddress)
 	checkDistinct(file, &problems, "controller_address", g.ControllerAddress, "caller_address", g.CallerAddress)
-	checkCallerTLS(file, "caller_tls", g.CallerTLS, &problems)
-	checkPeerTLS(file, "peer_tls", g.PeerTLS, &problems)
+	checkServerTLS(file, "caller_tls", g.CallerTLS, &problems)
+	checkMutualTLS(file, "peer_tls", g.PeerTLS, &problems)
 	if err := problems.Err(); err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 // LoadController reads and checks a controller's settings file. A non-nil error is of type Problems
 // unless the file cannot be read.
 func LoadController(path string) (*Controller, error) {
-	text, err := read(path)
+	text, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -64,15 +64,15 @@
 	problems := tomlcheck.Load(file, text, c)
 	checkDistinct(file, &problems, "operator_address", c.OperatorAddress, "peer_address", c.PeerAddress)
 	checkDistinct(file, &problems, "peer_listen", c.PeerListen, "operator_address", c.OperatorAddress)
-	checkCallerTLS(file, "operator_tls", c.OperatorTLS, &problems)
-	checkPeerTLS(file, "peer_tls", c.PeerTLS, &problems)
+	checkServerTLS(file, "operator_tls", c.OperatorTLS, &problems)
+	checkMutualTLS(file, "peer_tls", c.PeerTLS, &problems)
 	if err := problems.Err(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-func read(path string) (string, error) {
+func readFile(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", eris.Wrap(err, "read settings file")
@@ -85,9 +85,9 @@
 func checkHandleKeys(file string, keys []string, problems *Problems) {
 	names := make(map[string]bool, len(keys))
 	for _, key := range keys {
-		name, digits, found := strings.Cut(key, ":")
-		secret, err := hex.DecodeString(digits)
-		if !found || name == "" || err != nil || len(secret) < handleKeyBytes {
+		name, hexSecret, found := strings.Cut(key, ":")
+		secret, err := hex.DecodeString(hexSecret)
+		if !found || name == "" || err != nil || len(secret) < minHandleKeyBytes {
 			problems.Add(file, "handle_keys", "a malformed entry (not shown)", `"name:hex" with at least 32 bytes in hex`)
 			continue
 		}
@@ -105,9 +105,9 @@
 	}
 }
 
-// checkCallerTLS checks the TLS files of a listener that requires client certificates only if a CA file
+// checkServerTLS checks the TLS files of a listener that requires client certificates only if a CA file
 // is set.
-func checkCallerTLS(file, key string, t TLS, problems *Problems) {
+func checkServerTLS(file, key string, t TLS, problems *Problems) {
 	complete := t.CertFile != "" && t.KeyFile != ""
 	if t != (TLS{}) && !complete {
 		problems.Add(file, key, "cert_file and key_file not both set", "both, or an empty table")
@@ -115,9 +115,9 @@
 	checkReadable(file, key, t, problems)
 }
 
-// checkPeerTLS checks the TLS files of a listener with mutual authentication. Without the CA file
+// checkMutualTLS checks the TLS files of a listener with mutual authentication. Without the CA file
 // anyone could pose as a peer, so either all three files or none must be set.
-func checkPeerTLS(file, key string, t TLS, problems *Problems) {
+func checkMutualTLS(file, key string, t TLS, problems *Problems) {
 	set := 0
 	for _, f := range []string{t.CertFile, t.KeyFile, t.CAFile} {
 		if f != "" {
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -14,7 +14,7 @@
 	RunSpecs(t, "settings")
 }
 
-const goodController = `
+const validController = `
 peer_address = "127.0.0.1:7001"
 operator_address = "127.0.0.1:7002"
 operator_key_sha256 = ["0000000000000000000000000000000000000000000000000000000000000000"]
@@ -28,7 +28,7 @@
 
 var _ = Describe("Settings files", func() {
 	It("fill in defaults", func() {
-		c, err := settings.ParseController("c.toml", goodController)
+		c, err := settings.ParseController("c.toml", validController)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.LeaseMS).To(Equal(6000))
 		Expect(c.Platform.TimeoutMS).To(Equal(2000))
@@ -83,7 +83,7 @@
 })
 
 func FuzzParseController(f *testing.F) {
-	f.Add(goodController)
+	f.Add(validController)
 	f.Add("vm = 3\n[[platform]]\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := settings.ParseController("c.toml", text)
