--- a/caller/core.go
+++ b/caller/core.go
@@ -24,9 +24,9 @@
 	// Addresses lists the caller addresses of serving gateways, nearest first, and how long callers
 	// may cache the list.
 	Addresses() ([]string, time.Duration)
-	// Enter acquires one of the workspace's slots for concurrent requests. The returned function
-	// releases the slot.
-	Enter(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal)
+	// AcquireSlot acquires one of the workspace's slots for concurrent requests. The returned
+	// function releases the slot.
+	AcquireSlot(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal)
 	// Generate runs one generation and writes its answer to the sink. It returns nil once
 	// Sink.Finish has been called.
 	Generate(ctx context.Context, g Generation, sink Sink) *crocusreel.Refusal
@@ -46,8 +46,8 @@
 	IdempotencyKey string
 	// NonIdempotent marks work that may run at most once for its idempotency key.
 	NonIdempotent bool
-	// First is set if the caller declares that no earlier attempt used this idempotency key.
-	First bool
+	// FirstAttempt is set if the caller declares that no earlier attempt used this idempotency key.
+	FirstAttempt bool
 	// BodySHA256 is the hex SHA-256 digest of the request's method, path, query and body.
 	BodySHA256 string
 }
@@ -73,8 +73,8 @@
 	RequestID string
 	Workspace *config.WorkspaceSpec
 	Handle    string
-	// Next is the index of the first token that the caller has not received.
-	Next int
+	// NextIndex is the index of the first token that the caller has not received.
+	NextIndex int
 }
 
 // ServiceCall is a caller's call to a plain service.
@@ -95,7 +95,8 @@
 	Endpoint string
 }
 
-// Finish describes how a generation ended.
+// Finish describes how a generation ended. The gateway stores it as JSON under the names of its Go
+// fields, which must therefore not change.
 type Finish struct {
 	// Reason is "stop", "length" or "cancelled".
 	Reason       string
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -14,7 +14,7 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// statusByReason maps reasons to HTTP statusByReason. Reasons that are not listed map to 503.
+// statusByReason maps reasons to HTTP status codes. Reasons that are not listed map to 503.
 var statusByReason = map[crocusreel.Reason]int{
 	crocusreel.ReasonBadRequest:     http.StatusBadRequest,
 	crocusreel.ReasonKeyRequired:    http.StatusBadRequest,
@@ -27,7 +27,7 @@
 	crocusreel.ReasonGenerationLost: http.StatusGone,
 	crocusreel.ReasonTooLarge:       http.StatusRequestEntityTooLarge,
 	crocusreel.ReasonKeyReused:      http.StatusUnprocessableEntity,
-	crocusreel.ReasonSuspect:        http.StatusUnprocessableEntity,
+	crocusreel.ReasonSuspectRequest: http.StatusUnprocessableEntity,
 	crocusreel.ReasonStreamLimit:    http.StatusTooManyRequests,
 	crocusreel.ReasonRateLimit:      http.StatusTooManyRequests,
 	crocusreel.ReasonEndpointLost:   http.StatusBadGateway,
@@ -58,8 +58,8 @@
 	}
 }
 
-// invalidRequestReasons are the reasons for which a request is invalid in itself. Such a request never runs,
-// whatever its idempotency key, so its outcome stays OutcomeNotRun.
+// invalidRequestReasons are the reasons for which a request is invalid in itself. Such a request
+// never runs, whatever its idempotency key, so its outcome stays OutcomeNotRun.
 var invalidRequestReasons = map[crocusreel.Reason]bool{
 	crocusreel.ReasonBadRequest:    true,
 	crocusreel.ReasonKeyRequired:   true,
@@ -68,11 +68,11 @@
 	crocusreel.ReasonTooLarge:      true,
 }
 
-// adjustOutcomeForKey returns the refusal with an outcome that holds for the idempotency key and not only for
-// this attempt. This attempt did not run, but an earlier attempt with the same key may have run, or
-// may be held by a frozen gateway that sends it once it resumes. A caller that trusted not_run would
-// send the work under a new key, and it would run twice. OutcomeNotRun is therefore replaced by
-// OutcomeUnknown unless the caller declares that this is its first attempt.
+// adjustOutcomeForKey returns the refusal with an outcome that holds for the idempotency key and not
+// only for this attempt. This attempt did not run, but an earlier attempt with the same key may have
+// run, or may be held by a frozen gateway that sends it once it resumes. A caller that trusted
+// not_run would send the work under a new key, and it would run twice. OutcomeNotRun is therefore
+// replaced by OutcomeUnknown unless the caller declares that this is its first attempt.
 func adjustOutcomeForKey(c echo.Context, r *crocusreel.Refusal) *crocusreel.Refusal {
 	h := c.Request().Header
 	keyed := h.Get(api.HeaderIdempotencyKey) != ""
--- a/caller/generations.go
+++ b/caller/generations.go
@@ -95,7 +95,7 @@
 		return err
 	}
 	defer cancel()
-	release, refusal := s.core.Enter(g.Workspace)
+	release, refusal := s.core.AcquireSlot(g.Workspace)
 	if refusal != nil {
 		return refusal
 	}
@@ -168,7 +168,7 @@
 	}
 	defer cancel()
 	ws := workspaceOf(c)
-	release, refusal := s.core.Enter(ws)
+	release, refusal := s.core.AcquireSlot(ws)
 	if refusal != nil {
 		return refusal
 	}
@@ -177,6 +177,6 @@
 	if req.Chat {
 		f = formatChat
 	}
-	r := Resume{RequestID: requestID(c), Workspace: ws, Handle: req.Handle, Next: req.NextIndex}
+	r := Resume{RequestID: requestID(c), Workspace: ws, Handle: req.Handle, NextIndex: req.NextIndex}
 	return s.streamAnswer(c, f, "", func(sink Sink) *crocusreel.Refusal { return s.core.Resume(ctx, r, sink) })
 }
--- a/caller/headers.go
+++ b/caller/headers.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return a, err
 	}
-	a.First = n == 1
+	a.FirstAttempt = n == 1
 	if a.NonIdempotent && a.IdempotencyKey == "" {
 		return a, refuseNotRun(crocusreel.ReasonKeyRequired, "non-idempotent work needs the header %s", api.HeaderIdempotencyKey)
 	}
--- a/caller/server.go
+++ b/caller/server.go
@@ -80,8 +80,8 @@
 	return e
 }
 
-// assignRequestID assigns an ID to each request, adds the request ID and the gateway's VM to the response
-// headers and sets a write deadline as the response starts.
+// assignRequestID assigns an ID to each request, adds the request ID and the gateway's VM to the
+// response headers and sets a write deadline as the response starts.
 func (s *server) assignRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		id := uuid.NewString()
@@ -94,8 +94,8 @@
 	}
 }
 
-// setWriteDeadline sets the deadline for the next write of the response. Response writers without support
-// for deadlines, such as httptest.ResponseRecorder, return an error, which is ignored.
+// setWriteDeadline sets the deadline for the next write of the response. Response writers without
+// support for deadlines, such as httptest.ResponseRecorder, return an error, which is ignored.
 func setWriteDeadline(c echo.Context, timeout time.Duration) {
 	_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Now().Add(timeout))
 }
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -43,7 +43,9 @@
 
 func (f *fakeCore) Addresses() ([]string, time.Duration) { return []string{"127.0.0.1:1"}, time.Second }
 
-func (f *fakeCore) Enter(*config.WorkspaceSpec) (func(), *crocusreel.Refusal) { return func() {}, nil }
+func (f *fakeCore) AcquireSlot(*config.WorkspaceSpec) (func(), *crocusreel.Refusal) {
+	return func() {}, nil
+}
 
 func (f *fakeCore) Generate(_ context.Context, g Generation, sink Sink) *crocusreel.Refusal {
 	f.generations = append(f.generations, g)
--- a/caller/services.go
+++ b/caller/services.go
@@ -27,7 +27,7 @@
 		return err
 	}
 	defer cancel()
-	release, refusal := s.core.Enter(a.Workspace)
+	release, refusal := s.core.AcquireSlot(a.Workspace)
 	if refusal != nil {
 		return refusal
 	}
--- a/config/compile.go
+++ b/config/compile.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// overlayEndpoints returns a table with the endpoints of a data centre's overlay, which apply to every data
-// centre. Endpoints that neither name a data centre nor appear in the base get the overlay's.
+// overlayEndpoints returns a table with the endpoints of a data centre's overlay, which apply to every
+// data centre. Endpoints that neither name a data centre nor appear in the base get the overlay's.
 func (p *parsedDocument) overlayEndpoints(dataCentre string) tomlcheck.Table {
 	entries := namedEntries(p.overlays[dataCentre]["endpoints"])
 	if len(entries) == 0 {
--- a/config/merge.go
+++ b/config/merge.go
@@ -81,8 +81,8 @@
 // namedLists holds the keys of the lists whose entries are merged by name.
 var namedLists = []string{"models", "workspaces", "endpoints", "routes"}
 
-// checkEntryNames reports entries without a name and names that occur twice in one part. Neither can be merged
-// by name.
+// checkEntryNames reports entries without a name and names that occur twice in one part. Neither can
+// be merged by name.
 func checkEntryNames(p *parsedDocument) Problems {
 	var problems Problems
 	checkPart := func(part string, t tomlcheck.Table) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -241,7 +241,7 @@
 	if r.Outcome == crocusreel.OutcomeNotRun {
 		return http.StatusServiceUnavailable
 	}
-	if r.Reason == crocusreel.ReasonDeadline {
+	if r.Reason == crocusreel.ReasonDeadlineUnreachable {
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -125,7 +125,7 @@
 		g.Expect(refusal).NotTo(gomega.BeNil())
 	}
 	_, refusal := tg.call(http.MethodPost, uuid.NewString())
-	g.Expect(refusal.Reason).To(gomega.Equal(crocusreel.ReasonSuspect))
+	g.Expect(refusal.Reason).To(gomega.Equal(crocusreel.ReasonSuspectRequest))
 	g.Expect(refusal.RetryAfter).To(gomega.BeNumerically(">", 0))
 	g.Expect(a.calls.Load() + b.calls.Load()).To(gomega.Equal(int64(3)))
 }
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -21,7 +21,7 @@
 // claim claims the run of non-idempotent work. Exactly one of its results is set.
 func (g *Gateway) claim(ctx context.Context, a caller.Attempt) (*ledger.Claim, *ledger.Result, *crocusreel.Refusal) {
 	key := ledger.Key{Workspace: a.Workspace.Name, IdempotencyKey: a.IdempotencyKey}
-	res := g.ledger.Claim(ctx, key, a.BodySHA256, a.First)
+	res := g.ledger.Claim(ctx, key, a.BodySHA256, a.FirstAttempt)
 	return res.Claim, res.Done, res.Refusal
 }
 
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -160,7 +160,7 @@
 	case errors.As(err, &refusal):
 		return permit, refusal
 	default:
-		return permit, crocusreel.Refuse(crocusreel.ReasonSchedulerLost, crocusreel.OutcomeNotRun, lostRetryAfter, "%v", err)
+		return permit, crocusreel.Refuse(crocusreel.ReasonSchedulerUnreachable, crocusreel.OutcomeNotRun, lostRetryAfter, "%v", err)
 	}
 }
 
--- a/gateway/generate_test.go
+++ b/gateway/generate_test.go
@@ -172,7 +172,7 @@
 	first := &fakeSink{failAt: 6}
 	refusal := tg.Generate(context.Background(), tg.generation(""), first)
 	g.Expect(refusal).NotTo(gomega.BeNil())
-	req := caller.Resume{RequestID: "r2", Workspace: tg.ws, Handle: first.begins[0].Handle, Next: 6}
+	req := caller.Resume{RequestID: "r2", Workspace: tg.ws, Handle: first.begins[0].Handle, NextIndex: 6}
 	rest := &fakeSink{}
 	g.Expect(tg.Resume(context.Background(), req, rest)).To(gomega.BeNil())
 	first.tokens = append(first.tokens, rest.tokens...)
@@ -208,7 +208,7 @@
 		tg := newTestGateway(t, map[string]*fakeEngine{"e1": e}, "e1")
 		tg.tables.down = true
 		gen := tg.generation("key")
-		gen.First = first
+		gen.FirstAttempt = first
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		refusal := tg.Generate(ctx, gen, &fakeSink{})
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -50,8 +50,8 @@
 	return c.all
 }
 
-// Enter implements caller.Core.
-func (g *Gateway) Enter(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal) {
+// AcquireSlot implements caller.Core.
+func (g *Gateway) AcquireSlot(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal) {
 	if !g.running.enter(ws.Name, ws.MaxStreams) {
 		return nil, crocusreel.Refuse(crocusreel.ReasonStreamLimit, crocusreel.OutcomeNotRun, streamLimitRetry,
 			"workspace has %d requests running at this gateway", ws.MaxStreams)
--- a/gateway/resume.go
+++ b/gateway/resume.go
@@ -41,7 +41,7 @@
 		r:      r,
 		engine: engine,
 		id:     h.GenerationID,
-		next:   req.Next,
+		next:   req.NextIndex,
 		// Work that is already running needs no permit; the permit's fields only say
 		// where it runs.
 		permit: scheduler.Permit{Endpoint: h.Endpoint, Model: h.Model},
--- a/gateway/strikes.go
+++ b/gateway/strikes.go
@@ -72,6 +72,6 @@
 	if bound <= 0 || s.suspects.Count(content, now) < bound {
 		return nil
 	}
-	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun, s.suspects.TimeUntilBelow(content, bound, now),
+	return crocusreel.Refuse(crocusreel.ReasonSuspectRequest, crocusreel.OutcomeNotRun, s.suspects.TimeUntilBelow(content, bound, now),
 		"endpoints were lost while they ran this call")
 }
--- a/relay/claims.go
+++ b/relay/claims.go
@@ -187,7 +187,7 @@
 			return j.deadlineRefusal()
 		case <-timeout:
 			metrics.Count("claim_not_had")
-			return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun, claimRetryAfter,
+			return crocusreel.Refuse(crocusreel.ReasonSuspectRequest, crocusreel.OutcomeNotRun, claimRetryAfter,
 				"an endpoint died while running this request, and it runs elsewhere")
 		}
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -348,7 +348,7 @@
 // suspectRefusal is the answer to work that this many endpoints died of. Its retry delay is the
 // time until the work has fewer strikes than strikeLimit.
 func (j *job) suspectRefusal(strikes int) *crocusreel.Refusal {
-	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun,
+	return crocusreel.Refuse(crocusreel.ReasonSuspectRequest, crocusreel.OutcomeNotRun,
 		j.Strikes.UntilBelow(j.r.Fingerprint, strikeLimit), "%d endpoints died while running this request", strikes)
 }
 
@@ -358,7 +358,7 @@
 	if j.ran {
 		outcome = crocusreel.OutcomeUnknown
 	}
-	return crocusreel.Refuse(crocusreel.ReasonDeadline, outcome, lostRetryAfter, "the time is over")
+	return crocusreel.Refuse(crocusreel.ReasonDeadlineUnreachable, outcome, lostRetryAfter, "the time is over")
 }
 
 const (
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -550,7 +550,7 @@
 		}
 		Expect(runsAt(engines)).To(Equal(relay.StrikeLimit))
 		v, _ := r.serve(r.request(routing.Streaming))
-		Expect(v.Refusal.Reason).To(Equal(crocusreel.ReasonSuspect))
+		Expect(v.Refusal.Reason).To(Equal(crocusreel.ReasonSuspectRequest))
 		Expect(v.Refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 	})
 
@@ -610,7 +610,7 @@
 		}
 		Expect(runsAt(apps)).To(Equal(relay.StrikeLimit))
 		v, _ := r.serve(r.request(routing.Idempotent))
-		Expect(v.Refusal.Reason).To(Equal(crocusreel.ReasonSuspect))
+		Expect(v.Refusal.Reason).To(Equal(crocusreel.ReasonSuspectRequest))
 	})
 
 	// An endpoint loses the answers to many calls and stays alive. Their work is harmless and must
@@ -636,7 +636,7 @@
 		}
 		for n := range 6 {
 			v, _ := r.serve(r.request(routing.Streaming))
-			Expect(v.Refusal == nil || v.Refusal.Reason != crocusreel.ReasonSuspect).To(BeTrue(), "request %d", n)
+			Expect(v.Refusal == nil || v.Refusal.Reason != crocusreel.ReasonSuspectRequest).To(BeTrue(), "request %d", n)
 		}
 		Expect(engines).To(HaveEach(WithTransform(func(e *worker.Worker) bool {
 			return r.Client.Refuses(context.Background(), e.Address())
@@ -654,7 +654,7 @@
 		for n := range 4 {
 			dying := r.engine(fmt.Sprintf("dying%d", n), 20, always(worker.Crash))
 			v, _ := r.serve(r.request(routing.Streaming))
-			Expect(v.Refusal == nil || v.Refusal.Reason != crocusreel.ReasonSuspect).To(BeTrue(), "death %d", n)
+			Expect(v.Refusal == nil || v.Refusal.Reason != crocusreel.ReasonSuspectRequest).To(BeTrue(), "death %d", n)
 			Expect(dying.Runs()).To(HaveLen(1))
 			r.Fleet.Remove(fmt.Sprintf("dying%d", n), false)
 			sound := fmt.Sprintf("sound%d", n)
--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -33,7 +33,7 @@
 			if err == nil || final(ctx, err) {
 				return p, finalError(ctx, err)
 			}
-			metrics.Retried(crocusreel.ReasonSchedulerLost)
+			metrics.Retried(crocusreel.ReasonSchedulerUnreachable)
 			m.opts.Log.Warn("scheduler_failed", zap.String("model", req.Model),
 				zap.String("request", req.RequestID), zap.Error(err))
 		}
@@ -128,7 +128,7 @@
 		return true
 	}
 	var refusal *crocusreel.Refusal
-	return errors.As(err, &refusal) && refusal.Reason != crocusreel.ReasonSchedulerLost
+	return errors.As(err, &refusal) && refusal.Reason != crocusreel.ReasonSchedulerUnreachable
 }
 
 // finalError returns what the caller of Acquire gets.
@@ -141,7 +141,7 @@
 		return refusal
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return crocusreel.Refuse(crocusreel.ReasonDeadline, crocusreel.OutcomeNotRun, leastRetryAfter,
+		return crocusreel.Refuse(crocusreel.ReasonDeadlineUnreachable, crocusreel.OutcomeNotRun, leastRetryAfter,
 			"no engine had room in time")
 	}
 	if ctx.Err() != nil {
--- a/scheduler/handler.go
+++ b/scheduler/handler.go
@@ -31,7 +31,7 @@
 	p, err := pv.main.acquire(ctx, requestFromWire(r.Msg, s.m.now()))
 	var refusal *crocusreel.Refusal
 	switch {
-	case errors.As(err, &refusal) && refusal.Reason == crocusreel.ReasonSchedulerLost:
+	case errors.As(err, &refusal) && refusal.Reason == crocusreel.ReasonSchedulerUnreachable:
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	case refusal != nil:
 		return connect.NewResponse(&peerv1.AcquireResponse{Refusal: refusalToWire(refusal)}), nil
--- a/scheduler/permits_test.go
+++ b/scheduler/permits_test.go
@@ -193,7 +193,7 @@
 			m.Release(Release{Permit: p, End: EndEndpointLost})
 		}
 		_, err := acquire(m, request(7))
-		Expect(err).To(MatchError(ContainSubstring(string(crocusreel.ReasonSuspect))))
+		Expect(err).To(MatchError(ContainSubstring(string(crocusreel.ReasonSuspectRequest))))
 
 		// The scheduler leaves within the second. Its successor must know the strikes,
 		// or the request takes down as many engines again.
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -252,7 +252,7 @@
 }
 
 // errPoolClosed is met while a configuration replaces pools.
-var errPoolClosed = crocusreel.Refuse(crocusreel.ReasonSchedulerLost, crocusreel.OutcomeNotRun, leastRetryAfter,
+var errPoolClosed = crocusreel.Refuse(crocusreel.ReasonSchedulerUnreachable, crocusreel.OutcomeNotRun, leastRetryAfter,
 	"the scheduler has stopped")
 
 // report passes a gateway's report on and returns the strikes to remember.
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -64,7 +64,7 @@
 	left := c.timeLeft(w, now)
 	wait := c.predictedWait(w, c.queue(w.req.Class).Waiting(w.req.Workspace))
 	if float64(wait) > waitMargin*float64(left) {
-		return crocusreel.Refuse(crocusreel.ReasonDeadline, crocusreel.OutcomeNotRun, bounded(wait),
+		return crocusreel.Refuse(crocusreel.ReasonDeadlineUnreachable, crocusreel.OutcomeNotRun, bounded(wait),
 			"the wait would be %s, the time left is %s", wait.Round(time.Millisecond), left.Round(time.Millisecond))
 	}
 	return nil
@@ -74,7 +74,7 @@
 	if c.pc.cfg.Limits.Strikes <= 0 || c.suspects.Count(w.req.Fingerprint, now) < c.pc.cfg.Limits.Strikes {
 		return nil
 	}
-	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun,
+	return crocusreel.Refuse(crocusreel.ReasonSuspectRequest, crocusreel.OutcomeNotRun,
 		c.suspects.TimeUntilBelow(w.req.Fingerprint, c.pc.cfg.Limits.Strikes, now), "endpoints died while they ran this request")
 }
 
@@ -191,7 +191,7 @@
 		return
 	}
 	wait := c.predictedWait(w, c.queue(w.req.Class).Waiting(w.req.Workspace))
-	c.refuse(w, crocusreel.Refuse(crocusreel.ReasonDeadline, crocusreel.OutcomeNotRun, bounded(wait),
+	c.refuse(w, crocusreel.Refuse(crocusreel.ReasonDeadlineUnreachable, crocusreel.OutcomeNotRun, bounded(wait),
 		"no engine had room in time"))
 }
 
--- a/scheduler/queueing_test.go
+++ b/scheduler/queueing_test.go
@@ -83,7 +83,7 @@
 		late := ask(c, 2*time.Second, now)
 		Expect(late.done).To(BeTrue())
 		r := <-late.reply
-		Expect(r.refusal.Reason).To(Equal(crocusreel.ReasonDeadline))
+		Expect(r.refusal.Reason).To(Equal(crocusreel.ReasonDeadlineUnreachable))
 		Expect(r.refusal.RetryAfter).To(BeNumerically("~", 21*time.Second, 7*time.Second), fmt.Sprint(r.refusal))
 	})
 
--- a/scheduler/suspects_test.go
+++ b/scheduler/suspects_test.go
@@ -129,7 +129,7 @@
 			Eventually(strikesOf(m, deadly), patience).Should(Equal(n + 1))
 		}
 		_, err := acquire(m, request(deadly))
-		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
+		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspectRequest))
 		p, err := acquire(m, request(innocent))
 		Expect(err).NotTo(HaveOccurred())
 		m.Release(Release{Permit: p, End: EndFinished})
@@ -194,7 +194,7 @@
 		r.apply()
 		Eventually(strikesOf(r.managers[r.scheduler()], deadly), patience).Should(Equal(3))
 		_, err := acquire(r.managers[r.scheduler()], request(deadly))
-		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
+		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspectRequest))
 	})
 
 	// The scheduler can't be reached right after the first death, before it told the
@@ -217,7 +217,7 @@
 			}
 		}
 		_, err := acquire(m, request(deadly))
-		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
+		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspectRequest))
 	})
 
 	// A gateway takes over as scheduler while an engine that died is starting again. It
@@ -254,7 +254,7 @@
 		Expect(again.done).To(BeFalse(), "held back")
 		c.poll(engine)
 		Expect(again.granted).To(BeEmpty())
-		Expect(refusalOfWaiting(again)).To(Equal(crocusreel.ReasonSuspect))
+		Expect(refusalOfWaiting(again)).To(Equal(crocusreel.ReasonSuspectRequest))
 	})
 
 	// A caller sends a request several times at once, and it crashes the engine that runs it.
@@ -280,7 +280,7 @@
 		Expect(deaths).To(Equal(c.pc.cfg.Limits.Strikes))
 		refused := 0
 		for _, w := range copies {
-			if refusalOfWaiting(w) == crocusreel.ReasonSuspect {
+			if refusalOfWaiting(w) == crocusreel.ReasonSuspectRequest {
 				refused++
 			}
 		}
--- a/settings/docs_test.go
+++ b/settings/docs_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// tomlKeys returns the TOML tomlKeys of a struct type and of the structs nested in it.
+// tomlKeys returns the TOML keys of a struct type and of the structs nested in it.
 func tomlKeys(typ reflect.Type) []string {
 	var out []string
 	for i := range typ.NumField() {
--- a/settings/load.go
+++ b/settings/load.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// checkServerTLS checks the TLS files of a listener that requires client certificates only if a CA file
-// is set.
+// checkServerTLS checks the TLS files of a listener that requires client certificates only if a CA
+// file is set.
 func checkServerTLS(file, key string, t TLS, problems *Problems) {
 	complete := t.CertFile != "" && t.KeyFile != ""
 	if t != (TLS{}) && !complete {
--- a/tests/deadly_test.go
+++ b/tests/deadly_test.go
@@ -84,7 +84,7 @@
 			q.key, q.attempt = uuid.NewString(), 1
 			s := send(ctx, q)
 			Expect(s.refusal).NotTo(BeNil(), "%+v", s)
-			if s.refusal.Reason == crocusreel.ReasonSuspect {
+			if s.refusal.Reason == crocusreel.ReasonSuspectRequest {
 				refused++
 			}
 		}
--- a/tests/deadlycall_test.go
+++ b/tests/deadlycall_test.go
@@ -52,7 +52,7 @@
 		for i := range r.VMs {
 			refused := lookup(i)
 			Expect(refused.refusal).NotTo(BeNil())
-			Expect(refused.refusal.Reason).To(Equal(crocusreel.ReasonSuspect))
+			Expect(refused.refusal.Reason).To(Equal(crocusreel.ReasonSuspectRequest))
 			Expect(refused.refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 		}
 	}, SpecTimeout(time.Minute))
