--- a/caller/answers.go
+++ b/caller/answers.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// format is the form of an answer's JSON.
+// format selects the JSON format of an answer: text completion or chat completion.
 type format int
 
 const (
@@ -39,6 +39,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
+// answer is the body of a completion or chat completion, or one chunk of a streamed one.
 type answer struct {
 	ID        string         `json:"id"`
 	Object    string         `json:"object"`
@@ -53,8 +54,8 @@
 	return &usage{PromptTokens: f.PromptTokens, CompletionTokens: f.Tokens, TotalTokens: f.PromptTokens + f.Tokens}
 }
 
-// wholeSink keeps an answer until it is whole.
-type wholeSink struct {
+// bufferedSink buffers an answer until it is complete.
+type bufferedSink struct {
 	model    string
 	endpoint string
 	text     strings.Builder
@@ -62,7 +63,7 @@
 }
 
 // Begin implements Sink.
-func (k *wholeSink) Begin(b Begin) error {
+func (k *bufferedSink) Begin(b Begin) error {
 	k.endpoint = b.Endpoint
 	if b.Model != "" {
 		k.model = b.Model
@@ -72,19 +73,20 @@
 }
 
 // Token implements Sink.
-func (k *wholeSink) Token(_ int, text string) error {
+func (k *bufferedSink) Token(_ int, text string) error {
 	k.text.WriteString(text)
 	return nil
 }
 
 // Finish implements Sink.
-func (k *wholeSink) Finish(f Finish) error {
+func (k *bufferedSink) Finish(f Finish) error {
 	k.finish = f
 	return nil
 }
 
-func (s *server) wholeAnswer(c echo.Context, f format, model string, run func(Sink) *crocusreel.Refusal) error {
-	sink := &wholeSink{model: model}
+// bufferAnswer runs a generation and writes its answer as one JSON body.
+func (s *server) bufferAnswer(c echo.Context, f format, model string, run func(Sink) *crocusreel.Refusal) error {
+	sink := &bufferedSink{model: model}
 	if refusal := run(sink); refusal != nil {
 		return refusal
 	}
@@ -100,13 +102,13 @@
 	h := c.Response().Header()
 	h.Set(api.HeaderEndpoint, sink.endpoint)
 	h.Set(api.HeaderPreemptions, strconv.Itoa(sink.finish.Preemptions))
-	return s.delivered(c, c.JSON(http.StatusOK, answer{
+	return s.logWriteError(c, c.JSON(http.StatusOK, answer{
 		ID: requestID(c), Object: object, Created: time.Now().Unix(), Model: sink.model,
 		Choices: []choice{ch}, Usage: newUsage(sink.finish),
 	}))
 }
 
-// modelList is the body of GET /v1/models.
+// modelList is the response body of GET /v1/models.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
--- a/caller/generations.go
+++ b/caller/generations.go
@@ -14,8 +14,8 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// completionRequest is the body of POST /v1/completions. Fields of the OpenAI API
-// that have no meaning here are accepted and ignored.
+// completionRequest is the body of POST /v1/completions. Other fields of the OpenAI API are accepted
+// and ignored.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -95,17 +95,17 @@
 		return err
 	}
 	defer cancel()
-	leave, refusal := s.core.Enter(g.Workspace)
+	release, refusal := s.core.AcquireSlot(g.Workspace)
 	if refusal != nil {
 		return refusal
 	}
-	defer leave()
+	defer release()
 	g.Restartable = !stream
 	run := func(sink Sink) *crocusreel.Refusal { return s.core.Generate(ctx, g, sink) }
 	if stream {
 		return s.streamAnswer(c, f, g.Model, run)
 	}
-	return s.wholeAnswer(c, f, g.Model, run)
+	return s.bufferAnswer(c, f, g.Model, run)
 }
 
 func readGeneration(c echo.Context, body []byte, g *Generation) error {
@@ -123,7 +123,7 @@
 		return err
 	}
 	g.Priority = crocusreel.Priority(priority)
-	if g.LengthHint, err = intHeader(h, api.HeaderLengthHint, 0, 1, maxLengthHint); err != nil {
+	if g.LengthHint, err = intHeader(h, api.HeaderLengthHint, 0, 1, maxLengthHintTokens); err != nil {
 		return err
 	}
 	if g.Model == "" {
@@ -136,13 +136,15 @@
 	return nil
 }
 
-// deadlineContext returns the request's context with the caller's own deadline.
+// deadlineContext returns the request's context, limited by the deadline header if the caller sent
+// one. It must be called after the body has been read.
 func deadlineContext(c echo.Context) (context.Context, context.CancelFunc, error) {
 	d, err := readDeadline(c.Request().Header)
 	if err != nil {
 		return nil, nil, err
 	}
-	// The body has been read; a deadline for reading would now end the request.
+	// The body has been read. The read deadline set for it must be cleared, since on expiry it would
+	// cancel the request.
 	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Time{})
 	if d == 0 {
 		ctx, cancel := context.WithCancel(c.Request().Context())
@@ -166,15 +168,15 @@
 	}
 	defer cancel()
 	ws := workspaceOf(c)
-	leave, refusal := s.core.Enter(ws)
+	release, refusal := s.core.AcquireSlot(ws)
 	if refusal != nil {
 		return refusal
 	}
-	defer leave()
+	defer release()
 	f := formatCompletion
 	if req.Chat {
 		f = formatChat
 	}
-	r := Resume{RequestID: requestID(c), Workspace: ws, Handle: req.Handle, Next: req.NextIndex}
+	r := Resume{RequestID: requestID(c), Workspace: ws, Handle: req.Handle, NextIndex: req.NextIndex}
 	return s.streamAnswer(c, f, "", func(sink Sink) *crocusreel.Refusal { return s.core.Resume(ctx, r, sink) })
 }
--- a/caller/headers.go
+++ b/caller/headers.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	maxKeyLength  = 255
-	maxAttempts   = 1 << 20
-	maxDeadline   = 24 * time.Hour
-	maxLengthHint = 1 << 20
+	maxIdempotencyKeyBytes = 255
+	maxAttempts            = 1 << 20
+	maxDeadline            = 24 * time.Hour
+	maxLengthHintTokens    = 1 << 20
 
-	keyRequestID = "request_id"
-	keyWorkspace = "workspace"
+	contextKeyRequestID = "request_id"
+	contextKeyWorkspace = "workspace"
 )
 
 func requestID(c echo.Context) string {
-	id, _ := c.Get(keyRequestID).(string)
+	id, _ := c.Get(contextKeyRequestID).(string)
 	return id
 }
 
 func workspaceOf(c echo.Context) *config.WorkspaceSpec {
-	ws, _ := c.Get(keyWorkspace).(*config.WorkspaceSpec)
+	ws, _ := c.Get(contextKeyWorkspace).(*config.WorkspaceSpec)
 	return ws
 }
 
@@ -42,8 +42,8 @@
 	return ""
 }
 
-// authenticate finds the workspace of the caller's key. Keys are compared through
-// their digests, so the time that it takes tells nothing about a key.
+// authenticate looks up the workspace of the caller's key. The lookup uses the key's digest, so that
+// its duration reveals nothing about valid keys.
 func (s *server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if r := s.core.Ready(); r != nil {
@@ -58,12 +58,12 @@
 		if !ok {
 			return refuseNotRun(crocusreel.ReasonUnauthorized, "unknown key")
 		}
-		c.Set(keyWorkspace, ws)
+		c.Set(contextKeyWorkspace, ws)
 		return next(c)
 	}
 }
 
-// readAttempt reads the headers that every kind of work shares.
+// readAttempt reads the headers that generations and service calls have in common.
 func readAttempt(c echo.Context, body []byte) (Attempt, error) {
 	h := c.Request().Header
 	a := Attempt{
@@ -72,8 +72,8 @@
 		IdempotencyKey: h.Get(api.HeaderIdempotencyKey),
 		BodySHA256:     digestRequest(c.Request(), body),
 	}
-	if len(a.IdempotencyKey) > maxKeyLength {
-		return a, badHeader(api.HeaderIdempotencyKey, "at most "+strconv.Itoa(maxKeyLength)+" bytes")
+	if len(a.IdempotencyKey) > maxIdempotencyKeyBytes {
+		return a, badHeader(api.HeaderIdempotencyKey, "at most "+strconv.Itoa(maxIdempotencyKeyBytes)+" bytes")
 	}
 	switch h.Get(api.HeaderIdempotent) {
 	case "", "true":
@@ -86,13 +86,14 @@
 	if err != nil {
 		return a, err
 	}
-	a.First = n == 1
+	a.FirstAttempt = n == 1
 	if a.NonIdempotent && a.IdempotencyKey == "" {
 		return a, refuseNotRun(crocusreel.ReasonKeyRequired, "non-idempotent work needs the header %s", api.HeaderIdempotencyKey)
 	}
 	return a, nil
 }
 
+// digestRequest returns the hex SHA-256 digest of the request's method, path, query and body.
 func digestRequest(r *http.Request, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(r.Method + "\n" + r.URL.Path + "\n" + r.URL.RawQuery + "\n"))
@@ -116,14 +117,16 @@
 	}
 }
 
-func intHeader(h http.Header, name string, missing, lowest, highest int) (int, error) {
+// intHeader parses an integer header. It returns defaultValue if the header is absent or empty, and
+// a refusal if the value is not an integer from minimum to maximum.
+func intHeader(h http.Header, name string, defaultValue, minimum, maximum int) (int, error) {
 	text := h.Get(name)
 	if text == "" {
-		return missing, nil
+		return defaultValue, nil
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < lowest || n > highest {
-		return 0, badHeader(name, "an integer from "+strconv.Itoa(lowest)+" to "+strconv.Itoa(highest))
+	if err != nil || n < minimum || n > maximum {
+		return 0, badHeader(name, "an integer from "+strconv.Itoa(minimum)+" to "+strconv.Itoa(maximum))
 	}
 	return n, nil
 }
--- a/caller/services.go
+++ b/caller/services.go
@@ -7,11 +7,11 @@
 	"github.com/labstack/echo/v4"
 )
 
-// servicesPath is where plain services are mounted.
+// servicesPath is the path prefix of plain services.
 const servicesPath = "/services"
 
-// service passes one call to a plain service. Whether it may be repeated is for the
-// route to say; the caller's header can only make it stricter.
+// service forwards one call to a plain service. The route determines whether the call is idempotent;
+// the caller's header can only declare it non-idempotent, never the reverse.
 func (s *server) service(c echo.Context) error {
 	r := c.Request()
 	body, err := io.ReadAll(r.Body)
@@ -27,11 +27,11 @@
 		return err
 	}
 	defer cancel()
-	leave, refusal := s.core.Enter(a.Workspace)
+	release, refusal := s.core.AcquireSlot(a.Workspace)
 	if refusal != nil {
 		return refusal
 	}
-	defer leave()
+	defer release()
 	reply, refusal := s.core.Call(ctx, ServiceCall{
 		Attempt:     a,
 		Method:      r.Method,
@@ -43,5 +43,5 @@
 	if refusal != nil {
 		return refusal
 	}
-	return s.delivered(c, c.Blob(reply.Status, reply.ContentType, reply.Body))
+	return s.logWriteError(c, c.Blob(reply.Status, reply.ContentType, reply.Body))
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -75,9 +75,9 @@
 		Expect(c2.Routes[0].NonIdempotentMethods).To(ConsistOf("POST", "PUT", "PATCH", "DELETE"))
 	})
 
-	// Each gateway schedules for its whole region. If a data centre's overlay adds
-	// an engine that only this data centre knew, the others would never use it.
-	It("shows an overlay's endpoints to every data centre, placed in the overlay's", func() {
+	// Gateways schedule for their whole region. An engine that is added by an overlay and known to
+	// that data centre only would not be used by the others.
+	It("applies an overlay's endpoints to every data centre and assigns them to the overlay's", func() {
 		c1, err := config.Compile(doc, "dc1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c1.Endpoints).To(HaveLen(3))
@@ -132,7 +132,7 @@
 		valid := config.Validate(doc) == nil
 		_, err := config.Compile(doc, "dc1")
 		if valid && err != nil {
-			t.Fatalf("Validate accepts what Compile refuses: %v", err)
+			t.Fatalf("Validate accepted a document that Compile rejects: %v", err)
 		}
 		config.Diff(doc, config.Document{Base: overlay})
 	})
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -22,7 +22,7 @@
 // stored result of an earlier attempt, or a refusal.
 func (g *Gateway) claim(ctx context.Context, a caller.Attempt) (*ledger.Claim, *ledger.Result, *crocusreel.Refusal) {
 	key := ledger.Key{Workspace: a.Workspace.Name, IdempotencyKey: a.IdempotencyKey}
-	res := g.ledger.Claim(ctx, key, a.BodySHA256, a.First)
+	res := g.ledger.Claim(ctx, key, a.BodySHA256, a.FirstAttempt)
 	return res.Claim, res.Done, res.Refusal
 }
 
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -51,7 +51,7 @@
 }
 
 // Enter implements caller.Core.
-func (g *Gateway) Enter(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal) {
+func (g *Gateway) AcquireSlot(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal) {
 	if !g.running.enter(ws.Name, ws.MaxStreams) {
 		return nil, crocusreel.Refuse(crocusreel.ReasonStreamLimit, crocusreel.OutcomeNotRun, streamLimitRetryAfter,
 			"workspace has %d requests running at this gateway", ws.MaxStreams)
--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -34,7 +34,7 @@
 			if err == nil || isFinal(ctx, err) {
 				return p, finalError(ctx, err)
 			}
-			metrics.Retried(crocusreel.ReasonSchedulerLost)
+			metrics.Retried(crocusreel.ReasonSchedulerUnreachable)
 			m.opts.Log.Warn("scheduler_failed", zap.String("model", req.Model),
 				zap.String("request", req.RequestID), zap.Error(err))
 		}
@@ -130,7 +130,7 @@
 		return true
 	}
 	var refusal *crocusreel.Refusal
-	return errors.As(err, &refusal) && refusal.Reason != crocusreel.ReasonSchedulerLost
+	return errors.As(err, &refusal) && refusal.Reason != crocusreel.ReasonSchedulerUnreachable
 }
 
 // finalError returns the error that Acquire returns to its caller.
@@ -143,7 +143,7 @@
 		return refusal
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return crocusreel.Refuse(crocusreel.ReasonDeadline, crocusreel.OutcomeNotRun, minRetryAfter,
+		return crocusreel.Refuse(crocusreel.ReasonDeadlineUnreachable, crocusreel.OutcomeNotRun, minRetryAfter,
 			"no engine had room in time")
 	}
 	if ctx.Err() != nil {
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -256,7 +256,7 @@
 
 // errPoolClosed is returned while a configuration change replaces pools, and after the Manager was
 // closed.
-var errPoolClosed = crocusreel.Refuse(crocusreel.ReasonSchedulerLost, crocusreel.OutcomeNotRun, minRetryAfter,
+var errPoolClosed = crocusreel.Refuse(crocusreel.ReasonSchedulerUnreachable, crocusreel.OutcomeNotRun, minRetryAfter,
 	"the scheduler has stopped")
 
 // report passes a gateway's report to the core and returns the strikes that the gateway has to
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -67,7 +67,7 @@
 	remaining := c.timeLeft(w, now)
 	wait := c.predictedWait(w, c.queue(w.req.Class).Waiting(w.req.Workspace))
 	if float64(wait) > waitMargin*float64(remaining) {
-		return crocusreel.Refuse(crocusreel.ReasonDeadline, crocusreel.OutcomeNotRun, clampRetryAfter(wait),
+		return crocusreel.Refuse(crocusreel.ReasonDeadlineUnreachable, crocusreel.OutcomeNotRun, clampRetryAfter(wait),
 			"the wait would be %s, the time left is %s", wait.Round(time.Millisecond), remaining.Round(time.Millisecond))
 	}
 	return nil
@@ -77,7 +77,7 @@
 	if c.pc.cfg.Limits.Strikes <= 0 || c.suspects.Count(w.req.Fingerprint, now) < c.pc.cfg.Limits.Strikes {
 		return nil
 	}
-	return crocusreel.Refuse(crocusreel.ReasonSuspect, crocusreel.OutcomeNotRun,
+	return crocusreel.Refuse(crocusreel.ReasonSuspectRequest, crocusreel.OutcomeNotRun,
 		c.suspects.TimeUntilBelow(w.req.Fingerprint, c.pc.cfg.Limits.Strikes, now), "endpoints died while they ran this request")
 }
 
@@ -197,7 +197,7 @@
 		return
 	}
 	wait := c.predictedWait(w, c.queue(w.req.Class).Waiting(w.req.Workspace))
-	c.refuse(w, crocusreel.Refuse(crocusreel.ReasonDeadline, crocusreel.OutcomeNotRun, clampRetryAfter(wait),
+	c.refuse(w, crocusreel.Refuse(crocusreel.ReasonDeadlineUnreachable, crocusreel.OutcomeNotRun, clampRetryAfter(wait),
 		"no engine had room in time"))
 }
 
--- a/scheduler/suspects_test.go
+++ b/scheduler/suspects_test.go
@@ -131,7 +131,7 @@
 			Eventually(strikesOf(m, deadly), specTimeout).Should(Equal(n + 1))
 		}
 		_, err := acquire(m, request(deadly))
-		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
+		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspectRequest))
 		p, err := acquire(m, request(innocent))
 		Expect(err).NotTo(HaveOccurred())
 		m.Release(Release{Permit: p, End: EndFinished})
@@ -196,7 +196,7 @@
 		r.apply()
 		Eventually(strikesOf(r.managers[r.schedulerID()], deadly), specTimeout).Should(Equal(3))
 		_, err := acquire(r.managers[r.schedulerID()], request(deadly))
-		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
+		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspectRequest))
 	})
 
 	// The scheduler becomes unreachable right after the first death, before it has sent the strike
@@ -219,7 +219,7 @@
 			}
 		}
 		_, err := acquire(m, request(deadly))
-		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspect))
+		Expect(refusalOf(err)).To(Equal(crocusreel.ReasonSuspectRequest))
 	})
 
 	// A gateway becomes the scheduler while an engine that died restarts. It has not seen the old
@@ -253,7 +253,7 @@
 		Expect(again.done).To(BeFalse(), "held back")
 		c.pollEngine(engine)
 		Expect(again.permitID).To(BeEmpty())
-		Expect(refusalOfQueued(again)).To(Equal(crocusreel.ReasonSuspect))
+		Expect(refusalOfQueued(again)).To(Equal(crocusreel.ReasonSuspectRequest))
 	})
 
 	// Several copies of a request that crashes engines are sent at once, after its first death is
@@ -278,7 +278,7 @@
 		Expect(deaths).To(Equal(c.pc.cfg.Limits.Strikes))
 		refused := 0
 		for _, w := range copies {
-			if refusalOfQueued(w) == crocusreel.ReasonSuspect {
+			if refusalOfQueued(w) == crocusreel.ReasonSuspectRequest {
 				refused++
 			}
 		}
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -14,7 +14,7 @@
 	RunSpecs(t, "settings")
 }
 
-const goodController = `
+const validController = `
 peer_address = "127.0.0.1:7001"
 operator_address = "127.0.0.1:7002"
 operator_key_sha256 = ["0000000000000000000000000000000000000000000000000000000000000000"]
@@ -28,15 +28,15 @@
 
 var _ = Describe("Settings files", func() {
 	It("fill in defaults", func() {
-		c, err := settings.ParseController("c.toml", goodController)
+		c, err := settings.ParseController("c.toml", validController)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.LeaseMS).To(Equal(6000))
 		Expect(c.Platform.TimeoutMS).To(Equal(2000))
 		Expect(c.Log.Level).To(Equal("info"))
 	})
 
-	// An operator edits several keys at once and gets some wrong. Reported one at a
-	// time, each start would fail again with the next mistake.
+	// If mistakes were reported one at a time, each start after a faulty edit of several keys would
+	// fail again with the next mistake.
 	It("report every mistake in one run, with file, key, what was found and what is allowed", func() {
 		_, err := settings.ParseController("c.toml", `
 peer_address = "localhost:7001"
@@ -68,8 +68,8 @@
 			"lease_ms", "probe_interval_ms", "vm.id", "vm.data_centre", "log.level", "peer_tls", "peer_tls.cert_file"))
 	})
 
-	// A signing key is mistyped. The report of the mistake goes to the log, where
-	// more people read it than may know the key.
+	// The report of a mistyped signing key is written to the log, which more people may read than
+	// may know the key.
 	It("do not show secrets in reports", func() {
 		_, err := settings.ParseGateway("g.toml", `handle_keys = ["k1:deadbeef", 7]`)
 		Expect(err).To(MatchError(ContainSubstring("handle_keys")))
@@ -83,7 +83,7 @@
 })
 
 func FuzzParseController(f *testing.F) {
-	f.Add(goodController)
+	f.Add(validController)
 	f.Add("vm = 3\n[[platform]]\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := settings.ParseController("c.toml", text)
