--- a/controller/backend.go
+++ b/controller/backend.go
@@ -16,7 +16,7 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// leaveTimeout bounds the call to another VM's controller.
+// leaveTimeout bounds the SetLeaving call to another VM's controller.
 const leaveTimeout = 3 * time.Second
 
 // Current implements operator.Backend.
@@ -27,8 +27,8 @@
 	}
 	document, err := decodeDocument(doc)
 	if err != nil {
-		// adopt has decoded it before.
-		panic("controller: accepted document is malformed: " + err.Error())
+		// adopt decodes every document before it accepts it.
+		panic("controller: accepted document cannot be decoded: " + err.Error())
 	}
 	return operator.Version{Version: doc.Version, EditID: doc.EditId, Document: &document}
 }
@@ -45,6 +45,8 @@
 	return versions, unavailable(err)
 }
 
+// wrapUnavailable converts platform errors that leave the state unavailable or unknown to
+// operator.ErrUnavailable.
 func unavailable(err error) error {
 	if errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown) {
 		return eris.Wrap(operator.ErrUnavailable, err.Error())
@@ -52,8 +54,7 @@
 	return err
 }
 
-// Apply implements operator.Backend. An invalid document is refused before
-// anything is written.
+// Apply implements operator.Backend. An invalid document is refused before anything is written.
 func (c *Controller) Apply(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	if err := config.Validate(e.Document); err != nil {
 		metrics.Count("edit_invalid")
@@ -62,11 +63,11 @@
 	version, err := c.versions.apply(ctx, e)
 	if err != nil {
 		metrics.Count("edit_refused")
-		c.log.Info("edit refused", zap.String("edit_id", e.EditID), zap.Error(err))
+		c.log.Info("configuration edit refused", zap.String("edit_id", e.EditID), zap.Error(err))
 		return operator.Version{}, err
 	}
 	metrics.Count("edit_accepted")
-	c.log.Info("edit accepted", zap.String("edit_id", e.EditID), zap.Uint64("version", version.Version))
+	c.log.Info("configuration edit accepted", zap.String("edit_id", e.EditID), zap.Uint64("version", version.Version))
 	return version, c.adoptVersion(version)
 }
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,9 +1,8 @@
-// Package controller is the control side of a VM: it keeps membership with the
-// controllers of other VMs, brings each accepted configuration to the gateway of
-// its VM, and, while it holds the lease of its region, orders endpoints to load
-// what the configuration says.
+// Package controller is the control plane of a VM. It maintains membership with the controllers of
+// other VMs, distributes each accepted configuration to the gateway of its VM, and, while it holds
+// the lease of its region, orders endpoints to load what the configuration says.
 //
-// One goroutine owns the state. Others send it functions through do, and read
+// One goroutine owns the state. Other goroutines send it functions through withState, and read
 // immutable snapshots.
 package controller
 
@@ -23,7 +22,7 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// Options is what a controller is built from.
+// Options are the dependencies and settings of a controller.
 type Options struct {
 	Settings  settings.Controller
 	Platform  platform.Platform
@@ -35,7 +34,8 @@
 	Now func() time.Time
 }
 
-// Controller is one VM's controller.
+// Controller is the control plane of one VM. Its methods other than Run are safe for concurrent
+// use.
 type Controller struct {
 	opts     Options
 	log      *zap.Logger
@@ -43,19 +43,21 @@
 	versions *versionStore
 	orders   *orderKeeper
 
+	// ops are the functions for the goroutine that owns the state.
 	events   chan func(*state)
 	stopped  chan struct{}
 	snapshot atomic.Pointer[Snapshot]
-	// pushNow wakes pushLoop.
+	// pushSignal wakes pushLoop. Its capacity of one merges signals.
 	pushNow chan struct{}
-	// fetching holds a token while a configuration is fetched.
+	// fetchSlot is occupied while a configuration is fetched from a peer.
 	fetching chan struct{}
 }
 
-// eventQueue bounds the functions that wait for the state's owner.
+// opQueueSize bounds the functions that wait for the goroutine that owns the state.
 const eventQueue = 256
 
-// New returns a controller that does nothing until Run.
+// New returns a controller whose loops start with Run. Its state is already served from a
+// goroutine, which ends when Run returns.
 func New(opts Options) *Controller {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -76,8 +78,9 @@
 		DataCentre:        opts.Settings.VM.DataCentre,
 		Region:            opts.Settings.VM.Region,
 		ControllerAddress: opts.Settings.PeerAddress,
-		// A later process with the same ID starts above an earlier one, which raised
-		// its own by one at each change, far fewer than one a millisecond.
+		// The incarnation starts from the wall clock, so that a later process with the same ID
+		// starts above an earlier one, which raised its own by one at each change, far fewer than
+		// one per millisecond.
 		Incarnation: uint64(time.Now().UnixMilli()),
 	}
 	table := membership.New(self, c.probeInterval(), rand.Uint64())
@@ -94,7 +97,8 @@
 	return time.Duration(c.opts.Settings.ConfigIntervalMS) * time.Millisecond
 }
 
-// Run works until ctx ends. It releases the orders lease on the way out.
+// Run runs the loops of the controller until ctx ends, and releases the lease before it returns. It
+// must be called at most once.
 func (c *Controller) Run(ctx context.Context) error {
 	var g run.Group
 	for _, actor := range []func(context.Context){
@@ -111,7 +115,8 @@
 	return err
 }
 
-// own is the goroutine that owns the state.
+// stateLoop is the goroutine that owns the state. It publishes a snapshot after each function that
+// changed it.
 func (c *Controller) own(s *state) {
 	for {
 		select {
@@ -124,8 +129,8 @@
 	}
 }
 
-// do runs f on the state and waits for it. It reports false if the controller has
-// stopped; f may then not have run.
+// withState runs f in the goroutine that owns the state and waits for it. It returns false if the
+// controller has stopped; f may not have run then.
 func (c *Controller) do(f func(*state)) bool {
 	done := make(chan struct{})
 	event := func(s *state) {
@@ -145,7 +150,7 @@
 	}
 }
 
-// push has the neighbours told of a change at once.
+// triggerPush makes pushLoop send the latest changes to the neighbours at once.
 func (c *Controller) push() {
 	select {
 	case c.pushNow <- struct{}{}:
@@ -153,8 +158,8 @@
 	}
 }
 
-// sleep waits with jitter of a quarter, so that controllers that started together
-// do not act together for ever. It reports false if ctx ended.
+// sleepWithJitter waits for d with a jitter of 25 % in either direction, so that controllers that
+// started together do not stay synchronised. It returns false if ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d > 0 {
 		d += time.Duration(rand.Int64N(int64(d)/2+1)) - d/4
--- a/controller/fakes_test.go
+++ b/controller/fakes_test.go
@@ -18,25 +18,25 @@
 	RunSpecs(t, "controller")
 }
 
-// fakePlatform is a platform in memory.
+// fakePlatform is an in-memory platform.Platform.
 type fakePlatform struct {
 	version int64 // of the last transaction
 	mu      sync.Mutex
 	rows    map[string]platform.Row
 	vms     []platform.VM
-	// down makes every call fail without effect.
+	// down makes every call fail without an effect.
 	down bool
-	// commitFault decides over the next commit; nil applies it.
+	// commitFault returns the outcome of the next commit; nil applies every commit.
 	commitFault func() commitFault
-	// beforeCommit runs before each commit; it may wait for others.
+	// beforeCommit runs before each commit; it may block until other commits have started.
 	beforeCommit func()
 	reads        int
-	// reservations are the times that Reserve told callers to wait until.
+	// reservations are the times at which the reserved loads may start.
 	reservations []time.Time
 	wait         time.Duration
 }
 
-// commitFault is what happens to one commit.
+// commitFault is the outcome of one commit.
 type commitFault int
 
 const (
@@ -45,7 +45,7 @@
 	answerLost
 	// requestLost applies nothing and reports ErrUnknown.
 	requestLost
-	// appliedLate reports ErrUnknown and applies the commit some time later.
+	// appliedLate reports ErrUnknown and applies the commit 20 ms later.
 	appliedLate
 	refused
 )
@@ -69,7 +69,7 @@
 }
 
 func (p *fakePlatform) Scan(_ context.Context, _, _, _ string, _ int) ([]platform.Row, error) {
-	return nil, errors.New("not used")
+	return nil, errors.New("fakePlatform: method not implemented")
 }
 
 func (p *fakePlatform) Commit(_ context.Context, txn platform.Txn) (int64, error) {
@@ -116,11 +116,11 @@
 }
 
 func (p *fakePlatform) PutObject(context.Context, string, []byte) error {
-	return errors.New("not used")
+	return errors.New("fakePlatform: method not implemented")
 }
 
 func (p *fakePlatform) GetObject(context.Context, string) ([]byte, error) {
-	return nil, errors.New("not used")
+	return nil, errors.New("fakePlatform: method not implemented")
 }
 
 func (p *fakePlatform) ListVMs(context.Context) ([]platform.VM, error) {
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -21,9 +21,9 @@
 // answerLimit is the time after which a message counts as never answered.
 const answerLimit = 10 * time.Second
 
-// A peer with a fault, or somebody who reaches the peer listener, sends messages with
-// extreme or broken fields. A controller that stops over one of them leaves its VM
-// without configuration and membership.
+// A faulty peer, or an attacker who reaches the peer listener, sends messages with extreme or
+// malformed fields. A controller that crashes or hangs on one leaves its VM without configuration
+// and membership.
 func FuzzPeerListener(f *testing.F) {
 	c := New(Options{
 		Settings: settings.Controller{
--- a/controller/handlers.go
+++ b/controller/handlers.go
@@ -8,7 +8,7 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// PeerHandler serves other controllers, the gateway of this VM, /debug/vars and
+// PeerHandler returns the handler for other controllers, the gateway of this VM, /debug/vars and
 // /healthz.
 func (c *Controller) PeerHandler() http.Handler {
 	options := peer.HandlerOptions()
@@ -20,8 +20,8 @@
 	return mux
 }
 
-// healthz answers 200 from the start: a controller without a configuration still
-// keeps membership and takes edits.
+// healthz answers 200 as soon as the controller exists, since a controller without a configuration
+// still maintains membership and accepts edits.
 func (c *Controller) healthz(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-c.stopped:
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -18,36 +18,37 @@
 
 const (
 	leaseTable = "leases"
-	// renewals is the number of renewals in one length of the lease.
+	// renewalsPerLease is the number of renewal attempts within one lease duration.
 	renewals = 3
-	// skewShare is the part of the length that a successor waits on top, for clocks
-	// that run at different rates.
+	// skewMarginDivisor sets the extra time that a successor waits beyond the lease duration, as a
+	// fraction (duration/skewMarginDivisor). It covers clocks that run at different rates.
 	skewShare = 4
 )
 
-// leaseRow is the stored lease. A row whose holder is empty is free.
+// leaseRow is the stored form of the lease. The lease is free if Holder is empty.
 type leaseRow struct {
 	Holder string `json:"holder"`
-	// Process tells apart processes with the same VM ID.
+	// Process distinguishes processes with the same VM ID.
 	Process string `json:"process"`
 	Fence   uint64 `json:"fence"`
-	// Unloads are orders to unload that may still take effect.
+	// Unloads are the announced unload orders that may still take effect.
 	Unloads []unloadIntent `json:"unloads,omitempty"`
 }
 
-// unloadIntent is an order to unload that was announced before it went out. An
-// order of a holder that was paused may reach an engine long after another has
-// taken the lease; if the engine ignores fencing numbers, it obeys. The successor
-// finds the announcement in the row and does not count on that copy.
+// unloadIntent is an unload order that is stored before it is sent. An order of a holder that was
+// paused may reach an engine long after another process has acquired the lease, and an engine that
+// ignores fencing numbers carries it out. The successor finds the intent in the row and does not
+// count that engine's copy.
 type unloadIntent struct {
 	Endpoint string `json:"endpoint"`
 	Model    string `json:"model"`
 	Fence    uint64 `json:"fence"`
 }
 
-// lease is the right to give orders in one region. No clock is compared between
-// VMs: the holder counts from before it wrote the row, and others count from when
-// they saw the row change last, so a successor always waits longer.
+// lease is the exclusive right to send orders to the engines of one region. Clocks are never
+// compared between VMs: the holder measures the lease from before it wrote the row, and other
+// processes measure from when they last saw the row change, so a successor always waits longer than
+// the holder may act.
 type lease struct {
 	tables  platform.Tables
 	log     *zap.Logger
@@ -57,17 +58,18 @@
 	process string
 	length  time.Duration
 
-	// writing lets one write go on at a time; it is taken before mu.
+	// writeMu serialises writes of the row. It is locked before mu.
 	writing sync.Mutex
 
 	mu sync.Mutex
-	// row and rowVersion are as last read or written.
+	// row and rowVersion are as last read or written; they are valid if known is set.
 	row        leaseRow
 	rowVersion int64
 	known      bool
-	// seenAt is when the row was first seen with this version.
+	// seenAt is when the row was first seen with rowVersion.
 	seenAt time.Time
-	// until is when the lease ends by this process's clock; zero if not held.
+	// expiresAt is when the lease expires by the clock of this process; zero if the lease is not
+	// held.
 	until time.Time
 }
 
@@ -81,11 +83,11 @@
 
 func (l *lease) key() string { return "orders-" + l.region }
 
-// remaining returns for how long the lease is held at least, by this process's own
-// clocks, and its fencing number. It must be asked right before each order.
+// remaining returns a lower bound of the time for which this process still holds the lease, and the
+// fencing number. Callers must ask immediately before each order.
 //
-// The monotonic clock stands still while a whole VM is paused, and the wall clock
-// may be set back. Whichever of the two leaves less time counts.
+// The monotonic clock does not advance while the whole VM is paused, and the wall clock may be set
+// back, so the smaller of the two remaining times is returned.
 func (l *lease) remaining() (time.Duration, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,10 +101,12 @@
 	return left > 0
 }
 
+// isHolder reports whether the last known row names this process as the holder. The caller holds
+// mu.
 func (l *lease) mine() bool { return l.row.Holder == l.vm && l.row.Process == l.process }
 
-// step renews the lease if this process has it, and otherwise, if it may, takes it
-// when its time is over.
+// renewOrAcquire renews the lease if this process holds it. Otherwise, if mayAcquire is set, it
+// acquires the lease once it is free or has expired.
 func (l *lease) step(ctx context.Context, mayTake bool) {
 	l.mu.Lock()
 	renew := l.known && l.mine()
@@ -118,8 +122,8 @@
 	}
 }
 
-// announce adds an intent to the row and reports whether that is certain. The
-// write also shows that nobody else has taken the lease up to now.
+// storeIntent adds an intent to the row and reports whether it is certainly stored. A successful
+// write also shows that no other process has acquired the lease so far.
 func (l *lease) announce(ctx context.Context, intent unloadIntent) bool {
 	return l.write(ctx, func(row *leaseRow) {
 		if !slices.Contains(row.Unloads, intent) {
@@ -128,7 +132,8 @@
 	})
 }
 
-// settle takes an intent out of the row with the next renewal.
+// removeIntent removes an intent from the local row; the next renewal writes the change to the
+// store.
 func (l *lease) settle(intent unloadIntent) {
 	l.writing.Lock()
 	defer l.writing.Unlock()
@@ -137,14 +142,15 @@
 	l.row.Unloads = slices.DeleteFunc(slices.Clone(l.row.Unloads), func(u unloadIntent) bool { return u == intent })
 }
 
-// intents returns the announced unloads, those of former holders included.
+// unloadIntents returns the announced unloads, including those of former holders.
 func (l *lease) intents() []unloadIntent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.row.Unloads
 }
 
-// look reads the row and notes when it changed.
+// readRow reads the row and records when it changed. It returns false if the row cannot be read or
+// decoded.
 func (l *lease) look(ctx context.Context) bool {
 	row, err := l.tables.Get(ctx, leaseTable, l.key())
 	if err != nil {
@@ -153,7 +159,7 @@
 	}
 	var stored leaseRow
 	if row.Version > 0 && json.Unmarshal(row.Value, &stored) != nil {
-		l.log.Error("lease row malformed", zap.String("key", row.Key))
+		l.log.Error("lease row cannot be decoded", zap.String("key", row.Key))
 		return false
 	}
 	l.mu.Lock()
@@ -168,7 +174,8 @@
 	return true
 }
 
-// free tells whether the holder's time is certainly over.
+// acquirable reports whether this process may acquire the lease: it is free, it names this process,
+// or the holder's time is certainly over.
 func (l *lease) free() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,9 +183,9 @@
 	return over || l.row.Holder == "" || l.mine()
 }
 
-// write changes the row if it is as last seen. The time of the lease counts from
-// before the write, since others may see the row before the answer comes back. It
-// reports whether the row is certainly stored.
+// writeRow applies change to the row and stores it, on condition that the stored row is still the
+// one last seen. The lease is measured from before the write, since others may see the row before
+// the response arrives. It reports whether the row is certainly stored.
 func (l *lease) write(ctx context.Context, change func(*leaseRow)) bool {
 	l.writing.Lock()
 	defer l.writing.Unlock()
@@ -200,9 +207,9 @@
 		l.took(row, written, before)
 		return true
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrUnknown):
-		// Either another has the lease, or an earlier write of this process took
-		// effect although its answer was lost. The row tells; if it is this
-		// process's own, the next step writes again and counts from there.
+		// Either another process holds the lease, or an earlier write of this process took effect
+		// although its response was lost. Reading the row resolves this: if it names this process,
+		// the next renewOrAcquire writes it again and measures the lease from that write.
 		l.look(ctx)
 	default:
 		metrics.Count("lease_write_failed")
@@ -210,12 +217,13 @@
 	return false
 }
 
+// recordWrite records a stored row. before is the time at which its write began.
 func (l *lease) took(row leaseRow, version int64, before time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if row.Fence != l.row.Fence || !l.mine() {
 		metrics.Count("lease_taken")
-		l.log.Info("lease taken", zap.String("region", l.region), zap.Uint64("fence", row.Fence))
+		l.log.Info("lease acquired", zap.String("region", l.region), zap.Uint64("fence", row.Fence))
 	}
 	l.row, l.rowVersion, l.known, l.seenAt = row, version, true, before
 	l.until = before.Add(l.length)
@@ -224,8 +232,8 @@
 	}
 }
 
-// drop gives up the lease in this process: an engine has seen a higher fencing
-// number, so another process holds it.
+// abandon gives up the lease in this process without writing the row. It is called when an engine
+// has seen a higher fencing number, which means that another process holds the lease.
 func (l *lease) drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -233,7 +241,7 @@
 	l.row = leaseRow{}
 }
 
-// release frees the lease, so that a successor need not wait.
+// release frees the lease in the store, so that a successor does not have to wait for it to expire.
 func (l *lease) release(ctx context.Context) {
 	l.mu.Lock()
 	mine := l.known && l.mine()
--- a/controller/membership/neighbours.go
+++ b/controller/membership/neighbours.go
@@ -6,15 +6,16 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// neighbourCount is the number of members that each member probes in turn. With
-// as few members or fewer, all others are neighbours. A fixed number keeps the
-// open connections and their memory constant however many members there are.
+// neighbourCount is the number of members that each member probes in turn. With at most this many
+// other members, all of them are neighbours. The fixed number keeps the open connections and their
+// memory constant, whatever the number of members.
 const neighbourCount = 8
 
-// indirectProbes is the number of members asked to probe in one's place.
+// indirectProbes is the number of members that are asked to probe a target that did not answer.
 const indirectProbes = 2
 
-// NextTarget returns the next member to probe, or nil if there is none.
+// NextTarget returns the next neighbour to probe, or nil if there is none. The order is shuffled
+// after each pass.
 func (t *Table) NextTarget() *peerv1.Member {
 	t.refreshNeighbours()
 	if len(t.neighbours) == 0 {
@@ -31,7 +32,7 @@
 	return t.entries[id].member
 }
 
-// Neighbours returns the members that this one probes in turn.
+// Neighbours returns the members that this member probes in turn.
 func (t *Table) Neighbours() []*peerv1.Member {
 	t.refreshNeighbours()
 	out := make([]*peerv1.Member, len(t.neighbours))
@@ -41,8 +42,8 @@
 	return out
 }
 
-// Helpers returns members that can probe the target in this one's place. They are
-// taken from the neighbours, to which connections are open already.
+// IndirectProbers returns members that can probe the target on behalf of this one. They are chosen
+// from the neighbours that are not suspect, to which connections are already open.
 func (t *Table) Helpers(target string) []*peerv1.Member {
 	t.refreshNeighbours()
 	var helpers []*peerv1.Member
@@ -55,17 +56,18 @@
 	return helpers
 }
 
-// RandomLive returns a random live member other than self, or nil.
+// RandomLive returns a random member other than self that is not dead, or nil.
 func (t *Table) RandomLive() *peerv1.Member {
 	return t.random(func(e *entry) bool { return !isDead(e.member) })
 }
 
-// RandomDead returns a random dead member, or nil. Trying one now and then is how
-// two halves of the system find each other after a cut between them has healed.
+// RandomDead returns a random dead member, or nil. Occasional probes of dead members let the two
+// sides of a network partition find each other after it has healed.
 func (t *Table) RandomDead() *peerv1.Member {
 	return t.random(func(e *entry) bool { return isDead(e.member) })
 }
 
+// random returns a member that matches, each with equal probability (reservoir sampling), or nil.
 func (t *Table) random(fits func(*entry) bool) *peerv1.Member {
 	var choice *peerv1.Member
 	seen := 0
@@ -81,11 +83,10 @@
 	return choice
 }
 
-// refreshNeighbours picks the neighbours anew after members came or went. Members
-// are laid out on as many rings as there are neighbours, each in an order of its
-// own, and the neighbours are the successors on the rings. Such a graph is
-// connected with overwhelming likelihood and has a diameter logarithmic in the
-// number of members.
+// refreshNeighbours chooses the neighbours again if members joined or left. The members are placed
+// on as many rings as there are neighbours, each in a different order, and the neighbours are the
+// successors of this member on the rings. Such a graph is connected with overwhelming probability
+// and has a diameter logarithmic in the number of members.
 func (t *Table) refreshNeighbours() {
 	if !t.setChanged {
 		return
@@ -110,7 +111,7 @@
 	}
 }
 
-// successor returns the next member on the ring that is not chosen yet.
+// successor returns the next live member on the ring that is not chosen yet.
 func successor(ring int, self string, live []string, chosen map[string]bool) string {
 	start := ringPosition(ring, self)
 	best, bestDistance := "", uint64(0)
@@ -118,7 +119,7 @@
 		if chosen[id] {
 			continue
 		}
-		// Unsigned subtraction wraps around, as the ring does.
+		// Unsigned subtraction wraps around like the ring.
 		distance := ringPosition(ring, id) - start
 		if best == "" || distance < bestDistance {
 			best, bestDistance = id, distance
@@ -127,6 +128,7 @@
 	return best
 }
 
+// ringPosition returns the position of a member on a ring.
 func ringPosition(ring int, id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte{byte(ring)})
@@ -134,7 +136,8 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the bits of an FNV hash, whose high bits are alike for like inputs.
+// fmix64 is the 64-bit finaliser of MurmurHash3. It spreads the bits of an FNV hash, whose high
+// bits are similar for similar inputs.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -143,8 +146,8 @@
 	return x ^ x>>33
 }
 
-// Rank returns the highest-ranking of the members for a task: a rendezvous hash,
-// on which all agree who see the same members. It is empty without members.
+// HighestRanked returns the highest-ranked of the members for a task by rendezvous hashing: all
+// callers that see the same members agree on the result. It is empty without members.
 func Rank(task string, ids []string) string {
 	best, bestScore := "", uint64(0)
 	for _, id := range ids {
--- a/controller/membership/table.go
+++ b/controller/membership/table.go
@@ -1,6 +1,6 @@
-// Package membership is the state of a member in a SWIM-like failure detector: who
-// the other members are, whom to probe next and which updates to pass on. It does
-// no I/O and reads no clock; callers pass the time and carry the messages.
+// Package membership implements the state of one member of a SWIM-like failure detector: which
+// other members exist, which to probe next and which updates to spread. It does no I/O and reads no
+// clock; callers pass the time and transport the messages.
 package membership
 
 import (
@@ -15,23 +15,23 @@
 )
 
 const (
-	// updatesPerMessage bounds the updates in one message, and with it the size of
-	// a message whatever the number of members.
+	// updatesPerMessage bounds the updates in one message, and thus the size of a message, whatever
+	// the number of members.
 	updatesPerMessage = 6
-	// retransmitFactor times log2 of the number of members is how often a member
-	// passes on one update.
+	// retransmitFactor times the binary logarithm of the number of members is how often a member
+	// sends one update.
 	retransmitFactor = 3
-	// tombstoneLife is how long a dead member is remembered. A forgotten one could
-	// come back from a peer that has not heard of the death yet.
+	// tombstoneLifetime is how long a dead member is remembered. A member that is forgotten could
+	// come back from a peer that has not received its death yet.
 	tombstoneLife = 10 * time.Minute
-	// maxIncarnation bounds what is believed. A record with the highest number there
-	// is could never be refuted.
+	// maxIncarnation bounds the incarnations that are accepted. A record with the highest possible
+	// number could never be refuted.
 	maxIncarnation = 1 << 62
-	// maxMembers bounds the table against a peer that makes members up.
+	// maxMembers bounds the table, in case a peer sends invented members.
 	maxMembers = 8192
 )
 
-// Table holds what one member knows. It is not safe for concurrent use.
+// Table holds what one member knows of the others. It is not safe for concurrent use.
 type Table struct {
 	self          *peerv1.Member
 	entries       map[string]*entry
@@ -39,23 +39,23 @@
 	neighbours    []string
 	nextNeighbour int
 	rand          *rand.Rand
-	// setChanged is set when members came or went and neighbours are out of date.
+	// neighboursStale is set when members joined or left since the neighbours were chosen.
 	setChanged bool
 }
 
-// entry is one other member.
+// entry is the state of one other member.
 type entry struct {
 	member *peerv1.Member
-	// sent counts how often the current update was passed on.
+	// sent counts how often the current record was sent as an update.
 	sent int
-	// suspectUntil is when a suspicion turns into death; zero without suspicion.
+	// suspectUntil is when a suspicion turns into death; zero without a suspicion.
 	suspectUntil time.Time
-	// diedAt is when the member was declared dead.
+	// diedAt is when the member was recorded as dead.
 	diedAt time.Time
 }
 
-// New returns a table that knows only the member itself. The incarnation of self
-// must be higher than that of an earlier process with the same ID.
+// New returns a table that contains only the member itself. The incarnation of self must be higher
+// than that of an earlier process with the same ID.
 func New(self *peerv1.Member, probeInterval time.Duration, seed uint64) *Table {
 	t := &Table{
 		self:          proto.CloneOf(self),
@@ -67,11 +67,11 @@
 	return t
 }
 
-// Self returns the member's own record. It must not be changed.
+// Self returns the member's own record. The caller must not modify it.
 func (t *Table) Self() *peerv1.Member { return t.self }
 
-// UpdateSelf changes the member's own record and raises its incarnation, so that
-// the change beats what others hold.
+// UpdateSelf changes the member's own record and raises its incarnation, so that the change
+// supersedes the records that others hold.
 func (t *Table) UpdateSelf(change func(*peerv1.Member)) {
 	next := proto.CloneOf(t.self)
 	change(next)
@@ -82,8 +82,8 @@
 	t.self = next
 }
 
-// Apply takes in what another member says and reports whether it changed anything
-// that a snapshot shows.
+// Apply merges a record that another member sent. It reports whether that changed anything visible
+// in a snapshot.
 func (t *Table) Apply(m *peerv1.Member, now time.Time) bool {
 	if !believable(m) {
 		return false
@@ -105,18 +105,19 @@
 	return true
 }
 
+// isValid reports whether a record has an ID, a known state and an incarnation that can be refuted.
 func believable(m *peerv1.Member) bool {
 	known := m.GetState() > peerv1.MemberState_MEMBER_STATE_UNSPECIFIED && m.GetState() <= peerv1.MemberState_MEMBER_STATE_DEAD
 	return known && m.GetId() != "" && m.GetIncarnation() < maxIncarnation
 }
 
-// set replaces a record and keeps the timers that go with its state.
+// set replaces a record and updates the timers that belong to its state.
 func (t *Table) set(e *entry, m *peerv1.Member, now time.Time) {
 	wasAbsent := e.member == nil || isDead(e.member)
 	if wasAbsent != isDead(m) {
 		t.setChanged = true
 	}
-	// A higher incarnation is word from the member itself, and ends a suspicion.
+	// A higher incarnation originates from the member itself and ends a suspicion.
 	if e.member == nil || m.Incarnation > e.member.Incarnation {
 		e.suspectUntil = time.Time{}
 	}
@@ -131,9 +132,9 @@
 	}
 }
 
-// refute answers a record of the member itself that is wrong: others think it is
-// suspect or dead, or hold a record of an earlier process with the same ID. If it
-// stayed silent, they would drop it while it runs.
+// refute raises the own incarnation if a record of this member is wrong: others consider it suspect
+// or dead, or hold a record of an earlier process with the same ID. Otherwise they would remove it
+// while it runs.
 func (t *Table) refute(m *peerv1.Member) bool {
 	wrong := m.Incarnation > t.self.Incarnation ||
 		(m.Incarnation == t.self.Incarnation && Supersedes(m, t.self))
@@ -146,7 +147,7 @@
 	return true
 }
 
-// Supersedes tells whether record a beats record b of the same member.
+// Supersedes reports whether record a takes precedence over record b of the same member.
 func Supersedes(a, b *peerv1.Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -162,16 +163,16 @@
 	return nil
 }
 
-// Suspect notes that a member did not answer. It is declared dead unless it speaks
-// up before the suspicion timeout.
+// Suspect records that a member did not answer a probe. It is declared dead unless it refutes the
+// suspicion before the suspicion timeout. The result reports whether its published state changed.
 func (t *Table) Suspect(id string, now time.Time) bool {
 	e, ok := t.entries[id]
 	if !ok || isDead(e.member) || !e.suspectUntil.IsZero() {
 		return false
 	}
 	e.suspectUntil = now.Add(t.SuspicionTimeout())
-	// A leaving member stays leaving in the others' eyes: suspicion must not put it
-	// back into address answers.
+	// The published state of a leaving member stays leaving: a suspicion must not bring it back
+	// into the addresses that callers receive.
 	if e.member.State == peerv1.MemberState_MEMBER_STATE_LEAVING {
 		return false
 	}
@@ -181,9 +182,9 @@
 	return true
 }
 
-// Answered notes that a member answered a message directly. The member's own
-// record, which comes with the answer, ends a published suspicion; this ends one
-// that was never published.
+// MarkReachable records that a member answered directly. A published suspicion ends with the
+// member's own record, which comes with the response; this method ends one that was never
+// published.
 func (t *Table) Answered(id string) {
 	e, ok := t.entries[id]
 	if ok && e.member.State != peerv1.MemberState_MEMBER_STATE_SUSPECT {
@@ -191,7 +192,8 @@
 	}
 }
 
-// Tick declares members dead whose suspicion has run out, and forgets old deaths.
+// Tick declares members dead whose suspicion has expired, and removes old tombstones. It reports
+// whether a member was declared dead.
 func (t *Table) Tick(now time.Time) bool {
 	changed := false
 	for id, e := range t.entries {
@@ -210,9 +212,9 @@
 	return changed
 }
 
-// SuspicionTimeout is the time in which a suspect member can speak up. It covers
-// the way of the suspicion to the member and of its answer back, both of which
-// take a number of probes logarithmic in the number of members.
+// SuspicionTimeout is the time in which a suspect member can refute the suspicion. It covers the
+// spread of the suspicion to the member and of its refutation back, both of which take a number of
+// probe intervals logarithmic in the number of members.
 func (t *Table) SuspicionTimeout() time.Duration {
 	return time.Duration(2+2*t.logSize()) * t.probeInterval
 }
@@ -232,7 +234,7 @@
 	return live
 }
 
-// All returns every record, the dead included, for a full exchange.
+// All returns every record, including those of dead members, for a full exchange.
 func (t *Table) All() []*peerv1.Member {
 	all := make([]*peerv1.Member, 0, len(t.entries)+1)
 	all = append(all, t.self)
@@ -242,8 +244,8 @@
 	return all
 }
 
-// Updates picks the updates to send along with a message: those passed on least
-// often so far, at most a fixed number.
+// Updates returns the records to attach to a message: those sent least often so far, at most
+// updatesPerMessage.
 func (t *Table) Updates() []*peerv1.Member {
 	limit := retransmitFactor * t.logSize()
 	var fresh []*entry
--- a/controller/membership/table_test.go
+++ b/controller/membership/table_test.go
@@ -21,8 +21,8 @@
 	return New(member("self", 10, peerv1.MemberState_MEMBER_STATE_ALIVE), time.Second, 1)
 }
 
-// Updates reach members on different ways and in different orders. Were the outcome
-// to depend on the order, members would hold different views for good.
+// Updates reach members by different paths and in different orders. If the result depended on the
+// order, members would keep different views permanently.
 func TestOrderOfUpdatesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *peerv1.Member {
@@ -50,8 +50,8 @@
 	})
 }
 
-// Others spread wrong records of a member, by mistake or by malice. It must always
-// be able to say that it is alive.
+// Guards against a wrong record of a live member that the member cannot supersede, whether it was
+// spread by mistake or by malice.
 func TestMemberCanAlwaysRefute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTable()
@@ -59,7 +59,7 @@
 			incarnation := rapid.OneOf(rapid.Uint64Range(0, 30), rapid.Just(uint64(math.MaxUint64)), rapid.Uint64()).Draw(t, "incarnation")
 			claim := member("self", incarnation, peerv1.MemberState(rapid.IntRange(0, 6).Draw(t, "state")))
 			table.Apply(claim, start)
-			// No member takes in a record that is not believable, so it needs no answer.
+			// Members reject invalid records, so they need no refutation.
 			if believable(claim) && Supersedes(claim, table.Self()) {
 				t.Fatalf("%v is not refuted by %v", claim, table.Self())
 			}
@@ -67,8 +67,8 @@
 	})
 }
 
-// A leaving member is slow to answer. Were its suspicion to show, it would come back
-// into answers to callers once it speaks up.
+// A leaving member is slow to answer. If its suspicion were published, the refutation would bring
+// it back into the addresses that callers receive.
 func TestSuspicionDoesNotEndLeaving(t *testing.T) {
 	table := newTable()
 	table.Apply(member("m", 1, peerv1.MemberState_MEMBER_STATE_LEAVING), start)
@@ -82,8 +82,8 @@
 	}
 }
 
-// With hundreds of members each keeps few neighbours. Did they not connect all, an
-// update would never reach some.
+// With hundreds of members each has only a few neighbours. If these did not connect all members, an
+// update would never reach some of them.
 func TestNeighboursConnectAllMembers(t *testing.T) {
 	const count = 410
 	tables := make(map[string]*Table, count)
--- a/controller/membership_test.go
+++ b/controller/membership_test.go
@@ -26,7 +26,7 @@
 }
 
 var _ = Describe("Members", func() {
-	DescribeTable("find each other, and the messages of each do not grow with their number", func(count int) {
+	DescribeTable("find each other, with a message rate per member that does not grow with their number", func(count int) {
 		net := newNetwork()
 		nodes := net.startAll(count)
 		expectAll(nodes, count, "alive")
@@ -36,16 +36,17 @@
 		intervals := float64(time.Since(start)) / float64(net.probe)
 		perNode := float64(net.messages.Load()-before) / float64(count) / intervals
 		AddReportEntry("messages per node and interval", perNode)
-		// One probe an interval, with jitter, and now and then a fetch or an exchange.
+		// One probe per interval, with jitter, and occasionally a configuration fetch or a full
+		// exchange.
 		Expect(perNode).To(BeNumerically("<", 2))
 		Expect(net.longest.Load()).To(BeNumerically("<=", 8))
 	},
 		Entry("8", 8), Entry("32", 32), Entry("128", 128),
 	)
 
-	// A VM dies without a word. Callers that are sent to it wait for nothing until
-	// the others notice.
-	It("notice a death, and nobody else is taken out", func() {
+	// A VM dies without notice. Callers that are sent to it wait in vain until the others detect
+	// the death.
+	It("detect a death, and no other member is removed", func() {
 		net := newNetwork()
 		nodes := net.startAll(12)
 		expectAll(nodes, 12, "alive")
@@ -53,9 +54,8 @@
 		expectAll(append(nodes[:3:3], nodes[4:]...), 11, "alive")
 	})
 
-	// Links between one VM and some others break, in one direction. Those that
-	// cannot reach it ask others. Suspected, it would drop out of answers to callers
-	// although it serves.
+	// The link from one VM to another breaks in one direction. Others still reach the target, and a
+	// suspicion would remove it from the addresses that callers receive although it serves.
 	It("do not suspect a member that others still reach", func() {
 		net := newNetwork()
 		nodes := net.startAll(6)
@@ -65,10 +65,10 @@
 			Should(HaveKeyWithValue("vm-000", "alive"))
 	})
 
-	// A data centre is cut off for longer than a suspicion lasts, so each side holds
-	// the other dead. After the links heal nobody probes the dead, and the two
-	// halves would stay apart for ever.
-	It("find each other again after a cut has healed", func() {
+	// A data centre is cut off for longer than the suspicion timeout, so each side records the
+	// other as dead. If nobody probed dead members, the two sides would stay separate after the
+	// links heal.
+	It("find each other again after a network partition has healed", func() {
 		net := newNetwork()
 		nodes := net.startAll(9)
 		expectAll(nodes, 9, "alive")
@@ -82,9 +82,9 @@
 		expectAll(nodes, 9, "alive")
 	})
 
-	// A VM is replaced by one with the same ID at once. The others still hold the
-	// former one's record, and their probes reach the new one.
-	It("take a restarted VM with the same ID for a new one", func() {
+	// A VM is replaced at once by one with the same ID. The others still hold the record of the
+	// former, and their probes reach the new one.
+	It("replace the record of a restarted VM with the same ID", func() {
 		net := newNetwork()
 		nodes := net.startAll(5)
 		expectAll(nodes, 5, "alive")
@@ -105,8 +105,9 @@
 		expectAll(nodes, 5, "alive")
 	})
 
-	// An operator drains a VM. Until every VM knows, some still name it to callers.
-	It("hear of a leaving VM everywhere", func() {
+	// An operator drains a VM. Until every VM has received the change, some still return its
+	// address to callers.
+	It("all learn that a VM is leaving", func() {
 		net := newNetwork()
 		nodes := net.startAll(20)
 		expectAll(nodes, 20, "alive")
@@ -120,8 +121,8 @@
 	})
 })
 
-// othersParts is what a withdrawal takes beside the read of the configuration: its spread, the lag
-// of the engines' reports, a poll, and requests that were granted their place before.
+// otherDelays is the part of a withdrawal's time beyond the read of the configuration: its spread,
+// the lag of the engines' reports, a poll, and requests that were admitted before.
 const othersParts = 1500 * time.Millisecond
 
 var _ = Describe("Configurations", func() {
@@ -154,27 +155,27 @@
 		var reads int
 		net.platform.set(func(p *fakePlatform) { reads = p.reads - before })
 		rounds := float64(time.Since(start)) / float64(20*time.Millisecond)
-		// Three readers, nine VMs that read a twentieth as often, and two that look at
-		// the lease. Were all to read, it would be 12 a round.
+		// Three readers, nine VMs that read a twentieth as often, and two that read the lease row.
+		// If all VMs read at each interval, it would be 12 per round.
 		Expect(float64(reads) / rounds).To(BeNumerically("<", 5))
 	})
 
-	// The platform is down for long, and a VM is replaced meanwhile. Without a
-	// configuration it could serve nobody.
+	// A VM is replaced during a long outage of the platform. Without a configuration it could not
+	// serve any request.
 	It("come from peers when the platform is down", func() {
 		net := newNetwork()
 		nodes := net.startAll(4)
 		publish(net, 0, "a")
 		expectVersion(nodes, 1)
 		nodes[1].stop()
-		// The VM list is cached by nobody: the fresh VM is found by the others.
+		// The VM list is not cached, so the new VM is found by the others.
 		net.platform.set(func(p *fakePlatform) { p.down = true })
 		nodes[1] = net.start(1)
 		expectVersion(nodes, 1)
 	})
 
-	// Guards against a withdrawal that is in force too late because the reader still waits after an
-	// outage: the one who accepted it has told nobody.
+	// Guards against a configuration, such as a withdrawal, that comes into force too late because
+	// the reader still waits after an outage. The controller that accepted it has notified no peer.
 	It("are read in time after an outage of the platform", func() {
 		const bound = 3*time.Second - othersParts
 		net := newNetwork()
@@ -190,8 +191,8 @@
 		}
 	})
 
-	// The platform, restored from an old copy or answering late, and peers that were
-	// cut off offer versions that operators have replaced long ago.
+	// The platform (restored from an old copy, or answering late) and peers that were cut off offer
+	// versions that operators have replaced.
 	It("never go back to a lower version", func() {
 		net := newNetwork()
 		nodes := net.startAll(4)
@@ -239,8 +240,8 @@
 		}
 	})
 
-	// Versions arrive from the platform and from several peers at once, in any order.
-	It("only rise when several arrive at once", func() {
+	// Versions arrive from the platform and from several peers concurrently, in any order.
+	It("only increase in version when several arrive at once", func() {
 		n := newNetwork().start(0)
 		var under sync.WaitGroup
 		for i := range 8 {
@@ -269,9 +270,9 @@
 		}
 	})
 
-	// Two halves of the system are cut apart while an operator edits. The half that
-	// the platform can still reach goes ahead, and the other must follow when the
-	// cut heals, also if the platform is down by then.
+	// An operator edits during a network partition. The side that the platform still reaches adopts
+	// the edit, and the other must follow once the partition heals, even if the platform is down
+	// then.
 	It("spread to peers that were cut off", func() {
 		net := newNetwork()
 		nodes := net.startAll(6)
@@ -289,8 +290,8 @@
 		expectVersion(nodes, 2)
 	})
 
-	// A document that this release cannot read arrives from a newer one. Half
-	// applied, it would leave the gateway without endpoints.
+	// A newer release accepts a document that this release cannot read. If it were applied in part,
+	// the gateway would be left without endpoints.
 	It("that are invalid change nothing", func() {
 		net := newNetwork()
 		n := net.start(0)
--- a/controller/network_test.go
+++ b/controller/network_test.go
@@ -19,20 +19,19 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// network connects controllers of one process without sockets.
+// network connects the controllers of one process without sockets.
 type network struct {
 	mu       sync.Mutex
 	nodes    map[string]*node
 	platform *fakePlatform
-	// cut tells which messages get lost.
+	// dropped reports whether a message is lost; nil delivers all messages.
 	cut      func(from, to string) bool
 	messages atomic.Int64
 	updates  atomic.Int64
 	longest  atomic.Int64
-	// probe is the probe interval.
-	probe time.Duration
-	lease time.Duration
-	// engine makes clients of engines.
+	probe    time.Duration
+	lease    time.Duration
+	// engine returns a client for the engine at an address.
 	engine func(address string) endpoint.Engine
 }
 
@@ -52,7 +51,7 @@
 	}
 }
 
-// start runs a controller. A second one with the same number is a restarted VM.
+// start runs a controller. A second start with the same number is a restarted VM.
 func (n *network) start(i int) *node {
 	id, address := fmt.Sprintf("vm-%03d", i), fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1)
 	c := New(Options{
@@ -106,7 +105,8 @@
 	n.cut = cut
 }
 
-// to returns the member at an address, if a message gets there.
+// serversAt returns the servers of the member at an address, or errMessageLost if a message does
+// not arrive.
 func (n *network) to(from, address string) (membershipServer, nodeServer, error) {
 	n.messages.Add(1)
 	n.mu.Lock()
@@ -128,7 +128,7 @@
 	}
 }
 
-// virtualTransport is one member's way into the network.
+// virtualTransport is the Transport of one member of the network.
 type virtualTransport struct {
 	n    *network
 	from string
@@ -186,7 +186,7 @@
 	return answer(s.SetLeaving(ctx, connect.NewRequest(req)))
 }
 
-// states returns a member's view of the others, by ID.
+// states returns the state of each member as this member sees it, by ID.
 func (n *node) states() map[string]string {
 	out := make(map[string]string)
 	for _, m := range n.Snapshot().Members {
@@ -195,7 +195,7 @@
 	return out
 }
 
-// eventually polls generously; the machine may be busy.
+// eventually polls with a long timeout, since the machine may be busy.
 func eventually(f func(Gomega)) {
 	GinkgoHelper()
 	Eventually(f).WithTimeout(60 * time.Second).WithPolling(20 * time.Millisecond).Should(Succeed())
--- a/controller/node.go
+++ b/controller/node.go
@@ -10,15 +10,16 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// coalesce is the least time between two snapshots on one stream. When many
-// members change at once, the gateway gets one snapshot and not hundreds.
+// minSnapshotInterval is the minimum time between two snapshots on one stream. When many members
+// change at once, the gateway receives one snapshot instead of hundreds.
 const coalesce = 50 * time.Millisecond
 
-// nodeServer answers the gateway of this VM.
+// nodeServer implements peerv1.NodeHandler for the gateway of this VM. SetLeaving is also called by
+// other controllers, to drain the VM.
 type nodeServer struct{ c *Controller }
 
-// Watch implements peerv1.NodeHandler. The gateway's addresses are spread
-// only while the stream is open, so a gateway that died is not handed to callers.
+// Watch implements peerv1.NodeHandler. The gateway's addresses are advertised to other members only
+// while the stream is open, so that callers are not sent to a gateway that has died.
 func (n nodeServer) Watch(ctx context.Context, req *connect.Request[peerv1.WatchRequest], out *connect.ServerStream[peerv1.WatchResponse]) error {
 	stream := &gatewayStream{request: req.Msg}
 	ok := n.c.do(func(s *state) {
@@ -48,8 +49,8 @@
 	}
 }
 
-// close ends a stream. A newer stream of a restarted gateway may have taken its
-// place already; then it changes nothing.
+// closeStream withdraws the gateway's addresses. It has no effect if a newer stream of a restarted
+// gateway has already replaced this one.
 func (n nodeServer) close(stream *gatewayStream) {
 	n.c.log.Info("gateway disconnected", zap.String("gateway", stream.request.GatewayAddress))
 	n.c.do(func(s *state) {
@@ -70,6 +71,6 @@
 	if !ok {
 		return nil, errStopped
 	}
-	n.c.log.Info("vm leaving", zap.Bool("drain", req.Msg.Drain))
+	n.c.log.Info("VM is leaving", zap.Bool("drain", req.Msg.Drain))
 	return connect.NewResponse(&peerv1.SetLeavingResponse{}), nil
 }
--- a/controller/node_test.go
+++ b/controller/node_test.go
@@ -17,7 +17,7 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// serveNode makes a controller reachable over the network for its gateway.
+// serveNode serves a controller's peer listener over TCP and returns a client for its Node service.
 func serveNode(n *node) peerv1.NodeClient {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -31,7 +31,7 @@
 	return peerv1.NewNodeClient(client, peer.BaseURL(l.Addr().String(), nil))
 }
 
-// watch opens a gateway's stream and reads its snapshots in the background.
+// watch opens a gateway's Watch stream and reads its snapshots in the background.
 func watch(client peerv1.NodeClient, leaving bool) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	stream, err := client.Watch(ctx, connect.NewRequest(&peerv1.WatchRequest{
@@ -47,7 +47,7 @@
 	return cancel
 }
 
-// expectAtOther waits for a view of vm-000 at another VM.
+// expectAtOther waits until another VM sees vm-000 with the given caller address and state.
 func expectAtOther(other *node, caller, state string) {
 	GinkgoHelper()
 	eventually(func(g Gomega) {
@@ -60,8 +60,8 @@
 }
 
 var _ = Describe("A gateway", func() {
-	// A gateway dies while its VM and controller live on. Callers that are sent there
-	// find nobody.
+	// A gateway dies while its VM and controller keep running. Callers must not be sent to its
+	// address.
 	It("is advertised only while its stream is open", func() {
 		net := newNetwork()
 		nodes := net.startAll(3)
@@ -74,9 +74,9 @@
 		expectAtOther(nodes[2], "", "alive")
 	})
 
-	// A gateway drains, and its stream breaks meanwhile, or a fresh one takes its
-	// place after it has gone.
-	It("stays leaving when it connects again, and its successor does not", func() {
+	// The stream of a draining gateway breaks and is opened again: the VM must not accept callers.
+	// A new gateway that takes its place must be advertised again.
+	It("stays leaving when its stream is opened again, and a new gateway does not", func() {
 		net := newNetwork()
 		nodes := net.startAll(3)
 		expectAll(nodes, 3, "alive")
@@ -106,8 +106,8 @@
 })
 
 var _ = Describe("A peer's message", func() {
-	// A record with the highest incarnation cannot be beaten by its member. Believed,
-	// it would keep a live VM out of service for ever.
+	// A member cannot supersede a record with the highest incarnation. If such a record were
+	// accepted, it would keep a live VM out of service permanently.
 	It("cannot make a member impossible to refute", func() {
 		n := newNetwork().start(0)
 		self := proto.CloneOf(n.Snapshot().Self)
@@ -121,7 +121,7 @@
 	})
 })
 
-// FuzzPeerMessages feeds whatever unmarshals to the handlers of a controller.
+// FuzzPeerMessages passes any input that unmarshals to the handlers of a controller.
 func FuzzPeerMessages(f *testing.F) {
 	member := &peerv1.Member{Id: "a", ControllerAddress: "10.0.0.1:1", State: peerv1.MemberState_MEMBER_STATE_ALIVE}
 	good, err := proto.Marshal(&peerv1.PingRequest{From: member, Updates: []*peerv1.Member{member}, ConfigVersion: 1})
@@ -150,7 +150,7 @@
 	})
 }
 
-// A caller of /healthz and /debug/vars uses HTTP/1.
+// Clients of /healthz and /debug/vars use HTTP/1.
 var _ = Describe("The peer listener", func() {
 	It("answers health checks and counters", func() {
 		n := newNetwork().start(0)
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -19,53 +19,57 @@
 )
 
 const (
-	// orderInterval is the time between two rounds of reads and orders.
+	// orderInterval is the time between two reconciliation rounds.
 	orderInterval = 500 * time.Millisecond
-	// readsPerRound bounds the engines read in one round, so that the holder's work
-	// does not grow with the number of engines.
+	// readsPerRound bounds the engines that are read in one round, so that the holder's work per
+	// round does not grow with the number of engines.
 	readsPerRound = 4
-	// settledInterval is the time between two reads of an engine that has what it
-	// shall have.
+	// convergedReadInterval is the time between two reads of an engine that has reached its target.
 	settledInterval = 10 * time.Second
-	// unsettledInterval is the same for an engine that does not.
+	// unconvergedReadInterval is the time between two reads of an engine that has not reached its
+	// target.
 	unsettledInterval = time.Second
-	// stateTimeout bounds one read of an engine's state.
+	// stateTimeout bounds one request for an engine's state or load report.
 	stateTimeout = time.Second
-	// verifyAfter is how long an order may stay without visible effect before it is
-	// given again.
+	// verifyTimeout is how long an order may have no visible effect before the next order is
+	// chosen, usually the same one again.
 	verifyAfter = 5 * time.Second
-	// leaseMargin is the part of the lease that must remain for an order to go out.
-	// An engine that ignores fencing numbers is protected by nothing but time.
+	// minLeaseDivisor sets the part of the lease (duration/minLeaseDivisor) that must remain for an
+	// order to be sent. For an engine that ignores fencing numbers, this time is the only
+	// protection against two holders.
 	leaseMargin = 4
 )
 
-// tracked is what the keeper knows of one engine.
+// trackedEngine is what the reconciler knows about one engine.
 type tracked struct {
 	target target
 	client endpoint.Engine
-	// state is as last read; reached tells whether that read succeeded.
+	// state is the result of the last successful read; reached reports whether the latest read
+	// succeeded.
 	state   endpoint.State
 	reached bool
 	readAt  time.Time
-	// pending is an order that was given and whose effect is not seen yet.
+	// pending is the last order sent, until its effect is seen or verifyTimeout has passed.
 	pending   *endpoint.Order
 	pendingAt time.Time
-	// reserved is the order for which the weight store was asked, and loadAt the
-	// time from which its load may start.
+	// reserved is the load order for which the weight store has assigned a time slot, and
+	// loadNotBefore is when that slot begins.
 	reserved *endpoint.Order
 	loadAt   time.Time
 }
 
-// orderKeeper brings the engines of a region to what the configuration says while
-// this VM holds the region's lease. Its fields belong to the goroutine of run,
-// except for those that are synchronised.
+// reconciler brings the engines of a region to the configured target while this VM holds the
+// region's lease. Its fields belong to the goroutine of run, except for those that are
+// synchronised.
 type orderKeeper struct {
 	c       *Controller
 	lease   *lease
 	version uint64
 	engines map[string]*tracked
-	keep    map[string]int
-	// doubt holds unloads that may still take effect, until when they may.
+	// minCopies is the number of engines that must keep each model.
+	keep map[string]int
+	// inDoubtUnloads holds unloads that may still take effect, each with the time until which it
+	// may.
 	doubt map[unloadIntent]time.Time
 	shown atomic.Pointer[[]operator.EndpointStatus]
 }
@@ -74,7 +78,8 @@
 	return &orderKeeper{c: c, lease: newLease(c), engines: make(map[string]*tracked), doubt: make(map[unloadIntent]time.Time)}
 }
 
-// run keeps the lease and gives orders until ctx ends.
+// run maintains the lease and reconciles the engines until ctx ends. It releases the lease on
+// return.
 func (k *orderKeeper) run(ctx context.Context) {
 	var under sync.WaitGroup
 	defer func() {
@@ -96,8 +101,8 @@
 	}
 }
 
-// mayTake keeps the number of VMs that look at the lease row at two in each
-// region, however many there are: the first in rank and, should it fail, the next.
+// mayAcquireLease limits the VMs that read the lease row to two in each region, whatever the number
+// of VMs: the one with the highest rank and, in case it fails, the next.
 func (k *orderKeeper) mayTake() bool {
 	s := k.c.Snapshot()
 	ids := liveIn(s, func(m *peerv1.Member) bool {
@@ -111,7 +116,7 @@
 	return membership.Rank(k.lease.key(), others) == s.Self.Id
 }
 
-// round reads engines that are due and gives each at most one order.
+// round reads the engines that are due and sends each of them at most one order.
 func (k *orderKeeper) round(ctx context.Context) {
 	if !k.refresh() {
 		return
@@ -130,7 +135,8 @@
 	}
 }
 
-// refresh follows the configuration.
+// refreshTargets recomputes the targets when the configuration has changed. It returns false if
+// there is no usable configuration.
 func (k *orderKeeper) refresh() bool {
 	snapshot := k.c.Snapshot()
 	if snapshot.Config == nil {
@@ -162,7 +168,7 @@
 	return true
 }
 
-// due picks the engines to read: those whose last read is longest overdue.
+// due returns at most readsPerRound engines to read, the longest overdue first.
 func (k *orderKeeper) due() []*tracked {
 	now := k.c.now()
 	var due []*tracked
@@ -177,6 +183,7 @@
 	return due[:min(len(due), readsPerRound)]
 }
 
+// readInterval is the time between two reads of the engine.
 func (t *tracked) interval() time.Duration {
 	if t.reached && t.pending == nil && nextOrder(t.target, t.state) == nil {
 		return settledInterval
@@ -184,6 +191,7 @@
 	return unsettledInterval
 }
 
+// read updates the engine's state. A failed read keeps the last known state and clears reached.
 func (t *tracked) read(ctx context.Context, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -194,7 +202,7 @@
 	}
 }
 
-// advance checks the last order against the engine's state and gives the next.
+// reconcile checks the last order against the engine's state and sends the next one.
 func (k *orderKeeper) advance(ctx context.Context, t *tracked) {
 	if !k.verified(t) {
 		return
@@ -218,8 +226,8 @@
 	k.give(ctx, t, *order)
 }
 
-// verified tells whether no order is open any more. An order can be lost, or be
-// undone by a former holder's that came late; the engine's state shows it.
+// verifyPending reports whether no order is pending any more. An order can be lost, or be undone by
+// a late order of a former holder; the engine's state shows either.
 func (k *orderKeeper) verified(t *tracked) bool {
 	if t.pending == nil {
 		return true
@@ -234,13 +242,13 @@
 		return false
 	}
 	metrics.Count("order_without_effect")
-	k.c.log.Warn("order without effect", zap.String("endpoint", t.target.spec.Name), zap.String("verb", t.pending.Verb))
+	k.c.log.Warn("order has no visible effect in the engine's state", zap.String("endpoint", t.target.spec.Name), zap.String("verb", t.pending.Verb))
 	t.pending = nil
 	return true
 }
 
-// mayLoad asks the weight store once for each load and then waits for as long as
-// it says, so that all loads together keep to its rate.
+// mayLoad reports whether a load may start now. It asks the weight store for a time slot once for
+// each load and waits for it, so that all loads together stay within the store's rate.
 func (k *orderKeeper) mayLoad(ctx context.Context, t *tracked, o endpoint.Order) bool {
 	if t.reserved == nil || *t.reserved != o {
 		wait, err := k.c.opts.Platform.Reserve(ctx, o.Model, o.Version)
@@ -253,10 +261,10 @@
 	return !k.c.now().Before(t.loadAt)
 }
 
-// give sends an order if the lease lasts. The lease's time is looked at right
-// before: a process that was paused since the last look would otherwise act on a
-// lease that another holds by now. The request ends with the lease for the same
-// reason.
+// sendOrder sends an order if enough of the lease remains. The remaining time is read immediately
+// before, because a process that was paused since the last check would otherwise act on a lease
+// that another process now holds. For the same reason the request is cancelled when the lease
+// expires.
 func (k *orderKeeper) give(ctx context.Context, t *tracked, o endpoint.Order) {
 	left, fence := k.lease.remaining()
 	if left < k.lease.length/leaseMargin {
@@ -277,8 +285,9 @@
 		metrics.Count("order_failed")
 		k.c.log.Warn("order failed", zap.String("endpoint", t.target.spec.Name), zap.String("verb", o.Verb), zap.Error(err))
 		if failure == nil || failure.Outcome != crocusreel.OutcomeNotRun {
-			// It may have been carried out all the same. Until a read tells, an unload
-			// counts as done, or the last copy could go with the next one.
+			// The order may have been carried out all the same. Until a read shows the engine's
+			// state, an unload counts as done; otherwise the next unload could remove the last
+			// copy.
 			t.pending, t.pendingAt = &o, k.c.now()
 		}
 	default:
--- a/controller/orders_status.go
+++ b/controller/orders_status.go
@@ -7,7 +7,8 @@
 	"github.com/crocusreel/crocusreel/operator"
 )
 
-// show publishes what the keeper knows of its engines.
+// publishStatus publishes the state of the engines for status. While the lease is not held, nothing
+// is published.
 func (k *orderKeeper) show() {
 	if !k.lease.held() {
 		k.shown.Store(nil)
@@ -27,7 +28,8 @@
 	k.shown.Store(&list)
 }
 
-// status lists the configured endpoints with what was shown last.
+// status lists the configured endpoints of all kinds, with the state that was last published for
+// them.
 func (k *orderKeeper) status() []operator.EndpointStatus {
 	snapshot := k.c.Snapshot()
 	if snapshot.Config == nil {
--- a/controller/orders_test.go
+++ b/controller/orders_test.go
@@ -18,7 +18,7 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// clock is set by the test.
+// clock is a manual clock.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -36,7 +36,8 @@
 	c.now = c.now.Add(d)
 }
 
-// fakeEngine carries out orders at once. Unused methods panic.
+// fakeEngine is an endpoint.Engine that carries out orders at once. Methods that the tests do not
+// use panic.
 type fakeEngine struct {
 	endpoint.Engine
 	mu          sync.Mutex
@@ -44,13 +45,14 @@
 	checksFence bool
 	state       endpoint.State
 	orders      []string
-	// intercept decides over an order before the engine sees it.
+	// intercept decides whether an order reaches the engine, and the error that the sender
+	// receives.
 	intercept func(o endpoint.Order) (deliver bool, err error)
-	// deadline is that of the last order.
+	// deadline is the context deadline of the last order.
 	deadline time.Time
 	dead     bool
 	leaving  bool
-	// afterChange runs after each change of what is loaded.
+	// afterChange runs after each order that was carried out.
 	afterChange func()
 }
 
@@ -127,7 +129,7 @@
 	return append([]string(nil), e.orders...)
 }
 
-// fleet is a set of engines and of keepers that may order them, on one clock.
+// fleet is a set of engines and of reconcilers that may send them orders, on one clock.
 type fleet struct {
 	platform *fakePlatform
 	clock    *clock
@@ -147,7 +149,7 @@
 	return f
 }
 
-// countCopies notes the least number of copies of model m ever seen after a change.
+// countCopies records the smallest number of copies of model m seen after any order.
 func (f *fleet) countCopies() { f.leastM = min(f.leastM, f.copies()) }
 
 func (f *fleet) copies() int {
@@ -168,7 +170,7 @@
 
 func address(name string) string { return "10.9.0." + strings.TrimPrefix(name, "e") + ":80" }
 
-// keeper returns a keeper of the given VM that takes no step of its own.
+// newReconciler returns the reconciler of the given VM. It runs only when the test calls it.
 func (f *fleet) keeper(vm string) *orderKeeper {
 	c := New(Options{
 		Settings: settings.Controller{
@@ -189,7 +191,7 @@
 	return c.orders
 }
 
-// want puts a configuration in force in which the named engines hold model m.
+// setConfig puts a configuration in force in which the named engines hold model m.
 func (f *fleet) want(k *orderKeeper, version, minReplicas int, checksFence bool, names ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[service]\nname=\"s\"\n[[models]]\nname=\"m\"\nversion=\"1\"\nmin_replicas=%d\n[[models]]\nname=\"other\"\nversion=\"1\"\n", minReplicas)
@@ -207,7 +209,7 @@
 	Expect(k.c.adopt(&peerv1.ConfigDocument{Version: uint64(version), Document: []byte(document)})).To(Succeed())
 }
 
-// rounds lets the keeper work for some time.
+// runRounds runs n rounds, one per second of the clock.
 func (f *fleet) rounds(k *orderKeeper, n int) {
 	for range n {
 		k.lease.step(context.Background(), true)
@@ -221,7 +223,7 @@
 var lostAnswer = &endpoint.Error{Outcome: crocusreel.OutcomeUnknown, Kind: endpoint.KindLost, Cause: errors.New("answer lost")}
 
 var _ = Describe("Orders", func() {
-	It("bring engines to what the configuration says, and are checked afterwards", func() {
+	It("bring engines to the configured state, and their effect is verified", func() {
 		f := newFleet(true, "e1", "e2")
 		k := f.keeper("vm-1")
 		f.want(k, 1, 1, true, "e1", "e2")
@@ -231,9 +233,9 @@
 		Expect(k.engines["e1"].pending).To(BeNil())
 	})
 
-	// An order is accepted and has no effect, as when the engine restarts right
-	// after. Trusted blindly, the engine would stay without its model.
-	It("are given again if the engine's state does not show their effect", func() {
+	// An order is accepted but has no effect, for example because the engine restarts right
+	// afterwards. Without a check of the engine's state, the engine would stay without its model.
+	It("are sent again if the engine's state does not show their effect", func() {
 		f := newFleet(true, "e1")
 		k := f.keeper("vm-1")
 		f.want(k, 1, 1, true, "e1")
@@ -246,8 +248,8 @@
 		Expect(f.engines["e1"].has("m")).To(BeTrue())
 	})
 
-	// Weights take minutes to load. An order that is repeated meanwhile loads them
-	// again, at the cost of the weight store's rate.
+	// Weights take minutes to load. An order that is repeated meanwhile loads them again, which
+	// uses up the weight store's rate.
 	It("are not repeated while the engine is loading", func() {
 		f := newFleet(true, "e1")
 		k := f.keeper("vm-1")
@@ -262,9 +264,9 @@
 		Expect(times).To(Equal(1))
 	})
 
-	// A lease holder is paused past its lease and goes on as if it still held it,
-	// while a successor gives other orders. Both would order the same engines.
-	DescribeTable("are not given by a holder that was paused past its lease", func(checksFence bool) {
+	// A lease holder is paused past its lease and continues as if it still held it, while its
+	// successor sends other orders to the same engines.
+	DescribeTable("are not sent by a holder that was paused past its lease", func(checksFence bool) {
 		f := newFleet(checksFence, "e1", "e2")
 		f.load("e1")
 		a, b := f.keeper("vm-1"), f.keeper("vm-2")
@@ -276,7 +278,7 @@
 		b.lease.step(context.Background(), true)
 		f.clock.advance(testLease)
 		b.lease.step(context.Background(), true)
-		Expect(b.lease.held()).To(BeFalse(), "a successor waits for the lease and the skew")
+		Expect(b.lease.held()).To(BeFalse(), "a successor waits for the lease duration and the skew margin")
 		f.clock.advance(testLease / 2)
 		f.rounds(b, 3)
 		Expect(b.lease.held()).To(BeTrue())
@@ -290,9 +292,9 @@
 		Entry("at engines that ignore them", false),
 	)
 
-	// The pause falls between the holder's last look at its lease and its order,
-	// which therefore arrives after the successor's.
-	It("that arrive late are refused by engines that check fencing numbers, and the holder gives up", func() {
+	// The pause falls between the holder's last check of its lease and its order, so the order
+	// arrives after the successor's.
+	It("that arrive late are refused by engines that check fencing numbers, and the holder abandons the lease", func() {
 		f := newFleet(true, "e1", "e2")
 		a, b := f.keeper("vm-1"), f.keeper("vm-2")
 		a.lease.step(context.Background(), true)
@@ -310,7 +312,7 @@
 		Expect(a.lease.held()).To(BeFalse())
 	})
 
-	It("end with the lease", func() {
+	It("are sent with a deadline no later than the end of the lease", func() {
 		f := newFleet(false, "e1")
 		k := f.keeper("vm-1")
 		f.want(k, 1, 1, false, "e1")
@@ -320,9 +322,9 @@
 		Expect(f.engines["e1"].deadline).To(BeTemporally("<=", start.Add(testLease+time.Second)))
 	})
 
-	// The answer to the write that takes or renews the lease is lost. Taken as a
-	// failure, nobody would hold the lease; taken as success, two might.
-	It("go on after lost answers of the platform", func() {
+	// The response to the write that acquires or renews the lease is lost. If this counted as
+	// failure, nobody would hold the lease; if it counted as success, two processes might.
+	It("continue after lost responses of the platform", func() {
 		f := newFleet(true, "e1")
 		k := f.keeper("vm-1")
 		f.want(k, 1, 1, true, "e1")
@@ -338,7 +340,7 @@
 		Expect(f.engines["e1"].given()).To(Equal([]string{"load m@1#1"}))
 	})
 
-	It("wait for the weight store's rate", func() {
+	It("wait for the time slot that the weight store assigns", func() {
 		f := newFleet(true, "e1")
 		f.platform.wait = 10 * time.Second
 		k := f.keeper("vm-1")
@@ -352,8 +354,8 @@
 })
 
 var _ = Describe("The last copy of a model", func() {
-	// The configuration moves a model from one engine to another. Unloaded first,
-	// or before the other has it, nobody serves the model meanwhile.
+	// The configuration moves a model from one engine to another. If the first unloads it before
+	// the other has loaded it, no engine serves the model meanwhile.
 	It("stays until another engine has the model", func() {
 		f := newFleet(true, "e1", "e2")
 		f.load("e1")
@@ -370,7 +372,7 @@
 		Expect(f.leastM).To(Equal(1))
 	})
 
-	// The engine that would be left with the model died a moment ago.
+	// The engine that would hold the only remaining copy has just died.
 	It("stays when the other copy is on an engine that does not answer", func() {
 		f := newFleet(true, "e1", "e2")
 		f.load("e1", "e2")
@@ -386,7 +388,7 @@
 		Expect(f.engines["e1"].has("m")).To(BeTrue())
 	})
 
-	// The engine that would be left with the model is reclaimed at short notice.
+	// The engine that would hold the only remaining copy is about to be reclaimed.
 	It("stays when the other copy is on an engine that is being reclaimed", func() {
 		f := newFleet(true, "e1", "e2")
 		f.load("e1", "e2")
@@ -397,7 +399,7 @@
 		Expect(f.engines["e1"].has("m")).To(BeTrue())
 	})
 
-	It("counts as min_replicas says", func() {
+	It("stays together with the other copies that min_replicas requires", func() {
 		f := newFleet(true, "e1", "e2", "e3", "e4")
 		f.load("e1", "e2", "e3")
 		k := f.keeper("vm-1")
@@ -407,11 +409,10 @@
 		Expect(f.leastM).To(BeNumerically(">=", 2))
 	})
 
-	// The holder orders an unload and is paused; its order hangs in a stalled link.
-	// The successor follows a newer configuration, in which just that engine keeps
-	// the model, and takes the other copy out. Then the link recovers, and an engine
-	// that ignores fencing numbers obeys the old order.
-	It("is not counted on where a former holder's unload may still arrive", func() {
+	// A paused holder's unload order is delayed on a stalled link. The successor's newer
+	// configuration keeps the model on just that engine and unloads the other copy; then an engine
+	// that ignores fencing numbers carries out the old order.
+	It("stays when a former holder's unload may still reach the other copy", func() {
 		f := newFleet(false, "e1", "e2")
 		f.load("e1", "e2")
 		a, b := f.keeper("vm-1"), f.keeper("vm-2")
@@ -433,13 +434,13 @@
 		Expect(f.engines["e1"].carryOut(*hanging)).To(Succeed())
 		Expect(f.leastM).To(Equal(1))
 		f.rounds(b, 30)
-		Expect(f.engines["e1"].has("m")).To(BeTrue(), "the successor repairs what the late order did")
+		Expect(f.engines["e1"].has("m")).To(BeTrue(), "the successor loads the model again after the late unload")
 	})
 
-	// The answer to an unload is lost and the order hangs in a stalled link. Then an
-	// operator changes the configuration: just that engine shall keep the model. The
-	// holder must not take the other copy out while its own order is still to come.
-	It("is not counted on where the holder's own unload may still arrive", func() {
+	// The response to an unload is lost and the order is delayed on a stalled link. Then the
+	// configuration changes, so that just that engine keeps the model. The other copy must stay
+	// while the order may still arrive.
+	It("stays when the holder's own unload may still reach the other copy", func() {
 		f := newFleet(false, "e1", "e2")
 		f.load("e1", "e2")
 		k := f.keeper("vm-1")
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -14,22 +14,21 @@
 	verbRole   = "role"
 )
 
-// wantedModel is a model that an engine shall have.
+// wantedModel is a model that an engine must have.
 type wantedModel struct {
 	name     string
 	version  string
 	adapters []string
 }
 
-// target is what one engine shall have loaded.
+// engineTarget is the desired state of one engine.
 type target struct {
 	spec   config.EndpointSpec
 	models []wantedModel
 }
 
-// desired lists the engines of a region with what they shall have, and for each
-// model the number of engines that must keep it. Each engine follows the overlay
-// of its own data centre.
+// desiredState returns the targets of the engines of a region, and for each model the number of
+// engines that must keep it. Each engine follows the overlay of its own data centre.
 func desired(doc config.Document, region string) ([]target, map[string]int, error) {
 	base, err := config.Compile(doc, "")
 	if err != nil {
@@ -62,9 +61,9 @@
 	return targets, keep, nil
 }
 
-// nextOrder returns the first order that brings an engine closer to its target, or
-// nil if it is there. Loads come before unloads, so that a model is added somewhere
-// before it is taken out elsewhere.
+// nextOrder returns the first order that brings an engine closer to its target, or nil if it has
+// reached the target or is leaving. Loads precede unloads, so that models are added before others
+// are removed; mayUnload enforces this across engines.
 func nextOrder(t target, s endpoint.State) *endpoint.Order {
 	if t.spec.Leaving {
 		return nil
@@ -85,14 +84,16 @@
 	return nil
 }
 
-// wants tells whether the engine shall keep what is loaded. Other versions of a
-// wanted model go as soon as the wanted one is there.
+// wants reports whether the engine must keep a loaded model. Other versions of a wanted model are
+// unloaded once the wanted version is loaded.
 func (t target) wants(loaded endpoint.LoadedModel) bool {
 	return slices.ContainsFunc(t.models, func(w wantedModel) bool {
 		return w.name == loaded.Model && w.version == loaded.Version
 	})
 }
 
+// loadOrder returns the order that loads the wanted model or its first missing adapter, or nil if
+// all are loaded.
 func loadOrder(want wantedModel, s endpoint.State) *endpoint.Order {
 	at := slices.IndexFunc(s.Models, func(m endpoint.LoadedModel) bool {
 		return m.Model == want.name && m.Version == want.version
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// carriedOut tells whether the engine's state shows the effect of an order.
+// isCarriedOut reports whether the engine's state shows the effect of an order.
 func carriedOut(o endpoint.Order, s endpoint.State) bool {
 	switch o.Verb {
 	case verbRole:
@@ -127,7 +128,7 @@
 	return true
 }
 
-// hasModel tells whether an engine has a model in any version.
+// hasModel reports whether an engine has a model in any version.
 func hasModel(s endpoint.State, model string) bool {
 	return slices.ContainsFunc(s.Models, func(m endpoint.LoadedModel) bool { return m.Model == model })
 }
--- a/controller/prober.go
+++ b/controller/prober.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// minPingTimeout bounds one ping from below: a busy machine answers late, and a
-	// false suspicion costs more than a late one.
+	// minPingTimeout is the lower bound of the timeout of one ping: a busy machine answers late,
+	// and a false suspicion costs more than a late one.
 	minPingTimeout = 400 * time.Millisecond
-	// healEvery is the number of probes after which one lost member is tried.
+	// reconnectEvery is the number of probe rounds of which one goes to a lost member in place of a
+	// neighbour.
 	healEvery = 3
-	// maxProbes bounds the probes under way. Probes of dead members take longer
-	// than the probe interval.
+	// maxConcurrentProbes bounds the concurrent probes. Probes of dead members take longer than the
+	// probe interval.
 	maxProbes = 6
 )
 
-var errWrongMember = eris.New("another member answers at this address")
+var errWrongMember = eris.New("ping answered without a record of the expected member")
 
-// probeLoop probes one neighbour in each interval. The number of messages does not
-// depend on the number of members.
+// probeLoop probes one member in each interval, so the number of messages does not depend on the
+// number of members.
 func (c *Controller) probeLoop(ctx context.Context) {
 	var under sync.WaitGroup
 	defer under.Wait()
@@ -53,8 +54,8 @@
 	}
 }
 
-// tick lets time pass in the table. In some rounds it returns a lost member to try
-// in place of a neighbour.
+// tick applies the table's timeouts. In every reconnectEvery-th round it returns a lost member, if
+// there is one, to probe in place of a neighbour.
 func (c *Controller) tick(round int) *peerv1.Member {
 	var lost *peerv1.Member
 	c.do(func(s *state) {
@@ -72,9 +73,9 @@
 	return target
 }
 
-// lostMember picks a member that is dead, or a VM of the platform's list that is
-// not known as live. After a cut between two halves of the system has healed, each
-// half holds the other dead and nobody else would speak to it.
+// lostMember returns a random one of these members: a dead member, or a VM of the platform's list
+// that is not known to be live; nil if there is none. After a network partition has healed, each
+// side still considers the other side dead, and no other probe would contact it.
 func lostMember(s *state) *peerv1.Member {
 	var lost []*peerv1.Member
 	for _, vm := range s.seeds {
@@ -92,8 +93,8 @@
 	return lost[rand.IntN(len(lost))]
 }
 
-// probe pings the target, then asks others to. Only if nobody reaches it does it
-// become suspect, since one broken link must not take a member out.
+// probe pings the target, directly and then through other members. The target becomes suspect only
+// if all of them fail, since one broken link must not remove a member.
 func (c *Controller) probe(ctx context.Context, target *peerv1.Member) {
 	err := c.ping(ctx, target.ControllerAddress, target.Id)
 	if err == nil || ctx.Err() != nil {
@@ -112,10 +113,11 @@
 	})
 }
 
-// pingTimeout bounds one ping.
+// pingTimeout is the timeout of one ping.
 func (c *Controller) pingTimeout() time.Duration { return max(c.probeInterval(), minPingTimeout) }
 
-// ping exchanges updates with one member. An empty id accepts whoever answers.
+// ping exchanges updates with the member at address. With an empty id, a response of any member is
+// accepted.
 func (c *Controller) ping(ctx context.Context, address, id string) error {
 	req := &peerv1.PingRequest{}
 	if !c.do(func(s *state) { c.fillPing(s, req, id) }) {
@@ -129,8 +131,8 @@
 		return err
 	}
 	if len(res.Updates) == 0 || (id != "" && res.Updates[0].GetId() != id) {
-		// The address belongs to a new VM by now. Its answer says nothing about the
-		// member that was meant.
+		// The address may belong to a new VM. Its response says nothing about the member that was
+		// probed.
 		return errWrongMember
 	}
 	answered := res.Updates[0].GetId()
@@ -142,8 +144,8 @@
 	return nil
 }
 
-// fillPing sets the request. If the target is held suspect or dead, it is told so,
-// since only the target itself can refute that.
+// fillPing fills in the request. If the target is not recorded as alive, its record is included,
+// since only the target can refute it.
 func (c *Controller) fillPing(s *state, req *peerv1.PingRequest, target string) {
 	req.From = s.table.Self()
 	req.ConfigVersion = s.config.GetVersion()
@@ -161,6 +163,7 @@
 	}
 }
 
+// probeIndirectly reports whether one of a few other members reaches the target.
 func (c *Controller) probeThroughOthers(ctx context.Context, target *peerv1.Member) bool {
 	var helpers []*peerv1.Member
 	req := &peerv1.IndirectPingRequest{TargetAddress: target.ControllerAddress, TargetId: target.Id}
@@ -185,8 +188,8 @@
 	return false
 }
 
-// pushLoop spreads changes at once, one after the other; those that come meanwhile
-// go out together.
+// pushLoop sends changes to the neighbours as soon as they occur. Rounds run one at a time; changes
+// during a round are sent together in the next.
 func (c *Controller) pushLoop(ctx context.Context) {
 	for {
 		select {
@@ -198,8 +201,8 @@
 	}
 }
 
-// pushNeighbours tells all neighbours of a change: their number is fixed, and each
-// passes the change on with its own probes.
+// pushNeighbours sends a change to all neighbours. Their number is fixed, and each forwards the
+// change with its own probes.
 func (c *Controller) pushNeighbours(ctx context.Context) {
 	var neighbours []*peerv1.Member
 	c.do(func(s *state) { neighbours = s.table.Neighbours() })
--- a/controller/process.go
+++ b/controller/process.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	// operatorHeaderTimeout bounds the time for an operator's tool to send headers,
+	// operatorHeaderTimeout bounds the time in which an operator's client must send the headers,
 	// and operatorBodyTimeout that for the whole request.
 	operatorHeaderTimeout = 5 * time.Second
 	operatorBodyTimeout   = 30 * time.Second
 )
 
-// Process is a controller with its listeners.
+// Process is a controller with its peer and operator listeners.
 type Process struct {
 	controller *Controller
 	log        *zap.Logger
@@ -39,7 +39,7 @@
 	operatorAt net.Listener
 }
 
-// NewProcess opens the listeners that the settings name.
+// NewProcess creates the controller and opens the listeners that the settings name.
 func NewProcess(s *settings.Controller, log *zap.Logger) (*Process, error) {
 	keys, err := operator.ParseKeys(s.OperatorKeySHA256)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return p, nil
 }
 
-// Run serves until a signal or a failure. It returns nil after SIGTERM or SIGINT.
+// Run serves until a signal arrives or a server fails. It returns nil after SIGTERM or SIGINT.
 func (p *Process) Run() error {
 	var g run.Group
 	daemon.AddTask(&g, p.controller.Run)
--- a/controller/reader.go
+++ b/controller/reader.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// slowReads is how much more rarely a VM reads the head that is not its data
-	// centre's reader. It covers the time in which members disagree on the reader.
+	// nonReaderIntervalFactor multiplies the read interval of a VM that is not its data centre's
+	// reader. Such VMs still read, to cover the time in which members disagree on the reader.
 	slowReads = 20
-	// readRetryLimit bounds the wait after failed reads: an edit that is accepted right after an
-	// outage has to be in force in time.
+	// maxReadRetryDelay bounds the wait after failed reads (or the configured interval does, if it
+	// is longer), because an edit that is accepted right after an outage has to be in force in
+	// time.
 	readRetryLimit = time.Second
 	// fetchTimeout bounds the fetch of a configuration from a peer.
 	fetchTimeout = 3 * time.Second
-	// stopTimeout bounds the platform calls of a shutdown.
+	// stopTimeout bounds the platform calls at shutdown.
 	stopTimeout = time.Second
 )
 
-// readLoop reads the configuration head from the platform. One VM of each data
-// centre does so often and the others rarely; peers spread what it finds.
+// readLoop reads the configuration head from the platform. One VM of each data centre, the reader,
+// does so at each interval and the others rarely; peers spread what is read.
 func (c *Controller) readLoop(ctx context.Context) {
 	failures := 0
 	for {
@@ -52,7 +53,8 @@
 	}
 }
 
-// waitUntilReader waits, but not longer than it takes to become the reader.
+// waitUntilReader waits for the given time, or until this VM becomes its data centre's reader. It
+// returns false if ctx ended.
 func (c *Controller) waitUntilReader(ctx context.Context, wait time.Duration) bool {
 	was := c.isReader()
 	for wait > 0 {
@@ -68,6 +70,8 @@
 	return true
 }
 
+// isReader reports whether this VM is the configuration reader of its data centre: the member with
+// the highest rank.
 func (c *Controller) isReader() bool {
 	s := c.Snapshot()
 	return membership.Rank("config-reader", liveIn(s, func(m *peerv1.Member) bool {
@@ -75,7 +79,8 @@
 	})) == s.Self.Id
 }
 
-// liveIn returns the IDs of members that are certainly alive and fit.
+// unsuspectedIDs returns the IDs of the matching members that are alive or leaving, but not
+// suspect.
 func liveIn(s *Snapshot, fits func(*peerv1.Member) bool) []string {
 	var ids []string
 	for _, m := range s.Members {
@@ -109,15 +114,15 @@
 	return c.adopt(&peerv1.ConfigDocument{Version: version.Version, EditId: version.EditID, Document: document})
 }
 
-// adopt puts a configuration in force if it is newer. A lower version is never
-// applied: an answer of the platform or of a peer may be late, and the
-// configuration would go back to what operators have replaced.
+// adopt puts a configuration in force if it is newer. A lower version is never applied: a response
+// of the platform or of a peer may be late, and applying it would bring back a configuration that
+// operators have replaced.
 func (c *Controller) adopt(doc *peerv1.ConfigDocument) error {
 	if doc.Version <= c.Snapshot().Version() {
 		return nil
 	}
-	// An accepted document is valid, but one from a newer release may hold keys that
-	// this one does not know. Then the last configuration stays in force here.
+	// An accepted document is valid, but one written by a newer release may have keys that this
+	// release does not know. Then the last configuration stays in force here.
 	if err := checkDocument(doc); err != nil {
 		metrics.Count("config_refused")
 		c.log.Warn("configuration refused", zap.Uint64("version", doc.Version), zap.Error(err))
@@ -155,7 +160,8 @@
 	return document, nil
 }
 
-// considerVersion fetches the configuration from a peer that has a newer one.
+// fetchIfNewer fetches the configuration from a peer in the background if the peer has a newer
+// version. At most one fetch runs at a time.
 func (c *Controller) considerVersion(address string, version uint64) {
 	if version <= c.Snapshot().Version() {
 		return
@@ -163,7 +169,7 @@
 	select {
 	case c.fetching <- struct{}{}:
 	default:
-		return // another fetch is under way; the next message offers it again
+		return // another fetch is running; later messages offer the version again
 	}
 	go func() {
 		defer func() { <-c.fetching }()
@@ -171,7 +177,7 @@
 		defer cancel()
 		doc, err := c.opts.Transport.FetchConfig(ctx, address, &peerv1.FetchConfigRequest{MinVersion: version})
 		if err != nil {
-			c.log.Debug("configuration not fetched", zap.String("peer", address), zap.Error(err))
+			c.log.Debug("fetching the configuration from a peer failed", zap.String("peer", address), zap.Error(err))
 			return
 		}
 		_ = c.adopt(doc)
--- a/controller/seeds.go
+++ b/controller/seeds.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// seedInterval is the time between two reads of the platform's VM list. The
-	// list lags anyway; membership is kept by probes.
+	// seedInterval is the time between two reads of the platform's VM list. The list lags behind in
+	// any case; probes keep the membership current.
 	seedInterval = 30 * time.Second
-	// joinInterval is the least time between two full exchanges with a random
-	// member. They repair whatever updates got lost.
+	// joinInterval is the minimum time between two full membership exchanges with a random member.
+	// They repair the loss of individual updates.
 	joinInterval = 20 * time.Second
-	// joinIntervalPerMember keeps the bytes of full exchanges constant: an exchange
-	// grows with the number of members, so it comes more rarely.
+	// joinIntervalPerMember lengthens the interval with the number of members. An exchange grows
+	// with that number too, so the bytes per second stay constant.
 	joinIntervalPerMember = 200 * time.Millisecond
-	// maxRetryDelay bounds the wait after failures of the platform.
+	// maxRetryDelay bounds the wait between two reads of the VM list while no other member is
+	// known.
 	maxRetryDelay = 5 * time.Second
 )
 
-// seedLoop reads the platform's VM list: quickly until another member is known,
-// then rarely.
+// seedLoop reads the platform's VM list: at short intervals until another member is known, and then
+// every seedInterval.
 func (c *Controller) seedLoop(ctx context.Context) {
 	for {
 		vms, err := c.opts.Platform.ListVMs(ctx)
@@ -32,7 +33,7 @@
 			c.do(func(s *state) { s.seeds = vms })
 			c.joinFirst(ctx)
 		} else if ctx.Err() == nil {
-			c.log.Debug("vm list not read", zap.Error(err))
+			c.log.Debug("reading the platform's VM list failed", zap.Error(err))
 		}
 		wait := seedInterval
 		if len(c.Snapshot().Members) == 1 {
@@ -44,8 +45,8 @@
 	}
 }
 
-// joinFirst makes a full exchange with the first VM of the list that answers, if
-// no other member is known yet.
+// joinSeeds makes a full membership exchange with randomly chosen VMs of the list until another
+// member is known, with a bounded number of tries.
 func (c *Controller) joinFirst(ctx context.Context) {
 	const tries = 3
 	for range tries {
@@ -58,7 +59,7 @@
 	}
 }
 
-// joinLoop makes a full exchange with a random member now and then.
+// joinLoop periodically makes a full membership exchange with a random member.
 func (c *Controller) joinLoop(ctx context.Context) {
 	for {
 		members := time.Duration(len(c.Snapshot().Members))
@@ -73,6 +74,8 @@
 	}
 }
 
+// join sends the own record to the controller at address and applies all records that it returns.
+// Errors are ignored, since the callers try again.
 func (c *Controller) join(ctx context.Context, address string) {
 	req := &peerv1.JoinRequest{From: c.Snapshot().Self}
 	ctx, cancel := context.WithTimeout(ctx, 2*c.pingTimeout())
--- a/controller/server.go
+++ b/controller/server.go
@@ -10,7 +10,7 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// membershipServer answers other controllers.
+// membershipServer implements peerv1.MembershipHandler for other controllers.
 type membershipServer struct{ c *Controller }
 
 var errStopped = connect.NewError(connect.CodeUnavailable, eris.New("controller has stopped"))
@@ -25,7 +25,8 @@
 		m.c.applyAll(s, req.Msg.Updates)
 		m.c.applyAll(s, []*peerv1.Member{req.Msg.From})
 		res.Updates = append(res.Updates, s.table.Self())
-		// The caller may be held dead here. It must hear so, or it never refutes it.
+		// The caller may be recorded as dead here. The response must include that record, or the
+		// caller never refutes it.
 		if r := s.table.Record(req.Msg.From.Id); r != nil && r.State > peerv1.MemberState_MEMBER_STATE_ALIVE {
 			res.Updates = append(res.Updates, r)
 		}
@@ -74,8 +75,8 @@
 	return connect.NewResponse(doc), nil
 }
 
-// checkMembers refuses records that could not be acted on: they would be passed
-// on to everyone.
+// checkMembers rejects records that no controller could act on, because they would be spread to all
+// members.
 func checkMembers(members []*peerv1.Member) error {
 	const longestName = 63
 	for _, m := range members {
--- a/controller/state.go
+++ b/controller/state.go
@@ -6,18 +6,19 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// state is owned by one goroutine.
+// state is owned by the goroutine of stateLoop.
 type state struct {
 	table  *membership.Table
 	config *peerv1.ConfigDocument
-	// seeds are the VMs on the platform's list.
+	// seeds are the VMs of the platform's list.
 	seeds []platform.VM
-	// gateway is the open stream of this VM's gateway; nil without one.
+	// gateway is the open Watch stream of this VM's gateway; nil without one.
 	gateway *gatewayStream
-	// gatewayLeaving and drained are the two causes for which the VM is leaving.
+	// gatewayLeaving (requested by the gateway) and drained (requested by an operator) are the
+	// reasons for which the VM is leaving.
 	gatewayLeaving bool
 	drained        bool
-	// dirty is set by changes that a snapshot shows.
+	// dirty is set by changes that are visible in a snapshot.
 	dirty bool
 }
 
@@ -30,11 +31,11 @@
 type Snapshot struct {
 	// Self is this VM's own record.
 	Self *peerv1.Member
-	// Members are all that are not dead, this VM included, sorted by ID.
+	// Members are all members that are not dead, including this VM, sorted by ID.
 	Members []*peerv1.Member
-	// Config is the accepted configuration; nil before the first.
+	// Config is the configuration in force; nil before the first.
 	Config *peerv1.ConfigDocument
-	// changed is closed when a newer snapshot is there.
+	// changed is closed when a newer snapshot has been stored.
 	changed chan struct{}
 }
 
@@ -42,16 +43,17 @@
 	return &Snapshot{Self: table.Self(), Members: table.Live(), Config: config, changed: make(chan struct{})}
 }
 
-// Changed is closed when a newer snapshot is there.
+// Changed returns a channel that is closed when a newer snapshot is available.
 func (s *Snapshot) Changed() <-chan struct{} { return s.changed }
 
-// Version returns the version of the accepted configuration, 0 before the first.
+// Version returns the version of the configuration in force, 0 before the first.
 func (s *Snapshot) Version() uint64 { return s.Config.GetVersion() }
 
-// Snapshot returns the latest view.
+// Snapshot returns the latest snapshot.
 func (c *Controller) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// publish makes changes visible. Only the state's owner calls it.
+// publish stores a new snapshot if the state has changed. It is called only by the goroutine that
+// owns the state.
 func (c *Controller) publish(s *state) {
 	if !s.dirty {
 		return
@@ -62,8 +64,7 @@
 	close(old.changed)
 }
 
-// updateSelf recomputes this VM's own record from the gateway's stream and the
-// causes for leaving.
+// updateSelf recomputes this VM's own record from the gateway's stream and the reasons for leaving.
 func (c *Controller) updateSelf(s *state) {
 	before := s.table.Self()
 	s.table.UpdateSelf(func(m *peerv1.Member) {
--- a/controller/transport.go
+++ b/controller/transport.go
@@ -13,7 +13,7 @@
 	"github.com/crocusreel/crocusreel/peer/peerv1"
 )
 
-// Transport sends messages to other controllers. Addresses are IP:port.
+// Transport sends messages to other controllers. Addresses have the form IP:port.
 type Transport interface {
 	Ping(ctx context.Context, address string, req *peerv1.PingRequest) (*peerv1.PingResponse, error)
 	IndirectPing(ctx context.Context, address string, req *peerv1.IndirectPingRequest) (*peerv1.IndirectPingResponse, error)
@@ -22,11 +22,11 @@
 	SetLeaving(ctx context.Context, address string, req *peerv1.SetLeavingRequest) (*peerv1.SetLeavingResponse, error)
 }
 
-// maxCachedClients bounds the clients kept for addresses. VMs are replaced all the
-// time; without a bound each address ever seen would stay in memory.
+// maxCachedClients bounds the cached clients; the cache is cleared when it is full. VMs are
+// replaced continually, so without a bound every address ever seen would stay in memory.
 const maxCachedClients = 64
 
-// connectTransport is the Transport of real processes.
+// connectTransport is the Transport over the network.
 type connectTransport struct {
 	http *http.Client
 	tls  *tls.Config
@@ -40,11 +40,12 @@
 	node       peerv1.NodeClient
 }
 
-// NewTransport returns a Transport over connect, with TLS if the source is not nil.
+// NewTransport returns a Transport over Connect, with TLS if source is not nil.
 func NewTransport(source *tlsreload.Source) Transport {
 	return &connectTransport{http: source.HTTPClient(), tls: source.Config(), clients: make(map[string]*addressClients)}
 }
 
+// clientsFor returns the cached clients for an address, or creates them.
 func (t *connectTransport) to(address string) *addressClients {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,7 +65,7 @@
 	return c
 }
 
-// call unwraps connect's envelopes.
+// call wraps the request and unwraps the response of a Connect method.
 func call[Req, Res any](ctx context.Context, req *Req,
 	method func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error),
 ) (*Res, error) {
--- a/controller/unload.go
+++ b/controller/unload.go
@@ -8,18 +8,18 @@
 	"github.com/crocusreel/crocusreel/endpoint"
 )
 
-// staleOrderLife is how long an order may still reach an engine after its sender
-// has stopped. The sender's operating system sends what is in its buffers again
-// for about 15 minutes, also while the process is frozen.
+// staleOrderLifetime is how long an order may still reach an engine after its sender has stopped.
+// The sender's operating system retransmits buffered data for about 15 minutes, even while the
+// process is frozen.
 const staleOrderLife = 16 * time.Minute
 
-// mayUnload protects the copies that must stay. The other engines' states are read
-// anew, since one that died a moment ago is no copy any more, and one that may have
-// been told to unload counts as if it had.
+// mayUnload reports whether the model keeps its required copies after an unload. The states of
+// other engines are read again, since an engine that has just died is no copy any more. An engine
+// that may still receive an unload of the model is counted as having unloaded it.
 func (k *orderKeeper) mayUnload(ctx context.Context, t *tracked, o endpoint.Order) bool {
 	need := k.keep[o.Model]
 	if need == 0 {
-		return true // no data centre offers the model any more
+		return true // no data centre offers the model any longer
 	}
 	var others []*tracked
 	for _, other := range k.engines {
@@ -47,7 +47,7 @@
 	return copies >= need
 }
 
-// stays tells whether the engine is not about to be reclaimed, as far as it knows.
+// notLeaving reports whether the engine answers and does not expect to be reclaimed.
 func (t *tracked) stays(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -55,14 +55,15 @@
 	return err == nil && !report.Leaving
 }
 
-// remains tells whether the engine keeps the model in another version.
+// keepsOtherVersion reports whether the engine has the model in another version, which the unload
+// leaves in place.
 func remains(s endpoint.State, o endpoint.Order) bool {
 	return slices.ContainsFunc(s.Models, func(m endpoint.LoadedModel) bool {
 		return m.Model == o.Model && m.Version != o.Version
 	})
 }
 
-// inDoubt tells whether an unload of the model may still take effect at an engine.
+// unloadInDoubt reports whether an unload of the model may still take effect at an engine.
 func (k *orderKeeper) inDoubt(t *tracked, model string) bool {
 	for intent := range k.doubt {
 		if intent.Endpoint == t.target.spec.Name && intent.Model == model {
@@ -72,7 +73,8 @@
 	return false
 }
 
-// announce stores an unload before it is ordered.
+// announceUnload stores the intent of an unload before the order is sent, and reports whether it is
+// certainly stored.
 func (k *orderKeeper) announce(ctx context.Context, t *tracked, o endpoint.Order) bool {
 	_, fence := k.lease.remaining()
 	intent := unloadIntent{Endpoint: t.target.spec.Name, Model: o.Model, Fence: fence}
@@ -80,7 +82,7 @@
 	return k.lease.announce(ctx, intent)
 }
 
-// settle ends the doubt about an unload whose effect was seen.
+// settleUnload removes the intent of an unload whose effect was seen. Other orders have no intent.
 func (k *orderKeeper) settle(t *tracked, o endpoint.Order) {
 	if o.Verb != verbUnload {
 		return
@@ -90,8 +92,8 @@
 	k.lease.settle(intent)
 }
 
-// refreshDoubt takes over the announcements of former holders and drops those
-// whose order can no longer take effect.
+// refreshInDoubtUnloads adds the intents of former holders and removes those whose order can no
+// longer take effect.
 func (k *orderKeeper) refreshDoubt() {
 	now := k.c.now()
 	for _, intent := range k.lease.intents() {
@@ -107,8 +109,8 @@
 	}
 }
 
-// refusedByFence tells whether the engine checks fencing numbers and has seen a
-// higher one than the order's.
+// refusedByFence reports whether the engine checks fencing numbers and has seen a higher one than
+// that of the intent.
 func (k *orderKeeper) refusedByFence(intent unloadIntent) bool {
 	t, ok := k.engines[intent.Endpoint]
 	return ok && t.target.spec.ChecksFence && t.reached && t.state.Fence > intent.Fence
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -17,14 +17,14 @@
 const (
 	configTable = "config"
 	headKey     = "head"
-	// versionPrefix begins the keys of the immutable rows, one for each version.
+	// versionPrefix is the key prefix of the immutable rows, one for each version.
 	versionPrefix = "version/"
 	// applyRetryDelay is the wait between two attempts at one commit.
 	applyRetryDelay = 100 * time.Millisecond
 )
 
-// versionStore keeps accepted configurations in the platform's table: one head row
-// with the latest version, and one row for each version that is never changed.
+// versionStore keeps accepted configurations in the platform's table: one head row with the latest
+// version, and one immutable row for each version.
 type versionStore struct {
 	tables platform.Tables
 	now    func() time.Time
@@ -32,7 +32,8 @@
 
 func versionKey(version uint64) string { return fmt.Sprintf("%s%012d", versionPrefix, version) }
 
-// head reads the latest version without its document, and the row that holds it.
+// head reads the latest version without its document, and the row that holds it. Before the first
+// edit the version is zero.
 func (v *versionStore) head(ctx context.Context) (operator.Version, platform.Row, error) {
 	row, err := v.tables.Get(ctx, configTable, headKey)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return version, row, err
 }
 
-// read returns one version with its document.
+// read returns one version with its document, or operator.ErrNoVersion.
 func (v *versionStore) read(ctx context.Context, version uint64) (operator.Version, error) {
 	row, err := v.tables.Get(ctx, configTable, versionKey(version))
 	if err != nil {
@@ -65,7 +66,7 @@
 	return version, nil
 }
 
-// history returns the latest versions, newest first, without documents.
+// history returns the latest versions without documents, newest first, at most limit of them.
 func (v *versionStore) history(ctx context.Context, limit int) ([]operator.Version, error) {
 	head, _, err := v.head(ctx)
 	if err != nil {
@@ -91,7 +92,8 @@
 	return versions, nil
 }
 
-// apply stores an edit as the next version. The document must be valid.
+// apply stores an edit as the next version. The document must be valid. Errors: *operator.Conflict,
+// operator.ErrUnavailable if nothing was written, operator.ErrUnknown if the outcome is not known.
 func (v *versionStore) apply(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	head, row, err := v.head(ctx)
 	if err != nil {
@@ -116,10 +118,10 @@
 		case errors.Is(err, platform.ErrUnavailable) && !sent:
 			return operator.Version{}, eris.Wrap(operator.ErrUnavailable, err.Error())
 		}
-		// The answer was lost, so the edit may be in force. The same transaction goes
-		// out again: its conditions let it take effect once at most, and if it has
-		// already, the conflict leads to reading it back. A bare look at the head
-		// would not do, since the first attempt may still be on its way.
+		// The response was lost, so the edit may be in force. The same transaction is sent again:
+		// its conditions let it take effect at most once, and if it already has, the conflict leads
+		// to reading it back. Reading the head alone would not be enough, since the first attempt
+		// may still be in transit.
 		sent = true
 		if !sleep(ctx, applyRetryDelay) {
 			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
@@ -127,7 +129,8 @@
 	}
 }
 
-// readBack finds out whose edit is in force after a condition failed.
+// resolveConflict reads the head after a failed condition to find out whose edit is in force. It
+// retries failed reads until ctx ends.
 func (v *versionStore) readBack(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	for {
 		head, _, err := v.head(ctx)
@@ -140,8 +143,8 @@
 	}
 }
 
-// settled answers an edit whose base is no longer in force: it succeeded if the
-// version after its base is this very edit, else it conflicts.
+// resolveOutdated decides an edit whose base version is no longer the latest: the edit has
+// succeeded if the version after its base carries its edit ID, and conflicts otherwise.
 func (v *versionStore) settled(ctx context.Context, e operator.Edit, head operator.Version) (operator.Version, error) {
 	if head.Version > e.ExpectedVersion {
 		successor, err := v.read(ctx, e.ExpectedVersion+1)
@@ -155,8 +158,8 @@
 	return operator.Version{}, v.conflict(ctx, e, head)
 }
 
-// conflict says what others changed since the edit's base. The changes are left
-// out if the platform fails meanwhile; the conflict stands all the same.
+// newConflict returns an error that lists what others changed since the edit's base. If the
+// platform fails meanwhile, the changes are omitted; the edit conflicts all the same.
 func (v *versionStore) conflict(ctx context.Context, e operator.Edit, head operator.Version) error {
 	c := &operator.Conflict{Current: head}
 	current, err := v.read(ctx, head.Version)
@@ -175,8 +178,8 @@
 	return c
 }
 
-// versionTxn sets the head and adds the version's own row. Head and version row
-// are written together, or a reader could find a head without its document.
+// versionTxn returns the transaction that sets the head and adds the version's own row. Both are
+// written together; otherwise a reader could find a head without its document.
 func versionTxn(next operator.Version, headRow int64) (platform.Txn, error) {
 	full, err := json.Marshal(next)
 	if err != nil {
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -23,10 +23,9 @@
 }
 
 var _ = Describe("Accepted versions", func() {
-	// Two operators edit the same version at the same time. Without the condition on
-	// the head the later one would undo the earlier one's edit, and nobody would be
-	// told.
-	It("go to one of several racing edits, and the others see what it changed", func() {
+	// Two operators edit the same version at the same time. Without the condition on the head, the
+	// later edit would overwrite the earlier one without notice.
+	It("result from one of several concurrent edits, and the others get a conflict with its changes", func() {
 		const racers = 8
 		p := newFakePlatform()
 		store := newStore(p)
@@ -57,10 +56,10 @@
 		Expect(accepted).To(Equal(1))
 	})
 
-	// The platform applies an edit and its answer is lost. Reported as failed, the
-	// operator would edit again on top of what is in force already; reported as a
-	// conflict, the operator would look for somebody else's edit.
-	DescribeTable("survive a lost answer", func(fault commitFault) {
+	// The platform applies an edit but its response is lost. If this were reported as failure, the
+	// operator would edit again on top of it; if as a conflict, the operator would look for an edit
+	// of somebody else.
+	DescribeTable("contain an edit once after a lost response", func(fault commitFault) {
 		p := newFakePlatform()
 		store := newStore(p)
 		first := true
@@ -81,13 +80,13 @@
 		Expect(head.Version).To(Equal(uint64(1)))
 	},
 		Entry("after the edit took effect", answerLost),
-		Entry("with the request", requestLost),
-		Entry("while the request is still on its way", appliedLate),
+		Entry("if the request was lost too", requestLost),
+		Entry("while the request is still in transit", appliedLate),
 	)
 
-	// The same edit is sent again by a tool that got no answer, when others have
-	// edited since. It must learn that its edit was accepted.
-	It("recognise an edit that is sent again", func() {
+	// A tool that got no response sends its edit again after others have edited. It must learn that
+	// the edit was accepted.
+	It("include an edit only once if it is sent again", func() {
 		store := newStore(newFakePlatform())
 		for i, id := range []string{"a", "b", "c"} {
 			_, err := store.apply(context.Background(), edit(uint64(i), id))
@@ -98,7 +97,7 @@
 		Expect(v.Version).To(Equal(uint64(2)))
 	})
 
-	It("stay as they are in an outage, and the edit is refused at once", func() {
+	It("do not change in an outage, and the edit is refused at once", func() {
 		p := newFakePlatform()
 		p.down = true
 		_, err := newStore(p).apply(context.Background(), edit(0, "e"))
@@ -106,9 +105,8 @@
 	})
 })
 
-// Edits race while commits and answers get lost in any order. What operators were
-// told must agree with what is stored: an accepted edit is in the history once, a
-// refused one is not.
+// Edits compete while commits and responses are lost in any order. The results that operators got
+// must agree with the stored history: an accepted edit is stored once, a refused one is not.
 func TestVersionsAgreeWithAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform()
@@ -151,7 +149,7 @@
 	})
 }
 
-// checkHistory reads the whole chain of versions.
+// checkHistory passes the number of stored versions for each edit ID to check.
 func checkHistory(t *rapid.T, store *versionStore, check func(map[string]int)) {
 	head, _, err := store.head(context.Background())
 	if err != nil {
