--- a/controller/backend.go
+++ b/controller/backend.go
@@ -36,18 +36,18 @@
 // Version implements operator.Backend.
 func (c *Controller) Version(ctx context.Context, version uint64) (operator.Version, error) {
 	v, err := c.versions.read(ctx, version)
-	return v, unavailable(err)
+	return v, wrapUnavailable(err)
 }
 
 // History implements operator.Backend.
 func (c *Controller) History(ctx context.Context, limit int) ([]operator.Version, error) {
 	versions, err := c.versions.history(ctx, limit)
-	return versions, unavailable(err)
+	return versions, wrapUnavailable(err)
 }
 
-// wrapUnavailable converts platform errors that leave the state unavailable or unknown to
+// wrapUnavailable converts platform errors that leave the state wrapUnavailable or unknown to
 // operator.ErrUnavailable.
-func unavailable(err error) error {
+func wrapUnavailable(err error) error {
 	if errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown) {
 		return eris.Wrap(operator.ErrUnavailable, err.Error())
 	}
@@ -94,14 +94,14 @@
 // Status implements operator.Backend.
 func (c *Controller) Status() operator.Status {
 	s := c.Snapshot()
-	status := operator.Status{VM: s.Self.Id, ConfigVersion: s.Version(), Lease: c.orders.lease.status()}
+	status := operator.Status{VM: s.Self.Id, ConfigVersion: s.Version(), Lease: c.reconciler.lease.status()}
 	for _, m := range s.Members {
 		status.Members = append(status.Members, operator.MemberStatus{
 			VM: m.Id, DataCentre: m.DataCentre, Region: m.Region, State: stateName(m.State),
 			GatewayAddress: m.GatewayAddress, CallerAddress: m.CallerAddress,
 		})
 	}
-	status.Endpoints = c.orders.status()
+	status.Endpoints = c.reconciler.status()
 	return status
 }
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -41,20 +41,20 @@
 	log      *zap.Logger
 	now      func() time.Time
 	versions *versionStore
-	orders   *orderKeeper
+	reconciler   *reconciler
 
 	// ops are the functions for the goroutine that owns the state.
-	events   chan func(*state)
+	ops   chan func(*state)
 	stopped  chan struct{}
 	snapshot atomic.Pointer[Snapshot]
 	// pushSignal wakes pushLoop. Its capacity of one merges signals.
-	pushNow chan struct{}
+	pushSignal chan struct{}
 	// fetchSlot is occupied while a configuration is fetched from a peer.
-	fetching chan struct{}
+	fetchSlot chan struct{}
 }
 
 // opQueueSize bounds the functions that wait for the goroutine that owns the state.
-const eventQueue = 256
+const opQueueSize = 256
 
 // New returns a controller whose loops start with Run. Its state is already served from a
 // goroutine, which ends when Run returns.
@@ -67,12 +67,12 @@
 		log:      opts.Log,
 		now:      opts.Now,
 		versions: &versionStore{tables: opts.Platform, now: opts.Now},
-		events:   make(chan func(*state), eventQueue),
+		ops:   make(chan func(*state), opQueueSize),
 		stopped:  make(chan struct{}),
-		pushNow:  make(chan struct{}, 1),
-		fetching: make(chan struct{}, 1),
+		pushSignal:  make(chan struct{}, 1),
+		fetchSlot: make(chan struct{}, 1),
 	}
-	c.orders = newOrderKeeper(c)
+	c.reconciler = newReconciler(c)
 	self := &peerv1.Member{
 		Id:                opts.Settings.VM.ID,
 		DataCentre:        opts.Settings.VM.DataCentre,
@@ -85,7 +85,7 @@
 	}
 	table := membership.New(self, c.probeInterval(), rand.Uint64())
 	c.snapshot.Store(newSnapshot(table, nil))
-	go c.own(&state{table: table})
+	go c.stateLoop(&state{table: table})
 	return c
 }
 
@@ -102,7 +102,7 @@
 func (c *Controller) Run(ctx context.Context) error {
 	var g run.Group
 	for _, actor := range []func(context.Context){
-		c.probeLoop, c.pushLoop, c.seedLoop, c.joinLoop, c.readLoop, c.orders.run,
+		c.probeLoop, c.pushLoop, c.seedLoop, c.joinLoop, c.readLoop, c.reconciler.run,
 	} {
 		actorCtx, cancel := context.WithCancel(ctx)
 		g.Add(func() error {
@@ -117,11 +117,11 @@
 
 // stateLoop is the goroutine that owns the state. It publishes a snapshot after each function that
 // changed it.
-func (c *Controller) own(s *state) {
+func (c *Controller) stateLoop(s *state) {
 	for {
 		select {
-		case event := <-c.events:
-			event(s)
+		case op := <-c.ops:
+			op(s)
 			c.publish(s)
 		case <-c.stopped:
 			return
@@ -131,14 +131,14 @@
 
 // withState runs f in the goroutine that owns the state and waits for it. It returns false if the
 // controller has stopped; f may not have run then.
-func (c *Controller) do(f func(*state)) bool {
+func (c *Controller) withState(f func(*state)) bool {
 	done := make(chan struct{})
-	event := func(s *state) {
+	op := func(s *state) {
 		f(s)
 		close(done)
 	}
 	select {
-	case c.events <- event:
+	case c.ops <- op:
 	case <-c.stopped:
 		return false
 	}
@@ -151,16 +151,16 @@
 }
 
 // triggerPush makes pushLoop send the latest changes to the neighbours at once.
-func (c *Controller) push() {
+func (c *Controller) triggerPush() {
 	select {
-	case c.pushNow <- struct{}{}:
+	case c.pushSignal <- struct{}{}:
 	default:
 	}
 }
 
 // sleepWithJitter waits for d with a jitter of 25 % in either direction, so that controllers that
 // started together do not stay synchronised. It returns false if ctx ended.
-func sleep(ctx context.Context, d time.Duration) bool {
+func sleepWithJitter(ctx context.Context, d time.Duration) bool {
 	if d > 0 {
 		d += time.Duration(rand.Int64N(int64(d)/2+1)) - d/4
 	}
--- a/controller/fakes_test.go
+++ b/controller/fakes_test.go
@@ -41,8 +41,8 @@
 
 const (
 	applied commitFault = iota
-	// answerLost applies the commit and reports ErrUnknown.
-	answerLost
+	// responseLost applies the commit and reports ErrUnknown.
+	responseLost
 	// requestLost applies nothing and reports ErrUnknown.
 	requestLost
 	// appliedLate reports ErrUnknown and applies the commit 20 ms later.
@@ -95,7 +95,7 @@
 		return 0, platform.ErrUnknown
 	}
 	version, err := p.apply(txn)
-	if fault == answerLost {
+	if fault == responseLost {
 		return 0, platform.ErrUnknown
 	}
 	return version, err
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -18,8 +18,8 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// answerLimit is the time after which a message counts as never answered.
-const answerLimit = 10 * time.Second
+// answerTimeout is the time after which a message counts as never answered.
+const answerTimeout = 10 * time.Second
 
 // A faulty peer, or an attacker who reaches the peer listener, sends messages with extreme or
 // malformed fields. A controller that crashes or hangs on one leaves its VM without configuration
@@ -67,7 +67,7 @@
 		}()
 		select {
 		case <-answered:
-		case <-time.After(answerLimit):
+		case <-time.After(answerTimeout):
 			stacks := make([]byte, 1<<20)
 			t.Fatalf("no answer; goroutines:\n%s", stacks[:runtime.Stack(stacks, true)])
 		}
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -19,10 +19,10 @@
 const (
 	leaseTable = "leases"
 	// renewalsPerLease is the number of renewal attempts within one lease duration.
-	renewals = 3
+	renewalsPerLease = 3
 	// skewMarginDivisor sets the extra time that a successor waits beyond the lease duration, as a
 	// fraction (duration/skewMarginDivisor). It covers clocks that run at different rates.
-	skewShare = 4
+	skewMarginDivisor = 4
 )
 
 // leaseRow is the stored form of the lease. The lease is free if Holder is empty.
@@ -56,10 +56,10 @@
 	region  string
 	vm      string
 	process string
-	length  time.Duration
+	duration  time.Duration
 
 	// writeMu serialises writes of the row. It is locked before mu.
-	writing sync.Mutex
+	writeMu sync.Mutex
 
 	mu sync.Mutex
 	// row and rowVersion are as last read or written; they are valid if known is set.
@@ -70,14 +70,14 @@
 	seenAt time.Time
 	// expiresAt is when the lease expires by the clock of this process; zero if the lease is not
 	// held.
-	until time.Time
+	expiresAt time.Time
 }
 
 func newLease(c *Controller) *lease {
 	s := c.opts.Settings
 	return &lease{
 		tables: c.opts.Platform, log: c.log, now: c.now, region: s.VM.Region, vm: s.VM.ID,
-		process: uuid.NewString(), length: time.Duration(s.LeaseMS) * time.Millisecond,
+		process: uuid.NewString(), duration: time.Duration(s.LeaseMS) * time.Millisecond,
 	}
 }
 
@@ -92,7 +92,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	monotonic, wall := l.until.Sub(now), l.until.Round(0).Sub(now.Round(0))
+	monotonic, wall := l.expiresAt.Sub(now), l.expiresAt.Round(0).Sub(now.Round(0))
 	return min(monotonic, wall), l.row.Fence
 }
 
@@ -103,20 +103,20 @@
 
 // isHolder reports whether the last known row names this process as the holder. The caller holds
 // mu.
-func (l *lease) mine() bool { return l.row.Holder == l.vm && l.row.Process == l.process }
+func (l *lease) isHolder() bool { return l.row.Holder == l.vm && l.row.Process == l.process }
 
 // renewOrAcquire renews the lease if this process holds it. Otherwise, if mayAcquire is set, it
 // acquires the lease once it is free or has expired.
-func (l *lease) step(ctx context.Context, mayTake bool) {
+func (l *lease) renewOrAcquire(ctx context.Context, mayAcquire bool) {
 	l.mu.Lock()
-	renew := l.known && l.mine()
+	renew := l.known && l.isHolder()
 	l.mu.Unlock()
 	if renew {
-		l.write(ctx, func(*leaseRow) {})
+		l.writeRow(ctx, func(*leaseRow) {})
 		return
 	}
-	if mayTake && l.look(ctx) && l.free() {
-		l.write(ctx, func(row *leaseRow) {
+	if mayAcquire && l.readRow(ctx) && l.acquirable() {
+		l.writeRow(ctx, func(row *leaseRow) {
 			row.Holder, row.Process, row.Fence = l.vm, l.process, row.Fence+1
 		})
 	}
@@ -124,8 +124,8 @@
 
 // storeIntent adds an intent to the row and reports whether it is certainly stored. A successful
 // write also shows that no other process has acquired the lease so far.
-func (l *lease) announce(ctx context.Context, intent unloadIntent) bool {
-	return l.write(ctx, func(row *leaseRow) {
+func (l *lease) storeIntent(ctx context.Context, intent unloadIntent) bool {
+	return l.writeRow(ctx, func(row *leaseRow) {
 		if !slices.Contains(row.Unloads, intent) {
 			row.Unloads = append(slices.Clone(row.Unloads), intent)
 		}
@@ -134,16 +134,16 @@
 
 // removeIntent removes an intent from the local row; the next renewal writes the change to the
 // store.
-func (l *lease) settle(intent unloadIntent) {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+func (l *lease) removeIntent(intent unloadIntent) {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.row.Unloads = slices.DeleteFunc(slices.Clone(l.row.Unloads), func(u unloadIntent) bool { return u == intent })
 }
 
 // unloadIntents returns the announced unloads, including those of former holders.
-func (l *lease) intents() []unloadIntent {
+func (l *lease) unloadIntents() []unloadIntent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.row.Unloads
@@ -151,7 +151,7 @@
 
 // readRow reads the row and records when it changed. It returns false if the row cannot be read or
 // decoded.
-func (l *lease) look(ctx context.Context) bool {
+func (l *lease) readRow(ctx context.Context) bool {
 	row, err := l.tables.Get(ctx, leaseTable, l.key())
 	if err != nil {
 		metrics.Count("lease_read_failed")
@@ -168,27 +168,27 @@
 		l.seenAt = l.now()
 	}
 	l.known, l.row, l.rowVersion = true, stored, row.Version
-	if !l.mine() {
-		l.until = time.Time{}
+	if !l.isHolder() {
+		l.expiresAt = time.Time{}
 	}
 	return true
 }
 
-// acquirable reports whether this process may acquire the lease: it is free, it names this process,
+// acquirable reports whether this process may acquire the lease: it is acquirable, it names this process,
 // or the holder's time is certainly over.
-func (l *lease) free() bool {
+func (l *lease) acquirable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	over := l.now().Sub(l.seenAt) > l.length+l.length/skewShare
-	return over || l.row.Holder == "" || l.mine()
+	over := l.now().Sub(l.seenAt) > l.duration+l.duration/skewMarginDivisor
+	return over || l.row.Holder == "" || l.isHolder()
 }
 
 // writeRow applies change to the row and stores it, on condition that the stored row is still the
-// one last seen. The lease is measured from before the write, since others may see the row before
+// one last seen. The lease is measured from before the writeRow, since others may see the row before
 // the response arrives. It reports whether the row is certainly stored.
-func (l *lease) write(ctx context.Context, change func(*leaseRow)) bool {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+func (l *lease) writeRow(ctx context.Context, change func(*leaseRow)) bool {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	l.mu.Lock()
 	row, version := l.row, l.rowVersion
 	l.mu.Unlock()
@@ -197,20 +197,20 @@
 	if err != nil {
 		panic("controller: lease row cannot be encoded: " + err.Error())
 	}
-	before := l.now()
+	writeStart := l.now()
 	written, err := l.tables.Commit(ctx, platform.Txn{
 		Conditions: []platform.Condition{{Table: leaseTable, Key: l.key(), Version: version}},
 		Writes:     []platform.Write{{Table: leaseTable, Key: l.key(), Value: value}},
 	})
 	switch {
 	case err == nil:
-		l.took(row, written, before)
+		l.recordWrite(row, written, writeStart)
 		return true
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrUnknown):
 		// Either another process holds the lease, or an earlier write of this process took effect
 		// although its response was lost. Reading the row resolves this: if it names this process,
 		// the next renewOrAcquire writes it again and measures the lease from that write.
-		l.look(ctx)
+		l.readRow(ctx)
 	default:
 		metrics.Count("lease_write_failed")
 	}
@@ -218,37 +218,37 @@
 }
 
 // recordWrite records a stored row. before is the time at which its write began.
-func (l *lease) took(row leaseRow, version int64, before time.Time) {
+func (l *lease) recordWrite(row leaseRow, version int64, writeStart time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if row.Fence != l.row.Fence || !l.mine() {
+	if row.Fence != l.row.Fence || !l.isHolder() {
 		metrics.Count("lease_taken")
 		l.log.Info("lease acquired", zap.String("region", l.region), zap.Uint64("fence", row.Fence))
 	}
-	l.row, l.rowVersion, l.known, l.seenAt = row, version, true, before
-	l.until = before.Add(l.length)
+	l.row, l.rowVersion, l.known, l.seenAt = row, version, true, writeStart
+	l.expiresAt = writeStart.Add(l.duration)
 	if row.Holder == "" {
-		l.until = time.Time{}
+		l.expiresAt = time.Time{}
 	}
 }
 
 // abandon gives up the lease in this process without writing the row. It is called when an engine
 // has seen a higher fencing number, which means that another process holds the lease.
-func (l *lease) drop() {
+func (l *lease) abandon() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until, l.known = time.Time{}, false
+	l.expiresAt, l.known = time.Time{}, false
 	l.row = leaseRow{}
 }
 
 // release frees the lease in the store, so that a successor does not have to wait for it to expire.
 func (l *lease) release(ctx context.Context) {
 	l.mu.Lock()
-	mine := l.known && l.mine()
-	l.until = time.Time{}
+	mine := l.known && l.isHolder()
+	l.expiresAt = time.Time{}
 	l.mu.Unlock()
 	if mine {
-		l.write(ctx, func(row *leaseRow) { row.Holder, row.Process = "", "" })
+		l.writeRow(ctx, func(row *leaseRow) { row.Holder, row.Process = "", "" })
 	}
 }
 
--- a/controller/membership/neighbours.go
+++ b/controller/membership/neighbours.go
@@ -46,14 +46,14 @@
 // from the neighbours that are not suspect, to which connections are already open.
 func (t *Table) Helpers(target string) []*peerv1.Member {
 	t.refreshNeighbours()
-	var helpers []*peerv1.Member
+	var probers []*peerv1.Member
 	for _, i := range t.rand.Perm(len(t.neighbours)) {
 		e := t.entries[t.neighbours[i]]
-		if e.member.Id != target && e.suspectUntil.IsZero() && len(helpers) < indirectProbes {
-			helpers = append(helpers, e.member)
+		if e.member.Id != target && e.suspectUntil.IsZero() && len(probers) < indirectProbes {
+			probers = append(probers, e.member)
 		}
 	}
-	return helpers
+	return probers
 }
 
 // RandomLive returns a random member other than self that is not dead, or nil.
@@ -68,19 +68,19 @@
 }
 
 // random returns a member that matches, each with equal probability (reservoir sampling), or nil.
-func (t *Table) random(fits func(*entry) bool) *peerv1.Member {
-	var choice *peerv1.Member
+func (t *Table) random(matches func(*entry) bool) *peerv1.Member {
+	var chosen *peerv1.Member
 	seen := 0
 	for _, e := range t.entries {
-		if !fits(e) {
+		if !matches(e) {
 			continue
 		}
 		seen++
 		if t.rand.IntN(seen) == 0 {
-			choice = e.member
+			chosen = e.member
 		}
 	}
-	return choice
+	return chosen
 }
 
 // refreshNeighbours chooses the neighbours again if members joined or left. The members are placed
@@ -88,10 +88,10 @@
 // successors of this member on the rings. Such a graph is connected with overwhelming probability
 // and has a diameter logarithmic in the number of members.
 func (t *Table) refreshNeighbours() {
-	if !t.setChanged {
+	if !t.neighboursStale {
 		return
 	}
-	t.setChanged = false
+	t.neighboursStale = false
 	t.neighbours = t.neighbours[:0]
 	live := make([]string, 0, len(t.entries))
 	for id, e := range t.entries {
@@ -133,12 +133,12 @@
 	h := fnv.New64a()
 	h.Write([]byte{byte(ring)})
 	h.Write([]byte(id))
-	return mix(h.Sum64())
+	return fmix64(h.Sum64())
 }
 
 // fmix64 is the 64-bit finaliser of MurmurHash3. It spreads the bits of an FNV hash, whose high
 // bits are similar for similar inputs.
-func mix(x uint64) uint64 {
+func fmix64(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -155,7 +155,7 @@
 		h.Write([]byte(task))
 		h.Write([]byte{0})
 		h.Write([]byte(id))
-		if score := mix(h.Sum64()); best == "" || score > bestScore || (score == bestScore && id < best) {
+		if score := fmix64(h.Sum64()); best == "" || score > bestScore || (score == bestScore && id < best) {
 			best, bestScore = id, score
 		}
 	}
--- a/controller/membership/table.go
+++ b/controller/membership/table.go
@@ -23,7 +23,7 @@
 	retransmitFactor = 3
 	// tombstoneLifetime is how long a dead member is remembered. A member that is forgotten could
 	// come back from a peer that has not received its death yet.
-	tombstoneLife = 10 * time.Minute
+	tombstoneLifetime = 10 * time.Minute
 	// maxIncarnation bounds the incarnations that are accepted. A record with the highest possible
 	// number could never be refuted.
 	maxIncarnation = 1 << 62
@@ -40,7 +40,7 @@
 	nextNeighbour int
 	rand          *rand.Rand
 	// neighboursStale is set when members joined or left since the neighbours were chosen.
-	setChanged bool
+	neighboursStale bool
 }
 
 // entry is the state of one other member.
@@ -85,7 +85,7 @@
 // Apply merges a record that another member sent. It reports whether that changed anything visible
 // in a snapshot.
 func (t *Table) Apply(m *peerv1.Member, now time.Time) bool {
-	if !believable(m) {
+	if !isValid(m) {
 		return false
 	}
 	if m.Id == t.self.Id {
@@ -106,7 +106,7 @@
 }
 
 // isValid reports whether a record has an ID, a known state and an incarnation that can be refuted.
-func believable(m *peerv1.Member) bool {
+func isValid(m *peerv1.Member) bool {
 	known := m.GetState() > peerv1.MemberState_MEMBER_STATE_UNSPECIFIED && m.GetState() <= peerv1.MemberState_MEMBER_STATE_DEAD
 	return known && m.GetId() != "" && m.GetIncarnation() < maxIncarnation
 }
@@ -115,7 +115,7 @@
 func (t *Table) set(e *entry, m *peerv1.Member, now time.Time) {
 	wasAbsent := e.member == nil || isDead(e.member)
 	if wasAbsent != isDead(m) {
-		t.setChanged = true
+		t.neighboursStale = true
 	}
 	// A higher incarnation originates from the member itself and ends a suspicion.
 	if e.member == nil || m.Incarnation > e.member.Incarnation {
@@ -199,7 +199,7 @@
 	for id, e := range t.entries {
 		switch {
 		case isDead(e.member):
-			if now.Sub(e.diedAt) > tombstoneLife {
+			if now.Sub(e.diedAt) > tombstoneLifetime {
 				delete(t.entries, id)
 			}
 		case !e.suspectUntil.IsZero() && now.After(e.suspectUntil):
@@ -248,18 +248,18 @@
 // updatesPerMessage.
 func (t *Table) Updates() []*peerv1.Member {
 	limit := retransmitFactor * t.logSize()
-	var fresh []*entry
+	var pending []*entry
 	for _, e := range t.entries {
 		if e.sent < limit {
-			fresh = append(fresh, e)
+			pending = append(pending, e)
 		}
 	}
-	sort.Slice(fresh, func(i, j int) bool { return fresh[i].sent < fresh[j].sent })
-	if len(fresh) > updatesPerMessage {
-		fresh = fresh[:updatesPerMessage]
+	sort.Slice(pending, func(i, j int) bool { return pending[i].sent < pending[j].sent })
+	if len(pending) > updatesPerMessage {
+		pending = pending[:updatesPerMessage]
 	}
-	updates := make([]*peerv1.Member, len(fresh))
-	for i, e := range fresh {
+	updates := make([]*peerv1.Member, len(pending))
+	for i, e := range pending {
 		e.sent++
 		updates[i] = e.member
 	}
--- a/controller/membership/table_test.go
+++ b/controller/membership/table_test.go
@@ -60,7 +60,7 @@
 			claim := member("self", incarnation, peerv1.MemberState(rapid.IntRange(0, 6).Draw(t, "state")))
 			table.Apply(claim, start)
 			// Members reject invalid records, so they need no refutation.
-			if believable(claim) && Supersedes(claim, table.Self()) {
+			if isValid(claim) && Supersedes(claim, table.Self()) {
 				t.Fatalf("%v is not refuted by %v", claim, table.Self())
 			}
 		}
--- a/controller/membership_test.go
+++ b/controller/membership_test.go
@@ -32,14 +32,14 @@
 		expectAll(nodes, count, "alive")
 		const window = 40
 		before, start := net.messages.Load(), time.Now()
-		time.Sleep(window * net.probe)
-		intervals := float64(time.Since(start)) / float64(net.probe)
+		time.Sleep(window * net.probeInterval)
+		intervals := float64(time.Since(start)) / float64(net.probeInterval)
 		perNode := float64(net.messages.Load()-before) / float64(count) / intervals
 		AddReportEntry("messages per node and interval", perNode)
 		// One probe per interval, with jitter, and occasionally a configuration fetch or a full
 		// exchange.
 		Expect(perNode).To(BeNumerically("<", 2))
-		Expect(net.longest.Load()).To(BeNumerically("<=", 8))
+		Expect(net.maxUpdates.Load()).To(BeNumerically("<=", 8))
 	},
 		Entry("8", 8), Entry("32", 32), Entry("128", 128),
 	)
@@ -60,8 +60,8 @@
 		net := newNetwork()
 		nodes := net.startAll(6)
 		expectAll(nodes, 6, "alive")
-		net.setCut(func(from, to string) bool { return to == nodes[0].address && from == nodes[1].address })
-		Consistently(nodes[1].states).WithTimeout(80 * net.probe).WithPolling(2 * time.Millisecond).
+		net.setDropped(func(from, to string) bool { return to == nodes[0].address && from == nodes[1].address })
+		Consistently(nodes[1].states).WithTimeout(80 * net.probeInterval).WithPolling(2 * time.Millisecond).
 			Should(HaveKeyWithValue("vm-000", "alive"))
 	})
 
@@ -75,10 +75,10 @@
 		side := func(address string) bool {
 			return address == nodes[0].address || address == nodes[1].address || address == nodes[2].address
 		}
-		net.setCut(func(from, to string) bool { return side(from) != side(to) })
+		net.setDropped(func(from, to string) bool { return side(from) != side(to) })
 		expectAll(nodes[:3], 3, "alive")
 		expectAll(nodes[3:], 6, "alive")
-		net.setCut(nil)
+		net.setDropped(nil)
 		expectAll(nodes, 9, "alive")
 	})
 
@@ -123,12 +123,12 @@
 
 // otherDelays is the part of a withdrawal's time beyond the read of the configuration: its spread,
 // the lag of the engines' reports, a poll, and requests that were admitted before.
-const othersParts = 1500 * time.Millisecond
+const otherDelays = 1500 * time.Millisecond
 
 var _ = Describe("Configurations", func() {
 	publish := func(net *network, base uint64, id string) {
 		GinkgoHelper()
-		_, err := newStore(net.platform).apply(GinkgoT().Context(), edit(base, id))
+		_, err := newStore(net.platform).apply(GinkgoT().Context(), newEdit(base, id))
 		Expect(err).NotTo(HaveOccurred())
 	}
 	expectVersion := func(nodes []*node, version uint64) {
@@ -177,7 +177,7 @@
 	// Guards against a configuration, such as a withdrawal, that comes into force too late because
 	// the reader still waits after an outage. The controller that accepted it has notified no peer.
 	It("are read in time after an outage of the platform", func() {
-		const bound = 3*time.Second - othersParts
+		const bound = 3*time.Second - otherDelays
 		net := newNetwork()
 		nodes := net.startAll(3)
 		publish(net, 0, "a")
@@ -243,9 +243,9 @@
 	// Versions arrive from the platform and from several peers concurrently, in any order.
 	It("only increase in version when several arrive at once", func() {
 		n := newNetwork().start(0)
-		var under sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range 8 {
-			under.Go(func() {
+			wg.Go(func() {
 				for v := range uint64(50) {
 					document := fmt.Appendf(nil, `{"base":"[service]\nname = \"s%d\""}`, v)
 					_ = n.adopt(&peerv1.ConfigDocument{Version: 1 + (v*37+uint64(i)*13)%400, Document: document})
@@ -254,7 +254,7 @@
 		}
 		done := make(chan struct{})
 		go func() {
-			under.Wait()
+			wg.Wait()
 			close(done)
 		}()
 		last := uint64(0)
@@ -279,14 +279,14 @@
 		publish(net, 0, "a")
 		expectVersion(nodes, 1)
 		side := func(address string) bool { return address == nodes[0].address || address == nodes[1].address }
-		net.setCut(func(from, to string) bool { return side(from) != side(to) })
+		net.setDropped(func(from, to string) bool { return side(from) != side(to) })
 		expectAll(nodes[:2], 2, "alive")
 		net.platform.set(func(p *fakePlatform) { p.down = true })
 		document := []byte(`{"base":"[service]\nname = \"b\""}`)
 		Expect(nodes[0].adopt(&peerv1.ConfigDocument{Version: 2, Document: document})).To(Succeed())
 		expectVersion(nodes[:2], 2)
 		Expect(nodes[5].Snapshot().Version()).To(Equal(uint64(1)))
-		net.setCut(nil)
+		net.setDropped(nil)
 		expectVersion(nodes, 2)
 	})
 
@@ -299,7 +299,7 @@
 		expectVersion([]*node{n}, 1)
 		Expect(n.adopt(&peerv1.ConfigDocument{Version: 9, Document: []byte(`{"base":"surprise = 1"}`)})).NotTo(Succeed())
 		Expect(n.Snapshot().Version()).To(Equal(uint64(1)))
-		invalid := edit(1, "b")
+		invalid := newEdit(1, "b")
 		invalid.Document.Base = "surprise = 1"
 		_, err := n.Apply(GinkgoT().Context(), invalid)
 		Expect(err).To(MatchError(ContainSubstring("surprise")))
--- a/controller/network_test.go
+++ b/controller/network_test.go
@@ -25,12 +25,12 @@
 	nodes    map[string]*node
 	platform *fakePlatform
 	// dropped reports whether a message is lost; nil delivers all messages.
-	cut      func(from, to string) bool
+	dropped      func(from, to string) bool
 	messages atomic.Int64
 	updates  atomic.Int64
-	longest  atomic.Int64
-	probe    time.Duration
-	lease    time.Duration
+	maxUpdates  atomic.Int64
+	probeInterval    time.Duration
+	leaseDuration    time.Duration
 	// engine returns a client for the engine at an address.
 	engine func(address string) endpoint.Engine
 }
@@ -42,11 +42,11 @@
 	stop    func()
 }
 
-var errCut = errors.New("message lost")
+var errMessageLost = errors.New("message lost")
 
 func newNetwork() *network {
 	return &network{
-		nodes: make(map[string]*node), platform: newFakePlatform(), probe: 25 * time.Millisecond, lease: time.Second,
+		nodes: make(map[string]*node), platform: newFakePlatform(), probeInterval: 25 * time.Millisecond, leaseDuration: time.Second,
 		engine: func(string) endpoint.Engine { return nil },
 	}
 }
@@ -58,7 +58,7 @@
 		Settings: settings.Controller{
 			VM:              settings.VM{ID: id, DataCentre: fmt.Sprint("dc", i%3), Region: "r"},
 			PeerAddress:     address,
-			ProbeIntervalMS: int(n.probe.Milliseconds()), ConfigIntervalMS: 20, LeaseMS: int(n.lease.Milliseconds()),
+			ProbeIntervalMS: int(n.probeInterval.Milliseconds()), ConfigIntervalMS: 20, LeaseMS: int(n.leaseDuration.Milliseconds()),
 		},
 		Platform:  n.platform,
 		Transport: virtualTransport{n, address},
@@ -99,21 +99,21 @@
 	return nodes
 }
 
-func (n *network) setCut(cut func(from, to string) bool) {
+func (n *network) setDropped(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.dropped = cut
 }
 
 // serversAt returns the servers of the member at an address, or errMessageLost if a message does
 // not arrive.
-func (n *network) to(from, address string) (membershipServer, nodeServer, error) {
+func (n *network) serversAt(from, address string) (membershipServer, nodeServer, error) {
 	n.messages.Add(1)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	target, ok := n.nodes[address]
-	if !ok || (n.cut != nil && n.cut(from, address)) {
-		return membershipServer{}, nodeServer{}, errCut
+	if !ok || (n.dropped != nil && n.dropped(from, address)) {
+		return membershipServer{}, nodeServer{}, errMessageLost
 	}
 	return membershipServer{target.Controller}, nodeServer{target.Controller}, nil
 }
@@ -121,8 +121,8 @@
 func (n *network) countUpdates(count int) {
 	n.updates.Add(int64(count))
 	for {
-		old := n.longest.Load()
-		if int64(count) <= old || n.longest.CompareAndSwap(old, int64(count)) {
+		old := n.maxUpdates.Load()
+		if int64(count) <= old || n.maxUpdates.CompareAndSwap(old, int64(count)) {
 			return
 		}
 	}
@@ -134,7 +134,7 @@
 	from string
 }
 
-func answer[T any](res *connect.Response[T], err error) (*T, error) {
+func unwrap[T any](res *connect.Response[T], err error) (*T, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -142,11 +142,11 @@
 }
 
 func (v virtualTransport) Ping(ctx context.Context, address string, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
-	m, _, err := v.n.to(v.from, address)
+	m, _, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	res, err := answer(m.Ping(ctx, connect.NewRequest(req)))
+	res, err := unwrap(m.Ping(ctx, connect.NewRequest(req)))
 	if err == nil {
 		v.n.countUpdates(len(req.Updates))
 		v.n.countUpdates(len(res.Updates))
@@ -155,35 +155,35 @@
 }
 
 func (v virtualTransport) IndirectPing(ctx context.Context, address string, req *peerv1.IndirectPingRequest) (*peerv1.IndirectPingResponse, error) {
-	m, _, err := v.n.to(v.from, address)
+	m, _, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	return answer(m.IndirectPing(ctx, connect.NewRequest(req)))
+	return unwrap(m.IndirectPing(ctx, connect.NewRequest(req)))
 }
 
 func (v virtualTransport) Join(ctx context.Context, address string, req *peerv1.JoinRequest) (*peerv1.JoinResponse, error) {
-	m, _, err := v.n.to(v.from, address)
+	m, _, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	return answer(m.Join(ctx, connect.NewRequest(req)))
+	return unwrap(m.Join(ctx, connect.NewRequest(req)))
 }
 
 func (v virtualTransport) FetchConfig(ctx context.Context, address string, req *peerv1.FetchConfigRequest) (*peerv1.ConfigDocument, error) {
-	m, _, err := v.n.to(v.from, address)
+	m, _, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	return answer(m.FetchConfig(ctx, connect.NewRequest(req)))
+	return unwrap(m.FetchConfig(ctx, connect.NewRequest(req)))
 }
 
 func (v virtualTransport) SetLeaving(ctx context.Context, address string, req *peerv1.SetLeavingRequest) (*peerv1.SetLeavingResponse, error) {
-	_, s, err := v.n.to(v.from, address)
+	_, s, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	return answer(s.SetLeaving(ctx, connect.NewRequest(req)))
+	return unwrap(s.SetLeaving(ctx, connect.NewRequest(req)))
 }
 
 // states returns the state of each member as this member sees it, by ID.
--- a/controller/node_test.go
+++ b/controller/node_test.go
@@ -47,8 +47,8 @@
 	return cancel
 }
 
-// expectAtOther waits until another VM sees vm-000 with the given caller address and state.
-func expectAtOther(other *node, caller, state string) {
+// expectSeenBy waits until another VM sees vm-000 with the given caller address and state.
+func expectSeenBy(other *node, caller, state string) {
 	GinkgoHelper()
 	eventually(func(g Gomega) {
 		for _, m := range other.Snapshot().Members {
@@ -67,11 +67,11 @@
 		nodes := net.startAll(3)
 		expectAll(nodes, 3, "alive")
 		client := serveNode(nodes[0])
-		expectAtOther(nodes[2], "", "alive")
+		expectSeenBy(nodes[2], "", "alive")
 		stop := watch(client, false)
-		expectAtOther(nodes[2], "10.1.0.1:2", "alive")
+		expectSeenBy(nodes[2], "10.1.0.1:2", "alive")
 		stop()
-		expectAtOther(nodes[2], "", "alive")
+		expectSeenBy(nodes[2], "", "alive")
 	})
 
 	// The stream of a draining gateway breaks and is opened again: the VM must not accept callers.
@@ -84,14 +84,14 @@
 		stop := watch(client, false)
 		_, err := client.SetLeaving(context.Background(), connect.NewRequest(&peerv1.SetLeavingRequest{}))
 		Expect(err).NotTo(HaveOccurred())
-		expectAtOther(nodes[1], "10.1.0.1:2", "leaving")
+		expectSeenBy(nodes[1], "10.1.0.1:2", "leaving")
 		stop()
-		expectAtOther(nodes[1], "", "leaving")
+		expectSeenBy(nodes[1], "", "leaving")
 		stop = watch(client, true)
-		expectAtOther(nodes[1], "10.1.0.1:2", "leaving")
+		expectSeenBy(nodes[1], "10.1.0.1:2", "leaving")
 		stop()
 		watch(client, false)
-		expectAtOther(nodes[1], "10.1.0.1:2", "alive")
+		expectSeenBy(nodes[1], "10.1.0.1:2", "alive")
 	})
 
 	It("stays leaving on a VM that an operator drains", func() {
@@ -101,7 +101,7 @@
 		client := serveNode(nodes[0])
 		Expect(nodes[1].Leave(context.Background(), "vm-000")).To(Succeed())
 		watch(client, false)
-		expectAtOther(nodes[1], "10.1.0.1:2", "leaving")
+		expectSeenBy(nodes[1], "10.1.0.1:2", "leaving")
 	})
 })
 
--- a/controller/orders_status.go
+++ b/controller/orders_status.go
@@ -9,13 +9,13 @@
 
 // publishStatus publishes the state of the engines for status. While the lease is not held, nothing
 // is published.
-func (k *orderKeeper) show() {
-	if !k.lease.held() {
-		k.shown.Store(nil)
+func (r *reconciler) publishStatus() {
+	if !r.lease.held() {
+		r.publishedStatus.Store(nil)
 		return
 	}
-	list := make([]operator.EndpointStatus, 0, len(k.engines))
-	for _, t := range k.engines {
+	list := make([]operator.EndpointStatus, 0, len(r.engines))
+	for _, t := range r.engines {
 		s := operator.EndpointStatus{Name: t.target.spec.Name, Reached: t.reached, Role: t.state.Role}
 		for _, m := range t.state.Models {
 			s.Models = append(s.Models, m.Model+"@"+m.Version)
@@ -25,13 +25,13 @@
 		}
 		list = append(list, s)
 	}
-	k.shown.Store(&list)
+	r.publishedStatus.Store(&list)
 }
 
 // status lists the configured endpoints of all kinds, with the state that was last published for
 // them.
-func (k *orderKeeper) status() []operator.EndpointStatus {
-	snapshot := k.c.Snapshot()
+func (r *reconciler) status() []operator.EndpointStatus {
+	snapshot := r.c.Snapshot()
 	if snapshot.Config == nil {
 		return nil
 	}
@@ -44,7 +44,7 @@
 		return nil
 	}
 	read := make(map[string]operator.EndpointStatus)
-	if shown := k.shown.Load(); shown != nil {
+	if shown := r.publishedStatus.Load(); shown != nil {
 		for _, s := range *shown {
 			read[s.Name] = s
 		}
--- a/controller/orders_test.go
+++ b/controller/orders_test.go
@@ -117,13 +117,13 @@
 	return nil
 }
 
-func (e *fakeEngine) has(model string) bool {
+func (e *fakeEngine) hasModel(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return hasModel(e.state, model)
 }
 
-func (e *fakeEngine) given() []string {
+func (e *fakeEngine) received() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.orders...)
@@ -134,13 +134,13 @@
 	platform *fakePlatform
 	clock    *clock
 	engines  map[string]*fakeEngine
-	leastM   int
+	minCopiesSeen   int
 }
 
 const testLease = 6 * time.Second
 
 func newFleet(checksFence bool, names ...string) *fleet {
-	f := &fleet{platform: newFakePlatform(), clock: &clock{now: time.Now()}, engines: make(map[string]*fakeEngine), leastM: 99}
+	f := &fleet{platform: newFakePlatform(), clock: &clock{now: time.Now()}, engines: make(map[string]*fakeEngine), minCopiesSeen: 99}
 	for _, name := range names {
 		e := &fakeEngine{name: name, checksFence: checksFence, state: endpoint.State{Role: "mixed"}}
 		e.afterChange = f.countCopies
@@ -150,12 +150,12 @@
 }
 
 // countCopies records the smallest number of copies of model m seen after any order.
-func (f *fleet) countCopies() { f.leastM = min(f.leastM, f.copies()) }
+func (f *fleet) countCopies() { f.minCopiesSeen = min(f.minCopiesSeen, f.copies()) }
 
 func (f *fleet) copies() int {
 	n := 0
 	for _, e := range f.engines {
-		if e.has("m") {
+		if e.hasModel("m") {
 			n++
 		}
 	}
@@ -171,7 +171,7 @@
 func address(name string) string { return "10.9.0." + strings.TrimPrefix(name, "e") + ":80" }
 
 // newReconciler returns the reconciler of the given VM. It runs only when the test calls it.
-func (f *fleet) keeper(vm string) *orderKeeper {
+func (f *fleet) newReconciler(vm string) *reconciler {
 	c := New(Options{
 		Settings: settings.Controller{
 			VM: settings.VM{ID: vm, DataCentre: "dc", Region: "r"}, LeaseMS: int(testLease.Milliseconds()),
@@ -188,11 +188,11 @@
 		},
 	})
 	DeferCleanup(func() { close(c.stopped) })
-	return c.orders
+	return c.reconciler
 }
 
 // setConfig puts a configuration in force in which the named engines hold model m.
-func (f *fleet) want(k *orderKeeper, version, minReplicas int, checksFence bool, names ...string) {
+func (f *fleet) setConfig(r *reconciler, version, minReplicas int, checksFence bool, names ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[service]\nname=\"s\"\n[[models]]\nname=\"m\"\nversion=\"1\"\nmin_replicas=%d\n[[models]]\nname=\"other\"\nversion=\"1\"\n", minReplicas)
 	for name := range f.engines {
@@ -206,61 +206,61 @@
 			name, address(name), checksFence, models)
 	}
 	document := fmt.Sprintf(`{"base":%q}`, b.String())
-	Expect(k.c.adopt(&peerv1.ConfigDocument{Version: uint64(version), Document: []byte(document)})).To(Succeed())
+	Expect(r.c.adopt(&peerv1.ConfigDocument{Version: uint64(version), Document: []byte(document)})).To(Succeed())
 }
 
-// runRounds runs n rounds, one per second of the clock.
-func (f *fleet) rounds(k *orderKeeper, n int) {
+// runRounds runs n runRounds, one per second of the clock.
+func (f *fleet) runRounds(r *reconciler, n int) {
 	for range n {
-		k.lease.step(context.Background(), true)
-		if k.lease.held() {
-			k.round(context.Background())
+		r.lease.renewOrAcquire(context.Background(), true)
+		if r.lease.held() {
+			r.round(context.Background())
 		}
 		f.clock.advance(time.Second)
 	}
 }
 
-var lostAnswer = &endpoint.Error{Outcome: crocusreel.OutcomeUnknown, Kind: endpoint.KindLost, Cause: errors.New("answer lost")}
+var errResponseLost = &endpoint.Error{Outcome: crocusreel.OutcomeUnknown, Kind: endpoint.KindLost, Cause: errors.New("answer lost")}
 
 var _ = Describe("Orders", func() {
 	It("bring engines to the configured state, and their effect is verified", func() {
 		f := newFleet(true, "e1", "e2")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, true, "e1", "e2")
-		f.rounds(k, 10)
-		Expect(f.engines["e1"].given()).To(Equal([]string{"load m@1#1"}))
-		Expect(f.engines["e2"].given()).To(Equal([]string{"load m@1#1"}))
-		Expect(k.engines["e1"].pending).To(BeNil())
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, true, "e1", "e2")
+		f.runRounds(r, 10)
+		Expect(f.engines["e1"].received()).To(Equal([]string{"load m@1#1"}))
+		Expect(f.engines["e2"].received()).To(Equal([]string{"load m@1#1"}))
+		Expect(r.engines["e1"].pending).To(BeNil())
 	})
 
 	// An order is accepted but has no effect, for example because the engine restarts right
 	// afterwards. Without a check of the engine's state, the engine would stay without its model.
 	It("are sent again if the engine's state does not show their effect", func() {
 		f := newFleet(true, "e1")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, true, "e1")
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, true, "e1")
 		times := 0
 		f.engines["e1"].intercept = func(endpoint.Order) (bool, error) {
 			times++
 			return times > 2, nil
 		}
-		f.rounds(k, 40)
-		Expect(f.engines["e1"].has("m")).To(BeTrue())
+		f.runRounds(r, 40)
+		Expect(f.engines["e1"].hasModel("m")).To(BeTrue())
 	})
 
 	// Weights take minutes to load. An order that is repeated meanwhile loads them again, which
 	// uses up the weight store's rate.
 	It("are not repeated while the engine is loading", func() {
 		f := newFleet(true, "e1")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, true, "e1")
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, true, "e1")
 		times := 0
 		f.engines["e1"].intercept = func(endpoint.Order) (bool, error) {
 			times++
 			f.engines["e1"].state.Loading = true
 			return false, nil
 		}
-		f.rounds(k, 40)
+		f.runRounds(r, 40)
 		Expect(times).To(Equal(1))
 	})
 
@@ -269,23 +269,23 @@
 	DescribeTable("are not sent by a holder that was paused past its lease", func(checksFence bool) {
 		f := newFleet(checksFence, "e1", "e2")
 		f.load("e1")
-		a, b := f.keeper("vm-1"), f.keeper("vm-2")
-		a.lease.step(context.Background(), true)
+		a, b := f.newReconciler("vm-1"), f.newReconciler("vm-2")
+		a.lease.renewOrAcquire(context.Background(), true)
 		Expect(a.lease.held()).To(BeTrue())
-		f.want(a, 1, 1, checksFence, "e2")
-		f.want(b, 2, 1, checksFence, "e1")
+		f.setConfig(a, 1, 1, checksFence, "e2")
+		f.setConfig(b, 2, 1, checksFence, "e1")
 
-		b.lease.step(context.Background(), true)
+		b.lease.renewOrAcquire(context.Background(), true)
 		f.clock.advance(testLease)
-		b.lease.step(context.Background(), true)
+		b.lease.renewOrAcquire(context.Background(), true)
 		Expect(b.lease.held()).To(BeFalse(), "a successor waits for the lease duration and the skew margin")
 		f.clock.advance(testLease / 2)
-		f.rounds(b, 3)
+		f.runRounds(b, 3)
 		Expect(b.lease.held()).To(BeTrue())
 
 		a.round(context.Background())
-		Expect(f.engines["e2"].given()).To(BeEmpty())
-		a.lease.step(context.Background(), true)
+		Expect(f.engines["e2"].received()).To(BeEmpty())
+		a.lease.renewOrAcquire(context.Background(), true)
 		Expect(a.lease.held()).To(BeFalse())
 	},
 		Entry("at engines that check fencing numbers", true),
@@ -296,29 +296,29 @@
 	// arrives after the successor's.
 	It("that arrive late are refused by engines that check fencing numbers, and the holder abandons the lease", func() {
 		f := newFleet(true, "e1", "e2")
-		a, b := f.keeper("vm-1"), f.keeper("vm-2")
-		a.lease.step(context.Background(), true)
-		f.want(a, 1, 1, true, "e1")
-		f.want(b, 2, 1, true, "e1")
+		a, b := f.newReconciler("vm-1"), f.newReconciler("vm-2")
+		a.lease.renewOrAcquire(context.Background(), true)
+		f.setConfig(a, 1, 1, true, "e1")
+		f.setConfig(b, 2, 1, true, "e1")
 		f.engines["e1"].intercept = func(endpoint.Order) (bool, error) {
 			f.engines["e1"].intercept = nil
-			b.lease.step(context.Background(), true)
+			b.lease.renewOrAcquire(context.Background(), true)
 			f.clock.advance(2 * testLease)
-			f.rounds(b, 4)
+			f.runRounds(b, 4)
 			return true, nil
 		}
 		a.round(context.Background())
-		Expect(f.engines["e1"].given()).To(Equal([]string{"load m@1#2"}))
+		Expect(f.engines["e1"].received()).To(Equal([]string{"load m@1#2"}))
 		Expect(a.lease.held()).To(BeFalse())
 	})
 
 	It("are sent with a deadline no later than the end of the lease", func() {
 		f := newFleet(false, "e1")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, false, "e1")
-		k.lease.step(context.Background(), true)
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, false, "e1")
+		r.lease.renewOrAcquire(context.Background(), true)
 		start := time.Now()
-		k.round(context.Background())
+		r.round(context.Background())
 		Expect(f.engines["e1"].deadline).To(BeTemporally("<=", start.Add(testLease+time.Second)))
 	})
 
@@ -326,29 +326,29 @@
 	// failure, nobody would hold the lease; if it counted as success, two processes might.
 	It("continue after lost responses of the platform", func() {
 		f := newFleet(true, "e1")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, true, "e1")
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, true, "e1")
 		lost := true
 		f.platform.commitFault = func() commitFault {
 			lost = !lost
 			if !lost {
-				return answerLost
+				return responseLost
 			}
 			return applied
 		}
-		f.rounds(k, 12)
-		Expect(f.engines["e1"].given()).To(Equal([]string{"load m@1#1"}))
+		f.runRounds(r, 12)
+		Expect(f.engines["e1"].received()).To(Equal([]string{"load m@1#1"}))
 	})
 
 	It("wait for the time slot that the weight store assigns", func() {
 		f := newFleet(true, "e1")
 		f.platform.wait = 10 * time.Second
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, true, "e1")
-		f.rounds(k, 8)
-		Expect(f.engines["e1"].given()).To(BeEmpty())
-		f.rounds(k, 8)
-		Expect(f.engines["e1"].given()).To(HaveLen(1))
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, true, "e1")
+		f.runRounds(r, 8)
+		Expect(f.engines["e1"].received()).To(BeEmpty())
+		f.runRounds(r, 8)
+		Expect(f.engines["e1"].received()).To(HaveLen(1))
 		Expect(f.platform.reservations).To(HaveLen(1))
 	})
 })
@@ -359,54 +359,54 @@
 	It("stays until another engine has the model", func() {
 		f := newFleet(true, "e1", "e2")
 		f.load("e1")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, true, "e2")
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, true, "e2")
 		failing := true
 		f.engines["e2"].intercept = func(endpoint.Order) (bool, error) { return !failing, nil }
-		f.rounds(k, 30)
-		Expect(f.engines["e1"].given()).To(BeEmpty())
+		f.runRounds(r, 30)
+		Expect(f.engines["e1"].received()).To(BeEmpty())
 		failing = false
-		f.rounds(k, 30)
-		Expect(f.engines["e1"].has("m")).To(BeFalse())
-		Expect(f.engines["e2"].has("m")).To(BeTrue())
-		Expect(f.leastM).To(Equal(1))
+		f.runRounds(r, 30)
+		Expect(f.engines["e1"].hasModel("m")).To(BeFalse())
+		Expect(f.engines["e2"].hasModel("m")).To(BeTrue())
+		Expect(f.minCopiesSeen).To(Equal(1))
 	})
 
 	// The engine that would hold the only remaining copy has just died.
 	It("stays when the other copy is on an engine that does not answer", func() {
 		f := newFleet(true, "e1", "e2")
 		f.load("e1", "e2")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, true, "e2")
-		k.lease.step(context.Background(), true)
-		Expect(k.refresh()).To(BeTrue())
-		for _, t := range k.engines {
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, true, "e2")
+		r.lease.renewOrAcquire(context.Background(), true)
+		Expect(r.refreshTargets()).To(BeTrue())
+		for _, t := range r.engines {
 			t.read(context.Background(), f.clock.get())
 		}
 		f.engines["e2"].dead = true
-		f.rounds(k, 10)
-		Expect(f.engines["e1"].has("m")).To(BeTrue())
+		f.runRounds(r, 10)
+		Expect(f.engines["e1"].hasModel("m")).To(BeTrue())
 	})
 
 	// The engine that would hold the only remaining copy is about to be reclaimed.
 	It("stays when the other copy is on an engine that is being reclaimed", func() {
 		f := newFleet(true, "e1", "e2")
 		f.load("e1", "e2")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, true, "e2")
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, true, "e2")
 		f.engines["e2"].leaving = true
-		f.rounds(k, 10)
-		Expect(f.engines["e1"].has("m")).To(BeTrue())
+		f.runRounds(r, 10)
+		Expect(f.engines["e1"].hasModel("m")).To(BeTrue())
 	})
 
 	It("stays together with the other copies that min_replicas requires", func() {
 		f := newFleet(true, "e1", "e2", "e3", "e4")
 		f.load("e1", "e2", "e3")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 2, true, "e3", "e4")
-		f.rounds(k, 60)
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 2, true, "e3", "e4")
+		f.runRounds(r, 60)
 		Expect(f.copies()).To(Equal(2))
-		Expect(f.leastM).To(BeNumerically(">=", 2))
+		Expect(f.minCopiesSeen).To(BeNumerically(">=", 2))
 	})
 
 	// A paused holder's unload order is delayed on a stalled link. The successor's newer
@@ -415,26 +415,26 @@
 	It("stays when a former holder's unload may still reach the other copy", func() {
 		f := newFleet(false, "e1", "e2")
 		f.load("e1", "e2")
-		a, b := f.keeper("vm-1"), f.keeper("vm-2")
-		f.want(a, 1, 1, false, "e2")
-		f.want(b, 2, 1, false, "e1")
+		a, b := f.newReconciler("vm-1"), f.newReconciler("vm-2")
+		f.setConfig(a, 1, 1, false, "e2")
+		f.setConfig(b, 2, 1, false, "e1")
 		var hanging *endpoint.Order
 		f.engines["e1"].intercept = func(o endpoint.Order) (bool, error) {
 			hanging = &o
-			return false, lostAnswer
+			return false, errResponseLost
 		}
-		f.rounds(a, 2)
+		f.runRounds(a, 2)
 		Expect(hanging).NotTo(BeNil())
 		f.engines["e1"].intercept = nil
 
-		b.lease.step(context.Background(), true)
+		b.lease.renewOrAcquire(context.Background(), true)
 		f.clock.advance(2 * testLease)
-		f.rounds(b, 20)
+		f.runRounds(b, 20)
 		Expect(b.lease.held()).To(BeTrue())
 		Expect(f.engines["e1"].carryOut(*hanging)).To(Succeed())
-		Expect(f.leastM).To(Equal(1))
-		f.rounds(b, 30)
-		Expect(f.engines["e1"].has("m")).To(BeTrue(), "the successor loads the model again after the late unload")
+		Expect(f.minCopiesSeen).To(Equal(1))
+		f.runRounds(b, 30)
+		Expect(f.engines["e1"].hasModel("m")).To(BeTrue(), "the successor loads the model again after the late unload")
 	})
 
 	// The response to an unload is lost and the order is delayed on a stalled link. Then the
@@ -443,19 +443,19 @@
 	It("stays when the holder's own unload may still reach the other copy", func() {
 		f := newFleet(false, "e1", "e2")
 		f.load("e1", "e2")
-		k := f.keeper("vm-1")
-		f.want(k, 1, 1, false, "e2")
+		r := f.newReconciler("vm-1")
+		f.setConfig(r, 1, 1, false, "e2")
 		var hanging *endpoint.Order
 		f.engines["e1"].intercept = func(o endpoint.Order) (bool, error) {
 			hanging = &o
-			return false, lostAnswer
+			return false, errResponseLost
 		}
-		f.rounds(k, 2)
+		f.runRounds(r, 2)
 		Expect(hanging).NotTo(BeNil())
 		f.engines["e1"].intercept = nil
-		f.want(k, 2, 1, false, "e1")
-		f.rounds(k, 30)
+		f.setConfig(r, 2, 1, false, "e1")
+		f.runRounds(r, 30)
 		Expect(f.engines["e1"].carryOut(*hanging)).To(Succeed())
-		Expect(f.leastM).To(Equal(1))
+		Expect(f.minCopiesSeen).To(Equal(1))
 	})
 })
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -22,21 +22,21 @@
 }
 
 // engineTarget is the desired state of one engine.
-type target struct {
+type engineTarget struct {
 	spec   config.EndpointSpec
 	models []wantedModel
 }
 
 // desiredState returns the targets of the engines of a region, and for each model the number of
 // engines that must keep it. Each engine follows the overlay of its own data centre.
-func desired(doc config.Document, region string) ([]target, map[string]int, error) {
+func desiredState(doc config.Document, region string) ([]engineTarget, map[string]int, error) {
 	base, err := config.Compile(doc, "")
 	if err != nil {
 		return nil, nil, err
 	}
 	compiled := make(map[string]*config.Config)
-	keep := make(map[string]int)
-	var targets []target
+	minCopies := make(map[string]int)
+	var targets []engineTarget
 	for _, e := range base.Endpoints {
 		if e.Kind != config.KindEngine || e.Region != region {
 			continue
@@ -48,23 +48,23 @@
 			}
 			compiled[e.DataCentre] = c
 		}
-		t := target{spec: e}
+		t := engineTarget{spec: e}
 		for _, m := range c.Models {
 			// A model that any data centre still offers keeps at least one copy.
-			keep[m.Name] = max(keep[m.Name], m.MinReplicas, 1)
+			minCopies[m.Name] = max(minCopies[m.Name], m.MinReplicas, 1)
 			if slices.Contains(e.Models, m.Name) {
 				t.models = append(t.models, wantedModel{name: m.Name, version: m.Version, adapters: m.Adapters})
 			}
 		}
 		targets = append(targets, t)
 	}
-	return targets, keep, nil
+	return targets, minCopies, nil
 }
 
 // nextOrder returns the first order that brings an engine closer to its target, or nil if it has
 // reached the target or is leaving. Loads precede unloads, so that models are added before others
 // are removed; mayUnload enforces this across engines.
-func nextOrder(t target, s endpoint.State) *endpoint.Order {
+func nextOrder(t engineTarget, s endpoint.State) *endpoint.Order {
 	if t.spec.Leaving {
 		return nil
 	}
@@ -86,7 +86,7 @@
 
 // wants reports whether the engine must keep a loaded model. Other versions of a wanted model are
 // unloaded once the wanted version is loaded.
-func (t target) wants(loaded endpoint.LoadedModel) bool {
+func (t engineTarget) wants(loaded endpoint.LoadedModel) bool {
 	return slices.ContainsFunc(t.models, func(w wantedModel) bool {
 		return w.name == loaded.Model && w.version == loaded.Version
 	})
@@ -95,14 +95,14 @@
 // loadOrder returns the order that loads the wanted model or its first missing adapter, or nil if
 // all are loaded.
 func loadOrder(want wantedModel, s endpoint.State) *endpoint.Order {
-	at := slices.IndexFunc(s.Models, func(m endpoint.LoadedModel) bool {
+	index := slices.IndexFunc(s.Models, func(m endpoint.LoadedModel) bool {
 		return m.Model == want.name && m.Version == want.version
 	})
-	if at < 0 {
+	if index < 0 {
 		return &endpoint.Order{Verb: verbLoad, Model: want.name, Version: want.version}
 	}
 	for _, adapter := range want.adapters {
-		if !slices.Contains(s.Models[at].Adapters, adapter) {
+		if !slices.Contains(s.Models[index].Adapters, adapter) {
 			return &endpoint.Order{Verb: verbLoad, Model: want.name, Version: want.version, Adapter: adapter}
 		}
 	}
@@ -110,7 +110,7 @@
 }
 
 // isCarriedOut reports whether the engine's state shows the effect of an order.
-func carriedOut(o endpoint.Order, s endpoint.State) bool {
+func isCarriedOut(o endpoint.Order, s endpoint.State) bool {
 	switch o.Verb {
 	case verbRole:
 		return s.Role == o.Role
--- a/controller/prober.go
+++ b/controller/prober.go
@@ -19,20 +19,20 @@
 	minPingTimeout = 400 * time.Millisecond
 	// reconnectEvery is the number of probe rounds of which one goes to a lost member in place of a
 	// neighbour.
-	healEvery = 3
+	reconnectEvery = 3
 	// maxConcurrentProbes bounds the concurrent probes. Probes of dead members take longer than the
 	// probe interval.
-	maxProbes = 6
+	maxConcurrentProbes = 6
 )
 
-var errWrongMember = eris.New("ping answered without a record of the expected member")
+var errUnexpectedMember = eris.New("ping answered without a record of the expected member")
 
 // probeLoop probes one member in each interval, so the number of messages does not depend on the
 // number of members.
 func (c *Controller) probeLoop(ctx context.Context) {
-	var under sync.WaitGroup
-	defer under.Wait()
-	slots := make(chan struct{}, maxProbes)
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	slots := make(chan struct{}, maxConcurrentProbes)
 	start := func(f func()) {
 		select {
 		case slots <- struct{}{}:
@@ -40,12 +40,12 @@
 			metrics.Count("probe_skipped")
 			return
 		}
-		under.Go(func() {
+		wg.Go(func() {
 			defer func() { <-slots }()
 			f()
 		})
 	}
-	for round := 0; sleep(ctx, c.probeInterval()); round++ {
+	for round := 0; sleepWithJitter(ctx, c.probeInterval()); round++ {
 		if lost := c.tick(round); lost != nil {
 			start(func() { _ = c.ping(ctx, lost.ControllerAddress, lost.Id) })
 		} else if target := c.nextTarget(); target != nil {
@@ -58,9 +58,9 @@
 // there is one, to probe in place of a neighbour.
 func (c *Controller) tick(round int) *peerv1.Member {
 	var lost *peerv1.Member
-	c.do(func(s *state) {
+	c.withState(func(s *state) {
 		s.dirty = s.table.Tick(c.now()) || s.dirty
-		if round%healEvery == healEvery-1 {
+		if round%reconnectEvery == reconnectEvery-1 {
 			lost = lostMember(s)
 		}
 	})
@@ -69,7 +69,7 @@
 
 func (c *Controller) nextTarget() *peerv1.Member {
 	var target *peerv1.Member
-	c.do(func(s *state) { target = s.table.NextTarget() })
+	c.withState(func(s *state) { target = s.table.NextTarget() })
 	return target
 }
 
@@ -101,10 +101,10 @@
 		return
 	}
 	metrics.Count("probe_failed")
-	if c.probeThroughOthers(ctx, target) || ctx.Err() != nil {
+	if c.probeIndirectly(ctx, target) || ctx.Err() != nil {
 		return
 	}
-	c.do(func(s *state) {
+	c.withState(func(s *state) {
 		if s.table.Suspect(target.Id, c.now()) {
 			s.dirty = true
 			metrics.Count("member_suspected")
@@ -120,7 +120,7 @@
 // accepted.
 func (c *Controller) ping(ctx context.Context, address, id string) error {
 	req := &peerv1.PingRequest{}
-	if !c.do(func(s *state) { c.fillPing(s, req, id) }) {
+	if !c.withState(func(s *state) { c.fillPing(s, req, id) }) {
 		return context.Canceled
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.pingTimeout())
@@ -133,14 +133,14 @@
 	if len(res.Updates) == 0 || (id != "" && res.Updates[0].GetId() != id) {
 		// The address may belong to a new VM. Its response says nothing about the member that was
 		// probed.
-		return errWrongMember
+		return errUnexpectedMember
 	}
 	answered := res.Updates[0].GetId()
-	c.do(func(s *state) {
+	c.withState(func(s *state) {
 		c.applyAll(s, res.Updates)
 		s.table.Answered(answered)
 	})
-	c.considerVersion(address, res.ConfigVersion)
+	c.fetchIfNewer(address, res.ConfigVersion)
 	return nil
 }
 
@@ -164,23 +164,23 @@
 }
 
 // probeIndirectly reports whether one of a few other members reaches the target.
-func (c *Controller) probeThroughOthers(ctx context.Context, target *peerv1.Member) bool {
-	var helpers []*peerv1.Member
+func (c *Controller) probeIndirectly(ctx context.Context, target *peerv1.Member) bool {
+	var probers []*peerv1.Member
 	req := &peerv1.IndirectPingRequest{TargetAddress: target.ControllerAddress, TargetId: target.Id}
-	c.do(func(s *state) {
-		helpers = s.table.Helpers(target.Id)
+	c.withState(func(s *state) {
+		probers = s.table.Helpers(target.Id)
 		req.From = s.table.Self()
 	})
 	ctx, cancel := context.WithTimeout(ctx, 2*c.pingTimeout())
 	defer cancel()
-	results := make(chan bool, len(helpers))
-	for _, h := range helpers {
+	results := make(chan bool, len(probers))
+	for _, h := range probers {
 		go func() {
 			res, err := c.opts.Transport.IndirectPing(ctx, h.ControllerAddress, req)
 			results <- err == nil && res.Reached
 		}()
 	}
-	for range helpers {
+	for range probers {
 		if <-results {
 			return true
 		}
@@ -193,7 +193,7 @@
 func (c *Controller) pushLoop(ctx context.Context) {
 	for {
 		select {
-		case <-c.pushNow:
+		case <-c.pushSignal:
 			c.pushNeighbours(ctx)
 		case <-ctx.Done():
 			return
@@ -205,10 +205,10 @@
 // change with its own probes.
 func (c *Controller) pushNeighbours(ctx context.Context) {
 	var neighbours []*peerv1.Member
-	c.do(func(s *state) { neighbours = s.table.Neighbours() })
-	var under sync.WaitGroup
+	c.withState(func(s *state) { neighbours = s.table.Neighbours() })
+	var wg sync.WaitGroup
 	for _, n := range neighbours {
-		under.Go(func() { _ = c.ping(ctx, n.ControllerAddress, n.Id) })
+		wg.Go(func() { _ = c.ping(ctx, n.ControllerAddress, n.Id) })
 	}
-	under.Wait()
+	wg.Wait()
 }
--- a/controller/process.go
+++ b/controller/process.go
@@ -33,10 +33,10 @@
 type Process struct {
 	controller *Controller
 	log        *zap.Logger
-	peer       *http.Server
-	peerAt     net.Listener
-	operator   *http.Server
-	operatorAt net.Listener
+	peerServer       *http.Server
+	peerListener     net.Listener
+	operatorServer   *http.Server
+	operatorListener net.Listener
 }
 
 // NewProcess creates the controller and opens the listeners that the settings name.
@@ -65,21 +65,21 @@
 	p := &Process{
 		controller: c,
 		log:        log,
-		peer:       peer.NewServer(c.PeerHandler(), nil),
-		operator: &http.Server{
+		peerServer:       peer.NewServer(c.PeerHandler(), nil),
+		operatorServer: &http.Server{
 			Handler:           operator.NewHandler(c, keys, log),
 			ReadHeaderTimeout: operatorHeaderTimeout,
 			ReadTimeout:       operatorBodyTimeout,
 		},
 	}
-	if p.peerAt, err = net.Listen("tcp", s.PeerListenAddress()); err != nil {
+	if p.peerListener, err = net.Listen("tcp", s.PeerListenAddress()); err != nil {
 		return nil, eris.Wrap(err, "listen for peers")
 	}
-	if p.operatorAt, err = net.Listen("tcp", s.OperatorAddress); err != nil {
-		_ = p.peerAt.Close()
+	if p.operatorListener, err = net.Listen("tcp", s.OperatorAddress); err != nil {
+		_ = p.peerListener.Close()
 		return nil, eris.Wrap(err, "listen for operators")
 	}
-	p.peerAt, p.operatorAt = peerTLS.Listener(p.peerAt), operatorTLS.Listener(p.operatorAt)
+	p.peerListener, p.operatorListener = peerTLS.Listener(p.peerListener), operatorTLS.Listener(p.operatorListener)
 	return p, nil
 }
 
@@ -87,11 +87,11 @@
 func (p *Process) Run() error {
 	var g run.Group
 	daemon.AddTask(&g, p.controller.Run)
-	daemon.AddServer(&g, p.peer, p.peerAt)
-	daemon.AddServer(&g, p.operator, p.operatorAt)
+	daemon.AddServer(&g, p.peerServer, p.peerListener)
+	daemon.AddServer(&g, p.operatorServer, p.operatorListener)
 	g.Add(run.SignalHandler(context.Background(), os.Interrupt, syscall.SIGTERM))
-	p.log.Info("controller started", zap.Stringer("peer_address", p.peerAt.Addr()),
-		zap.Stringer("operator_address", p.operatorAt.Addr()))
+	p.log.Info("controller started", zap.Stringer("peer_address", p.peerListener.Addr()),
+		zap.Stringer("operator_address", p.operatorListener.Addr()))
 	err := g.Run()
 	if errors.Is(err, run.ErrSignal) {
 		p.log.Info("controller stopped", zap.Error(err))
--- a/controller/reader.go
+++ b/controller/reader.go
@@ -18,11 +18,11 @@
 const (
 	// nonReaderIntervalFactor multiplies the read interval of a VM that is not its data centre's
 	// reader. Such VMs still read, to cover the time in which members disagree on the reader.
-	slowReads = 20
+	nonReaderIntervalFactor = 20
 	// maxReadRetryDelay bounds the wait after failed reads (or the configured interval does, if it
 	// is longer), because an edit that is accepted right after an outage has to be in force in
 	// time.
-	readRetryLimit = time.Second
+	maxReadRetryDelay = time.Second
 	// fetchTimeout bounds the fetch of a configuration from a peer.
 	fetchTimeout = 3 * time.Second
 	// stopTimeout bounds the platform calls at shutdown.
@@ -42,10 +42,10 @@
 		}
 		wait := c.configInterval()
 		if !c.isReader() {
-			wait *= slowReads
+			wait *= nonReaderIntervalFactor
 		}
 		if failures > 0 {
-			wait = min(c.configInterval()<<min(failures, 10), max(readRetryLimit, c.configInterval()))
+			wait = min(c.configInterval()<<min(failures, 10), max(maxReadRetryDelay, c.configInterval()))
 		}
 		if !c.waitUntilReader(ctx, wait) {
 			return
@@ -59,7 +59,7 @@
 	was := c.isReader()
 	for wait > 0 {
 		step := min(wait, c.configInterval())
-		if !sleep(ctx, step) {
+		if !sleepWithJitter(ctx, step) {
 			return false
 		}
 		if !was && c.isReader() {
@@ -74,17 +74,17 @@
 // the highest rank.
 func (c *Controller) isReader() bool {
 	s := c.Snapshot()
-	return membership.Rank("config-reader", liveIn(s, func(m *peerv1.Member) bool {
+	return membership.Rank("config-reader", unsuspectedIDs(s, func(m *peerv1.Member) bool {
 		return m.DataCentre == s.Self.DataCentre
 	})) == s.Self.Id
 }
 
 // unsuspectedIDs returns the IDs of the matching members that are alive or leaving, but not
 // suspect.
-func liveIn(s *Snapshot, fits func(*peerv1.Member) bool) []string {
+func unsuspectedIDs(s *Snapshot, matches func(*peerv1.Member) bool) []string {
 	var ids []string
 	for _, m := range s.Members {
-		if m.State != peerv1.MemberState_MEMBER_STATE_SUSPECT && fits(m) {
+		if m.State != peerv1.MemberState_MEMBER_STATE_SUSPECT && matches(m) {
 			ids = append(ids, m.Id)
 		}
 	}
@@ -129,7 +129,7 @@
 		return err
 	}
 	adopted := false
-	c.do(func(s *state) {
+	c.withState(func(s *state) {
 		if doc.Version <= s.config.GetVersion() {
 			return
 		}
@@ -139,7 +139,7 @@
 		metrics.Count("config_adopted")
 		metrics.Gauge("config_version", int64(doc.Version))
 		c.log.Info("configuration adopted", zap.Uint64("version", doc.Version), zap.String("edit_id", doc.EditId))
-		c.push()
+		c.triggerPush()
 	}
 	return nil
 }
@@ -162,17 +162,17 @@
 
 // fetchIfNewer fetches the configuration from a peer in the background if the peer has a newer
 // version. At most one fetch runs at a time.
-func (c *Controller) considerVersion(address string, version uint64) {
+func (c *Controller) fetchIfNewer(address string, version uint64) {
 	if version <= c.Snapshot().Version() {
 		return
 	}
 	select {
-	case c.fetching <- struct{}{}:
+	case c.fetchSlot <- struct{}{}:
 	default:
 		return // another fetch is running; later messages offer the version again
 	}
 	go func() {
-		defer func() { <-c.fetching }()
+		defer func() { <-c.fetchSlot }()
 		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 		defer cancel()
 		doc, err := c.opts.Transport.FetchConfig(ctx, address, &peerv1.FetchConfigRequest{MinVersion: version})
--- a/controller/seeds.go
+++ b/controller/seeds.go
@@ -19,9 +19,9 @@
 	// joinIntervalPerMember lengthens the interval with the number of members. An exchange grows
 	// with that number too, so the bytes per second stay constant.
 	joinIntervalPerMember = 200 * time.Millisecond
-	// maxRetryDelay bounds the wait between two reads of the VM list while no other member is
+	// maxSeedRetryDelay bounds the wait between two reads of the VM list while no other member is
 	// known.
-	maxRetryDelay = 5 * time.Second
+	maxSeedRetryDelay = 5 * time.Second
 )
 
 // seedLoop reads the platform's VM list: at short intervals until another member is known, and then
@@ -30,16 +30,16 @@
 	for {
 		vms, err := c.opts.Platform.ListVMs(ctx)
 		if err == nil {
-			c.do(func(s *state) { s.seeds = vms })
-			c.joinFirst(ctx)
+			c.withState(func(s *state) { s.seeds = vms })
+			c.joinSeeds(ctx)
 		} else if ctx.Err() == nil {
 			c.log.Debug("reading the platform's VM list failed", zap.Error(err))
 		}
 		wait := seedInterval
 		if len(c.Snapshot().Members) == 1 {
-			wait = min(2*c.probeInterval(), maxRetryDelay)
+			wait = min(2*c.probeInterval(), maxSeedRetryDelay)
 		}
-		if !sleep(ctx, wait) {
+		if !sleepWithJitter(ctx, wait) {
 			return
 		}
 	}
@@ -47,11 +47,11 @@
 
 // joinSeeds makes a full membership exchange with randomly chosen VMs of the list until another
 // member is known, with a bounded number of tries.
-func (c *Controller) joinFirst(ctx context.Context) {
+func (c *Controller) joinSeeds(ctx context.Context) {
 	const tries = 3
 	for range tries {
 		var target *peerv1.Member
-		c.do(func(s *state) { target = lostMember(s) })
+		c.withState(func(s *state) { target = lostMember(s) })
 		if len(c.Snapshot().Members) > 1 || target == nil {
 			return
 		}
@@ -63,11 +63,11 @@
 func (c *Controller) joinLoop(ctx context.Context) {
 	for {
 		members := time.Duration(len(c.Snapshot().Members))
-		if !sleep(ctx, max(joinInterval, members*joinIntervalPerMember)) {
+		if !sleepWithJitter(ctx, max(joinInterval, members*joinIntervalPerMember)) {
 			return
 		}
 		var target *peerv1.Member
-		c.do(func(s *state) { target = s.table.RandomLive() })
+		c.withState(func(s *state) { target = s.table.RandomLive() })
 		if target != nil {
 			c.join(ctx, target.ControllerAddress)
 		}
@@ -84,6 +84,6 @@
 	if err != nil {
 		return
 	}
-	c.do(func(s *state) { c.applyAll(s, res.Members) })
-	c.considerVersion(address, res.ConfigVersion)
+	c.withState(func(s *state) { c.applyAll(s, res.Members) })
+	c.fetchIfNewer(address, res.ConfigVersion)
 }
--- a/controller/server.go
+++ b/controller/server.go
@@ -21,7 +21,7 @@
 		return nil, err
 	}
 	res := &peerv1.PingResponse{}
-	ok := m.c.do(func(s *state) {
+	ok := m.c.withState(func(s *state) {
 		m.c.applyAll(s, req.Msg.Updates)
 		m.c.applyAll(s, []*peerv1.Member{req.Msg.From})
 		res.Updates = append(res.Updates, s.table.Self())
@@ -36,7 +36,7 @@
 	if !ok {
 		return nil, errStopped
 	}
-	m.c.considerVersion(req.Msg.From.ControllerAddress, req.Msg.ConfigVersion)
+	m.c.fetchIfNewer(req.Msg.From.ControllerAddress, req.Msg.ConfigVersion)
 	return connect.NewResponse(res), nil
 }
 
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	res := &peerv1.JoinResponse{}
-	ok := m.c.do(func(s *state) {
+	ok := m.c.withState(func(s *state) {
 		m.c.applyAll(s, []*peerv1.Member{req.Msg.From})
 		res.Members = s.table.All()
 		res.ConfigVersion = s.config.GetVersion()
@@ -78,10 +78,10 @@
 // checkMembers rejects records that no controller could act on, because they would be spread to all
 // members.
 func checkMembers(members []*peerv1.Member) error {
-	const longestName = 63
+	const maxNameLength = 63
 	for _, m := range members {
 		_, err := netip.ParseAddrPort(m.GetControllerAddress())
-		if err != nil || m.GetId() == "" || len(m.GetId()) > longestName || m.GetState() > peerv1.MemberState_MEMBER_STATE_DEAD {
+		if err != nil || m.GetId() == "" || len(m.GetId()) > maxNameLength || m.GetState() > peerv1.MemberState_MEMBER_STATE_DEAD {
 			return connect.NewError(connect.CodeInvalidArgument, eris.Errorf("malformed member %q", m.GetId()))
 		}
 	}
--- a/controller/state.go
+++ b/controller/state.go
@@ -80,6 +80,6 @@
 	})
 	if s.table.Self() != before {
 		s.dirty = true
-		c.push()
+		c.triggerPush()
 	}
 }
--- a/controller/transport.go
+++ b/controller/transport.go
@@ -32,21 +32,21 @@
 	tls  *tls.Config
 
 	mu      sync.Mutex
-	clients map[string]*addressClients
+	clients map[string]*peerClients
 }
 
-type addressClients struct {
+type peerClients struct {
 	membership peerv1.MembershipClient
 	node       peerv1.NodeClient
 }
 
 // NewTransport returns a Transport over Connect, with TLS if source is not nil.
 func NewTransport(source *tlsreload.Source) Transport {
-	return &connectTransport{http: source.HTTPClient(), tls: source.Config(), clients: make(map[string]*addressClients)}
+	return &connectTransport{http: source.HTTPClient(), tls: source.Config(), clients: make(map[string]*peerClients)}
 }
 
 // clientsFor returns the cached clients for an address, or creates them.
-func (t *connectTransport) to(address string) *addressClients {
+func (t *connectTransport) clientsFor(address string) *peerClients {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c, ok := t.clients[address]
@@ -56,7 +56,7 @@
 		}
 		url := peer.BaseURL(address, t.tls)
 		limit := connect.WithReadMaxBytes(peer.MaxMessageBytes)
-		c = &addressClients{
+		c = &peerClients{
 			membership: peerv1.NewMembershipClient(t.http, url, limit),
 			node:       peerv1.NewNodeClient(t.http, url, limit),
 		}
@@ -77,21 +77,21 @@
 }
 
 func (t *connectTransport) Ping(ctx context.Context, address string, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
-	return call(ctx, req, t.to(address).membership.Ping)
+	return call(ctx, req, t.clientsFor(address).membership.Ping)
 }
 
 func (t *connectTransport) IndirectPing(ctx context.Context, address string, req *peerv1.IndirectPingRequest) (*peerv1.IndirectPingResponse, error) {
-	return call(ctx, req, t.to(address).membership.IndirectPing)
+	return call(ctx, req, t.clientsFor(address).membership.IndirectPing)
 }
 
 func (t *connectTransport) Join(ctx context.Context, address string, req *peerv1.JoinRequest) (*peerv1.JoinResponse, error) {
-	return call(ctx, req, t.to(address).membership.Join)
+	return call(ctx, req, t.clientsFor(address).membership.Join)
 }
 
 func (t *connectTransport) FetchConfig(ctx context.Context, address string, req *peerv1.FetchConfigRequest) (*peerv1.ConfigDocument, error) {
-	return call(ctx, req, t.to(address).membership.FetchConfig)
+	return call(ctx, req, t.clientsFor(address).membership.FetchConfig)
 }
 
 func (t *connectTransport) SetLeaving(ctx context.Context, address string, req *peerv1.SetLeavingRequest) (*peerv1.SetLeavingResponse, error) {
-	return call(ctx, req, t.to(address).node.SetLeaving)
+	return call(ctx, req, t.clientsFor(address).node.SetLeaving)
 }
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -73,8 +73,8 @@
 		return nil, err
 	}
 	after := ""
-	if first := head.Version; first > uint64(limit) {
-		after = versionKey(first - uint64(limit))
+	if latest := head.Version; latest > uint64(limit) {
+		after = versionKey(latest - uint64(limit))
 	}
 	rows, err := v.tables.Scan(ctx, configTable, versionPrefix, after, limit)
 	if err != nil {
@@ -100,30 +100,30 @@
 		return operator.Version{}, eris.Wrap(operator.ErrUnavailable, err.Error())
 	}
 	if head.Version != e.ExpectedVersion {
-		return v.settled(ctx, e, head)
+		return v.resolveOutdated(ctx, e, head)
 	}
 	next := operator.Version{Version: head.Version + 1, EditID: e.EditID, At: v.now().UTC(), Document: &e.Document}
 	txn, err := versionTxn(next, row.Version)
 	if err != nil {
 		return operator.Version{}, err
 	}
-	sent := false
+	maybeApplied := false
 	for {
 		_, err := v.tables.Commit(ctx, txn)
 		switch {
 		case err == nil:
 			return next, nil
 		case errors.Is(err, platform.ErrConflict):
-			return v.readBack(ctx, e)
-		case errors.Is(err, platform.ErrUnavailable) && !sent:
+			return v.resolveConflict(ctx, e)
+		case errors.Is(err, platform.ErrUnavailable) && !maybeApplied:
 			return operator.Version{}, eris.Wrap(operator.ErrUnavailable, err.Error())
 		}
 		// The response was lost, so the edit may be in force. The same transaction is sent again:
 		// its conditions let it take effect at most once, and if it already has, the conflict leads
 		// to reading it back. Reading the head alone would not be enough, since the first attempt
 		// may still be in transit.
-		sent = true
-		if !sleep(ctx, applyRetryDelay) {
+		maybeApplied = true
+		if !sleepWithJitter(ctx, applyRetryDelay) {
 			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
 		}
 	}
@@ -131,13 +131,13 @@
 
 // resolveConflict reads the head after a failed condition to find out whose edit is in force. It
 // retries failed reads until ctx ends.
-func (v *versionStore) readBack(ctx context.Context, e operator.Edit) (operator.Version, error) {
+func (v *versionStore) resolveConflict(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	for {
 		head, _, err := v.head(ctx)
 		if err == nil {
-			return v.settled(ctx, e, head)
+			return v.resolveOutdated(ctx, e, head)
 		}
-		if !sleep(ctx, applyRetryDelay) {
+		if !sleepWithJitter(ctx, applyRetryDelay) {
 			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
 		}
 	}
@@ -145,7 +145,7 @@
 
 // resolveOutdated decides an edit whose base version is no longer the latest: the edit has
 // succeeded if the version after its base carries its edit ID, and conflicts otherwise.
-func (v *versionStore) settled(ctx context.Context, e operator.Edit, head operator.Version) (operator.Version, error) {
+func (v *versionStore) resolveOutdated(ctx context.Context, e operator.Edit, head operator.Version) (operator.Version, error) {
 	if head.Version > e.ExpectedVersion {
 		successor, err := v.read(ctx, e.ExpectedVersion+1)
 		if err != nil {
@@ -155,12 +155,12 @@
 			return successor, nil
 		}
 	}
-	return operator.Version{}, v.conflict(ctx, e, head)
+	return operator.Version{}, v.newConflict(ctx, e, head)
 }
 
 // newConflict returns an error that lists what others changed since the edit's base. If the
 // platform fails meanwhile, the changes are omitted; the edit conflicts all the same.
-func (v *versionStore) conflict(ctx context.Context, e operator.Edit, head operator.Version) error {
+func (v *versionStore) newConflict(ctx context.Context, e operator.Edit, head operator.Version) error {
 	c := &operator.Conflict{Current: head}
 	current, err := v.read(ctx, head.Version)
 	if err != nil {
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -18,7 +18,7 @@
 
 func newStore(p *fakePlatform) *versionStore { return &versionStore{tables: p, now: time.Now} }
 
-func edit(base uint64, id string) operator.Edit {
+func newEdit(base uint64, id string) operator.Edit {
 	return operator.Edit{ExpectedVersion: base, EditID: id, Document: config.Document{Base: "[service]\nname = \"" + id + "\"\n"}}
 }
 
@@ -37,11 +37,11 @@
 			arrived.Wait()
 		}
 		results := make([]error, racers)
-		var under sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range racers {
-			under.Go(func() { _, results[i] = store.apply(context.Background(), edit(0, fmt.Sprint("e", i))) })
+			wg.Go(func() { _, results[i] = store.apply(context.Background(), newEdit(0, fmt.Sprint("e", i))) })
 		}
-		under.Wait()
+		wg.Wait()
 		accepted := 0
 		for _, err := range results {
 			var conflict *operator.Conflict
@@ -70,7 +70,7 @@
 			}
 			return applied
 		}
-		v, err := store.apply(context.Background(), edit(0, "e"))
+		v, err := store.apply(context.Background(), newEdit(0, "e"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(v.Version).To(Equal(uint64(1)))
 		time.Sleep(40 * time.Millisecond)
@@ -79,7 +79,7 @@
 		Expect(head.EditID).To(Equal("e"))
 		Expect(head.Version).To(Equal(uint64(1)))
 	},
-		Entry("after the edit took effect", answerLost),
+		Entry("after the edit took effect", responseLost),
 		Entry("if the request was lost too", requestLost),
 		Entry("while the request is still in transit", appliedLate),
 	)
@@ -89,10 +89,10 @@
 	It("include an edit only once if it is sent again", func() {
 		store := newStore(newFakePlatform())
 		for i, id := range []string{"a", "b", "c"} {
-			_, err := store.apply(context.Background(), edit(uint64(i), id))
+			_, err := store.apply(context.Background(), newEdit(uint64(i), id))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		v, err := store.apply(context.Background(), edit(1, "b"))
+		v, err := store.apply(context.Background(), newEdit(1, "b"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(v.Version).To(Equal(uint64(2)))
 	})
@@ -100,7 +100,7 @@
 	It("do not change in an outage, and the edit is refused at once", func() {
 		p := newFakePlatform()
 		p.down = true
-		_, err := newStore(p).apply(context.Background(), edit(0, "e"))
+		_, err := newStore(p).apply(context.Background(), newEdit(0, "e"))
 		Expect(errors.Is(err, operator.ErrUnavailable)).To(BeTrue())
 	})
 })
@@ -111,7 +111,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform()
 		store := newStore(p)
-		faults := rapid.SliceOfN(rapid.SampledFrom([]commitFault{applied, answerLost, requestLost, appliedLate, refused}), 0, 12).Draw(t, "faults")
+		faults := rapid.SliceOfN(rapid.SampledFrom([]commitFault{applied, responseLost, requestLost, appliedLate, refused}), 0, 12).Draw(t, "faults")
 		at := 0
 		p.commitFault = func() commitFault {
 			if at >= len(faults) {
@@ -130,7 +130,7 @@
 			base := rapid.Uint64Range(0, uint64(i)).Draw(t, "base")
 			id := fmt.Sprint("e", i)
 			ctx, cancel := context.WithTimeout(context.Background(), 150*time.Millisecond)
-			_, err := store.apply(ctx, edit(base, id))
+			_, err := store.apply(ctx, newEdit(base, id))
 			cancel()
 			answers = append(answers, answer{id, err})
 		}
