--- a/controller/controller.go
+++ b/controller/controller.go
@@ -37,14 +37,14 @@
 // Controller is the control plane of one VM. Its methods other than Run are safe for concurrent
 // use.
 type Controller struct {
-	opts     Options
-	log      *zap.Logger
-	now      func() time.Time
-	versions *versionStore
-	reconciler   *reconciler
+	opts       Options
+	log        *zap.Logger
+	now        func() time.Time
+	versions   *versionStore
+	reconciler *reconciler
 
 	// ops are the functions for the goroutine that owns the state.
-	ops   chan func(*state)
+	ops      chan func(*state)
 	stopped  chan struct{}
 	snapshot atomic.Pointer[Snapshot]
 	// pushSignal wakes pushLoop. Its capacity of one merges signals.
@@ -63,14 +63,14 @@
 		opts.Now = time.Now
 	}
 	c := &Controller{
-		opts:     opts,
-		log:      opts.Log,
-		now:      opts.Now,
-		versions: &versionStore{tables: opts.Platform, now: opts.Now},
-		ops:   make(chan func(*state), opQueueSize),
-		stopped:  make(chan struct{}),
-		pushSignal:  make(chan struct{}, 1),
-		fetchSlot: make(chan struct{}, 1),
+		opts:       opts,
+		log:        opts.Log,
+		now:        opts.Now,
+		versions:   &versionStore{tables: opts.Platform, now: opts.Now},
+		ops:        make(chan func(*state), opQueueSize),
+		stopped:    make(chan struct{}),
+		pushSignal: make(chan struct{}, 1),
+		fetchSlot:  make(chan struct{}, 1),
 	}
 	c.reconciler = newReconciler(c)
 	self := &peerv1.Member{
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -50,13 +50,13 @@
 // processes measure from when they last saw the row change, so a successor always waits longer than
 // the holder may act.
 type lease struct {
-	tables  platform.Tables
-	log     *zap.Logger
-	now     func() time.Time
-	region  string
-	vm      string
-	process string
-	duration  time.Duration
+	tables   platform.Tables
+	log      *zap.Logger
+	now      func() time.Time
+	region   string
+	vm       string
+	process  string
+	duration time.Duration
 
 	// writeMu serialises writes of the row. It is locked before mu.
 	writeMu sync.Mutex
--- a/controller/network_test.go
+++ b/controller/network_test.go
@@ -25,12 +25,12 @@
 	nodes    map[string]*node
 	platform *fakePlatform
 	// dropped reports whether a message is lost; nil delivers all messages.
-	dropped      func(from, to string) bool
-	messages atomic.Int64
-	updates  atomic.Int64
-	maxUpdates  atomic.Int64
-	probeInterval    time.Duration
-	leaseDuration    time.Duration
+	dropped       func(from, to string) bool
+	messages      atomic.Int64
+	updates       atomic.Int64
+	maxUpdates    atomic.Int64
+	probeInterval time.Duration
+	leaseDuration time.Duration
 	// engine returns a client for the engine at an address.
 	engine func(address string) endpoint.Engine
 }
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -54,8 +54,8 @@
 	pendingAt time.Time
 	// reserved is the load order for which the weight store has assigned a time slot, and
 	// loadNotBefore is when that slot begins.
-	reserved *endpoint.Order
-	loadNotBefore   time.Time
+	reserved      *endpoint.Order
+	loadNotBefore time.Time
 }
 
 // reconciler brings the engines of a region to the configured target while this VM holds the
@@ -70,7 +70,7 @@
 	minCopies map[string]int
 	// inDoubtUnloads holds unloads that may still take effect, each with the time until which it
 	// may.
-	inDoubtUnloads map[unloadIntent]time.Time
+	inDoubtUnloads  map[unloadIntent]time.Time
 	publishedStatus atomic.Pointer[[]operator.EndpointStatus]
 }
 
--- a/controller/orders_test.go
+++ b/controller/orders_test.go
@@ -131,10 +131,10 @@
 
 // fleet is a set of engines and of reconcilers that may send them orders, on one clock.
 type fleet struct {
-	platform *fakePlatform
-	clock    *clock
-	engines  map[string]*fakeEngine
-	minCopiesSeen   int
+	platform      *fakePlatform
+	clock         *clock
+	engines       map[string]*fakeEngine
+	minCopiesSeen int
 }
 
 const testLease = 6 * time.Second
--- a/controller/process.go
+++ b/controller/process.go
@@ -31,8 +31,8 @@
 
 // Process is a controller with its peer and operator listeners.
 type Process struct {
-	controller *Controller
-	log        *zap.Logger
+	controller       *Controller
+	log              *zap.Logger
 	peerServer       *http.Server
 	peerListener     net.Listener
 	operatorServer   *http.Server
@@ -65,7 +65,7 @@
 	p := &Process{
 		controller: c,
 		log:        log,
-		peerServer:       peer.NewServer(c.PeerHandler(), nil),
+		peerServer: peer.NewServer(c.PeerHandler(), nil),
 		operatorServer: &http.Server{
 			Handler:           operator.NewHandler(c, keys, log),
 			ReadHeaderTimeout: operatorHeaderTimeout,
