--- a/controller/membership/neighbours.go
+++ b/controller/membership/neighbours.go
@@ -44,7 +44,7 @@
 
 // IndirectProbers returns members that can probe the target on behalf of this one. They are chosen
 // from the neighbours that are not suspect, to which connections are already open.
-func (t *Table) Helpers(target string) []*peerv1.Member {
+func (t *Table) IndirectProbers(target string) []*peerv1.Member {
 	t.refreshNeighbours()
 	var probers []*peerv1.Member
 	for _, i := range t.rand.Perm(len(t.neighbours)) {
@@ -148,7 +148,7 @@
 
 // HighestRanked returns the highest-ranked of the members for a task by rendezvous hashing: all
 // callers that see the same members agree on the result. It is empty without members.
-func Rank(task string, ids []string) string {
+func HighestRanked(task string, ids []string) string {
 	best, bestScore := "", uint64(0)
 	for _, id := range ids {
 		h := fnv.New64a()
--- a/controller/membership/table.go
+++ b/controller/membership/table.go
@@ -185,7 +185,7 @@
 // MarkReachable records that a member answered directly. A published suspicion ends with the
 // member's own record, which comes with the response; this method ends one that was never
 // published.
-func (t *Table) Answered(id string) {
+func (t *Table) MarkReachable(id string) {
 	e, ok := t.entries[id]
 	if ok && e.member.State != peerv1.MemberState_MEMBER_STATE_SUSPECT {
 		e.suspectUntil = time.Time{}
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -108,12 +108,12 @@
 	ids := unsuspectedIDs(s, func(m *peerv1.Member) bool {
 		return m.Region == s.Self.Region && m.State == peerv1.MemberState_MEMBER_STATE_ALIVE
 	})
-	first := membership.Rank(r.lease.key(), ids)
+	first := membership.HighestRanked(r.lease.key(), ids)
 	if first == s.Self.Id {
 		return true
 	}
 	others := slices.DeleteFunc(ids, func(id string) bool { return id == first })
-	return membership.Rank(r.lease.key(), others) == s.Self.Id
+	return membership.HighestRanked(r.lease.key(), others) == s.Self.Id
 }
 
 // round reads the engines that are due and sends each of them at most one order.
--- a/controller/prober.go
+++ b/controller/prober.go
@@ -138,7 +138,7 @@
 	answered := res.Updates[0].GetId()
 	c.withState(func(s *state) {
 		c.applyAll(s, res.Updates)
-		s.table.Answered(answered)
+		s.table.MarkReachable(answered)
 	})
 	c.fetchIfNewer(address, res.ConfigVersion)
 	return nil
@@ -168,7 +168,7 @@
 	var probers []*peerv1.Member
 	req := &peerv1.IndirectPingRequest{TargetAddress: target.ControllerAddress, TargetId: target.Id}
 	c.withState(func(s *state) {
-		probers = s.table.Helpers(target.Id)
+		probers = s.table.IndirectProbers(target.Id)
 		req.From = s.table.Self()
 	})
 	ctx, cancel := context.WithTimeout(ctx, 2*c.pingTimeout())
--- a/controller/reader.go
+++ b/controller/reader.go
@@ -74,7 +74,7 @@
 // the highest rank.
 func (c *Controller) isReader() bool {
 	s := c.Snapshot()
-	return membership.Rank("config-reader", unsuspectedIDs(s, func(m *peerv1.Member) bool {
+	return membership.HighestRanked("config-reader", unsuspectedIDs(s, func(m *peerv1.Member) bool {
 		return m.DataCentre == s.Self.DataCentre
 	})) == s.Self.Id
 }
