--- a/controller/backend.go
+++ b/controller/backend.go
@@ -45,8 +45,8 @@
 	return versions, wrapUnavailable(err)
 }
 
-// wrapUnavailable converts platform errors that leave the state wrapUnavailable or unknown to
-// operator.ErrUnavailable.
+// wrapUnavailable wraps operator.ErrUnavailable around platform errors after which the result is
+// unavailable or unknown, and returns other errors unchanged.
 func wrapUnavailable(err error) error {
 	if errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown) {
 		return eris.Wrap(operator.ErrUnavailable, err.Error())
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -54,7 +54,7 @@
 	log      *zap.Logger
 	now      func() time.Time
 	region   string
-	vm       string
+	vmID       string
 	process  string
 	duration time.Duration
 
@@ -76,7 +76,7 @@
 func newLease(c *Controller) *lease {
 	s := c.opts.Settings
 	return &lease{
-		tables: c.opts.Platform, log: c.log, now: c.now, region: s.VM.Region, vm: s.VM.ID,
+		tables: c.opts.Platform, log: c.log, now: c.now, region: s.VM.Region, vmID: s.VM.ID,
 		process: uuid.NewString(), duration: time.Duration(s.LeaseMS) * time.Millisecond,
 	}
 }
@@ -103,7 +103,7 @@
 
 // isHolder reports whether the last known row names this process as the holder. The caller holds
 // mu.
-func (l *lease) isHolder() bool { return l.row.Holder == l.vm && l.row.Process == l.process }
+func (l *lease) isHolder() bool { return l.row.Holder == l.vmID && l.row.Process == l.process }
 
 // renewOrAcquire renews the lease if this process holds it. Otherwise, if mayAcquire is set, it
 // acquires the lease once it is free or has expired.
@@ -117,7 +117,7 @@
 	}
 	if mayAcquire && l.readRow(ctx) && l.acquirable() {
 		l.writeRow(ctx, func(row *leaseRow) {
-			row.Holder, row.Process, row.Fence = l.vm, l.process, row.Fence+1
+			row.Holder, row.Process, row.Fence = l.vmID, l.process, row.Fence+1
 		})
 	}
 }
@@ -174,8 +174,8 @@
 	return true
 }
 
-// acquirable reports whether this process may acquire the lease: it is acquirable, it names this process,
-// or the holder's time is certainly over.
+// acquirable reports whether this process may acquire the lease: the lease is free, the row names
+// this process, or the holder's time is certainly over.
 func (l *lease) acquirable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -184,7 +184,7 @@
 }
 
 // writeRow applies change to the row and stores it, on condition that the stored row is still the
-// one last seen. The lease is measured from before the writeRow, since others may see the row before
+// one last seen. The lease is measured from before the write, since others may see the row before
 // the response arrives. It reports whether the row is certainly stored.
 func (l *lease) writeRow(ctx context.Context, change func(*leaseRow)) bool {
 	l.writeMu.Lock()
@@ -217,7 +217,7 @@
 	return false
 }
 
-// recordWrite records a stored row. before is the time at which its write began.
+// recordWrite records a stored row. writeStart is the time at which its write began.
 func (l *lease) recordWrite(row leaseRow, version int64, writeStart time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/controller/membership/table.go
+++ b/controller/membership/table.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// refute raises the own incarnation if a record of this member is wrong: others consider it suspect
-// or dead, or hold a record of an earlier process with the same ID. Otherwise they would remove it
-// while it runs.
+// refute raises the incarnation of this member if the record m of it is wrong: others consider it
+// suspect or dead, or hold a record of an earlier process with the same ID. Without a refutation
+// they would remove the member while it runs. It reports whether the record changed.
 func (t *Table) refute(m *peerv1.Member) bool {
 	wrong := m.Incarnation > t.self.Incarnation ||
 		(m.Incarnation == t.self.Incarnation && Supersedes(m, t.self))
--- a/controller/membership/table_test.go
+++ b/controller/membership/table_test.go
@@ -96,10 +96,10 @@
 			}
 		}
 	}
-	reached, front, hops := map[string]bool{"vm-0": true}, []string{"vm-0"}, 0
-	for len(front) > 0 {
+	reached, frontier, hops := map[string]bool{"vm-0": true}, []string{"vm-0"}, 0
+	for len(frontier) > 0 {
 		var next []string
-		for _, id := range front {
+		for _, id := range frontier {
 			neighbours := tables[id].Neighbours()
 			if len(neighbours) != neighbourCount {
 				t.Fatalf("%s has %d neighbours", id, len(neighbours))
@@ -111,7 +111,7 @@
 				}
 			}
 		}
-		front = next
+		frontier = next
 		hops++
 	}
 	if len(reached) != count || hops > 6 {
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -66,7 +66,7 @@
 	lease   *lease
 	version uint64
 	engines map[string]*trackedEngine
-	// minCopies is the number of engines that must minCopies each model.
+	// minCopies is the number of engines that must keep each model.
 	minCopies map[string]int
 	// inDoubtUnloads holds unloads that may still take effect, each with the time until which it
 	// may.
--- a/controller/orders_test.go
+++ b/controller/orders_test.go
@@ -209,7 +209,7 @@
 	Expect(r.c.adopt(&peerv1.ConfigDocument{Version: uint64(version), Document: []byte(document)})).To(Succeed())
 }
 
-// runRounds runs n runRounds, one per second of the clock.
+// runRounds runs n rounds of a reconciler, one per second of the clock.
 func (f *fleet) runRounds(r *reconciler, n int) {
 	for range n {
 		r.lease.renewOrAcquire(context.Background(), true)
@@ -418,20 +418,20 @@
 		a, b := f.newReconciler("vm-1"), f.newReconciler("vm-2")
 		f.setConfig(a, 1, 1, false, "e2")
 		f.setConfig(b, 2, 1, false, "e1")
-		var hanging *endpoint.Order
+		var delayed *endpoint.Order
 		f.engines["e1"].intercept = func(o endpoint.Order) (bool, error) {
-			hanging = &o
+			delayed = &o
 			return false, errResponseLost
 		}
 		f.runRounds(a, 2)
-		Expect(hanging).NotTo(BeNil())
+		Expect(delayed).NotTo(BeNil())
 		f.engines["e1"].intercept = nil
 
 		b.lease.renewOrAcquire(context.Background(), true)
 		f.clock.advance(2 * testLease)
 		f.runRounds(b, 20)
 		Expect(b.lease.held()).To(BeTrue())
-		Expect(f.engines["e1"].carryOut(*hanging)).To(Succeed())
+		Expect(f.engines["e1"].carryOut(*delayed)).To(Succeed())
 		Expect(f.minCopiesSeen).To(Equal(1))
 		f.runRounds(b, 30)
 		Expect(f.engines["e1"].hasModel("m")).To(BeTrue(), "the successor loads the model again after the late unload")
@@ -445,17 +445,17 @@
 		f.load("e1", "e2")
 		r := f.newReconciler("vm-1")
 		f.setConfig(r, 1, 1, false, "e2")
-		var hanging *endpoint.Order
+		var delayed *endpoint.Order
 		f.engines["e1"].intercept = func(o endpoint.Order) (bool, error) {
-			hanging = &o
+			delayed = &o
 			return false, errResponseLost
 		}
 		f.runRounds(r, 2)
-		Expect(hanging).NotTo(BeNil())
+		Expect(delayed).NotTo(BeNil())
 		f.engines["e1"].intercept = nil
 		f.setConfig(r, 2, 1, false, "e1")
 		f.runRounds(r, 30)
-		Expect(f.engines["e1"].carryOut(*hanging)).To(Succeed())
+		Expect(f.engines["e1"].carryOut(*delayed)).To(Succeed())
 		Expect(f.minCopiesSeen).To(Equal(1))
 	})
 })
--- a/controller/reader.go
+++ b/controller/reader.go
@@ -56,13 +56,13 @@
 // waitUntilReader waits for the given time, or until this VM becomes its data centre's reader. It
 // returns false if ctx ended.
 func (c *Controller) waitUntilReader(ctx context.Context, wait time.Duration) bool {
-	was := c.isReader()
+	wasReader := c.isReader()
 	for wait > 0 {
 		step := min(wait, c.configInterval())
 		if !sleepWithJitter(ctx, step) {
 			return false
 		}
-		if !was && c.isReader() {
+		if !wasReader && c.isReader() {
 			return true
 		}
 		wait -= step
--- a/controller/seeds.go
+++ b/controller/seeds.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// join sends the own record to the controller at address and applies all records that it returns.
+// join sends this VM's record to the controller at address and applies all records that it returns.
 // Errors are ignored, since the callers try again.
 func (c *Controller) join(ctx context.Context, address string) {
 	req := &peerv1.JoinRequest{From: c.Snapshot().Self}
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -93,7 +93,8 @@
 }
 
 // apply stores an edit as the next version. The document must be valid. Errors: *operator.Conflict,
-// operator.ErrUnavailable if nothing was written, operator.ErrUnknown if the outcome is not known.
+// operator.ErrUnavailable if this call has written nothing, operator.ErrUnknown if the outcome is
+// not known.
 func (v *versionStore) apply(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	head, row, err := v.head(ctx)
 	if err != nil {
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -86,7 +86,7 @@
 
 	// A tool that got no response sends its edit again after others have edited. It must learn that
 	// the edit was accepted.
-	It("include an edit only once if it is sent again", func() {
+	It("recognise an edit that is sent again", func() {
 		store := newStore(newFakePlatform())
 		for i, id := range []string{"a", "b", "c"} {
 			_, err := store.apply(context.Background(), newEdit(uint64(i), id))
