--- a/controller/lease.go
+++ b/controller/lease.go
@@ -54,7 +54,7 @@
 	log      *zap.Logger
 	now      func() time.Time
 	region   string
-	vmID       string
+	vmID     string
 	process  string
 	duration time.Duration
 
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -32,7 +32,8 @@
 	// stateTimeout bounds one request for an engine's state or load report.
 	stateTimeout = time.Second
 	// verifyTimeout is how long an order may have no visible effect before the next order is
-	// chosen, usually the same one again.
+	// chosen, usually the same one again. It does not apply while the engine reports that it is
+	// loading.
 	verifyTimeout = 5 * time.Second
 	// minLeaseDivisor sets the part of the lease (duration/minLeaseDivisor) that must remain for an
 	// order to be sent. For an engine that ignores fencing numbers, this time is the only
@@ -49,7 +50,8 @@
 	state   endpoint.State
 	reached bool
 	readAt  time.Time
-	// pending is the last order sent, until its effect is seen or verifyTimeout has passed.
+	// pending is the last order sent, until its effect is seen or it is given up after
+	// verifyTimeout.
 	pending   *endpoint.Order
 	pendingAt time.Time
 	// reserved is the load order for which the weight store has assigned a time slot, and
@@ -248,7 +250,7 @@
 }
 
 // mayLoad reports whether a load may start now. It asks the weight store for a time slot once for
-// each load and waits for it, so that all loads together stay within the store's rate.
+// each load order and waits for it, so that all loads together stay within the store's rate.
 func (r *reconciler) mayLoad(ctx context.Context, t *trackedEngine, o endpoint.Order) bool {
 	if t.reserved == nil || *t.reserved != o {
 		wait, err := r.c.opts.Platform.Reserve(ctx, o.Model, o.Version)
