--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,9 +1,8 @@
-// Package controller is the control side of a VM: it keeps membership with the
-// controllers of other VMs, brings each accepted configuration to the gateway of
-// its VM, and, while it holds the lease of its region, orders endpoints to load
-// what the configuration says.
+// Package controller is the control plane of a VM. It maintains membership with the controllers of
+// other VMs, distributes each accepted configuration to the gateway of its VM, and, while it holds
+// the lease of its region, orders endpoints to load what the configuration says.
 //
-// One goroutine owns the state. Others send it functions through do, and read
+// One goroutine owns the state. Other goroutines send it functions through withState, and read
 // immutable snapshots.
 package controller
 
@@ -23,7 +22,7 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// Options is what a controller is built from.
+// Options are the dependencies and settings of a controller.
 type Options struct {
 	Settings  settings.Controller
 	Platform  platform.Platform
@@ -35,54 +34,58 @@
 	Now func() time.Time
 }
 
-// Controller is one VM's controller.
+// Controller is the control plane of one VM. Its methods other than Run are safe for concurrent
+// use.
 type Controller struct {
-	opts     Options
-	log      *zap.Logger
-	now      func() time.Time
-	versions *versionStore
-	orders   *orderKeeper
+	opts       Options
+	log        *zap.Logger
+	now        func() time.Time
+	versions   *versionStore
+	reconciler *reconciler
 
-	events   chan func(*state)
+	// ops are the functions for the goroutine that owns the state.
+	ops      chan func(*state)
 	stopped  chan struct{}
 	snapshot atomic.Pointer[Snapshot]
-	// pushNow wakes pushLoop.
-	pushNow chan struct{}
-	// fetching holds a token while a configuration is fetched.
-	fetching chan struct{}
+	// pushSignal wakes pushLoop. Its capacity of one merges signals.
+	pushSignal chan struct{}
+	// fetchSlot is occupied while a configuration is fetched from a peer.
+	fetchSlot chan struct{}
 }
 
-// eventQueue bounds the functions that wait for the state's owner.
-const eventQueue = 256
+// opQueueSize bounds the functions that wait for the goroutine that owns the state.
+const opQueueSize = 256
 
-// New returns a controller that does nothing until Run.
+// New returns a controller whose loops start with Run. Its state is already served from a
+// goroutine, which ends when Run returns.
 func New(opts Options) *Controller {
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
 	c := &Controller{
-		opts:     opts,
-		log:      opts.Log,
-		now:      opts.Now,
-		versions: &versionStore{tables: opts.Platform, now: opts.Now},
-		events:   make(chan func(*state), eventQueue),
-		stopped:  make(chan struct{}),
-		pushNow:  make(chan struct{}, 1),
-		fetching: make(chan struct{}, 1),
+		opts:       opts,
+		log:        opts.Log,
+		now:        opts.Now,
+		versions:   &versionStore{tables: opts.Platform, now: opts.Now},
+		ops:        make(chan func(*state), opQueueSize),
+		stopped:    make(chan struct{}),
+		pushSignal: make(chan struct{}, 1),
+		fetchSlot:  make(chan struct{}, 1),
 	}
-	c.orders = newOrderKeeper(c)
+	c.reconciler = newReconciler(c)
 	self := &peerv1.Member{
 		Id:                opts.Settings.VM.ID,
 		DataCentre:        opts.Settings.VM.DataCentre,
 		Region:            opts.Settings.VM.Region,
 		ControllerAddress: opts.Settings.PeerAddress,
-		// A later process with the same ID starts above an earlier one, which raised
-		// its own by one at each change, far fewer than one a millisecond.
+		// The incarnation starts from the wall clock, so that a later process with the same ID
+		// starts above an earlier one, which raised its own by one at each change, far fewer than
+		// one per millisecond.
 		Incarnation: uint64(time.Now().UnixMilli()),
 	}
 	table := membership.New(self, c.probeInterval(), rand.Uint64())
 	c.snapshot.Store(newSnapshot(table, nil))
-	go c.own(&state{table: table})
+	go c.stateLoop(&state{table: table})
 	return c
 }
 
@@ -94,11 +97,12 @@
 	return time.Duration(c.opts.Settings.ConfigIntervalMS) * time.Millisecond
 }
 
-// Run works until ctx ends. It releases the orders lease on the way out.
+// Run runs the loops of the controller until ctx ends, and releases the lease before it returns. It
+// must be called at most once.
 func (c *Controller) Run(ctx context.Context) error {
 	var g run.Group
 	for _, actor := range []func(context.Context){
-		c.probeLoop, c.pushLoop, c.seedLoop, c.joinLoop, c.readLoop, c.orders.run,
+		c.probeLoop, c.pushLoop, c.seedLoop, c.joinLoop, c.readLoop, c.reconciler.run,
 	} {
 		actorCtx, cancel := context.WithCancel(ctx)
 		g.Add(func() error {
@@ -111,12 +115,13 @@
 	return err
 }
 
-// own is the goroutine that owns the state.
-func (c *Controller) own(s *state) {
+// stateLoop is the goroutine that owns the state. It publishes a snapshot after each function that
+// changed it.
+func (c *Controller) stateLoop(s *state) {
 	for {
 		select {
-		case event := <-c.events:
-			event(s)
+		case op := <-c.ops:
+			op(s)
 			c.publish(s)
 		case <-c.stopped:
 			return
@@ -124,16 +129,16 @@
 	}
 }
 
-// do runs f on the state and waits for it. It reports false if the controller has
-// stopped; f may then not have run.
-func (c *Controller) do(f func(*state)) bool {
+// withState runs f in the goroutine that owns the state and waits for it. It returns false if the
+// controller has stopped; f may not have run then.
+func (c *Controller) withState(f func(*state)) bool {
 	done := make(chan struct{})
-	event := func(s *state) {
+	op := func(s *state) {
 		f(s)
 		close(done)
 	}
 	select {
-	case c.events <- event:
+	case c.ops <- op:
 	case <-c.stopped:
 		return false
 	}
@@ -145,17 +150,17 @@
 	}
 }
 
-// push has the neighbours told of a change at once.
-func (c *Controller) push() {
+// triggerPush makes pushLoop send the latest changes to the neighbours at once.
+func (c *Controller) triggerPush() {
 	select {
-	case c.pushNow <- struct{}{}:
+	case c.pushSignal <- struct{}{}:
 	default:
 	}
 }
 
-// sleep waits with jitter of a quarter, so that controllers that started together
-// do not act together for ever. It reports false if ctx ended.
-func sleep(ctx context.Context, d time.Duration) bool {
+// sleepWithJitter waits for d with a jitter of 25 % in either direction, so that controllers that
+// started together do not stay synchronised. It returns false if ctx ended.
+func sleepWithJitter(ctx context.Context, d time.Duration) bool {
 	if d > 0 {
 		d += time.Duration(rand.Int64N(int64(d)/2+1)) - d/4
 	}
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -18,12 +18,12 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// answerLimit is the time after which a message counts as never answered.
-const answerLimit = 10 * time.Second
+// answerTimeout is the time after which a message counts as never answered.
+const answerTimeout = 10 * time.Second
 
-// A peer with a fault, or somebody who reaches the peer listener, sends messages with
-// extreme or broken fields. A controller that stops over one of them leaves its VM
-// without configuration and membership.
+// A faulty peer, or an attacker who reaches the peer listener, sends messages with extreme or
+// malformed fields. A controller that crashes or hangs on one leaves its VM without configuration
+// and membership.
 func FuzzPeerListener(f *testing.F) {
 	c := New(Options{
 		Settings: settings.Controller{
@@ -67,7 +67,7 @@
 		}()
 		select {
 		case <-answered:
-		case <-time.After(answerLimit):
+		case <-time.After(answerTimeout):
 			stacks := make([]byte, 1<<20)
 			t.Fatalf("no answer; goroutines:\n%s", stacks[:runtime.Stack(stacks, true)])
 		}
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -18,79 +18,81 @@
 
 const (
 	leaseTable = "leases"
-	// renewals is the number of renewals in one length of the lease.
-	renewals = 3
-	// skewShare is the part of the length that a successor waits on top, for clocks
-	// that run at different rates.
-	skewShare = 4
+	// renewalsPerLease is the number of renewal attempts within one lease duration.
+	renewalsPerLease = 3
+	// skewMarginDivisor sets the extra time that a successor waits beyond the lease duration, as a
+	// fraction (duration/skewMarginDivisor). It covers clocks that run at different rates.
+	skewMarginDivisor = 4
 )
 
-// leaseRow is the stored lease. A row whose holder is empty is free.
+// leaseRow is the stored form of the lease. The lease is free if Holder is empty.
 type leaseRow struct {
 	Holder string `json:"holder"`
-	// Process tells apart processes with the same VM ID.
+	// Process distinguishes processes with the same VM ID.
 	Process string `json:"process"`
 	Fence   uint64 `json:"fence"`
-	// Unloads are orders to unload that may still take effect.
+	// Unloads are the announced unload orders that may still take effect.
 	Unloads []unloadIntent `json:"unloads,omitempty"`
 }
 
-// unloadIntent is an order to unload that was announced before it went out. An
-// order of a holder that was paused may reach an engine long after another has
-// taken the lease; if the engine ignores fencing numbers, it obeys. The successor
-// finds the announcement in the row and does not count on that copy.
+// unloadIntent is an unload order that is stored before it is sent. An order of a holder that was
+// paused may reach an engine long after another process has acquired the lease, and an engine that
+// ignores fencing numbers carries it out. The successor finds the intent in the row and does not
+// count that engine's copy.
 type unloadIntent struct {
 	Endpoint string `json:"endpoint"`
 	Model    string `json:"model"`
 	Fence    uint64 `json:"fence"`
 }
 
-// lease is the right to give orders in one region. No clock is compared between
-// VMs: the holder counts from before it wrote the row, and others count from when
-// they saw the row change last, so a successor always waits longer.
+// lease is the exclusive right to send orders to the engines of one region. Clocks are never
+// compared between VMs: the holder measures the lease from before it wrote the row, and other
+// processes measure from when they last saw the row change, so a successor always waits longer than
+// the holder may act.
 type lease struct {
-	tables  platform.Tables
-	log     *zap.Logger
-	now     func() time.Time
-	region  string
-	vm      string
-	process string
-	length  time.Duration
+	tables   platform.Tables
+	log      *zap.Logger
+	now      func() time.Time
+	region   string
+	vmID     string
+	process  string
+	duration time.Duration
 
-	// writing lets one write go on at a time; it is taken before mu.
-	writing sync.Mutex
+	// writeMu serialises writes of the row. It is locked before mu.
+	writeMu sync.Mutex
 
 	mu sync.Mutex
-	// row and rowVersion are as last read or written.
+	// row and rowVersion are as last read or written; they are valid if known is set.
 	row        leaseRow
 	rowVersion int64
 	known      bool
-	// seenAt is when the row was first seen with this version.
+	// seenAt is when the row was first seen with rowVersion.
 	seenAt time.Time
-	// until is when the lease ends by this process's clock; zero if not held.
-	until time.Time
+	// expiresAt is when the lease expires by the clock of this process; zero if the lease is not
+	// held.
+	expiresAt time.Time
 }
 
 func newLease(c *Controller) *lease {
 	s := c.opts.Settings
 	return &lease{
-		tables: c.opts.Platform, log: c.log, now: c.now, region: s.VM.Region, vm: s.VM.ID,
-		process: uuid.NewString(), length: time.Duration(s.LeaseMS) * time.Millisecond,
+		tables: c.opts.Platform, log: c.log, now: c.now, region: s.VM.Region, vmID: s.VM.ID,
+		process: uuid.NewString(), duration: time.Duration(s.LeaseMS) * time.Millisecond,
 	}
 }
 
 func (l *lease) key() string { return "orders-" + l.region }
 
-// remaining returns for how long the lease is held at least, by this process's own
-// clocks, and its fencing number. It must be asked right before each order.
+// remaining returns a lower bound of the time for which this process still holds the lease, and the
+// fencing number. Callers must ask immediately before each order.
 //
-// The monotonic clock stands still while a whole VM is paused, and the wall clock
-// may be set back. Whichever of the two leaves less time counts.
+// The monotonic clock does not advance while the whole VM is paused, and the wall clock may be set
+// back, so the smaller of the two remaining times is returned.
 func (l *lease) remaining() (time.Duration, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	monotonic, wall := l.until.Sub(now), l.until.Round(0).Sub(now.Round(0))
+	monotonic, wall := l.expiresAt.Sub(now), l.expiresAt.Round(0).Sub(now.Round(0))
 	return min(monotonic, wall), l.row.Fence
 }
 
@@ -99,53 +101,57 @@
 	return left > 0
 }
 
-func (l *lease) mine() bool { return l.row.Holder == l.vm && l.row.Process == l.process }
+// isHolder reports whether the last known row names this process as the holder. The caller holds
+// mu.
+func (l *lease) isHolder() bool { return l.row.Holder == l.vmID && l.row.Process == l.process }
 
-// step renews the lease if this process has it, and otherwise, if it may, takes it
-// when its time is over.
-func (l *lease) step(ctx context.Context, mayTake bool) {
+// renewOrAcquire renews the lease if this process holds it. Otherwise, if mayAcquire is set, it
+// acquires the lease once it is free or has expired.
+func (l *lease) renewOrAcquire(ctx context.Context, mayAcquire bool) {
 	l.mu.Lock()
-	renew := l.known && l.mine()
+	renew := l.known && l.isHolder()
 	l.mu.Unlock()
 	if renew {
-		l.write(ctx, func(*leaseRow) {})
+		l.writeRow(ctx, func(*leaseRow) {})
 		return
 	}
-	if mayTake && l.look(ctx) && l.free() {
-		l.write(ctx, func(row *leaseRow) {
-			row.Holder, row.Process, row.Fence = l.vm, l.process, row.Fence+1
+	if mayAcquire && l.readRow(ctx) && l.acquirable() {
+		l.writeRow(ctx, func(row *leaseRow) {
+			row.Holder, row.Process, row.Fence = l.vmID, l.process, row.Fence+1
 		})
 	}
 }
 
-// announce adds an intent to the row and reports whether that is certain. The
-// write also shows that nobody else has taken the lease up to now.
-func (l *lease) announce(ctx context.Context, intent unloadIntent) bool {
-	return l.write(ctx, func(row *leaseRow) {
+// storeIntent adds an intent to the row and reports whether it is certainly stored. A successful
+// write also shows that no other process has acquired the lease so far.
+func (l *lease) storeIntent(ctx context.Context, intent unloadIntent) bool {
+	return l.writeRow(ctx, func(row *leaseRow) {
 		if !slices.Contains(row.Unloads, intent) {
 			row.Unloads = append(slices.Clone(row.Unloads), intent)
 		}
 	})
 }
 
-// settle takes an intent out of the row with the next renewal.
-func (l *lease) settle(intent unloadIntent) {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+// removeIntent removes an intent from the local row; the next renewal writes the change to the
+// store.
+func (l *lease) removeIntent(intent unloadIntent) {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.row.Unloads = slices.DeleteFunc(slices.Clone(l.row.Unloads), func(u unloadIntent) bool { return u == intent })
 }
 
-// intents returns the announced unloads, those of former holders included.
-func (l *lease) intents() []unloadIntent {
+// unloadIntents returns the announced unloads, including those of former holders.
+func (l *lease) unloadIntents() []unloadIntent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.row.Unloads
 }
 
-// look reads the row and notes when it changed.
-func (l *lease) look(ctx context.Context) bool {
+// readRow reads the row and records when it changed. It returns false if the row cannot be read or
+// decoded.
+func (l *lease) readRow(ctx context.Context) bool {
 	row, err := l.tables.Get(ctx, leaseTable, l.key())
 	if err != nil {
 		metrics.Count("lease_read_failed")
@@ -153,7 +159,7 @@
 	}
 	var stored leaseRow
 	if row.Version > 0 && json.Unmarshal(row.Value, &stored) != nil {
-		l.log.Error("lease row malformed", zap.String("key", row.Key))
+		l.log.Error("lease row cannot be decoded", zap.String("key", row.Key))
 		return false
 	}
 	l.mu.Lock()
@@ -162,26 +168,27 @@
 		l.seenAt = l.now()
 	}
 	l.known, l.row, l.rowVersion = true, stored, row.Version
-	if !l.mine() {
-		l.until = time.Time{}
+	if !l.isHolder() {
+		l.expiresAt = time.Time{}
 	}
 	return true
 }
 
-// free tells whether the holder's time is certainly over.
-func (l *lease) free() bool {
+// acquirable reports whether this process may acquire the lease: the lease is free, the row names
+// this process, or the holder's time is certainly over.
+func (l *lease) acquirable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	over := l.now().Sub(l.seenAt) > l.length+l.length/skewShare
-	return over || l.row.Holder == "" || l.mine()
+	over := l.now().Sub(l.seenAt) > l.duration+l.duration/skewMarginDivisor
+	return over || l.row.Holder == "" || l.isHolder()
 }
 
-// write changes the row if it is as last seen. The time of the lease counts from
-// before the write, since others may see the row before the answer comes back. It
-// reports whether the row is certainly stored.
-func (l *lease) write(ctx context.Context, change func(*leaseRow)) bool {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+// writeRow applies change to the row and stores it, on condition that the stored row is still the
+// one last seen. The lease is measured from before the write, since others may see the row before
+// the response arrives. It reports whether the row is certainly stored.
+func (l *lease) writeRow(ctx context.Context, change func(*leaseRow)) bool {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	l.mu.Lock()
 	row, version := l.row, l.rowVersion
 	l.mu.Unlock()
@@ -190,57 +197,58 @@
 	if err != nil {
 		panic("controller: lease row cannot be encoded: " + err.Error())
 	}
-	before := l.now()
+	writeStart := l.now()
 	written, err := l.tables.Commit(ctx, platform.Txn{
 		Conditions: []platform.Condition{{Table: leaseTable, Key: l.key(), Version: version}},
 		Writes:     []platform.Write{{Table: leaseTable, Key: l.key(), Value: value}},
 	})
 	switch {
 	case err == nil:
-		l.took(row, written, before)
+		l.recordWrite(row, written, writeStart)
 		return true
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrUnknown):
-		// Either another has the lease, or an earlier write of this process took
-		// effect although its answer was lost. The row tells; if it is this
-		// process's own, the next step writes again and counts from there.
-		l.look(ctx)
+		// Either another process holds the lease, or an earlier write of this process took effect
+		// although its response was lost. Reading the row resolves this: if it names this process,
+		// the next renewOrAcquire writes it again and measures the lease from that write.
+		l.readRow(ctx)
 	default:
 		metrics.Count("lease_write_failed")
 	}
 	return false
 }
 
-func (l *lease) took(row leaseRow, version int64, before time.Time) {
+// recordWrite records a stored row. writeStart is the time at which its write began.
+func (l *lease) recordWrite(row leaseRow, version int64, writeStart time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if row.Fence != l.row.Fence || !l.mine() {
+	if row.Fence != l.row.Fence || !l.isHolder() {
 		metrics.Count("lease_taken")
-		l.log.Info("lease taken", zap.String("region", l.region), zap.Uint64("fence", row.Fence))
+		l.log.Info("lease acquired", zap.String("region", l.region), zap.Uint64("fence", row.Fence))
 	}
-	l.row, l.rowVersion, l.known, l.seenAt = row, version, true, before
-	l.until = before.Add(l.length)
+	l.row, l.rowVersion, l.known, l.seenAt = row, version, true, writeStart
+	l.expiresAt = writeStart.Add(l.duration)
 	if row.Holder == "" {
-		l.until = time.Time{}
+		l.expiresAt = time.Time{}
 	}
 }
 
-// drop gives up the lease in this process: an engine has seen a higher fencing
-// number, so another process holds it.
-func (l *lease) drop() {
+// abandon gives up the lease in this process without writing the row. It is called when an engine
+// has seen a higher fencing number, which means that another process holds the lease.
+func (l *lease) abandon() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until, l.known = time.Time{}, false
+	l.expiresAt, l.known = time.Time{}, false
 	l.row = leaseRow{}
 }
 
-// release frees the lease, so that a successor need not wait.
+// release frees the lease in the store, so that a successor does not have to wait for it to expire.
 func (l *lease) release(ctx context.Context) {
 	l.mu.Lock()
-	mine := l.known && l.mine()
-	l.until = time.Time{}
+	mine := l.known && l.isHolder()
+	l.expiresAt = time.Time{}
 	l.mu.Unlock()
 	if mine {
-		l.write(ctx, func(row *leaseRow) { row.Holder, row.Process = "", "" })
+		l.writeRow(ctx, func(row *leaseRow) { row.Holder, row.Process = "", "" })
 	}
 }
 
--- a/controller/network_test.go
+++ b/controller/network_test.go
@@ -19,20 +19,19 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// network connects controllers of one process without sockets.
+// network connects the controllers of one process without sockets.
 type network struct {
 	mu       sync.Mutex
 	nodes    map[string]*node
 	platform *fakePlatform
-	// cut tells which messages get lost.
-	cut      func(from, to string) bool
-	messages atomic.Int64
-	updates  atomic.Int64
-	longest  atomic.Int64
-	// probe is the probe interval.
-	probe time.Duration
-	lease time.Duration
-	// engine makes clients of engines.
+	// dropped reports whether a message is lost; nil delivers all messages.
+	dropped       func(from, to string) bool
+	messages      atomic.Int64
+	updates       atomic.Int64
+	maxUpdates    atomic.Int64
+	probeInterval time.Duration
+	leaseDuration time.Duration
+	// engine returns a client for the engine at an address.
 	engine func(address string) endpoint.Engine
 }
 
@@ -43,23 +42,23 @@
 	stop    func()
 }
 
-var errCut = errors.New("message lost")
+var errMessageLost = errors.New("message lost")
 
 func newNetwork() *network {
 	return &network{
-		nodes: make(map[string]*node), platform: newFakePlatform(), probe: 25 * time.Millisecond, lease: time.Second,
+		nodes: make(map[string]*node), platform: newFakePlatform(), probeInterval: 25 * time.Millisecond, leaseDuration: time.Second,
 		engine: func(string) endpoint.Engine { return nil },
 	}
 }
 
-// start runs a controller. A second one with the same number is a restarted VM.
+// start runs a controller. A second start with the same number is a restarted VM.
 func (n *network) start(i int) *node {
 	id, address := fmt.Sprintf("vm-%03d", i), fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1)
 	c := New(Options{
 		Settings: settings.Controller{
 			VM:              settings.VM{ID: id, DataCentre: fmt.Sprint("dc", i%3), Region: "r"},
 			PeerAddress:     address,
-			ProbeIntervalMS: int(n.probe.Milliseconds()), ConfigIntervalMS: 20, LeaseMS: int(n.lease.Milliseconds()),
+			ProbeIntervalMS: int(n.probeInterval.Milliseconds()), ConfigIntervalMS: 20, LeaseMS: int(n.leaseDuration.Milliseconds()),
 		},
 		Platform:  n.platform,
 		Transport: virtualTransport{n, address},
@@ -100,20 +99,21 @@
 	return nodes
 }
 
-func (n *network) setCut(cut func(from, to string) bool) {
+func (n *network) setDropped(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.dropped = cut
 }
 
-// to returns the member at an address, if a message gets there.
-func (n *network) to(from, address string) (membershipServer, nodeServer, error) {
+// serversAt returns the servers of the member at an address, or errMessageLost if a message does
+// not arrive.
+func (n *network) serversAt(from, address string) (membershipServer, nodeServer, error) {
 	n.messages.Add(1)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	target, ok := n.nodes[address]
-	if !ok || (n.cut != nil && n.cut(from, address)) {
-		return membershipServer{}, nodeServer{}, errCut
+	if !ok || (n.dropped != nil && n.dropped(from, address)) {
+		return membershipServer{}, nodeServer{}, errMessageLost
 	}
 	return membershipServer{target.Controller}, nodeServer{target.Controller}, nil
 }
@@ -121,20 +121,20 @@
 func (n *network) countUpdates(count int) {
 	n.updates.Add(int64(count))
 	for {
-		old := n.longest.Load()
-		if int64(count) <= old || n.longest.CompareAndSwap(old, int64(count)) {
+		old := n.maxUpdates.Load()
+		if int64(count) <= old || n.maxUpdates.CompareAndSwap(old, int64(count)) {
 			return
 		}
 	}
 }
 
-// virtualTransport is one member's way into the network.
+// virtualTransport is the Transport of one member of the network.
 type virtualTransport struct {
 	n    *network
 	from string
 }
 
-func answer[T any](res *connect.Response[T], err error) (*T, error) {
+func unwrap[T any](res *connect.Response[T], err error) (*T, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -142,11 +142,11 @@
 }
 
 func (v virtualTransport) Ping(ctx context.Context, address string, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
-	m, _, err := v.n.to(v.from, address)
+	m, _, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	res, err := answer(m.Ping(ctx, connect.NewRequest(req)))
+	res, err := unwrap(m.Ping(ctx, connect.NewRequest(req)))
 	if err == nil {
 		v.n.countUpdates(len(req.Updates))
 		v.n.countUpdates(len(res.Updates))
@@ -155,38 +155,38 @@
 }
 
 func (v virtualTransport) IndirectPing(ctx context.Context, address string, req *peerv1.IndirectPingRequest) (*peerv1.IndirectPingResponse, error) {
-	m, _, err := v.n.to(v.from, address)
+	m, _, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	return answer(m.IndirectPing(ctx, connect.NewRequest(req)))
+	return unwrap(m.IndirectPing(ctx, connect.NewRequest(req)))
 }
 
 func (v virtualTransport) Join(ctx context.Context, address string, req *peerv1.JoinRequest) (*peerv1.JoinResponse, error) {
-	m, _, err := v.n.to(v.from, address)
+	m, _, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	return answer(m.Join(ctx, connect.NewRequest(req)))
+	return unwrap(m.Join(ctx, connect.NewRequest(req)))
 }
 
 func (v virtualTransport) FetchConfig(ctx context.Context, address string, req *peerv1.FetchConfigRequest) (*peerv1.ConfigDocument, error) {
-	m, _, err := v.n.to(v.from, address)
+	m, _, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	return answer(m.FetchConfig(ctx, connect.NewRequest(req)))
+	return unwrap(m.FetchConfig(ctx, connect.NewRequest(req)))
 }
 
 func (v virtualTransport) SetLeaving(ctx context.Context, address string, req *peerv1.SetLeavingRequest) (*peerv1.SetLeavingResponse, error) {
-	_, s, err := v.n.to(v.from, address)
+	_, s, err := v.n.serversAt(v.from, address)
 	if err != nil {
 		return nil, err
 	}
-	return answer(s.SetLeaving(ctx, connect.NewRequest(req)))
+	return unwrap(s.SetLeaving(ctx, connect.NewRequest(req)))
 }
 
-// states returns a member's view of the others, by ID.
+// states returns the state of each member as this member sees it, by ID.
 func (n *node) states() map[string]string {
 	out := make(map[string]string)
 	for _, m := range n.Snapshot().Members {
@@ -195,7 +195,7 @@
 	return out
 }
 
-// eventually polls generously; the machine may be busy.
+// eventually polls with a long timeout, since the machine may be busy.
 func eventually(f func(Gomega)) {
 	GinkgoHelper()
 	Eventually(f).WithTimeout(60 * time.Second).WithPolling(20 * time.Millisecond).Should(Succeed())
--- a/controller/prober.go
+++ b/controller/prober.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// minPingTimeout bounds one ping from below: a busy machine answers late, and a
-	// false suspicion costs more than a late one.
+	// minPingTimeout is the lower bound of the timeout of one ping: a busy machine answers late,
+	// and a false suspicion costs more than a late one.
 	minPingTimeout = 400 * time.Millisecond
-	// healEvery is the number of probes after which one lost member is tried.
-	healEvery = 3
-	// maxProbes bounds the probes under way. Probes of dead members take longer
-	// than the probe interval.
-	maxProbes = 6
+	// reconnectEvery is the number of probe rounds of which one goes to a lost member in place of a
+	// neighbour.
+	reconnectEvery = 3
+	// maxConcurrentProbes bounds the concurrent probes. Probes of dead members take longer than the
+	// probe interval.
+	maxConcurrentProbes = 6
 )
 
-var errWrongMember = eris.New("another member answers at this address")
+var errUnexpectedMember = eris.New("ping answered without a record of the expected member")
 
-// probeLoop probes one neighbour in each interval. The number of messages does not
-// depend on the number of members.
+// probeLoop probes one member in each interval, so the number of messages does not depend on the
+// number of members.
 func (c *Controller) probeLoop(ctx context.Context) {
-	var under sync.WaitGroup
-	defer under.Wait()
-	slots := make(chan struct{}, maxProbes)
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	slots := make(chan struct{}, maxConcurrentProbes)
 	start := func(f func()) {
 		select {
 		case slots <- struct{}{}:
@@ -39,12 +40,12 @@
 			metrics.Count("probe_skipped")
 			return
 		}
-		under.Go(func() {
+		wg.Go(func() {
 			defer func() { <-slots }()
 			f()
 		})
 	}
-	for round := 0; sleep(ctx, c.probeInterval()); round++ {
+	for round := 0; sleepWithJitter(ctx, c.probeInterval()); round++ {
 		if lost := c.tick(round); lost != nil {
 			start(func() { _ = c.ping(ctx, lost.ControllerAddress, lost.Id) })
 		} else if target := c.nextTarget(); target != nil {
@@ -53,13 +54,13 @@
 	}
 }
 
-// tick lets time pass in the table. In some rounds it returns a lost member to try
-// in place of a neighbour.
+// tick applies the table's timeouts. In every reconnectEvery-th round it returns a lost member, if
+// there is one, to probe in place of a neighbour.
 func (c *Controller) tick(round int) *peerv1.Member {
 	var lost *peerv1.Member
-	c.do(func(s *state) {
+	c.withState(func(s *state) {
 		s.dirty = s.table.Tick(c.now()) || s.dirty
-		if round%healEvery == healEvery-1 {
+		if round%reconnectEvery == reconnectEvery-1 {
 			lost = lostMember(s)
 		}
 	})
@@ -68,13 +69,13 @@
 
 func (c *Controller) nextTarget() *peerv1.Member {
 	var target *peerv1.Member
-	c.do(func(s *state) { target = s.table.NextTarget() })
+	c.withState(func(s *state) { target = s.table.NextTarget() })
 	return target
 }
 
-// lostMember picks a member that is dead, or a VM of the platform's list that is
-// not known as live. After a cut between two halves of the system has healed, each
-// half holds the other dead and nobody else would speak to it.
+// lostMember returns a random one of these members: a dead member, or a VM of the platform's list
+// that is not known to be live; nil if there is none. After a network partition has healed, each
+// side still considers the other side dead, and no other probe would contact it.
 func lostMember(s *state) *peerv1.Member {
 	var lost []*peerv1.Member
 	for _, vm := range s.seeds {
@@ -92,18 +93,18 @@
 	return lost[rand.IntN(len(lost))]
 }
 
-// probe pings the target, then asks others to. Only if nobody reaches it does it
-// become suspect, since one broken link must not take a member out.
+// probe pings the target, directly and then through other members. The target becomes suspect only
+// if all of them fail, since one broken link must not remove a member.
 func (c *Controller) probe(ctx context.Context, target *peerv1.Member) {
 	err := c.ping(ctx, target.ControllerAddress, target.Id)
 	if err == nil || ctx.Err() != nil {
 		return
 	}
 	metrics.Count("probe_failed")
-	if c.probeThroughOthers(ctx, target) || ctx.Err() != nil {
+	if c.probeIndirectly(ctx, target) || ctx.Err() != nil {
 		return
 	}
-	c.do(func(s *state) {
+	c.withState(func(s *state) {
 		if s.table.Suspect(target.Id, c.now()) {
 			s.dirty = true
 			metrics.Count("member_suspected")
@@ -112,13 +113,14 @@
 	})
 }
 
-// pingTimeout bounds one ping.
+// pingTimeout is the timeout of one ping.
 func (c *Controller) pingTimeout() time.Duration { return max(c.probeInterval(), minPingTimeout) }
 
-// ping exchanges updates with one member. An empty id accepts whoever answers.
+// ping exchanges updates with the member at address. With an empty id, a response of any member is
+// accepted.
 func (c *Controller) ping(ctx context.Context, address, id string) error {
 	req := &peerv1.PingRequest{}
-	if !c.do(func(s *state) { c.fillPing(s, req, id) }) {
+	if !c.withState(func(s *state) { c.fillPing(s, req, id) }) {
 		return context.Canceled
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.pingTimeout())
@@ -129,21 +131,21 @@
 		return err
 	}
 	if len(res.Updates) == 0 || (id != "" && res.Updates[0].GetId() != id) {
-		// The address belongs to a new VM by now. Its answer says nothing about the
-		// member that was meant.
-		return errWrongMember
+		// The address may belong to a new VM. Its response says nothing about the member that was
+		// probed.
+		return errUnexpectedMember
 	}
 	answered := res.Updates[0].GetId()
-	c.do(func(s *state) {
+	c.withState(func(s *state) {
 		c.applyAll(s, res.Updates)
-		s.table.Answered(answered)
+		s.table.MarkReachable(answered)
 	})
-	c.considerVersion(address, res.ConfigVersion)
+	c.fetchIfNewer(address, res.ConfigVersion)
 	return nil
 }
 
-// fillPing sets the request. If the target is held suspect or dead, it is told so,
-// since only the target itself can refute that.
+// fillPing fills in the request. If the target is not recorded as alive, its record is included,
+// since only the target can refute it.
 func (c *Controller) fillPing(s *state, req *peerv1.PingRequest, target string) {
 	req.From = s.table.Self()
 	req.ConfigVersion = s.config.GetVersion()
@@ -161,23 +163,24 @@
 	}
 }
 
-func (c *Controller) probeThroughOthers(ctx context.Context, target *peerv1.Member) bool {
-	var helpers []*peerv1.Member
+// probeIndirectly reports whether one of a few other members reaches the target.
+func (c *Controller) probeIndirectly(ctx context.Context, target *peerv1.Member) bool {
+	var probers []*peerv1.Member
 	req := &peerv1.IndirectPingRequest{TargetAddress: target.ControllerAddress, TargetId: target.Id}
-	c.do(func(s *state) {
-		helpers = s.table.Helpers(target.Id)
+	c.withState(func(s *state) {
+		probers = s.table.IndirectProbers(target.Id)
 		req.From = s.table.Self()
 	})
 	ctx, cancel := context.WithTimeout(ctx, 2*c.pingTimeout())
 	defer cancel()
-	results := make(chan bool, len(helpers))
-	for _, h := range helpers {
+	results := make(chan bool, len(probers))
+	for _, h := range probers {
 		go func() {
 			res, err := c.opts.Transport.IndirectPing(ctx, h.ControllerAddress, req)
 			results <- err == nil && res.Reached
 		}()
 	}
-	for range helpers {
+	for range probers {
 		if <-results {
 			return true
 		}
@@ -185,12 +188,12 @@
 	return false
 }
 
-// pushLoop spreads changes at once, one after the other; those that come meanwhile
-// go out together.
+// pushLoop sends changes to the neighbours as soon as they occur. Rounds run one at a time; changes
+// during a round are sent together in the next.
 func (c *Controller) pushLoop(ctx context.Context) {
 	for {
 		select {
-		case <-c.pushNow:
+		case <-c.pushSignal:
 			c.pushNeighbours(ctx)
 		case <-ctx.Done():
 			return
@@ -198,14 +201,14 @@
 	}
 }
 
-// pushNeighbours tells all neighbours of a change: their number is fixed, and each
-// passes the change on with its own probes.
+// pushNeighbours sends a change to all neighbours. Their number is fixed, and each forwards the
+// change with its own probes.
 func (c *Controller) pushNeighbours(ctx context.Context) {
 	var neighbours []*peerv1.Member
-	c.do(func(s *state) { neighbours = s.table.Neighbours() })
-	var under sync.WaitGroup
+	c.withState(func(s *state) { neighbours = s.table.Neighbours() })
+	var wg sync.WaitGroup
 	for _, n := range neighbours {
-		under.Go(func() { _ = c.ping(ctx, n.ControllerAddress, n.Id) })
+		wg.Go(func() { _ = c.ping(ctx, n.ControllerAddress, n.Id) })
 	}
-	under.Wait()
+	wg.Wait()
 }
--- a/controller/reader.go
+++ b/controller/reader.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// slowReads is how much more rarely a VM reads the head that is not its data
-	// centre's reader. It covers the time in which members disagree on the reader.
-	slowReads = 20
-	// readRetryLimit bounds the wait after failed reads: an edit that is accepted right after an
-	// outage has to be in force in time.
-	readRetryLimit = time.Second
+	// nonReaderIntervalFactor multiplies the read interval of a VM that is not its data centre's
+	// reader. Such VMs still read, to cover the time in which members disagree on the reader.
+	nonReaderIntervalFactor = 20
+	// maxReadRetryDelay bounds the wait after failed reads (or the configured interval does, if it
+	// is longer), because an edit that is accepted right after an outage has to be in force in
+	// time.
+	maxReadRetryDelay = time.Second
 	// fetchTimeout bounds the fetch of a configuration from a peer.
 	fetchTimeout = 3 * time.Second
-	// stopTimeout bounds the platform calls of a shutdown.
+	// stopTimeout bounds the platform calls at shutdown.
 	stopTimeout = time.Second
 )
 
-// readLoop reads the configuration head from the platform. One VM of each data
-// centre does so often and the others rarely; peers spread what it finds.
+// readLoop reads the configuration head from the platform. One VM of each data centre, the reader,
+// does so at each interval and the others rarely; peers spread what is read.
 func (c *Controller) readLoop(ctx context.Context) {
 	failures := 0
 	for {
@@ -41,10 +42,10 @@
 		}
 		wait := c.configInterval()
 		if !c.isReader() {
-			wait *= slowReads
+			wait *= nonReaderIntervalFactor
 		}
 		if failures > 0 {
-			wait = min(c.configInterval()<<min(failures, 10), max(readRetryLimit, c.configInterval()))
+			wait = min(c.configInterval()<<min(failures, 10), max(maxReadRetryDelay, c.configInterval()))
 		}
 		if !c.waitUntilReader(ctx, wait) {
 			return
@@ -52,15 +53,16 @@
 	}
 }
 
-// waitUntilReader waits, but not longer than it takes to become the reader.
+// waitUntilReader waits for the given time, or until this VM becomes its data centre's reader. It
+// returns false if ctx ended.
 func (c *Controller) waitUntilReader(ctx context.Context, wait time.Duration) bool {
-	was := c.isReader()
+	wasReader := c.isReader()
 	for wait > 0 {
 		step := min(wait, c.configInterval())
-		if !sleep(ctx, step) {
+		if !sleepWithJitter(ctx, step) {
 			return false
 		}
-		if !was && c.isReader() {
+		if !wasReader && c.isReader() {
 			return true
 		}
 		wait -= step
@@ -68,18 +70,21 @@
 	return true
 }
 
+// isReader reports whether this VM is the configuration reader of its data centre: the member with
+// the highest rank.
 func (c *Controller) isReader() bool {
 	s := c.Snapshot()
-	return membership.Rank("config-reader", liveIn(s, func(m *peerv1.Member) bool {
+	return membership.HighestRanked("config-reader", unsuspectedIDs(s, func(m *peerv1.Member) bool {
 		return m.DataCentre == s.Self.DataCentre
 	})) == s.Self.Id
 }
 
-// liveIn returns the IDs of members that are certainly alive and fit.
-func liveIn(s *Snapshot, fits func(*peerv1.Member) bool) []string {
+// unsuspectedIDs returns the IDs of the matching members that are alive or leaving, but not
+// suspect.
+func unsuspectedIDs(s *Snapshot, matches func(*peerv1.Member) bool) []string {
 	var ids []string
 	for _, m := range s.Members {
-		if m.State != peerv1.MemberState_MEMBER_STATE_SUSPECT && fits(m) {
+		if m.State != peerv1.MemberState_MEMBER_STATE_SUSPECT && matches(m) {
 			ids = append(ids, m.Id)
 		}
 	}
@@ -109,22 +114,22 @@
 	return c.adopt(&peerv1.ConfigDocument{Version: version.Version, EditId: version.EditID, Document: document})
 }
 
-// adopt puts a configuration in force if it is newer. A lower version is never
-// applied: an answer of the platform or of a peer may be late, and the
-// configuration would go back to what operators have replaced.
+// adopt puts a configuration in force if it is newer. A lower version is never applied: a response
+// of the platform or of a peer may be late, and applying it would bring back a configuration that
+// operators have replaced.
 func (c *Controller) adopt(doc *peerv1.ConfigDocument) error {
 	if doc.Version <= c.Snapshot().Version() {
 		return nil
 	}
-	// An accepted document is valid, but one from a newer release may hold keys that
-	// this one does not know. Then the last configuration stays in force here.
+	// An accepted document is valid, but one written by a newer release may have keys that this
+	// release does not know. Then the last configuration stays in force here.
 	if err := checkDocument(doc); err != nil {
 		metrics.Count("config_refused")
 		c.log.Warn("configuration refused", zap.Uint64("version", doc.Version), zap.Error(err))
 		return err
 	}
 	adopted := false
-	c.do(func(s *state) {
+	c.withState(func(s *state) {
 		if doc.Version <= s.config.GetVersion() {
 			return
 		}
@@ -134,7 +139,7 @@
 		metrics.Count("config_adopted")
 		metrics.Gauge("config_version", int64(doc.Version))
 		c.log.Info("configuration adopted", zap.Uint64("version", doc.Version), zap.String("edit_id", doc.EditId))
-		c.push()
+		c.triggerPush()
 	}
 	return nil
 }
@@ -155,23 +160,24 @@
 	return document, nil
 }
 
-// considerVersion fetches the configuration from a peer that has a newer one.
-func (c *Controller) considerVersion(address string, version uint64) {
+// fetchIfNewer fetches the configuration from a peer in the background if the peer has a newer
+// version. At most one fetch runs at a time.
+func (c *Controller) fetchIfNewer(address string, version uint64) {
 	if version <= c.Snapshot().Version() {
 		return
 	}
 	select {
-	case c.fetching <- struct{}{}:
+	case c.fetchSlot <- struct{}{}:
 	default:
-		return // another fetch is under way; the next message offers it again
+		return // another fetch is running; later messages offer the version again
 	}
 	go func() {
-		defer func() { <-c.fetching }()
+		defer func() { <-c.fetchSlot }()
 		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 		defer cancel()
 		doc, err := c.opts.Transport.FetchConfig(ctx, address, &peerv1.FetchConfigRequest{MinVersion: version})
 		if err != nil {
-			c.log.Debug("configuration not fetched", zap.String("peer", address), zap.Error(err))
+			c.log.Debug("fetching the configuration from a peer failed", zap.String("peer", address), zap.Error(err))
 			return
 		}
 		_ = c.adopt(doc)
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -17,14 +17,14 @@
 const (
 	configTable = "config"
 	headKey     = "head"
-	// versionPrefix begins the keys of the immutable rows, one for each version.
+	// versionPrefix is the key prefix of the immutable rows, one for each version.
 	versionPrefix = "version/"
 	// applyRetryDelay is the wait between two attempts at one commit.
 	applyRetryDelay = 100 * time.Millisecond
 )
 
-// versionStore keeps accepted configurations in the platform's table: one head row
-// with the latest version, and one row for each version that is never changed.
+// versionStore keeps accepted configurations in the platform's table: one head row with the latest
+// version, and one immutable row for each version.
 type versionStore struct {
 	tables platform.Tables
 	now    func() time.Time
@@ -32,7 +32,8 @@
 
 func versionKey(version uint64) string { return fmt.Sprintf("%s%012d", versionPrefix, version) }
 
-// head reads the latest version without its document, and the row that holds it.
+// head reads the latest version without its document, and the row that holds it. Before the first
+// edit the version is zero.
 func (v *versionStore) head(ctx context.Context) (operator.Version, platform.Row, error) {
 	row, err := v.tables.Get(ctx, configTable, headKey)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return version, row, err
 }
 
-// read returns one version with its document.
+// read returns one version with its document, or operator.ErrNoVersion.
 func (v *versionStore) read(ctx context.Context, version uint64) (operator.Version, error) {
 	row, err := v.tables.Get(ctx, configTable, versionKey(version))
 	if err != nil {
@@ -65,15 +66,15 @@
 	return version, nil
 }
 
-// history returns the latest versions, newest first, without documents.
+// history returns the latest versions without documents, newest first, at most limit of them.
 func (v *versionStore) history(ctx context.Context, limit int) ([]operator.Version, error) {
 	head, _, err := v.head(ctx)
 	if err != nil {
 		return nil, err
 	}
 	after := ""
-	if first := head.Version; first > uint64(limit) {
-		after = versionKey(first - uint64(limit))
+	if latest := head.Version; latest > uint64(limit) {
+		after = versionKey(latest - uint64(limit))
 	}
 	rows, err := v.tables.Scan(ctx, configTable, versionPrefix, after, limit)
 	if err != nil {
@@ -91,58 +92,61 @@
 	return versions, nil
 }
 
-// apply stores an edit as the next version. The document must be valid.
+// apply stores an edit as the next version. The document must be valid. Errors: *operator.Conflict,
+// operator.ErrUnavailable if this call has written nothing, operator.ErrUnknown if the outcome is
+// not known.
 func (v *versionStore) apply(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	head, row, err := v.head(ctx)
 	if err != nil {
 		return operator.Version{}, eris.Wrap(operator.ErrUnavailable, err.Error())
 	}
 	if head.Version != e.ExpectedVersion {
-		return v.settled(ctx, e, head)
+		return v.resolveOutdated(ctx, e, head)
 	}
 	next := operator.Version{Version: head.Version + 1, EditID: e.EditID, At: v.now().UTC(), Document: &e.Document}
 	txn, err := versionTxn(next, row.Version)
 	if err != nil {
 		return operator.Version{}, err
 	}
-	sent := false
+	maybeApplied := false
 	for {
 		_, err := v.tables.Commit(ctx, txn)
 		switch {
 		case err == nil:
 			return next, nil
 		case errors.Is(err, platform.ErrConflict):
-			return v.readBack(ctx, e)
-		case errors.Is(err, platform.ErrUnavailable) && !sent:
+			return v.resolveConflict(ctx, e)
+		case errors.Is(err, platform.ErrUnavailable) && !maybeApplied:
 			return operator.Version{}, eris.Wrap(operator.ErrUnavailable, err.Error())
 		}
-		// The answer was lost, so the edit may be in force. The same transaction goes
-		// out again: its conditions let it take effect once at most, and if it has
-		// already, the conflict leads to reading it back. A bare look at the head
-		// would not do, since the first attempt may still be on its way.
-		sent = true
-		if !sleep(ctx, applyRetryDelay) {
+		// The response was lost, so the edit may be in force. The same transaction is sent again:
+		// its conditions let it take effect at most once, and if it already has, the conflict leads
+		// to reading it back. Reading the head alone would not be enough, since the first attempt
+		// may still be in transit.
+		maybeApplied = true
+		if !sleepWithJitter(ctx, applyRetryDelay) {
 			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
 		}
 	}
 }
 
-// readBack finds out whose edit is in force after a condition failed.
-func (v *versionStore) readBack(ctx context.Context, e operator.Edit) (operator.Version, error) {
+// resolveConflict reads the head after a failed condition to find out whose edit is in force. It
+// retries failed reads until ctx ends.
+func (v *versionStore) resolveConflict(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	for {
 		head, _, err := v.head(ctx)
 		if err == nil {
-			return v.settled(ctx, e, head)
+			return v.resolveOutdated(ctx, e, head)
 		}
-		if !sleep(ctx, applyRetryDelay) {
+		if !sleepWithJitter(ctx, applyRetryDelay) {
 			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
 		}
 	}
 }
 
-// settled answers an edit whose base is no longer in force: it succeeded if the
-// version after its base is this very edit, else it conflicts.
-func (v *versionStore) settled(ctx context.Context, e operator.Edit, head operator.Version) (operator.Version, error) {
+// resolveOutdated decides an edit whose base version is no longer the latest: the edit has
+// succeeded if the version after its base carries its edit ID, and conflicts otherwise.
+func (v *versionStore) resolveOutdated(ctx context.Context, e operator.Edit, head operator.Version) (operator.Version, error) {
 	if head.Version > e.ExpectedVersion {
 		successor, err := v.read(ctx, e.ExpectedVersion+1)
 		if err != nil {
@@ -152,12 +156,12 @@
 			return successor, nil
 		}
 	}
-	return operator.Version{}, v.conflict(ctx, e, head)
+	return operator.Version{}, v.newConflict(ctx, e, head)
 }
 
-// conflict says what others changed since the edit's base. The changes are left
-// out if the platform fails meanwhile; the conflict stands all the same.
-func (v *versionStore) conflict(ctx context.Context, e operator.Edit, head operator.Version) error {
+// newConflict returns an error that lists what others changed since the edit's base. If the
+// platform fails meanwhile, the changes are omitted; the edit conflicts all the same.
+func (v *versionStore) newConflict(ctx context.Context, e operator.Edit, head operator.Version) error {
 	c := &operator.Conflict{Current: head}
 	current, err := v.read(ctx, head.Version)
 	if err != nil {
@@ -175,8 +179,8 @@
 	return c
 }
 
-// versionTxn sets the head and adds the version's own row. Head and version row
-// are written together, or a reader could find a head without its document.
+// versionTxn returns the transaction that sets the head and adds the version's own row. Both are
+// written together; otherwise a reader could find a head without its document.
 func versionTxn(next operator.Version, headRow int64) (platform.Txn, error) {
 	full, err := json.Marshal(next)
 	if err != nil {
