--- a/answers/text.go
+++ b/answers/text.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// causesOf returns the causes in descending order of their counts, and by name for equal counts.
+// causesOf lists causes, the most frequent first.
 func causesOf(counts map[Cause]int) []Cause {
 	return slices.SortedFunc(maps.Keys(counts), func(a, b Cause) int {
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
 	})
 }
 
-// Write writes the report as text with tab-separated columns.
+// Write writes the report as text in columns that are separated by tabs.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "cause\trequests\tshare\n")
 	for _, cause := range causesOf(r.Causes) {
--- a/cmd/crocusreel-gateway/main.go
+++ b/cmd/crocusreel-gateway/main.go
@@ -1,4 +1,4 @@
-// Command crocusreel-gateway runs the gateway of one VM, which serves requests of callers.
+// Command crocusreel-gateway serves callers on one VM.
 package main
 
 import (
--- a/cmd/crocusreel/main.go
+++ b/cmd/crocusreel/main.go
@@ -1,4 +1,4 @@
-// Command crocusreel is the command-line tool for operators and callers.
+// Command crocusreel is the command line of operators and callers.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/operator"
 )
 
-// Exit codes of the command; description lists their meanings.
+// Exit codes.
 const (
 	exitFailed      = 1
 	exitUsage       = 2
@@ -61,11 +61,10 @@
 	}
 }
 
-// usageError is an error in the arguments, or in a file that they name, that the parser of the
-// command line cannot detect.
+// usageError is a mistake in arguments that the parser cannot find.
 type usageError struct{ error }
 
-// exitCode returns the exit code for a non-nil error, as listed in description.
+// exitCode maps an error to the exit codes of the description.
 func exitCode(err error) int {
 	var usage usageError
 	var problems config.Problems
--- a/cmd/crocusreel/output.go
+++ b/cmd/crocusreel/output.go
@@ -8,13 +8,12 @@
 	"text/tabwriter"
 )
 
-// outputFlags selects the output format.
+// outputFlags choose the form of an answer.
 type outputFlags struct {
 	Output string `enum:"text,json" default:"text" help:"Form of the answer: text or json."`
 }
 
-// print writes v to standard output: as indented JSON, or as a table of the tab-separated rows that
-// text writes.
+// print writes a value as JSON or, with text, as a table.
 func (f outputFlags) print(v any, text func(io.Writer)) error {
 	if f.Output == "json" {
 		e := json.NewEncoder(os.Stdout)
