--- a/answers/answers_test.go
+++ b/answers/answers_test.go
@@ -15,7 +15,8 @@
 
 var limits = answers.Thresholds{FirstEvent: 1500 * time.Millisecond, Pause: 180 * time.Millisecond}
 
-// The lines are those of a node, some of them with what a collector puts before them.
+// The lines have the form that a node writes. One has the prefix that a log collector adds, and the
+// last one comes from another program.
 const nodeA = `time=2026-05-02T15:17:20Z level=info event="node started" data_centre=dc1 vm=a
    0.45 a-1 time=2026-05-02T15:17:31.2Z level=info event="request ended" endpoint=e1 events=100 first_event=400ms longest_gap=60ms request=r1 status=200 took=3.9s
 time=2026-05-02T15:17:31.3Z level=info event="request ended" endpoint=e1 events=10 first_event=1.6s longest_gap=60ms request=r2 status=200 took=2s
@@ -36,8 +37,8 @@
 time=2026-05-02T15:17:33Z level=info event="request refused" reason=not_ready request=r11 status=503
 `
 
-// An engineer has the logs of all nodes and a complaint. What became of each request, and
-// why, must not depend on the order of the lines or on which node wrote them.
+// The cause of a request may be stated on a later line or in the log of another node. The causes
+// must not depend on the order of the lines or on which node wrote them.
 func TestCausesAreToldFromTheLogsOfAllNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, logs := range [][]string{{nodeA, nodeB}, {nodeB, nodeA}} {
--- a/answers/doc.go
+++ b/answers/doc.go
@@ -1,7 +1,7 @@
-// Package answers reads the logs of all nodes and tells where the answers went: how many
-// were whole, late to begin or paused, and why the others were lost, by cause and by time.
-// It needs nothing but the lines that a node writes in production.
+// Package answers analyses the logs of all nodes and reports the outcomes of requests: how many
+// answers were complete, began late or paused, and why the others failed, by cause and by time. It
+// needs only the log lines that a node writes in production.
 //
-// A request that is under way when its node is killed leaves no line; what the other
-// lines show of it is the time of the node's next start.
+// A request that is in flight when its node is killed leaves no log line. The only trace of such
+// requests is the time of the node's next start.
 package answers
--- a/answers/line.go
+++ b/answers/line.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// line is one structured line of a log.
+// line is a structured log line.
 type line struct {
 	at     time.Time
 	fields map[string]string
@@ -17,7 +17,7 @@
 func (l line) duration(name string) time.Duration {
 	d, err := time.ParseDuration(l.fields[name])
 	if err != nil {
-		return 0 // the field is missing, as it is in lines of other events
+		return 0 // The field is missing, as it is in lines of other events.
 	}
 	return d
 }
@@ -30,9 +30,9 @@
 	return n
 }
 
-// parse reads the key=value pairs of a line; ok is false for a line without a time and an
-// event, which is none of ours. What stands before the first pair is skipped: collectors
-// of logs put names and times there.
+// parse parses the key=value pairs of a line. ok is false if the line lacks a valid time or an
+// event, which no node wrote. Text before the first pair is skipped, because log collectors
+// put names and times there.
 func parse(text string) (l line, ok bool) {
 	l.fields = make(map[string]string)
 	for text != "" {
@@ -55,7 +55,8 @@
 	return l, err == nil && l.event() != ""
 }
 
-// isName tells whether a key is one that our lines have.
+// isName reports whether key has the form of a field name in the log of a node: ASCII letters and
+// underscores only.
 func isName(key string) bool {
 	for _, r := range key {
 		if r != '_' && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') {
@@ -65,7 +66,7 @@
 	return key != ""
 }
 
-// cutValue cuts a value, which may be quoted, off the text.
+// cutValue splits text after its leading value, which may be quoted, and unquotes the value.
 func cutValue(text string) (value, rest string) {
 	if strings.HasPrefix(text, `"`) {
 		if quoted, err := strconv.QuotedPrefix(text); err == nil {
--- a/answers/plot.go
+++ b/answers/plot.go
@@ -14,8 +14,8 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// Plot writes a plot of what was not whole over time, a line for each cause. The ending of
-// the file's name tells its format.
+// Plot writes a plot of the requests that were not answered completely and on time, over time and
+// with one line for each cause. The extension of the file name selects the format.
 func (r *Report) Plot(file string) error {
 	p := plot.New()
 	p.Title.Text = "Answers that were not whole and on time"
--- a/answers/report.go
+++ b/answers/report.go
@@ -9,59 +9,69 @@
 	"github.com/rotisserie/eris"
 )
 
-// Cause is how a request ended.
+// Cause is the outcome of a request and, if the answer was not complete and on time, the reason.
 type Cause string
 
-// Causes. Those of streams that were not whole name what the logs show of their engine.
+// Causes. For a stream that broke off, the cause is inferred from what the logs show of its engine.
 const (
+	// Whole is a complete answer without a delay above the thresholds.
 	Whole Cause = "whole"
-	// LateFirst and Paused are whole streams that began late or stood still for long.
+	// LateFirst and Paused are complete streams whose first event was late, or that had a long
+	// pause between two events.
 	LateFirst Cause = "first event late"
 	Paused    Cause = "paused"
-	// EngineLeft is an engine that had told of its leaving; there was no copy in time.
+	// EngineLeft is a stream whose engine had announced that it was leaving, and that had no copy
+	// in time.
 	EngineLeft Cause = "engine left, no copy"
-	// CopyLost is a stream that had a copy and did not go on from it.
+	// CopyLost is a stream that had a copy, or looked for one after it broke off, and was not
+	// resumed from it.
 	CopyLost Cause = "engine gone, copy not used"
-	// EngineDied is an engine that went without notice.
+	// EngineDied is a stream whose engine failed without notice.
 	EngineDied Cause = "engine died, no backup"
 	CallerGone Cause = "caller gone"
 	TimeOver   Cause = "time over"
 	OutOfOrder Cause = "event missing"
-	// EndpointFailed is a failure that an endpoint answered, Refused one of ours.
+	// EndpointFailed is a status of 500 or above that an endpoint returned. Refused is a refusal
+	// by crocusreel itself.
 	EndpointFailed Cause = "endpoint failed"
 	Refused        Cause = "refused"
 )
 
-// Thresholds tell what counts as late. They are the deployment's, not the program's.
+// Thresholds are the delays above which an answer counts as late. They depend on the deployment, so
+// the package has no defaults for them.
 type Thresholds struct {
-	// FirstEvent is the time to a stream's first event, Pause that between two events.
+	// FirstEvent limits the time to the first event of a stream, Pause the time between two
+	// consecutive events.
 	FirstEvent, Pause time.Duration
 }
 
-// Window is what ended in one span of time.
+// Window counts the requests that ended in one time window, which starts at From.
 type Window struct {
 	From   time.Time
 	Causes map[Cause]int
 }
 
-// Report tells where the answers went.
+// Report summarises the outcomes of all requests.
 type Report struct {
 	Requests int
 	Causes   map[Cause]int
 	// Reasons counts refusals by reason.
 	Reasons map[string]int
 	Windows []Window
-	// Resumed is the number of times that a stream went on at another engine.
+	// Resumed is the number of times that a stream was resumed on another engine.
 	Resumed int
-	// Pace is the mean time between two events of long streams.
+	// Pace is the mean time between two events over long streams, each with equal weight.
 	Pace time.Duration
-	// FirstEvents and Pauses are sorted: times to first events and longest pauses.
+	// FirstEvents holds the times to the first event, Pauses the longest pause of each stream.
+	// Both are in ascending order.
 	FirstEvents, Pauses []time.Duration
-	// Starts are the times at which nodes started; what ran there before is not counted.
+	// Starts holds the times at which nodes started, in ascending order. Requests that were in
+	// flight on a node when it was killed before such a start are not counted.
 	Starts []time.Time
 }
 
-// Quantile returns the value below which the given part of sorted values lies.
+// Quantile returns the value below which the given fraction of the sorted values lies, or 0 if there
+// are no values.
 func Quantile(sorted []time.Duration, part float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -69,27 +79,28 @@
 	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
 }
 
-// longStream is the number of events from which a stream counts for the pace.
+// longStream is the number of events that a stream must exceed to count for Report.Pace.
 const longStream = 40
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine is the maximum length of a log line, in bytes.
 const maxLine = 1 << 20
 
-// reader collects a report.
+// reader builds a report.
 type reader struct {
 	limits Thresholds
 	every  time.Duration
 	report *Report
-	// leaving are endpoints that told of their leaving, copied the streams with a copy and
-	// brokeOff those that looked for one.
+	// leaving holds the endpoints that announced that they were leaving, by name. copied holds the
+	// streams of which another engine had a copy, and brokeOff those that broke off and looked for
+	// a copy, both by request ID.
 	leaving, copied, brokeOff map[string]bool
 	windows                   map[int64]*Window
 	pace                      time.Duration
 	paced                     int
 }
 
-// Read reads the lines of all nodes, in any order, and counts what ended in windows of the
-// given length.
+// Read reads the logs of all nodes, in any order, and counts the requests by the time at which they
+// ended, in windows of the given length. A line longer than 1 MiB is an error.
 func Read(logs []io.Reader, limits Thresholds, every time.Duration) (*Report, error) {
 	r := &reader{
 		limits: limits, every: every, report: &Report{Causes: make(map[Cause]int), Reasons: make(map[string]int)},
@@ -109,14 +120,15 @@
 			return nil, eris.Wrap(err, "read log")
 		}
 	}
-	// What is known of an endpoint may stand behind a request's line, or in another log.
+	// Lines about an endpoint may come after the line of a request, or be in another log. Requests
+	// are therefore counted after all logs were read.
 	for _, l := range ended {
 		r.count(l)
 	}
 	return r.finish(), nil
 }
 
-// take remembers what a line tells, and returns whether it ends a request.
+// take records the facts that a line states, and reports whether the line is the end of a request.
 func (r *reader) take(l line) bool {
 	switch l.event() {
 	case "request ended":
@@ -177,7 +189,7 @@
 	}
 }
 
-// lost tells why a stream was not whole.
+// lost returns the reason why a stream was not complete.
 func (r *reader) lost(l line) Cause {
 	switch l.fields["detail"] {
 	case "caller gone":
--- a/answers/text.go
+++ b/answers/text.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// causesOf lists causes, the most frequent first.
+// causesOf returns the causes in descending order of their counts, and by name for equal counts.
 func causesOf(counts map[Cause]int) []Cause {
 	return slices.SortedFunc(maps.Keys(counts), func(a, b Cause) int {
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
 	})
 }
 
-// Write writes the report as text in columns that are separated by tabs.
+// Write writes the report as text with tab-separated columns.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "cause\trequests\tshare\n")
 	for _, cause := range causesOf(r.Causes) {
--- a/cmd/crocusreel-controller/main.go
+++ b/cmd/crocusreel-controller/main.go
@@ -1,5 +1,5 @@
-// Command crocusreel-controller keeps membership, configuration and orders to
-// endpoints for one VM.
+// Command crocusreel-controller runs the controller of one VM. It maintains the membership and the
+// configuration, and sends orders to endpoints.
 package main
 
 import (
--- a/cmd/crocusreel-gateway/main.go
+++ b/cmd/crocusreel-gateway/main.go
@@ -1,4 +1,4 @@
-// Command crocusreel-gateway serves callers on one VM.
+// Command crocusreel-gateway runs the gateway of one VM, which serves requests of callers.
 package main
 
 import (
--- a/cmd/crocusreel-node/main.go
+++ b/cmd/crocusreel-node/main.go
@@ -1,4 +1,4 @@
-// Command crocusreel-node serves callers on one VM of the platform.
+// Command crocusreel-node runs the node of one VM of the platform, which serves requests of callers.
 package main
 
 import (
@@ -21,7 +21,7 @@
 Exit codes: 0 ended by a signal, 1 failed, 2 bad usage or settings.
 SIGTERM drains: requests under way are finished within the grace time.`
 
-// Exit codes.
+// Exit codes of the command.
 const (
 	exitFailed   = 1
 	exitSettings = 2
--- a/cmd/crocusreel-standin/commands.go
+++ b/cmd/crocusreel-standin/commands.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// weightsTimeout bounds an engine's calls to the platform.
+// weightsTimeout is the timeout of an engine's calls to the weight store of the platform.
 const weightsTimeout = 5 * time.Second
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -27,7 +27,7 @@
 	Seed            uint64  `help:"Seed of random faults." default:"1"`
 }
 
-// Run runs the platform.
+// Run serves the stand-in of the platform until SIGINT or SIGTERM.
 func (c *platformCommand) Run() error {
 	s := standin.New(standin.Options{
 		WriteRate: c.WriteRate, ReadRate: c.ReadRate,
@@ -46,7 +46,7 @@
 	Seed         uint64 `help:"Seed of random faults." default:"1"`
 }
 
-// Run runs the plain service.
+// Run serves the stand-in of a plain service until SIGINT or SIGTERM.
 func (c *serviceCommand) Run() error {
 	s, err := service.New(service.Options{
 		Name: c.Name, Latency: milliseconds(c.LatencyMS), DropsRepeats: c.DropsRepeats,
@@ -84,7 +84,7 @@
 	Seed          uint64   `help:"Seed of lengths and random faults." default:"1"`
 }
 
-// Run runs the engine.
+// Run serves the stand-in of an inference engine until SIGINT or SIGTERM.
 func (c *engineCommand) Run() error {
 	e, err := engine.New(c.options())
 	if err != nil {
--- a/cmd/crocusreel-standin/main.go
+++ b/cmd/crocusreel-standin/main.go
@@ -1,5 +1,5 @@
-// Command crocusreel-standin runs one stand-in for tests and for trying out: the
-// platform, an inference engine or a plain service. See docs/STANDINS.md.
+// Command crocusreel-standin runs one stand-in for tests and local trials: the platform, an
+// inference engine or a plain service. See docs/STANDINS.md.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes.
+// Exit codes of the command.
 const (
 	exitFailed = 1
 	exitUsage  = 2
--- a/cmd/crocusreel-standin/serve.go
+++ b/cmd/crocusreel-standin/serve.go
@@ -20,7 +20,8 @@
 	headerTimeout = 5 * time.Second
 )
 
-// serve runs a handler and an optional background task until a signal comes.
+// serve serves handler on the address listen and runs the optional background task until SIGINT or
+// SIGTERM, on which it returns nil. It returns an error if the server or the task fails.
 func serve(name, listen string, handler http.Handler, background func(context.Context) error) error {
 	log, err := logging.New("info", "crocusreel-standin", name)
 	if err != nil {
@@ -34,7 +35,8 @@
 	var group run.Group
 	group.Add(run.SignalHandler(context.Background(), syscall.SIGINT, syscall.SIGTERM))
 	daemon.AddServer(&group, server, listener)
-	// The background task goes on while the server finishes its requests.
+	// The task is added after the server, so that it continues while the server completes its
+	// in-flight requests: the group stops its members in the order in which they were added.
 	if background != nil {
 		daemon.AddTask(&group, background)
 	}
--- a/cmd/crocusreel/answers.go
+++ b/cmd/crocusreel/answers.go
@@ -19,7 +19,7 @@
 	outputFlags `embed:""`
 }
 
-// Run implements the subcommand.
+// Run reads the logs and prints the report.
 func (c *answersCommand) Run() error {
 	if c.Every <= 0 {
 		return usageError{eris.New("--every must be positive")}
--- a/cmd/crocusreel/config.go
+++ b/cmd/crocusreel/config.go
@@ -21,7 +21,7 @@
 	History  historyCommand  `cmd:"" help:"List the latest accepted configurations."`
 }
 
-// dirArg names the directory of a configuration.
+// dirArg is the argument that names the directory of a configuration.
 type dirArg struct {
 	Dir string `arg:"" help:"Directory with base.toml and overlays/DATA_CENTRE.toml." type:"existingdir"`
 }
@@ -31,7 +31,7 @@
 	outputFlags `embed:""`
 }
 
-// Run implements the subcommand.
+// Run checks the configuration in the directory and prints the result or the problems.
 func (c *validateCommand) Run() error {
 	doc, err := readDocument(c.Dir)
 	if err != nil {
@@ -58,7 +58,7 @@
 	outputFlags   `embed:""`
 }
 
-// Run implements the subcommand.
+// Run prints the differences between the configuration in force and the one in the directory.
 func (c *diffCommand) Run() error {
 	doc, err := readDocument(c.Dir)
 	if err != nil {
@@ -93,12 +93,12 @@
 	outputFlags   `embed:""`
 	Base          *uint64 `help:"Version that the edit is based on. Default: the one in force now." placeholder:"VERSION"`
 	EditID        string  `name:"edit-id" help:"Name of the edit. Give the same one to repeat an edit whose answer was lost." placeholder:"ID"`
-	// Wait bounds the wait for the answer, which a lost answer of the platform makes
-	// long.
+	// Wait is the timeout of the requests to the controller together. An answer takes long if the controller has to
+	// recover from a lost answer of the platform.
 	Wait time.Duration `default:"30s" help:"Longest wait for the answer."`
 }
 
-// Run implements the subcommand.
+// Run sends the configuration in the directory to the controller as an edit.
 func (c *applyCommand) Run() error {
 	doc, err := readDocument(c.Dir)
 	if err != nil {
@@ -138,12 +138,12 @@
 	return current.Version, err
 }
 
-// explainApply tells the operator what to do next.
+// explainApply writes to standard error what the operator can do about a failed edit.
 func explainApply(err error, edit operator.Edit) {
 	var refusal *operator.RemoteError
 	switch {
 	case errors.Is(err, operator.ErrUnreachable):
-		// The connection may have broken after the edit was stored.
+		// The connection may have failed after the edit was stored.
 		fmt.Fprintf(os.Stderr, "the edit may be in force; send the same edit again with --base %d --edit-id %s\n",
 			edit.ExpectedVersion, edit.EditID)
 	case !errors.As(err, &refusal):
@@ -165,7 +165,7 @@
 	Limit         int `default:"20" help:"Number of versions."`
 }
 
-// Run implements the subcommand.
+// Run prints the latest accepted versions of the configuration.
 func (c *historyCommand) Run() error {
 	client, err := c.client()
 	if err != nil {
--- a/cmd/crocusreel/demo.go
+++ b/cmd/crocusreel/demo.go
@@ -27,11 +27,11 @@
 	demoPrefix    = "/beds"
 )
 
-// demoCommand starts the whole system on loopback, uses it and stops it.
+// demoCommand starts the whole system on loopback, sends sample requests to it and stops it.
 type demoCommand struct {
 	Bin string `help:"Directory of the programs." default:"bin"`
 	Dir string `help:"Directory for settings and logs; default a temporary one."`
-	// Hold keeps the system running after the requests.
+	// Hold is how long the system keeps running after the sample requests.
 	Hold time.Duration `help:"How long the system stays up afterwards, to be tried by hand."`
 }
 
@@ -49,7 +49,8 @@
 Exit codes: 0 everything answered as promised, 1 otherwise.`
 }
 
-// Run runs the command.
+// Run starts the system, sends the sample requests, waits for the hold time and stops the system. It
+// returns early on SIGINT or SIGTERM.
 func (c *demoCommand) Run() error {
 	ctx, stop := interruptible()
 	defer stop()
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// hold keeps the system up and says how to reach it.
+// hold prints how to reach the system and waits until duration has passed or ctx is done. It does
+// nothing if duration is not positive.
 func (d *demo) hold(ctx context.Context, duration time.Duration) {
 	if duration <= 0 {
 		return
@@ -88,14 +90,15 @@
 	retry.Sleep(ctx, duration)
 }
 
-// workDir returns the directory to use and how to remove it, if it is temporary.
+// workDir returns the directory to use and a function that removes it if it is temporary. It creates
+// dir if needed, or a temporary directory if dir is empty.
 func workDir(dir string) (string, func(), error) {
 	if dir != "" {
 		return dir, func() {}, eris.Wrap(os.MkdirAll(dir, 0o755), "make directory")
 	}
 	dir, err := os.MkdirTemp("", "crocusreel-")
 	if err != nil {
-		return "", nil, eris.Wrap(err, "make temporary directory")
+		return "", nil, eris.Wrap(err, "create temporary directory")
 	}
 	return dir, func() { _ = os.RemoveAll(dir) }, nil
 }
@@ -119,7 +122,7 @@
 	return spec
 }
 
-// demo is a running system and where its answers are printed.
+// demo sends requests to a running system and prints the answers to out.
 type demo struct {
 	out    io.Writer
 	rig    *rig.Rig
@@ -175,8 +178,8 @@
 	return nil
 }
 
-// booking sends one piece of non-idempotent work twice under one key and checks that
-// the service ran it once.
+// booking sends a non-idempotent call twice under the same idempotency key and checks that the
+// service executed it exactly once.
 func (d *demo) booking(ctx context.Context) error {
 	const key = "demo-booking-1"
 	for attempt := range 2 {
@@ -205,7 +208,7 @@
 	}
 	fmt.Fprintf(d.out, "  the service ran it %d time(s)\n", ran)
 	if ran != 1 {
-		return eris.Errorf("non-idempotent call ran %d times", ran)
+		return eris.Errorf("service ran the non-idempotent call %d times, expected exactly once", ran)
 	}
 	return nil
 }
@@ -222,7 +225,7 @@
 	return nil
 }
 
-// counters prints what the gateways counted.
+// counters prints the event, refusal and retry counters of every gateway.
 func (d *demo) counters(ctx context.Context) error {
 	for _, vm := range d.rig.VMs {
 		vars, err := d.rig.Vars(ctx, vm.GatewayVars)
--- a/cmd/crocusreel/document.go
+++ b/cmd/crocusreel/document.go
@@ -16,7 +16,8 @@
 	extension  = ".toml"
 )
 
-// readDocument reads base.toml and overlays/DATA_CENTRE.toml of a directory.
+// readDocument reads base.toml and every overlays/DATA_CENTRE.toml in dir. base.toml is required.
+// Errors are of type usageError.
 func readDocument(dir string) (config.Document, error) {
 	base, err := os.ReadFile(filepath.Join(dir, baseFile))
 	if err != nil {
@@ -25,7 +26,7 @@
 	doc := config.Document{Base: string(base)}
 	paths, err := filepath.Glob(filepath.Join(dir, overlayDir, "*"+extension))
 	if err != nil {
-		return config.Document{}, usageError{eris.Wrap(err, "find overlays")}
+		return config.Document{}, usageError{eris.Wrap(err, "list overlays")}
 	}
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
--- a/cmd/crocusreel/evacuations.go
+++ b/cmd/crocusreel/evacuations.go
@@ -24,13 +24,13 @@
 	outputFlags `embed:""`
 }
 
-// nodeEvacuations is what one node knows.
+// nodeEvacuations lists the evacuations that one node knows.
 type nodeEvacuations struct {
 	Node        string             `json:"node"`
 	Evacuations []fleet.Evacuation `json:"evacuations"`
 }
 
-// Run implements the subcommand.
+// Run prints the evacuations that each node knows. It fails if any of the nodes cannot be read.
 func (c *evacuationsCommand) Run() error {
 	all := make([]nodeEvacuations, 0, len(c.Nodes))
 	for _, address := range c.Nodes {
@@ -43,7 +43,8 @@
 	return c.print(all, func(w io.Writer) { printEvacuations(w, all) })
 }
 
-// readEvacuations reads the evacuations that a node publishes with its metrics.
+// readEvacuations reads the evacuations that the node at address publishes with its metrics. The
+// error wraps operator.ErrUnreachable if the request fails.
 func readEvacuations(address string) ([]fleet.Evacuation, error) {
 	client := &http.Client{Timeout: evacuationsTimeout}
 	res, err := client.Get("http://" + address + node.PathMetrics)
@@ -52,7 +53,7 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("node %s answered %s", address, res.Status)
+		return nil, eris.Errorf("read metrics of node %s: expected status 200, got %s", address, res.Status)
 	}
 	var vars struct {
 		Gauges struct {
--- a/cmd/crocusreel/experiment.go
+++ b/cmd/crocusreel/experiment.go
@@ -14,12 +14,12 @@
 	"github.com/crocusreel/crocusreel/load/experiment"
 )
 
-// markers are the lines of the page between which a section's generated tables stand.
+// markers returns the lines of a page that enclose the generated tables of a section.
 func markers(section string) (begin, end string) {
 	return "<!-- generated " + section + ": begin -->", "<!-- generated " + section + ": end -->"
 }
 
-// experimentCommand compares scheduling policies.
+// experimentCommand compares scheduling policies on systems that it runs on loopback.
 type experimentCommand struct {
 	Bin      string    `help:"Directory of the programs." default:"bin"`
 	Quick    bool      `help:"One load, one seed, few settings; under three minutes."`
@@ -50,7 +50,8 @@
 Exit codes: 0 all runs were made, 1 otherwise, 5 an answer was broken.`
 }
 
-// Run runs the command.
+// Run runs the experiment, or reads the results of an earlier one, and writes tables and plots. If
+// the experiment fails midway, the results so far are written before the error is returned.
 func (c *experimentCommand) Run() error {
 	ctx, stop := interruptible()
 	defer stop()
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// results makes the experiment, or reads an earlier one.
+// results runs the experiment, or reads the results of an earlier one if --from is given. Results
+// and error may both be non-nil.
 func (c *experimentCommand) results(ctx context.Context, dir string) (*experiment.Results, error) {
 	if c.From == "" {
 		return experiment.Do(ctx, c.plan(dir), c.Parallel, os.Stderr)
@@ -151,8 +153,8 @@
 	return writePage(c.Page, c.Section, c.images(), tables, plots)
 }
 
-// writePage replaces a section's generated part of a page and keeps the rest; without
-// the section's markers it comes last.
+// writePage replaces the generated part of a section in a page and keeps the rest of the page. If the
+// page has no markers for the section, the generated part is appended. A missing page is created.
 func writePage(page, section, images, tables string, plots []string) error {
 	old, err := os.ReadFile(page)
 	if err != nil && !os.IsNotExist(err) {
@@ -168,7 +170,7 @@
 	}
 	rel, err := filepath.Rel(filepath.Dir(page), images)
 	if err != nil {
-		return eris.Wrap(err, "place of plots")
+		return eris.Wrap(err, "find path of plots relative to page")
 	}
 	var b strings.Builder
 	b.WriteString(head + begin + "\n" + tables + "\n")
--- a/cmd/crocusreel/explain.go
+++ b/cmd/crocusreel/explain.go
@@ -20,8 +20,8 @@
 	explainMaxBody = 1 << 20
 )
 
-// errNoRecord means that a gateway does not know the request.
-var errNoRecord = eris.New("no gateway knows this request; only recent ones are kept")
+// errNoRecord means that a gateway has no record of the request.
+var errNoRecord = eris.New("no gateway has a record of this request; only recent requests are kept")
 
 type explainCommand struct {
 	Request     string `arg:"" help:"Request ID, from the X-Request-Id header of the answer."`
@@ -30,7 +30,8 @@
 	outputFlags `embed:""`
 }
 
-// Run implements the subcommand.
+// Run asks the gateways one after the other for the record of the request and prints the first record
+// found. Unreachable gateways are skipped.
 func (c *explainCommand) Run() error {
 	key, err := c.key()
 	if err != nil {
@@ -40,7 +41,8 @@
 	if err := c.get(c.Gateway, "/v1/addresses", key, &known); err != nil {
 		return err
 	}
-	// The first is asked even if it names itself no more, as when it is leaving.
+	// The given gateway is asked in any case, since it does not list its own address while it is
+	// leaving.
 	for _, address := range append([]string{c.Gateway}, known.Addresses...) {
 		var record api.Record
 		err := c.get(address, "/v1/requests/"+url.PathEscape(c.Request), key, &record)
@@ -54,7 +56,8 @@
 	return errNoRecord
 }
 
-// get reads JSON from a gateway.
+// get sends a GET request to the gateway at address and decodes the JSON answer into into. It returns
+// errNoRecord on status 404.
 func (c *explainCommand) get(address, path, key string, into any) error {
 	base, transport, err := c.base(address)
 	if err != nil {
@@ -79,7 +82,7 @@
 		return errNoRecord
 	}
 	if res.StatusCode != http.StatusOK {
-		return eris.Errorf("gateway answered %s: %s", res.Status, body)
+		return eris.Errorf("gateway returned status %s: %s", res.Status, body)
 	}
 	return eris.Wrap(json.Unmarshal(body, into), "decode answer")
 }
--- a/cmd/crocusreel/load.go
+++ b/cmd/crocusreel/load.go
@@ -16,7 +16,7 @@
 	"github.com/crocusreel/crocusreel/load"
 )
 
-// loadCommand sends a seeded mix of requests and reports what callers saw.
+// loadCommand sends a seeded mix of requests and reports the answers as callers received them.
 type loadCommand struct {
 	Gateways    []string          `required:"" help:"IP:port of gateways to ask for addresses."`
 	Key         string            `help:"Caller key for workspaces that --keys does not name." env:"CROCUSREEL_KEY"`
@@ -51,18 +51,20 @@
 could not be made, 2 wrong usage or mix, 5 a wrong, missing or repeated token.`
 }
 
-// brokenAnswersError tells that a promise to callers was broken.
+// brokenAnswersError means that an answer violated a guarantee to callers, for example by a wrong,
+// missing or repeated token.
 type brokenAnswersError struct{}
 
 // Error implements the error interface.
-func (brokenAnswersError) Error() string { return "some answers were broken; see the report" }
+func (brokenAnswersError) Error() string { return "some answers violated the guarantees to callers; see the violations in the report" }
 
-// interruptible returns a context that ends at the first interrupt.
+// interruptible returns a context that is cancelled on the first SIGINT or SIGTERM.
 func interruptible() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// Run runs the command.
+// Run sends the requests and prints the report. It returns a brokenAnswersError if an answer violated
+// a guarantee.
 func (c *loadCommand) Run() error {
 	ctx, stop := interruptible()
 	defer stop()
@@ -150,7 +152,7 @@
 
 func saveReport(dir string, rep *load.Report) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return eris.Wrap(err, "make report directory")
+		return eris.Wrap(err, "create report directory")
 	}
 	if err := saveFile(filepath.Join(dir, "report.json"), func(w io.Writer) error { return writeJSON(w, rep) }); err != nil {
 		return err
--- a/cmd/crocusreel/main.go
+++ b/cmd/crocusreel/main.go
@@ -1,4 +1,4 @@
-// Command crocusreel is the command line of operators and callers.
+// Command crocusreel is the command-line tool for operators and callers.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/operator"
 )
 
-// Exit codes.
+// Exit codes of the command; description lists their meanings.
 const (
 	exitFailed      = 1
 	exitUsage       = 2
@@ -61,10 +61,11 @@
 	}
 }
 
-// usageError is a mistake in arguments that the parser cannot find.
+// usageError is an error in the arguments, or in a file that they name, that the parser of the
+// command line cannot detect.
 type usageError struct{ error }
 
-// exitCode maps an error to the exit codes of the description.
+// exitCode returns the exit code for a non-nil error, as listed in description.
 func exitCode(err error) int {
 	var usage usageError
 	var problems config.Problems
--- a/cmd/crocusreel/output.go
+++ b/cmd/crocusreel/output.go
@@ -8,12 +8,13 @@
 	"text/tabwriter"
 )
 
-// outputFlags choose the form of an answer.
+// outputFlags selects the output format.
 type outputFlags struct {
 	Output string `enum:"text,json" default:"text" help:"Form of the answer: text or json."`
 }
 
-// print writes a value as JSON or, with text, as a table.
+// print writes v to standard output: as indented JSON, or as a table of the tab-separated rows that
+// text writes.
 func (f outputFlags) print(v any, text func(io.Writer)) error {
 	if f.Output == "json" {
 		e := json.NewEncoder(os.Stdout)
--- a/cmd/crocusreel/remote.go
+++ b/cmd/crocusreel/remote.go
@@ -13,8 +13,8 @@
 	"github.com/crocusreel/crocusreel/operator"
 )
 
-// keyFlags name the key of a request. The key itself is never a flag, since flags
-// are visible to every user of the machine.
+// keyFlags selects the key of a request and the CA of the server. The key is meant to come from a
+// file or the environment and not from a flag, since every user of the machine can see flags.
 type keyFlags struct {
 	KeyFile string `help:"File that holds the key." type:"path" placeholder:"FILE"`
 	Key     string `env:"CROCUSREEL_KEY" hidden:"" help:"The key, from the environment only."`
@@ -30,12 +30,13 @@
 	}
 	text, err := os.ReadFile(f.KeyFile)
 	if err != nil {
-		return "", usageError{eris.Wrap(err, "read key")}
+		return "", usageError{eris.Wrap(err, "read key file")}
 	}
 	return strings.TrimSpace(string(text)), nil
 }
 
-// base returns the URL of a server and the transport to reach it.
+// base returns the base URL of the server at address and the transport to reach it. The transport is
+// nil, for plain HTTP by the default transport, if no CA file is given.
 func (f keyFlags) base(address string) (string, http.RoundTripper, error) {
 	if f.CAFile == "" {
 		return "http://" + address, nil, nil
@@ -51,7 +52,7 @@
 	return "https://" + address, &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}, nil
 }
 
-// operatorFlags say which controller to ask.
+// operatorFlags selects the controller and the key for its administration API.
 type operatorFlags struct {
 	Operator string `required:"" help:"Administration address of any controller." placeholder:"IP:PORT" env:"CROCUSREEL_OPERATOR"`
 	keyFlags `embed:""`
--- a/cmd/crocusreel/status.go
+++ b/cmd/crocusreel/status.go
@@ -14,7 +14,7 @@
 	outputFlags   `embed:""`
 }
 
-// Run implements the subcommand.
+// Run prints the state of the system as the controller sees it.
 func (c *statusCommand) Run() error {
 	client, err := c.client()
 	if err != nil {
--- a/cmd/crocusreel/vm.go
+++ b/cmd/crocusreel/vm.go
@@ -16,7 +16,7 @@
 	outputFlags   `embed:""`
 }
 
-// Run implements the subcommand.
+// Run asks the controller to mark the VM as leaving.
 func (c *drainCommand) Run() error {
 	client, err := c.client()
 	if err != nil {
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,4 @@
-// Package examples embeds the example files, so that programs can refer to them by
-// name.
+// Package examples embeds the example request mixes, so that programs can refer to them by name.
 package examples
 
 import (
@@ -19,16 +18,16 @@
 //go:embed mixes/*.toml
 var files embed.FS
 
-// Mix returns the text of the request mix with this name.
+// Mix returns the TOML text of the example request mix with this name.
 func Mix(name string) (string, error) {
 	text, err := fs.ReadFile(files, path.Join(mixDir, name+mixSuffix))
 	if err != nil {
-		return "", eris.Wrapf(err, "no example mix %q; there are %s", name, strings.Join(MixNames(), ", "))
+		return "", eris.Wrapf(err, "unknown example mix %q; known mixes: %s", name, strings.Join(MixNames(), ", "))
 	}
 	return string(text), nil
 }
 
-// MixNames lists the example mixes.
+// MixNames returns the names of the example request mixes in lexical order.
 func MixNames() []string {
 	matches, err := fs.Glob(files, mixDir+"/*"+mixSuffix)
 	if err != nil {
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// Operators start from the examples, so these must be accepted as they are.
+// Operators start from the examples, so the examples must be valid without changes.
 func TestExamplesAreValid(t *testing.T) {
 	sizes := map[string]struct{ engines, services, workspaces, dataCentres int }{
 		"schronisko": {15, 4, 10, 4},
