--- a/cmd/crocusreel/config.go
+++ b/cmd/crocusreel/config.go
@@ -93,8 +93,8 @@
 	outputFlags   `embed:""`
 	Base          *uint64 `help:"Version that the edit is based on. Default: the one in force now." placeholder:"VERSION"`
 	EditID        string  `name:"edit-id" help:"Name of the edit. Give the same one to repeat an edit whose answer was lost." placeholder:"ID"`
-	// Wait is the timeout of the requests to the controller together. An answer takes long if the controller has to
-	// recover from a lost answer of the platform.
+	// Wait is the timeout of all requests to the controller together. An answer takes long if the
+	// controller has to recover from a lost answer of the platform.
 	Wait time.Duration `default:"30s" help:"Longest wait for the answer."`
 }
 
--- a/cmd/crocusreel/load.go
+++ b/cmd/crocusreel/load.go
@@ -56,7 +56,7 @@
 type brokenAnswersError struct{}
 
 // Error implements the error interface.
-func (brokenAnswersError) Error() string { return "some answers violated the guarantees to callers; see the violations in the report" }
+func (brokenAnswersError) Error() string { return "some answers violated the guarantees to callers; see the report" }
 
 // interruptible returns a context that is cancelled on the first SIGINT or SIGTERM.
 func interruptible() (context.Context, context.CancelFunc) {
