--- a/answers/line.go
+++ b/answers/line.go
@@ -30,10 +30,10 @@
 	return n
 }
 
-// parse parses the key=value pairs of a line. ok is false if the line lacks a valid time or an
+// parseLine parses the key=value pairs of a line. ok is false if the line lacks a valid time or an
 // event, which no node wrote. Text before the first pair is skipped, because log collectors
 // put names and times there.
-func parse(text string) (l line, ok bool) {
+func parseLine(text string) (l line, ok bool) {
 	l.fields = make(map[string]string)
 	for text != "" {
 		text = strings.TrimLeft(text, " \t")
@@ -43,7 +43,7 @@
 		}
 		key, separator := text[:end], text[end]
 		text = text[end+1:]
-		if separator != '=' || !isName(key) {
+		if separator != '=' || !isFieldName(key) {
 			continue
 		}
 		var value string
@@ -55,9 +55,9 @@
 	return l, err == nil && l.event() != ""
 }
 
-// isName reports whether key has the form of a field name in the log of a node: ASCII letters and
+// isFieldName reports whether key has the form of a field name in the log of a node: ASCII letters and
 // underscores only.
-func isName(key string) bool {
+func isFieldName(key string) bool {
 	for _, r := range key {
 		if r != '_' && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') {
 			return false
--- a/answers/plot.go
+++ b/answers/plot.go
@@ -23,7 +23,7 @@
 	p.Y.Label.Text = "in a window"
 	p.Legend.Top = true
 	var series []any
-	for _, cause := range causesOf(r.Causes) {
+	for _, cause := range causesByCount(r.Causes) {
 		if cause == Whole {
 			continue
 		}
--- a/answers/report.go
+++ b/answers/report.go
@@ -72,47 +72,48 @@
 
 // Quantile returns the value below which the given fraction of the sorted values lies, or 0 if there
 // are no values.
-func Quantile(sorted []time.Duration, part float64) time.Duration {
+func Quantile(sorted []time.Duration, fraction float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
+	return sorted[min(int(fraction*float64(len(sorted))), len(sorted)-1)]
 }
 
-// longStream is the number of events that a stream must exceed to count for Report.Pace.
-const longStream = 40
+// longStreamEvents is the number of events that a stream must exceed to count for Report.Pace.
+const longStreamEvents = 40
 
-// maxLine is the maximum length of a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line, in bytes.
+const maxLineBytes = 1 << 20
 
-// reader builds a report.
-type reader struct {
-	limits Thresholds
-	every  time.Duration
-	report *Report
+// aggregator builds a report.
+type aggregator struct {
+	thresholds   Thresholds
+	windowLength time.Duration
+	report       *Report
 	// leaving holds the endpoints that announced that they were leaving, by name. copied holds the
 	// streams of which another engine had a copy, and brokeOff those that broke off and looked for
 	// a copy, both by request ID.
 	leaving, copied, brokeOff map[string]bool
 	windows                   map[int64]*Window
-	pace                      time.Duration
-	paced                     int
+	paceSum                   time.Duration
+	longStreams               int
 }
 
 // Read reads the logs of all nodes, in any order, and counts the requests by the time at which they
 // ended, in windows of the given length. A line longer than 1 MiB is an error.
-func Read(logs []io.Reader, limits Thresholds, every time.Duration) (*Report, error) {
-	r := &reader{
-		limits: limits, every: every, report: &Report{Causes: make(map[Cause]int), Reasons: make(map[string]int)},
+func Read(logs []io.Reader, thresholds Thresholds, windowLength time.Duration) (*Report, error) {
+	r := &aggregator{
+		thresholds: thresholds, windowLength: windowLength,
+		report:  &Report{Causes: make(map[Cause]int), Reasons: make(map[string]int)},
 		leaving: make(map[string]bool), copied: make(map[string]bool), brokeOff: make(map[string]bool),
 		windows: make(map[int64]*Window),
 	}
 	var ended []line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, maxLine)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
-			if l, ok := parse(scanner.Text()); ok && r.take(l) {
+			if l, ok := parseLine(scanner.Text()); ok && r.record(l) {
 				ended = append(ended, l)
 			}
 		}
@@ -128,8 +129,8 @@
 	return r.finish(), nil
 }
 
-// take records the facts that a line states, and reports whether the line is the end of a request.
-func (r *reader) take(l line) bool {
+// record records the facts that a line states, and reports whether the line is the end of a request.
+func (r *aggregator) record(l line) bool {
 	switch l.event() {
 	case "request ended":
 		return true
@@ -155,42 +156,42 @@
 	return false
 }
 
-func (r *reader) count(l line) {
+func (r *aggregator) count(l line) {
 	cause := r.cause(l)
 	r.report.Requests++
 	r.report.Causes[cause]++
 	if reason := l.fields["reason"]; reason != "" {
 		r.report.Reasons[reason]++
 	}
-	from := l.at.UnixNano() / int64(r.every)
-	w := r.windows[from]
+	index := l.at.UnixNano() / int64(r.windowLength)
+	w := r.windows[index]
 	if w == nil {
-		w = &Window{From: time.Unix(0, from*int64(r.every)).UTC(), Causes: make(map[Cause]int)}
-		r.windows[from] = w
+		w = &Window{From: time.Unix(0, index*int64(r.windowLength)).UTC(), Causes: make(map[Cause]int)}
+		r.windows[index] = w
 	}
 	w.Causes[cause]++
-	r.measure(l)
+	r.recordTimes(l)
 }
 
-func (r *reader) cause(l line) Cause {
+func (r *aggregator) cause(l line) Cause {
 	switch {
 	case l.fields["reason"] != "" || l.event() == "request refused":
 		return Refused
 	case l.fields["broken"] == "true":
-		return r.lost(l)
+		return r.failureCause(l)
 	case l.number("status") >= 500:
 		return EndpointFailed
-	case l.number("events") > 0 && l.duration("first_event") > r.limits.FirstEvent:
+	case l.number("events") > 0 && l.duration("first_event") > r.thresholds.FirstEvent:
 		return LateFirst
-	case l.duration("longest_gap") > r.limits.Pause:
+	case l.duration("longest_gap") > r.thresholds.Pause:
 		return Paused
 	default:
 		return Whole
 	}
 }
 
-// lost returns the reason why a stream was not complete.
-func (r *reader) lost(l line) Cause {
+// failureCause returns the reason why a stream was not complete.
+func (r *aggregator) failureCause(l line) Cause {
 	switch l.fields["detail"] {
 	case "caller gone":
 		return CallerGone
@@ -210,7 +211,7 @@
 	}
 }
 
-func (r *reader) measure(l line) {
+func (r *aggregator) recordTimes(l line) {
 	events := l.number("events")
 	if events == 0 {
 		return
@@ -218,18 +219,18 @@
 	first := l.duration("first_event")
 	r.report.FirstEvents = append(r.report.FirstEvents, first)
 	r.report.Pauses = append(r.report.Pauses, l.duration("longest_gap"))
-	if events > longStream {
-		r.pace += (l.duration("took") - first) / time.Duration(events)
-		r.paced++
+	if events > longStreamEvents {
+		r.paceSum += (l.duration("took") - first) / time.Duration(events)
+		r.longStreams++
 	}
 }
 
-func (r *reader) finish() *Report {
+func (r *aggregator) finish() *Report {
 	slices.Sort(r.report.FirstEvents)
 	slices.Sort(r.report.Pauses)
 	slices.SortFunc(r.report.Starts, time.Time.Compare)
-	if r.paced > 0 {
-		r.report.Pace = r.pace / time.Duration(r.paced)
+	if r.longStreams > 0 {
+		r.report.Pace = r.paceSum / time.Duration(r.longStreams)
 	}
 	for _, w := range r.windows {
 		r.report.Windows = append(r.report.Windows, *w)
--- a/answers/text.go
+++ b/answers/text.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// causesOf returns the causes in descending order of their counts, and by name for equal counts.
-func causesOf(counts map[Cause]int) []Cause {
+// causesByCount returns the causes in descending order of their counts, and by name for equal counts.
+func causesByCount(counts map[Cause]int) []Cause {
 	return slices.SortedFunc(maps.Keys(counts), func(a, b Cause) int {
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
 	})
@@ -20,7 +20,7 @@
 // Write writes the report as text with tab-separated columns.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "cause\trequests\tshare\n")
-	for _, cause := range causesOf(r.Causes) {
+	for _, cause := range causesByCount(r.Causes) {
 		fmt.Fprintf(w, "%s\t%d\t%.4f\n", cause, r.Causes[cause], float64(r.Causes[cause])/float64(max(r.Requests, 1)))
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.Reasons)) {
@@ -32,7 +32,7 @@
 		name   string
 		values []time.Duration
 	}{{"first event", r.FirstEvents}, {"longest pause", r.Pauses}} {
-		fmt.Fprintf(w, "%s, median, 95 %%, 99 %%\t%s\t%s %s\n", q.name, rounded(q.values, 0.5), rounded(q.values, 0.95), rounded(q.values, 0.99))
+		fmt.Fprintf(w, "%s, median, 95 %%, 99 %%\t%s\t%s %s\n", q.name, roundedQuantile(q.values, 0.5), roundedQuantile(q.values, 0.95), roundedQuantile(q.values, 0.99))
 	}
 	fmt.Fprintf(w, "\nfrom\tnot whole and on time\t\n")
 	for _, window := range r.Windows {
@@ -45,13 +45,13 @@
 	}
 }
 
-func rounded(sorted []time.Duration, part float64) time.Duration {
-	return Quantile(sorted, part).Round(time.Millisecond)
+func roundedQuantile(sorted []time.Duration, fraction float64) time.Duration {
+	return Quantile(sorted, fraction).Round(time.Millisecond)
 }
 
 func (w Window) text() string {
 	var parts []string
-	for _, cause := range causesOf(w.Causes) {
+	for _, cause := range causesByCount(w.Causes) {
 		if cause != Whole {
 			parts = append(parts, fmt.Sprintf("%s %d", cause, w.Causes[cause]))
 		}
--- a/cmd/crocusreel-node/main.go
+++ b/cmd/crocusreel-node/main.go
@@ -37,7 +37,7 @@
 func serve() int {
 	var cli commandLine
 	kong.Parse(&cli, kong.Name("crocusreel-node"), kong.Description(description))
-	without, err := fleet.ParseDisabledMechanisms(cli.Without)
+	disabled, err := fleet.ParseDisabledMechanisms(cli.Without)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "crocusreel-node:", err)
 		return exitSettings
@@ -53,7 +53,7 @@
 		return exitSettings
 	}
 	defer func() { _ = log.Sync() }()
-	if err := node.New(s, without, log).Run(); err != nil {
+	if err := node.New(s, disabled, log).Run(); err != nil {
 		log.Error("node failed", zap.Error(err))
 		return exitFailed
 	}
--- a/cmd/crocusreel/config.go
+++ b/cmd/crocusreel/config.go
@@ -176,9 +176,9 @@
 		return err
 	}
 	return c.print(versions, func(w io.Writer) {
-		row(w, "VERSION", "AT", "EDIT")
+		writeRow(w, "VERSION", "AT", "EDIT")
 		for _, v := range versions {
-			row(w, v.Version, v.At.Format(time.RFC3339), v.EditID)
+			writeRow(w, v.Version, v.At.Format(time.RFC3339), v.EditID)
 		}
 	})
 }
--- a/cmd/crocusreel/demo.go
+++ b/cmd/crocusreel/demo.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	demoLimit     = 2 * time.Minute
+	demoTimeout   = 2 * time.Minute
 	demoModel     = "demo-7b"
 	demoWorkspace = "demo"
 	demoKey       = "demo-caller-key"
@@ -52,9 +52,9 @@
 // Run starts the system, sends the sample requests, waits for the hold time and stops the system. It
 // returns early on SIGINT or SIGTERM.
 func (c *demoCommand) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
-	ctx, cancel := context.WithTimeout(ctx, demoLimit+c.Hold)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout+c.Hold)
 	defer cancel()
 	dir, remove, err := workDir(c.Dir)
 	if err != nil {
--- a/cmd/crocusreel/evacuations.go
+++ b/cmd/crocusreel/evacuations.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	evacuationsTimeout = 5 * time.Second
-	evacuationsMaxBody = 8 << 20
+	evacuationsTimeout      = 5 * time.Second
+	evacuationsMaxBodyBytes = 8 << 20
 )
 
 type evacuationsCommand struct {
@@ -60,7 +60,7 @@
 			Evacuations *[]fleet.Evacuation `json:"evacuations"`
 		} `json:"gauges"`
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, evacuationsMaxBody)).Decode(&vars); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, evacuationsMaxBodyBytes)).Decode(&vars); err != nil {
 		return nil, eris.Wrapf(err, "decode metrics of node %s", address)
 	}
 	if vars.Gauges.Evacuations == nil {
@@ -70,13 +70,13 @@
 }
 
 func printEvacuations(w io.Writer, all []nodeEvacuations) {
-	row(w, "NODE", "DATA CENTRE", "EVACUATED FOR", "ENDPOINTS", "RUNNING")
+	writeRow(w, "NODE", "DATA CENTRE", "EVACUATED FOR", "ENDPOINTS", "RUNNING")
 	for _, n := range all {
 		if len(n.Evacuations) == 0 {
-			row(w, n.Node, "-", "-", "-", "-")
+			writeRow(w, n.Node, "-", "-", "-", "-")
 		}
 		for _, e := range n.Evacuations {
-			row(w, n.Node, e.DataCentre, fmt.Sprint(e.Since.Round(time.Second)), e.Endpoints, e.Running)
+			writeRow(w, n.Node, e.DataCentre, fmt.Sprint(e.Since.Round(time.Second)), e.Endpoints, e.Running)
 		}
 	}
 }
--- a/cmd/crocusreel/experiment.go
+++ b/cmd/crocusreel/experiment.go
@@ -14,8 +14,8 @@
 	"github.com/crocusreel/crocusreel/load/experiment"
 )
 
-// markers returns the lines of a page that enclose the generated tables of a section.
-func markers(section string) (begin, end string) {
+// sectionMarkers returns the lines of a page that enclose the generated tables of a section.
+func sectionMarkers(section string) (begin, end string) {
 	return "<!-- generated " + section + ": begin -->", "<!-- generated " + section + ": end -->"
 }
 
@@ -53,7 +53,7 @@
 // Run runs the experiment, or reads the results of an earlier one, and writes tables and plots. If
 // the experiment fails midway, the results so far are written before the error is returned.
 func (c *experimentCommand) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	dir, remove, err := workDir("")
 	if err != nil {
@@ -61,16 +61,16 @@
 	}
 	defer remove()
 	if c.Overhead {
-		cost, err := experiment.MeasureOverhead(ctx, c.plan(dir).System)
+		overhead, err := experiment.MeasureOverhead(ctx, c.plan(dir).System)
 		if err != nil {
 			return err
 		}
-		return c.writeTables(cost.Markdown(), nil)
+		return c.writeTables(overhead.Markdown(), nil)
 	}
 	res, err := c.results(ctx, dir)
 	if res != nil && len(res.Runs) > 0 {
-		if failed := c.write(res); failed != nil {
-			return failed
+		if writeErr := c.write(res); writeErr != nil {
+			return writeErr
 		}
 	}
 	if err != nil {
@@ -160,7 +160,7 @@
 	if err != nil && !os.IsNotExist(err) {
 		return eris.Wrap(err, "read page")
 	}
-	begin, end := markers(section)
+	begin, end := sectionMarkers(section)
 	head, tail := string(old)+"\n", "\n"
 	if before, rest, ok := strings.Cut(string(old), begin); ok {
 		head = before
--- a/cmd/crocusreel/explain.go
+++ b/cmd/crocusreel/explain.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	explainTimeout = 10 * time.Second
-	explainMaxBody = 1 << 20
+	explainTimeout      = 10 * time.Second
+	explainMaxBodyBytes = 1 << 20
 )
 
 // errNoRecord means that a gateway has no record of the request.
@@ -59,7 +59,7 @@
 // get sends a GET request to the gateway at address and decodes the JSON answer into into. It returns
 // errNoRecord on status 404.
 func (c *explainCommand) get(address, path, key string, into any) error {
-	base, transport, err := c.base(address)
+	base, transport, err := c.baseURL(address)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 		return eris.Wrap(operator.ErrUnreachable, err.Error())
 	}
 	defer func() { _ = res.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(res.Body, explainMaxBody))
+	body, err := io.ReadAll(io.LimitReader(res.Body, explainMaxBodyBytes))
 	if err != nil {
 		return eris.Wrap(operator.ErrUnreachable, err.Error())
 	}
@@ -88,18 +88,18 @@
 }
 
 func printRecord(w io.Writer, r api.Record) {
-	row(w, "request", r.RequestID)
-	row(w, "workspace", r.Workspace)
-	row(w, "kind", r.Kind)
-	row(w, "model", r.Model)
-	row(w, "path", r.Path)
-	row(w, "started", r.Started.Format(time.RFC3339Nano))
+	writeRow(w, "request", r.RequestID)
+	writeRow(w, "workspace", r.Workspace)
+	writeRow(w, "kind", r.Kind)
+	writeRow(w, "model", r.Model)
+	writeRow(w, "path", r.Path)
+	writeRow(w, "started", r.Started.Format(time.RFC3339Nano))
 	if r.Ended != nil {
-		row(w, "took", r.Ended.Sub(r.Started).String())
-		row(w, "outcome", string(r.Outcome))
-		row(w, "reason", string(r.Reason))
+		writeRow(w, "took", r.Ended.Sub(r.Started).String())
+		writeRow(w, "outcome", string(r.Outcome))
+		writeRow(w, "reason", string(r.Reason))
 	}
 	for _, s := range r.Steps {
-		row(w, fmt.Sprintf("+%d ms", s.AtMS), s.Event, s.Endpoint, s.Detail)
+		writeRow(w, fmt.Sprintf("+%d ms", s.AtMS), s.Event, s.Endpoint, s.Detail)
 	}
 }
--- a/cmd/crocusreel/load.go
+++ b/cmd/crocusreel/load.go
@@ -56,17 +56,19 @@
 type brokenAnswersError struct{}
 
 // Error implements the error interface.
-func (brokenAnswersError) Error() string { return "some answers violated the guarantees to callers; see the report" }
+func (brokenAnswersError) Error() string {
+	return "some answers violated the guarantees to callers; see the report"
+}
 
-// interruptible returns a context that is cancelled on the first SIGINT or SIGTERM.
-func interruptible() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is cancelled on the first SIGINT or SIGTERM.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
 // Run sends the requests and prints the report. It returns a brokenAnswersError if an answer violated
 // a guarantee.
 func (c *loadCommand) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	mix, err := load.LoadMix(c.Mix)
 	if err != nil {
--- a/cmd/crocusreel/output.go
+++ b/cmd/crocusreel/output.go
@@ -26,14 +26,14 @@
 	return w.Flush()
 }
 
-func dash(s string) string {
+func dashIfEmpty(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-func row(w io.Writer, columns ...any) {
+func writeRow(w io.Writer, columns ...any) {
 	for i, c := range columns {
 		if i > 0 {
 			fmt.Fprint(w, "\t")
--- a/cmd/crocusreel/remote.go
+++ b/cmd/crocusreel/remote.go
@@ -35,9 +35,9 @@
 	return strings.TrimSpace(string(text)), nil
 }
 
-// base returns the base URL of the server at address and the transport to reach it. The transport is
-// nil, for plain HTTP by the default transport, if no CA file is given.
-func (f keyFlags) base(address string) (string, http.RoundTripper, error) {
+// baseURL returns the base URL of the server at address and the transport to reach it. Without a CA
+// file, the URL is plain HTTP and the transport is nil, which selects the default transport.
+func (f keyFlags) baseURL(address string) (string, http.RoundTripper, error) {
 	if f.CAFile == "" {
 		return "http://" + address, nil, nil
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	base, transport, err := f.base(f.Operator)
+	base, transport, err := f.baseURL(f.Operator)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/crocusreel/status.go
+++ b/cmd/crocusreel/status.go
@@ -29,17 +29,17 @@
 
 func printStatus(w io.Writer, s operator.Status) {
 	fmt.Fprintf(w, "as seen by %s; configuration version %d\n\n", s.VM, s.ConfigVersion)
-	row(w, "VM", "DATA CENTRE", "REGION", "STATE", "CALLERS")
+	writeRow(w, "VM", "DATA CENTRE", "REGION", "STATE", "CALLERS")
 	for _, m := range s.Members {
-		row(w, m.VM, m.DataCentre, m.Region, m.State, dash(m.CallerAddress))
+		writeRow(w, m.VM, m.DataCentre, m.Region, m.State, dashIfEmpty(m.CallerAddress))
 	}
-	fmt.Fprintf(w, "\norders lease of %s: holder %s, fence %d\n\n", s.Lease.Region, dash(s.Lease.Holder), s.Lease.Fence)
-	row(w, "ENDPOINT", "KIND", "ADDRESS", "DATA CENTRE", "LEAVING", "REACHED", "MODELS", "PENDING")
+	fmt.Fprintf(w, "\norders lease of %s: holder %s, fence %d\n\n", s.Lease.Region, dashIfEmpty(s.Lease.Holder), s.Lease.Fence)
+	writeRow(w, "ENDPOINT", "KIND", "ADDRESS", "DATA CENTRE", "LEAVING", "REACHED", "MODELS", "PENDING")
 	for _, e := range s.Endpoints {
 		reached := "-"
 		if s.Lease.HeldHere && e.Kind == "engine" {
 			reached = fmt.Sprint(e.Reached)
 		}
-		row(w, e.Name, e.Kind, e.Address, e.DataCentre, e.Leaving, reached, dash(strings.Join(e.Models, ",")), dash(e.Pending))
+		writeRow(w, e.Name, e.Kind, e.Address, e.DataCentre, e.Leaving, reached, dashIfEmpty(strings.Join(e.Models, ",")), dashIfEmpty(e.Pending))
 	}
 }
