--- a/answers/answers_test.go
+++ b/answers/answers_test.go
@@ -45,8 +45,8 @@
 		r, err := answers.Read([]io.Reader{strings.NewReader(logs[0]), strings.NewReader(logs[1])}, limits, time.Second)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(r.Causes).To(gomega.Equal(map[answers.Cause]int{
-			answers.Whole: 1, answers.LateFirst: 1, answers.Paused: 1, answers.EngineLeft: 1, answers.EngineDied: 1,
-			answers.CopyLost: 1, answers.CallerGone: 1, answers.EndpointFailed: 1, answers.Refused: 2,
+			answers.Whole: 1, answers.FirstEventLate: 1, answers.Paused: 1, answers.EngineLeft: 1, answers.EngineDied: 1,
+			answers.CopyNotUsed: 1, answers.CallerGone: 1, answers.EndpointFailed: 1, answers.Refused: 2,
 		}))
 		g.Expect(r.Requests).To(gomega.Equal(10))
 		g.Expect(r.Reasons).To(gomega.Equal(map[string]int{"queue_full": 1, "not_ready": 1}))
--- a/answers/report.go
+++ b/answers/report.go
@@ -16,21 +16,21 @@
 const (
 	// Whole is a complete answer without a delay above the thresholds.
 	Whole Cause = "whole"
-	// LateFirst and Paused are complete streams whose first event was late, or that had a long
+	// FirstEventLate and Paused are complete streams whose first event was late, or that had a long
 	// pause between two events.
-	LateFirst Cause = "first event late"
-	Paused    Cause = "paused"
+	FirstEventLate Cause = "first event late"
+	Paused         Cause = "paused"
 	// EngineLeft is a stream whose engine had announced that it was leaving, and that had no copy
 	// in time.
 	EngineLeft Cause = "engine left, no copy"
-	// CopyLost is a stream that had a copy, or looked for one after it broke off, and was not
+	// CopyNotUsed is a stream that had a copy, or looked for one after it broke off, and was not
 	// resumed from it.
-	CopyLost Cause = "engine gone, copy not used"
+	CopyNotUsed Cause = "engine gone, copy not used"
 	// EngineDied is a stream whose engine failed without notice.
-	EngineDied Cause = "engine died, no backup"
-	CallerGone Cause = "caller gone"
-	TimeOver   Cause = "time over"
-	OutOfOrder Cause = "event missing"
+	EngineDied   Cause = "engine died, no backup"
+	CallerGone   Cause = "caller gone"
+	TimeOver     Cause = "time over"
+	EventMissing Cause = "event missing"
 	// EndpointFailed is a status of 500 or above that an endpoint returned. Refused is a refusal
 	// by crocusreel itself.
 	EndpointFailed Cause = "endpoint failed"
@@ -182,7 +182,7 @@
 	case l.number("status") >= 500:
 		return EndpointFailed
 	case l.number("events") > 0 && l.duration("first_event") > r.thresholds.FirstEvent:
-		return LateFirst
+		return FirstEventLate
 	case l.duration("longest_gap") > r.thresholds.Pause:
 		return Paused
 	default:
@@ -198,12 +198,12 @@
 	case "time over":
 		return TimeOver
 	case "event missing":
-		return OutOfOrder
+		return EventMissing
 	}
 	request, endpoint := l.fields["request"], l.fields["endpoint"]
 	switch {
 	case r.copied[request] || r.brokeOff[request]:
-		return CopyLost
+		return CopyNotUsed
 	case r.leaving[endpoint]:
 		return EngineLeft
 	default:
