--- a/answers/report.go
+++ b/answers/report.go
@@ -9,99 +9,111 @@
 	"github.com/rotisserie/eris"
 )
 
-// Cause is how a request ended.
+// Cause is the outcome of a request and, if the answer was not complete and on time, the reason.
 type Cause string
 
-// Causes. Those of streams that were not whole name what the logs show of their engine.
+// Causes. For a stream that broke off, the cause is inferred from what the logs show of its engine.
 const (
+	// Whole is a complete answer without a delay above the thresholds.
 	Whole Cause = "whole"
-	// LateFirst and Paused are whole streams that began late or stood still for long.
-	LateFirst Cause = "first event late"
-	Paused    Cause = "paused"
-	// EngineLeft is an engine that had told of its leaving; there was no copy in time.
+	// FirstEventLate and Paused are complete streams whose first event was late, or that had a long
+	// pause between two events.
+	FirstEventLate Cause = "first event late"
+	Paused         Cause = "paused"
+	// EngineLeft is a stream whose engine had announced that it was leaving, and that had no copy
+	// in time.
 	EngineLeft Cause = "engine left, no copy"
-	// CopyLost is a stream that had a copy and did not go on from it.
-	CopyLost Cause = "engine gone, copy not used"
-	// EngineDied is an engine that went without notice.
-	EngineDied Cause = "engine died, no backup"
-	CallerGone Cause = "caller gone"
-	TimeOver   Cause = "time over"
-	OutOfOrder Cause = "event missing"
-	// EndpointFailed is a failure that an endpoint answered, Refused one of ours.
+	// CopyNotUsed is a stream that had a copy, or looked for one after it broke off, and was not
+	// resumed from it.
+	CopyNotUsed Cause = "engine gone, copy not used"
+	// EngineDied is a stream whose engine failed without notice.
+	EngineDied   Cause = "engine died, no backup"
+	CallerGone   Cause = "caller gone"
+	TimeOver     Cause = "time over"
+	EventMissing Cause = "event missing"
+	// EndpointFailed is a status of 500 or above that an endpoint returned. Refused is a refusal
+	// by crocusreel itself.
 	EndpointFailed Cause = "endpoint failed"
 	Refused        Cause = "refused"
 )
 
-// Thresholds tell what counts as late. They are the deployment's, not the program's.
+// Thresholds are the delays above which an answer counts as late. They depend on the deployment, so
+// the package has no defaults for them.
 type Thresholds struct {
-	// FirstEvent is the time to a stream's first event, Pause that between two events.
+	// FirstEvent limits the time to the first event of a stream, Pause the time between two
+	// consecutive events.
 	FirstEvent, Pause time.Duration
 }
 
-// Window is what ended in one span of time.
+// Window counts the requests that ended in one time window, which starts at From.
 type Window struct {
 	From   time.Time
 	Causes map[Cause]int
 }
 
-// Report tells where the answers went.
+// Report summarises the outcomes of all requests.
 type Report struct {
 	Requests int
 	Causes   map[Cause]int
 	// Reasons counts refusals by reason.
 	Reasons map[string]int
 	Windows []Window
-	// Resumed is the number of times that a stream went on at another engine.
+	// Resumed is the number of times that a stream was resumed on another engine.
 	Resumed int
-	// Pace is the mean time between two events of long streams.
+	// Pace is the mean time between two events over long streams, each with equal weight.
 	Pace time.Duration
-	// FirstEvents and Pauses are sorted: times to first events and longest pauses.
+	// FirstEvents holds the times to the first event, Pauses the longest pause of each stream.
+	// Both are in ascending order.
 	FirstEvents, Pauses []time.Duration
-	// Starts are the times at which nodes started; what ran there before is not counted.
+	// Starts holds the times at which nodes started, in ascending order. Requests that were in
+	// flight on a node when it was killed before such a start are not counted.
 	Starts []time.Time
 }
 
-// Quantile returns the value below which the given part of sorted values lies.
-func Quantile(sorted []time.Duration, part float64) time.Duration {
+// Quantile returns the value below which the given fraction of the sorted values lies, or 0 if there
+// are no values.
+func Quantile(sorted []time.Duration, fraction float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
+	return sorted[min(int(fraction*float64(len(sorted))), len(sorted)-1)]
 }
 
-// longStream is the number of events from which a stream counts for the pace.
-const longStream = 40
+// longStreamEvents is the number of events that a stream must exceed to count for Report.Pace.
+const longStreamEvents = 40
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line, in bytes.
+const maxLineBytes = 1 << 20
 
-// reader collects a report.
-type reader struct {
-	limits Thresholds
-	every  time.Duration
-	report *Report
-	// leaving are endpoints that told of their leaving, copied the streams with a copy and
-	// brokeOff those that looked for one.
+// aggregator builds a report.
+type aggregator struct {
+	thresholds   Thresholds
+	windowLength time.Duration
+	report       *Report
+	// leaving holds the endpoints that announced that they were leaving, by name. copied holds the
+	// streams of which another engine had a copy, and brokeOff those that broke off and looked for
+	// a copy, both by request ID.
 	leaving, copied, brokeOff map[string]bool
 	windows                   map[int64]*Window
-	pace                      time.Duration
-	paced                     int
+	paceSum                   time.Duration
+	longStreams               int
 }
 
-// Read reads the lines of all nodes, in any order, and counts what ended in windows of the
-// given length.
-func Read(logs []io.Reader, limits Thresholds, every time.Duration) (*Report, error) {
-	r := &reader{
-		limits: limits, every: every, report: &Report{Causes: make(map[Cause]int), Reasons: make(map[string]int)},
+// Read reads the logs of all nodes, in any order, and counts the requests by the time at which they
+// ended, in windows of the given length. A line longer than 1 MiB is an error.
+func Read(logs []io.Reader, thresholds Thresholds, windowLength time.Duration) (*Report, error) {
+	r := &aggregator{
+		thresholds: thresholds, windowLength: windowLength,
+		report:  &Report{Causes: make(map[Cause]int), Reasons: make(map[string]int)},
 		leaving: make(map[string]bool), copied: make(map[string]bool), brokeOff: make(map[string]bool),
 		windows: make(map[int64]*Window),
 	}
 	var ended []line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, maxLine)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
-			if l, ok := parse(scanner.Text()); ok && r.take(l) {
+			if l, ok := parseLine(scanner.Text()); ok && r.record(l) {
 				ended = append(ended, l)
 			}
 		}
@@ -109,15 +121,16 @@
 			return nil, eris.Wrap(err, "read log")
 		}
 	}
-	// What is known of an endpoint may stand behind a request's line, or in another log.
+	// Lines about an endpoint may come after the line of a request, or be in another log. Requests
+	// are therefore counted after all logs were read.
 	for _, l := range ended {
 		r.count(l)
 	}
 	return r.finish(), nil
 }
 
-// take remembers what a line tells, and returns whether it ends a request.
-func (r *reader) take(l line) bool {
+// record records the facts that a line states, and reports whether the line is the end of a request.
+func (r *aggregator) record(l line) bool {
 	switch l.event() {
 	case "request ended":
 		return true
@@ -143,54 +156,54 @@
 	return false
 }
 
-func (r *reader) count(l line) {
+func (r *aggregator) count(l line) {
 	cause := r.cause(l)
 	r.report.Requests++
 	r.report.Causes[cause]++
 	if reason := l.fields["reason"]; reason != "" {
 		r.report.Reasons[reason]++
 	}
-	from := l.at.UnixNano() / int64(r.every)
-	w := r.windows[from]
+	index := l.at.UnixNano() / int64(r.windowLength)
+	w := r.windows[index]
 	if w == nil {
-		w = &Window{From: time.Unix(0, from*int64(r.every)).UTC(), Causes: make(map[Cause]int)}
-		r.windows[from] = w
+		w = &Window{From: time.Unix(0, index*int64(r.windowLength)).UTC(), Causes: make(map[Cause]int)}
+		r.windows[index] = w
 	}
 	w.Causes[cause]++
-	r.measure(l)
+	r.recordTimes(l)
 }
 
-func (r *reader) cause(l line) Cause {
+func (r *aggregator) cause(l line) Cause {
 	switch {
 	case l.fields["reason"] != "" || l.event() == "request refused":
 		return Refused
 	case l.fields["broken"] == "true":
-		return r.lost(l)
+		return r.failureCause(l)
 	case l.number("status") >= 500:
 		return EndpointFailed
-	case l.number("events") > 0 && l.duration("first_event") > r.limits.FirstEvent:
-		return LateFirst
-	case l.duration("longest_gap") > r.limits.Pause:
+	case l.number("events") > 0 && l.duration("first_event") > r.thresholds.FirstEvent:
+		return FirstEventLate
+	case l.duration("longest_gap") > r.thresholds.Pause:
 		return Paused
 	default:
 		return Whole
 	}
 }
 
-// lost tells why a stream was not whole.
-func (r *reader) lost(l line) Cause {
+// failureCause returns the reason why a stream was not complete.
+func (r *aggregator) failureCause(l line) Cause {
 	switch l.fields["detail"] {
 	case "caller gone":
 		return CallerGone
 	case "time over":
 		return TimeOver
 	case "event missing":
-		return OutOfOrder
+		return EventMissing
 	}
 	request, endpoint := l.fields["request"], l.fields["endpoint"]
 	switch {
 	case r.copied[request] || r.brokeOff[request]:
-		return CopyLost
+		return CopyNotUsed
 	case r.leaving[endpoint]:
 		return EngineLeft
 	default:
@@ -198,7 +211,7 @@
 	}
 }
 
-func (r *reader) measure(l line) {
+func (r *aggregator) recordTimes(l line) {
 	events := l.number("events")
 	if events == 0 {
 		return
@@ -206,18 +219,18 @@
 	first := l.duration("first_event")
 	r.report.FirstEvents = append(r.report.FirstEvents, first)
 	r.report.Pauses = append(r.report.Pauses, l.duration("longest_gap"))
-	if events > longStream {
-		r.pace += (l.duration("took") - first) / time.Duration(events)
-		r.paced++
+	if events > longStreamEvents {
+		r.paceSum += (l.duration("took") - first) / time.Duration(events)
+		r.longStreams++
 	}
 }
 
-func (r *reader) finish() *Report {
+func (r *aggregator) finish() *Report {
 	slices.Sort(r.report.FirstEvents)
 	slices.Sort(r.report.Pauses)
 	slices.SortFunc(r.report.Starts, time.Time.Compare)
-	if r.paced > 0 {
-		r.report.Pace = r.pace / time.Duration(r.paced)
+	if r.longStreams > 0 {
+		r.report.Pace = r.paceSum / time.Duration(r.longStreams)
 	}
 	for _, w := range r.windows {
 		r.report.Windows = append(r.report.Windows, *w)
--- a/cmd/crocusreel-node/main.go
+++ b/cmd/crocusreel-node/main.go
@@ -1,4 +1,4 @@
-// Command crocusreel-node serves callers on one VM of the platform.
+// Command crocusreel-node runs the node of one VM of the platform, which serves requests of callers.
 package main
 
 import (
@@ -21,7 +21,7 @@
 Exit codes: 0 ended by a signal, 1 failed, 2 bad usage or settings.
 SIGTERM drains: requests under way are finished within the grace time.`
 
-// Exit codes.
+// Exit codes of the command.
 const (
 	exitFailed   = 1
 	exitSettings = 2
@@ -37,7 +37,7 @@
 func serve() int {
 	var cli commandLine
 	kong.Parse(&cli, kong.Name("crocusreel-node"), kong.Description(description))
-	without, err := fleet.ParseDisabledMechanisms(cli.Without)
+	disabled, err := fleet.ParseDisabledMechanisms(cli.Without)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "crocusreel-node:", err)
 		return exitSettings
@@ -53,7 +53,7 @@
 		return exitSettings
 	}
 	defer func() { _ = log.Sync() }()
-	if err := node.New(s, without, log).Run(); err != nil {
+	if err := node.New(s, disabled, log).Run(); err != nil {
 		log.Error("node failed", zap.Error(err))
 		return exitFailed
 	}
--- a/cmd/crocusreel/evacuations.go
+++ b/cmd/crocusreel/evacuations.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	evacuationsTimeout = 5 * time.Second
-	evacuationsMaxBody = 8 << 20
+	evacuationsTimeout      = 5 * time.Second
+	evacuationsMaxBodyBytes = 8 << 20
 )
 
 type evacuationsCommand struct {
@@ -24,13 +24,13 @@
 	outputFlags `embed:""`
 }
 
-// nodeEvacuations is what one node knows.
+// nodeEvacuations lists the evacuations that one node knows.
 type nodeEvacuations struct {
 	Node        string             `json:"node"`
 	Evacuations []fleet.Evacuation `json:"evacuations"`
 }
 
-// Run implements the subcommand.
+// Run prints the evacuations that each node knows. It fails if any of the nodes cannot be read.
 func (c *evacuationsCommand) Run() error {
 	all := make([]nodeEvacuations, 0, len(c.Nodes))
 	for _, address := range c.Nodes {
@@ -43,7 +43,8 @@
 	return c.print(all, func(w io.Writer) { printEvacuations(w, all) })
 }
 
-// readEvacuations reads the evacuations that a node publishes with its metrics.
+// readEvacuations reads the evacuations that the node at address publishes with its metrics. The
+// error wraps operator.ErrUnreachable if the request fails.
 func readEvacuations(address string) ([]fleet.Evacuation, error) {
 	client := &http.Client{Timeout: evacuationsTimeout}
 	res, err := client.Get("http://" + address + node.PathMetrics)
@@ -52,14 +53,14 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("node %s answered %s", address, res.Status)
+		return nil, eris.Errorf("read metrics of node %s: expected status 200, got %s", address, res.Status)
 	}
 	var vars struct {
 		Gauges struct {
 			Evacuations *[]fleet.Evacuation `json:"evacuations"`
 		} `json:"gauges"`
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, evacuationsMaxBody)).Decode(&vars); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, evacuationsMaxBodyBytes)).Decode(&vars); err != nil {
 		return nil, eris.Wrapf(err, "decode metrics of node %s", address)
 	}
 	if vars.Gauges.Evacuations == nil {
@@ -69,13 +70,13 @@
 }
 
 func printEvacuations(w io.Writer, all []nodeEvacuations) {
-	row(w, "NODE", "DATA CENTRE", "EVACUATED FOR", "ENDPOINTS", "RUNNING")
+	writeRow(w, "NODE", "DATA CENTRE", "EVACUATED FOR", "ENDPOINTS", "RUNNING")
 	for _, n := range all {
 		if len(n.Evacuations) == 0 {
-			row(w, n.Node, "-", "-", "-", "-")
+			writeRow(w, n.Node, "-", "-", "-", "-")
 		}
 		for _, e := range n.Evacuations {
-			row(w, n.Node, e.DataCentre, fmt.Sprint(e.Since.Round(time.Second)), e.Endpoints, e.Running)
+			writeRow(w, n.Node, e.DataCentre, fmt.Sprint(e.Since.Round(time.Second)), e.Endpoints, e.Running)
 		}
 	}
 }
--- a/cmd/crocusreel/explain.go
+++ b/cmd/crocusreel/explain.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	explainTimeout = 10 * time.Second
-	explainMaxBody = 1 << 20
+	explainTimeout      = 10 * time.Second
+	explainMaxBodyBytes = 1 << 20
 )
 
-// errNoRecord means that a gateway does not know the request.
-var errNoRecord = eris.New("no gateway knows this request; only recent ones are kept")
+// errNoRecord means that a gateway has no record of the request.
+var errNoRecord = eris.New("no gateway has a record of this request; only recent requests are kept")
 
 type explainCommand struct {
 	Request     string `arg:"" help:"Request ID, from the X-Request-Id header of the answer."`
@@ -30,7 +30,8 @@
 	outputFlags `embed:""`
 }
 
-// Run implements the subcommand.
+// Run asks the gateways one after the other for the record of the request and prints the first record
+// found. Unreachable gateways are skipped.
 func (c *explainCommand) Run() error {
 	key, err := c.key()
 	if err != nil {
@@ -40,7 +41,8 @@
 	if err := c.get(c.Gateway, "/v1/addresses", key, &known); err != nil {
 		return err
 	}
-	// The first is asked even if it names itself no more, as when it is leaving.
+	// The given gateway is asked in any case, since it does not list its own address while it is
+	// leaving.
 	for _, address := range append([]string{c.Gateway}, known.Addresses...) {
 		var record api.Record
 		err := c.get(address, "/v1/requests/"+url.PathEscape(c.Request), key, &record)
@@ -54,9 +56,10 @@
 	return errNoRecord
 }
 
-// get reads JSON from a gateway.
+// get sends a GET request to the gateway at address and decodes the JSON answer into into. It returns
+// errNoRecord on status 404.
 func (c *explainCommand) get(address, path, key string, into any) error {
-	base, transport, err := c.base(address)
+	base, transport, err := c.baseURL(address)
 	if err != nil {
 		return err
 	}
@@ -71,7 +74,7 @@
 		return eris.Wrap(operator.ErrUnreachable, err.Error())
 	}
 	defer func() { _ = res.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(res.Body, explainMaxBody))
+	body, err := io.ReadAll(io.LimitReader(res.Body, explainMaxBodyBytes))
 	if err != nil {
 		return eris.Wrap(operator.ErrUnreachable, err.Error())
 	}
@@ -79,24 +82,24 @@
 		return errNoRecord
 	}
 	if res.StatusCode != http.StatusOK {
-		return eris.Errorf("gateway answered %s: %s", res.Status, body)
+		return eris.Errorf("gateway returned status %s: %s", res.Status, body)
 	}
 	return eris.Wrap(json.Unmarshal(body, into), "decode answer")
 }
 
 func printRecord(w io.Writer, r api.Record) {
-	row(w, "request", r.RequestID)
-	row(w, "workspace", r.Workspace)
-	row(w, "kind", r.Kind)
-	row(w, "model", r.Model)
-	row(w, "path", r.Path)
-	row(w, "started", r.Started.Format(time.RFC3339Nano))
+	writeRow(w, "request", r.RequestID)
+	writeRow(w, "workspace", r.Workspace)
+	writeRow(w, "kind", r.Kind)
+	writeRow(w, "model", r.Model)
+	writeRow(w, "path", r.Path)
+	writeRow(w, "started", r.Started.Format(time.RFC3339Nano))
 	if r.Ended != nil {
-		row(w, "took", r.Ended.Sub(r.Started).String())
-		row(w, "outcome", string(r.Outcome))
-		row(w, "reason", string(r.Reason))
+		writeRow(w, "took", r.Ended.Sub(r.Started).String())
+		writeRow(w, "outcome", string(r.Outcome))
+		writeRow(w, "reason", string(r.Reason))
 	}
 	for _, s := range r.Steps {
-		row(w, fmt.Sprintf("+%d ms", s.AtMS), s.Event, s.Endpoint, s.Detail)
+		writeRow(w, fmt.Sprintf("+%d ms", s.AtMS), s.Event, s.Endpoint, s.Detail)
 	}
 }
