--- a/endpoint/checked.go
+++ b/endpoint/checked.go
@@ -10,16 +10,16 @@
 const (
 	// DropCrossed is a frame of another request or generation.
 	DropCrossed = "frame_crossed"
-	// DropRepeated is a frame with an index that was delivered before.
+	// DropRepeated is a frame with an index that was already delivered.
 	DropRepeated = "frame_repeated"
 )
 
-// maxDrops bounds the frames dropped between two good ones. An engine that sends
-// nothing but wrong frames would otherwise keep its link busy and the caller
-// waiting without an end, and no stall timeout would notice.
+// maxDrops is the maximum number of frames dropped between two valid ones. Without this limit, an
+// engine that sends only invalid frames would keep its connection busy and the caller waiting
+// indefinitely, because no stall timeout would detect it.
 const maxDrops = 1024
 
-// checked passes on the frames of one generation, each index once and in order.
+// checked implements the stream returned by Checked.
 type checked struct {
 	stream       Stream
 	requestID    string
@@ -30,11 +30,11 @@
 	failed       error
 }
 
-// Checked wraps a stream so that it yields only frames of the given request and
-// generation, with consecutive indices from next. Frames of another request or
-// generation and frames already seen are dropped and reported to onDrop, which may
-// be nil. A gap is an error of kind protocol: tokens are missing, but the
-// generation can be resumed from the last good index.
+// Checked wraps stream so that it yields only frames of the given request and generation, with
+// consecutive indices starting at next. Frames of another request or generation and frames already
+// delivered are dropped and reported to onDrop, which may be nil. A gap in the indices is an error
+// of kind protocol: tokens are missing, but the generation can be resumed from the last valid
+// index.
 func Checked(stream Stream, requestID, generationID string, next int, onDrop func(kind string)) Stream {
 	if onDrop == nil {
 		onDrop = func(string) {}
@@ -69,7 +69,7 @@
 	for range maxDrops {
 		f, err := c.stream.Next()
 		if err == io.EOF {
-			// The underlying stream ended with a Done frame of another generation.
+			// The underlying stream ended with the last frame of another generation.
 			return Frame{}, unknown(KindLost, io.ErrUnexpectedEOF)
 		}
 		if err != nil {
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint talks to engines and plain services. The wire format stays
-// behind the Engine and Service interfaces; nothing else in the module sees it.
+// Package endpoint implements the clients of engines and plain services. The wire format is hidden
+// behind the Engine and Service interfaces; the rest of the module does not depend on it.
 package endpoint
 
 import (
@@ -9,22 +9,22 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// GenerateRequest starts one generation at an engine.
+// GenerateRequest is the request to start a generation on an engine.
 type GenerateRequest struct {
-	// RequestID names the caller's request; every frame repeats it.
+	// RequestID identifies the caller's request. Every frame repeats it.
 	RequestID string `json:"request_id"`
-	// GenerationID names this generation; it is unique for each attempt.
+	// GenerationID identifies this generation. It is unique to each attempt.
 	GenerationID string `json:"generation_id"`
 	Workspace    string `json:"workspace"`
 	Model        string `json:"model"`
 	Adapter      string `json:"adapter,omitempty"`
 	Prompt       string `json:"prompt"`
-	// MaxTokens bounds the answer in tokens; 0 leaves the bound to the engine.
+	// MaxTokens is the maximum length of the answer in tokens; 0 leaves the limit to the engine.
 	MaxTokens int `json:"max_tokens"`
-	// Priority orders the engine's choice of preemption victims: the running
-	// generation with the lowest value is preempted first.
+	// Priority determines which generation the engine preempts: the running generation with the
+	// lowest value is preempted first.
 	Priority int `json:"priority"`
-	// IdempotencyKey lets engines that drop repeats recognise one. May be empty.
+	// IdempotencyKey lets engines that drop repeated requests recognise them. It may be empty.
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
 }
 
@@ -33,28 +33,27 @@
 type Frame struct {
 	RequestID    string `json:"request_id"`
 	GenerationID string `json:"generation_id"`
-	// Index is the position of the token, from 0. On the last frame it is the
-	// number of tokens.
+	// Index is the position of the token, starting at 0. In the last frame it is the number of
+	// tokens.
 	Index int    `json:"index"`
 	Text  string `json:"text,omitempty"`
 	Done  bool   `json:"done,omitempty"`
-	// FinishReason is "stop", "length" or "cancelled", on the last frame only.
+	// FinishReason is "stop", "length" or "cancelled". It is set in the last frame only.
 	FinishReason string `json:"finish_reason,omitempty"`
-	// Preemptions counts how often the engine preempted this generation so far.
+	// Preemptions is the number of times that the engine has preempted this generation so far.
 	Preemptions int `json:"preemptions,omitempty"`
-	// PromptTokens is the length of the prompt in tokens, on the last frame only.
+	// PromptTokens is the length of the prompt in tokens. It is set in the last frame only.
 	PromptTokens int `json:"prompt_tokens,omitempty"`
 }
 
-// Stream delivers the frames of one generation in the order in which the engine
-// sent them. Next returns io.EOF only after a frame with Done; any earlier end is
-// an *Error.
+// Stream delivers the frames of one generation in the order in which the engine sent them. Next
+// returns io.EOF only after a frame with Done; if the stream ends earlier, it returns an *Error.
 type Stream interface {
 	Next() (Frame, error)
 	Close() error
 }
 
-// LoadReport is an engine's view of its own load. It lags.
+// LoadReport is an engine's report of its own load. It may be out of date.
 type LoadReport struct {
 	Endpoint string `json:"endpoint"`
 	// KVCapacity and KVUsed are in tokens.
@@ -62,30 +61,30 @@
 	KVUsed     int `json:"kv_used"`
 	Running    int `json:"running"`
 	Waiting    int `json:"waiting"`
-	// Preemptions counts preemptions since the engine started.
+	// Preemptions is the number of preemptions since the engine started.
 	Preemptions int64 `json:"preemptions"`
 	// Incarnation changes when the engine restarts.
 	Incarnation string `json:"incarnation"`
-	// Leaving is set when the engine is about to be reclaimed.
+	// Leaving is set if the engine is about to be reclaimed.
 	Leaving bool `json:"leaving"`
-	// LeavingIn is the time left before the engine stops. Zero if unknown.
+	// LeavingIn is the time until the engine stops, 0 if unknown.
 	LeavingIn time.Duration `json:"leaving_in"`
-	// Generations lists the IDs of running and waiting generations.
+	// Generations contains the IDs of the running and waiting generations.
 	Generations []string `json:"generations"`
 }
 
-// CacheEvent tells of a prompt prefix that entered or left an engine's cache.
+// CacheEvent reports that a prompt prefix was stored in or evicted from an engine's cache.
 type CacheEvent struct {
-	// Seq rises by one for each event; a gap means that events were lost.
+	// Seq increases by one with each event. A gap means that events were lost.
 	Seq uint64 `json:"seq"`
 	// Prefix is the hash of the prefix block chain.
 	Prefix uint64 `json:"prefix"`
 	Stored bool   `json:"stored"`
 }
 
-// Order changes what an engine has loaded.
+// Order instructs an engine to change what it has loaded.
 type Order struct {
-	// Fence is the fencing number of the lease under which the order is given.
+	// Fence is the fencing token of the lease under which the order is given.
 	Fence uint64 `json:"fence"`
 	// Verb is "load", "unload" or "role".
 	Verb    string `json:"verb"`
@@ -95,33 +94,33 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// State is what an engine has loaded now.
+// State describes what an engine currently has loaded.
 type State struct {
 	Incarnation string        `json:"incarnation"`
 	Models      []LoadedModel `json:"models"`
 	Role        string        `json:"role"`
-	// Fence is the highest fencing number seen; 0 if the engine ignores them.
+	// Fence is the highest fencing token that the engine has seen, 0 if it ignores them.
 	Fence uint64 `json:"fence"`
-	// Loading is set while weights are being fetched.
+	// Loading is set while the engine fetches weights.
 	Loading bool `json:"loading"`
 }
 
-// LoadedModel is one model version that an engine can serve.
+// LoadedModel is a model version that an engine can serve.
 type LoadedModel struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// Engine is one inference engine. Methods return *Error on failure.
+// Engine is the client of one inference engine. Its methods return an *Error on failure.
 type Engine interface {
-	// Generate starts a generation. An error with Outcome not_run proves that the
-	// engine did not start it.
+	// Generate starts a generation. An error with Outcome not_run proves that the engine did not
+	// start it.
 	Generate(ctx context.Context, req GenerateRequest) (Stream, error)
 	// Resume continues an existing generation from the token with index next.
 	Resume(ctx context.Context, generationID string, next int) (Stream, error)
-	// Cancel ends a generation. With onlyDetached it does so only if no stream
-	// is attached to it.
+	// Cancel ends a generation. If onlyDetached is set, it does so only if no stream is attached to
+	// the generation.
 	Cancel(ctx context.Context, generationID string, onlyDetached bool) error
 	Load(ctx context.Context) (LoadReport, error)
 	CacheEvents(ctx context.Context, since uint64) ([]CacheEvent, error)
@@ -129,7 +128,7 @@
 	Order(ctx context.Context, o Order) error
 }
 
-// Call is one request to a plain service.
+// Call is a request to a plain service.
 type Call struct {
 	RequestID      string
 	Workspace      string
@@ -141,46 +140,47 @@
 	IdempotencyKey string
 }
 
-// Reply is a plain service's whole answer.
+// Reply is the complete answer of a plain service.
 type Reply struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Service is one plain service. Do returns *Error if there is no reply.
+// Service is the client of one plain service. Do returns an *Error if there is no reply.
 type Service interface {
 	Do(ctx context.Context, c Call) (Reply, error)
-	// Ready returns nil if the service takes calls.
+	// Ready returns nil if the service accepts calls.
 	Ready(ctx context.Context) error
 }
 
-// Error is a failed exchange with an endpoint.
+// Error is the error of a failed exchange with an endpoint.
 type Error struct {
-	// Outcome is not_run only if the endpoint cannot have started the work: the
-	// connection was never made, or the endpoint itself said so.
+	// Outcome is not_run only if the endpoint cannot have started the work: the connection was
+	// never established, or the endpoint itself reported it.
 	Outcome crocusreel.Outcome
 	Kind    ErrorKind
 	Cause   error
 }
 
-// ErrorKind classifies failures of an exchange with an endpoint.
+// ErrorKind classifies the failures of an exchange with an endpoint.
 type ErrorKind string
 
 const (
-	// KindUnreachable means that no connection could be made.
+	// KindUnreachable means that no connection could be established.
 	KindUnreachable ErrorKind = "unreachable"
-	// KindRefused means that the endpoint answered that it will not take the work.
+	// KindRefused means that the endpoint refused the work.
 	KindRefused ErrorKind = "refused"
-	// KindLost means that the connection ended before the whole answer came.
+	// KindLost means that the connection ended before the complete answer was received.
 	KindLost ErrorKind = "lost"
-	// KindStalled means that no byte came within the stall timeout.
+	// KindStalled means that no byte was received within the stall timeout, or no frame within the
+	// progress timeout.
 	KindStalled ErrorKind = "stalled"
 	// KindUnknownGeneration means that the engine does not know the generation.
 	KindUnknownGeneration ErrorKind = "unknown_generation"
-	// KindStaleFence means that the engine has seen a higher fencing number.
+	// KindStaleFence means that the engine has seen a higher fencing token.
 	KindStaleFence ErrorKind = "stale_fence"
-	// KindProtocol means that the endpoint sent something malformed.
+	// KindProtocol means that the endpoint violated the protocol.
 	KindProtocol ErrorKind = "protocol"
 )
 
@@ -192,5 +192,5 @@
 	return "endpoint " + string(e.Kind) + ": " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *Error) Unwrap() error { return e.Cause }
--- a/endpoint/engine.go
+++ b/endpoint/engine.go
@@ -7,20 +7,18 @@
 	"strconv"
 )
 
-// KeyLookup is implemented by engines that can be asked for a run by its
-// idempotency key.
+// KeyLookup is implemented by engines that can look up a run by its idempotency key.
 type KeyLookup interface {
-	// LookupRun tells what the engine knows of the key. RunNone proves that no run
-	// started only if the engine's incarnation is the one that got the work and no
-	// request with the key can still be on its way.
+	// LookupRun returns what the engine knows about the key. RunNone proves that no run was started
+	// only if the engine's incarnation is the one that received the work and no request with the
+	// key can still be in transit.
 	LookupRun(ctx context.Context, workspace, idempotencyKey string) (RunStatus, error)
 }
 
 // engineClient implements Engine and KeyLookup over HTTP.
 type engineClient struct{ wire }
 
-// NewEngine returns a client of the engine at addr (IP:port). It repeats no
-// request on its own.
+// NewEngine returns a client of the engine at addr (IP:port). It does not retry requests.
 func NewEngine(addr string, o Options) Engine {
 	if o.StallTimeout <= 0 {
 		o.StallTimeout = defaultStallTimeout
--- a/endpoint/h1/client.go
+++ b/endpoint/h1/client.go
@@ -1,6 +1,6 @@
-// Package h1 sends HTTP/1.1 requests to endpoints over kept connections. Unlike
-// net/http's transport it tells whether a request was sent, recognises answers that
-// belong to another request, and never sends a request twice by itself.
+// Package h1 sends HTTP/1.1 requests to endpoints over persistent connections. Unlike the transport
+// of net/http, it reports whether a request was sent, detects answers that belong to another
+// request, and never retries a request.
 package h1
 
 import (
@@ -22,26 +22,28 @@
 	"github.com/crocusreel/crocusreel/internal/sockopt"
 )
 
-// Request is one request to an endpoint.
+// Request is a request to an endpoint.
 type Request struct {
 	Method string
-	// Target is the path with the query, as it stands on the request line.
+	// Target is the path with the query, as written on the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine tells whether an answer with this header belongs to the request. Endpoints
-	// at fault send answers to earlier requests late; they are skipped. Nil accepts all.
+	// Mine reports whether an answer with the given header belongs to the request. Faulty endpoints
+	// send answers to earlier requests late; these are skipped. If Mine is nil, every answer is
+	// accepted.
 	Mine func(http.Header) bool
-	// Life ends the exchange once the endpoint is known to have died: a connection whose
-	// other end is gone may stay silent until it times out. Nil if that is not known.
+	// Life is cancelled when the endpoint is known to have died, which ends the exchange. Without
+	// it, a connection to an endpoint that has died may stay silent until it times out. Life is nil
+	// if the death of the endpoint cannot be detected.
 	Life context.Context
 }
 
-// Error is a failed exchange.
+// Error is the error of a failed exchange.
 type Error struct {
-	// Sent tells that the endpoint may have received the request. Without it, the
-	// request has certainly not run.
+	// Sent reports that the endpoint may have received the request. If it is false, the request
+	// definitely did not run.
 	Sent  bool
 	Cause error
 }
@@ -49,48 +51,49 @@
 // Error implements the error interface.
 func (e *Error) Error() string { return e.Cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Timings and sizes of connections to endpoints.
+// Timeouts and sizes of connections to endpoints.
 const (
-	// dialTimeout bounds a new connection: a handshake takes some milliseconds, and an
-	// endpoint whose machine is dark does not answer at all.
+	// dialTimeout limits the time to establish a connection. A handshake takes a few milliseconds,
+	// and an endpoint whose machine is down does not answer at all.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout is the time after which a connection is given up that goes silent
-	// without a reset.
+	// userTimeout is the time after which a connection is closed that has become silent without a
+	// reset.
 	userTimeout = 1500 * time.Millisecond
-	// reuseWithout is how long a connection is kept if the endpoint states no
-	// timeout. Timeouts are stated in whole seconds, so a silent endpoint may have
-	// one below a second.
+	// reuseWithout is the time for which an unused connection is kept if the endpoint states no
+	// timeout. Timeouts are stated in whole seconds, so an endpoint that states none may have one
+	// below a second.
 	reuseWithout = 700 * time.Millisecond
-	// reuseMargin is the time before the stated timeout in which a connection is no
-	// longer used: a request that crosses the endpoint's close may or may not have run.
+	// reuseMargin is the time before the stated timeout from which a connection is no longer used.
+	// It is not known whether a request ran that was sent while the endpoint closed the connection.
 	reuseMargin = 500 * time.Millisecond
-	// maxIdle bounds the kept connections to one endpoint: endpoints accept a few hundred
-	// from all nodes together, and a node sends one some requests a second.
+	// maxIdle is the maximum number of idle connections to one endpoint. Endpoints accept a few
+	// hundred connections from all nodes together, and a node sends a few requests per second to
+	// each.
 	maxIdle = 4
-	// readBuffer is the size of a connection's buffer in bytes: two events of a stream.
+	// readBuffer is the size of a connection's read buffer in bytes: two events of a stream.
 	readBuffer = 2048
-	// maxForeign is how many answers to other requests are skipped on one connection,
-	// and maxForeignBody the size of one in bytes.
+	// maxForeign is the number of answers to other requests that are skipped on one connection,
+	// maxForeignBody the maximum size of their bodies in bytes.
 	maxForeign     = 2
 	maxForeignBody = 64 << 10
-	// writeApart is the body size in bytes from which the answer is read while the body
-	// is still being written: an endpoint may answer before it has read a long body.
+	// writeApart is the body size in bytes from which the answer is read while the body is still
+	// being written, because an endpoint may answer before it has read a long body.
 	writeApart = 32 << 10
 )
 
-// Client keeps connections to endpoints.
+// Client sends requests to endpoints and pools its connections. It is safe for concurrent use.
 type Client struct {
 	dialer net.Dialer
 	mu     sync.Mutex
 	idle   map[string][]*conn
-	// Opened counts new connections.
+	// Opened is called for each new connection.
 	Opened func()
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client without open connections.
 func NewClient() *Client {
 	c := &Client{
 		dialer: net.Dialer{Timeout: dialTimeout},
@@ -101,9 +104,9 @@
 	return c
 }
 
-// Do sends the request to the endpoint at IP:port and returns the head of the answer.
-// Every error is an *Error. When ctx ends the connection is closed, so that the
-// endpoint stops work on the request.
+// Do sends the request to the endpoint at address (IP:port) and returns the answer, whose body has
+// not been read yet. Every error is an *Error. When ctx is done, the connection is closed so that
+// the endpoint stops working on the request.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Response, error) {
 	conn, err := c.connection(ctx, address)
 	if err != nil {
@@ -123,8 +126,8 @@
 	return resp, nil
 }
 
-// closeAfter closes the connection once one of the contexts ends, until it is stopped.
-// stop returns false if the connection was closed, or is about to be.
+// closeAfter closes the connection when one of the contexts is done, unless stop is called before.
+// stop returns false if the connection was closed or is about to be closed.
 func closeAfter(c *conn, ctx, life context.Context) (stop func() bool) {
 	closeConn := func() { _ = c.Close() }
 	stopCtx := context.AfterFunc(ctx, closeConn)
@@ -138,8 +141,9 @@
 	}
 }
 
-// Refuses tells whether nothing listens at the address any more. It is false where that
-// is not certain, as for an endpoint that cannot be reached.
+// Refuses reports whether connections to the address are refused, which means that no process
+// listens there any more. It returns false if this is not certain, for example if the endpoint is
+// unreachable.
 func (c *Client) Refuses(ctx context.Context, address string) bool {
 	raw, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
@@ -196,7 +200,7 @@
 	c.idle[address] = append(c.idle[address], kept)
 }
 
-// Prune closes kept connections that may no longer be used.
+// Prune closes the idle connections whose reuse time has expired.
 func (c *Client) Prune() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -224,8 +228,8 @@
 	usableUntil time.Time
 }
 
-// quiet tells whether the connection is open and has no unread bytes. Bytes that come
-// without a request belong to none.
+// quiet reports whether the connection is open and has no unread bytes. Bytes that arrive while no
+// request is pending belong to no request.
 func (c *conn) quiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -248,15 +252,16 @@
 	return err == nil && quiet
 }
 
-// Response is the answer to a request. The caller reads Body to its end and calls
-// Finish, or Close.
+// Response is the answer to a request. The caller must either read Body to its end and call Finish,
+// or call Close.
 type Response struct {
 	*http.Response
 	client  *Client
 	conn    *conn
 	address string
 	stop    func() bool
-	// written receives the result of a write that goes on beside the read.
+	// written receives the result of writing the request if it is written concurrently with reading
+	// the answer; nil otherwise.
 	written chan error
 	closed  bool
 }
@@ -280,7 +285,7 @@
 			break
 		}
 	}
-	return &Error{Sent: true, Cause: eris.New("the answer belongs to another request")}
+	return &Error{Sent: true, Cause: eris.New("answer belongs to another request")}
 }
 
 func (r *Response) send(req *Request) *Error {
@@ -316,7 +321,7 @@
 	return append(make([]byte, 0, b.Len()+len(r.Body)), b.String()...)
 }
 
-// readFinal reads answers until one that is not informational.
+// readFinal reads an answer and skips informational ones (status 1xx).
 func readFinal(reader *bufio.Reader, method *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(reader, method)
@@ -326,13 +331,13 @@
 	}
 }
 
-// Framed tells whether the end of the body can be told from a broken connection.
+// Framed reports whether the end of the body can be distinguished from a broken connection.
 func (r *Response) Framed() bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0
 }
 
-// Finish keeps the connection for another request. The body must have been read to
-// its end.
+// Finish returns the connection to the pool if it can be reused, and closes it otherwise. The body
+// must have been read to its end.
 func (r *Response) Finish() {
 	if r.closed || !r.reusable() {
 		r.Close()
@@ -362,7 +367,7 @@
 	}
 }
 
-// Close closes the connection; the endpoint stops work that has not ended.
+// Close closes the connection, which makes the endpoint stop work that has not ended.
 func (r *Response) Close() {
 	if r.closed {
 		return
@@ -372,7 +377,8 @@
 	_ = r.conn.Close()
 }
 
-// reuseTime reads the endpoint's idle timeout from a Keep-Alive header.
+// reuseTime returns how long an unused connection can be reused, given the endpoint's Keep-Alive
+// header.
 func reuseTime(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/endpoint/http.go
+++ b/endpoint/http.go
@@ -14,23 +14,23 @@
 	"github.com/crocusreel/crocusreel/notice"
 )
 
-// Options of a client. Zero values take the defaults.
+// Options configures a client. Zero values select the defaults.
 type Options struct {
-	// ConnectTimeout bounds the TCP handshake. Default 1 second.
+	// ConnectTimeout limits the TCP handshake. The default is 1 second.
 	ConnectTimeout time.Duration
-	// StallTimeout is the longest wait for the next byte of an answer. Default for
-	// engines 5 seconds: they send keep-alive bytes while they have no token. Default
-	// for plain services none: they send nothing while they work, and the context of
-	// a call bounds it.
+	// StallTimeout is the maximum time to wait for the next byte of an answer. The default for
+	// engines is 5 seconds, because they send keep-alive bytes while they have no token to send.
+	// The default for plain services is no timeout, because they send nothing while they work; the
+	// context of a call limits it.
 	StallTimeout time.Duration
-	// ProgressTimeout is the longest wait for the next frame of a stream, however
-	// many keep-alive bytes come. Default 2 minutes: an engine may keep an answer
-	// waiting for long when it is overloaded.
+	// ProgressTimeout is the maximum time to wait for the next frame of a stream, regardless of
+	// keep-alive bytes. The default is 2 minutes, because an overloaded engine may delay an answer
+	// for a long time.
 	ProgressTimeout time.Duration
-	// MaxBody bounds a plain service's answer, in bytes. Default 16 MiB.
+	// MaxBody is the maximum size of a plain service's answer in bytes. The default is 16 MiB.
 	MaxBody int64
-	// Noticed takes what the endpoint says of itself in each answer; it must not block. Nil
-	// for nobody.
+	// Noticed is called with what the endpoint reports about itself in each answer. It must not
+	// block. It may be nil.
 	Noticed func(notice.Notice)
 }
 
@@ -39,7 +39,8 @@
 	defaultStallTimeout    = 5 * time.Second
 	defaultProgressTimeout = 2 * time.Minute
 	defaultMaxBody         = 16 << 20
-	// maxSmallAnswer bounds answers other than streams and service replies, in bytes.
+	// maxSmallAnswer is the maximum size in bytes of answers other than streams and replies of
+	// plain services.
 	maxSmallAnswer = 8 << 20
 )
 
@@ -56,7 +57,7 @@
 	return o
 }
 
-// wire sends requests to one endpoint and classifies failures.
+// wire sends requests to one endpoint and classifies the failures.
 type wire struct {
 	base    string
 	options Options
@@ -72,8 +73,8 @@
 	}
 }
 
-// send sends a request and returns the answer with any status; its body fails once
-// no byte came for the stall timeout.
+// send sends a request and returns the answer, whatever its status. Reading the body fails if no
+// byte is received within the stall timeout.
 func (w *wire) send(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Response, *Error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	req, err := httponce.NewRequest(ctx, method, w.base+path, body)
@@ -99,8 +100,8 @@
 	return resp, nil
 }
 
-// sendError classifies a request without an answer. Only a request of which no byte
-// was written has certainly not run.
+// sendError classifies the failure of a request without an answer. Only if no byte of the request
+// was written is it certain that it did not run.
 func sendError(ctx context.Context, sent bool, err error) *Error {
 	if !sent {
 		return notRun(KindUnreachable, err)
@@ -123,7 +124,7 @@
 	return &Error{Outcome: crocusreel.OutcomeUnknown, Kind: kind, Cause: err}
 }
 
-// call sends a request and reads a JSON answer into the given value, nil for none.
+// call sends a request and decodes the JSON answer into the given value, which may be nil.
 func (w *wire) call(ctx context.Context, method, path string, body, into any) error {
 	resp, fail := w.sendJSON(ctx, method, path, body)
 	if fail != nil {
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// sendJSON sends a JSON body (nil for none) and returns an answer with status 200.
+// sendJSON sends a request with a JSON body, if body is not nil, and returns an answer with status
+// 200.
 func (w *wire) sendJSON(ctx context.Context, method, path string, body any) (*http.Response, *Error) {
 	var data []byte
 	header := http.Header{}
@@ -165,9 +167,9 @@
 	return nil, statusError(resp)
 }
 
-// statusError maps an answer other than 200. Only the endpoint's own typed body can
-// say that the work was not started: a bare status may come from something on the
-// way, or from an endpoint that broke while the work ran.
+// statusError converts an answer with a status other than 200 to an error. Only the endpoint's own
+// typed body can state that the work was not started: a status without it may come from an
+// intermediary, or from an endpoint that failed while the work was running.
 func statusError(resp *http.Response) *Error {
 	data, fail := readAll(resp.Body, maxSmallAnswer)
 	if fail != nil {
@@ -199,7 +201,7 @@
 	return data, nil
 }
 
-// readError classifies an answer that broke off.
+// readError classifies the failure to read an answer to its end.
 func readError(err error) *Error {
 	if eris.Is(err, errStalled) {
 		return unknown(KindStalled, err)
--- a/endpoint/notice.go
+++ b/endpoint/notice.go
@@ -6,17 +6,17 @@
 	"github.com/crocusreel/crocusreel/notice"
 )
 
-// HeaderLeaving is "1" on all answers of an endpoint that is about to stop.
+// HeaderLeaving is "1" in all answers of an endpoint that is about to stop.
 const HeaderLeaving = "Crocusreel-Leaving"
 
-// leavingYes is the value of HeaderLeaving of an endpoint that leaves.
+// leavingYes is the value of HeaderLeaving in the answers of an endpoint that is about to stop.
 const leavingYes = "1"
 
-// HeaderRequestLimit on any answer is the number of requests a second that the endpoint takes from
-// all gateways together, for as long as its answers say so.
+// HeaderRequestLimit in any answer is the number of requests per second that the endpoint accepts
+// from all gateways together. The limit applies for as long as the answers state it.
 const HeaderRequestLimit = "Crocusreel-Request-Limit"
 
-// readNotice reads what an endpoint says of itself in the head of an answer.
+// readNotice returns what an endpoint reports about itself in the status and header of an answer.
 func readNotice(status int, h http.Header) notice.Notice {
 	n := notice.Notice{Leaving: h.Get(HeaderLeaving) == leavingYes}
 	n.Limit, n.Limited, n.LimitErr = notice.ParseLimit(HeaderRequestLimit, h.Get(HeaderRequestLimit))
--- a/endpoint/prompt.go
+++ b/endpoint/prompt.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// BlockTokens is the number of tokens in one block of KV memory.
+	// BlockTokens is the number of tokens in a block of KV cache memory.
 	BlockTokens = 16
 	// bytesPerToken is the mean length of a token of ordinary text.
 	bytesPerToken = 4
 	blockBytes    = BlockTokens * bytesPerToken
 )
 
-// PromptTokens estimates the length of a prompt in tokens; it is at least 1.
+// PromptTokens estimates the length of a prompt in tokens. The result is at least 1.
 func PromptTokens(prompt string) int {
 	return max(1, (len(prompt)+bytesPerToken-1)/bytesPerToken)
 }
 
-// PrefixHashes returns the hash of each leading run of whole blocks of a prompt,
-// the longest last. It is the Prefix of cache events.
+// PrefixHashes returns the hashes of all prefixes of the prompt that consist of complete blocks,
+// shortest first. Cache events identify prefixes by these hashes.
 func PrefixHashes(model, prompt string) []uint64 {
 	hashes := make([]uint64, 0, len(prompt)/blockBytes)
 	h := fnv.New64a()
--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -13,8 +13,8 @@
 // serviceClient implements Service over HTTP.
 type serviceClient struct{ wire }
 
-// NewService returns a client of the plain service at addr (IP:port). It repeats
-// no call on its own and follows no redirect.
+// NewService returns a client of the plain service at addr (IP:port). It does not retry calls and
+// does not follow redirects.
 func NewService(addr string, o Options) Service {
 	return &serviceClient{newWire(addr, o)}
 }
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// callPath builds the request target. A path without a leading slash would run into
-// the address and could name another host.
+// callPath returns the request target. Without a leading slash, a path would be appended directly
+// to the address and could change the host.
 func callPath(c Call) string {
 	path := "/" + strings.TrimPrefix(c.Path, "/")
 	if c.Query == "" {
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -12,16 +12,16 @@
 
 const (
 	streamBuffer = 4 << 10
-	// maxFrame bounds one frame on the wire, in bytes.
+	// maxFrame is the maximum size of an encoded frame in bytes.
 	maxFrame = 256 << 10
 )
 
 var errNoProgress = eris.New("no frame within the progress timeout")
 
-// frameStream reads newline-delimited JSON frames. Empty lines keep the link alive.
+// frameStream reads newline-delimited JSON frames. Empty lines are keep-alives.
 type frameStream struct {
 	body io.Closer
-	// progress is the longest wait for a frame.
+	// progress is the maximum time to wait for a frame.
 	progress time.Duration
 	lines    *bufio.Reader
 	ended    bool
@@ -57,9 +57,9 @@
 	return s.body.Close()
 }
 
-// read returns the next frame. An engine whose decoding hangs may still send
-// keep-alive bytes, so that no stall timeout notices: each of them is the occasion
-// to look how long the frame has been due.
+// read returns the next frame. An engine whose decoding hangs may continue to send keep-alive
+// bytes, which the stall timeout does not detect. The progress timeout is therefore checked at each
+// keep-alive.
 func (s *frameStream) read() (Frame, *Error) {
 	for started := time.Now(); ; {
 		line, fail := s.readLine()
@@ -75,8 +75,8 @@
 	}
 }
 
-// readLine returns a line with its line break. A line without one was cut off:
-// what is there may still parse, as a shorter token than the engine sent.
+// readLine returns a line including its line break. A line without one was truncated: the part
+// received may still be valid JSON, with a shorter token than the engine sent.
 func (s *frameStream) readLine() ([]byte, *Error) {
 	line, err := s.lines.ReadSlice('\n')
 	if err == nil {
--- a/endpoint/watchdog.go
+++ b/endpoint/watchdog.go
@@ -10,25 +10,25 @@
 
 var errStalled = eris.New("no byte within the stall timeout")
 
-// drainTimeout bounds the wait for the end marker of an answer that is whole.
+// drainTimeout limits the wait for the end marker after the last frame of a complete answer.
 const drainTimeout = 100 * time.Millisecond
 
-// watchdog cancels an exchange whose link has gone silent. A link that is cut
-// without a reset shows no error: a read would wait for ever, and the caller's
-// answer with it. A timeout of 0 means none.
+// watchdog cancels an exchange on a connection that has become silent. A connection that is cut
+// without a reset reports no error: a read would block forever, and with it the answer to the
+// caller. A timeout of 0 disables the watchdog.
 type watchdog struct {
 	timeout time.Duration
 	onStall func()
 	timer   *time.Timer
 }
 
-// newWatchdog returns a watchdog that is not armed.
+// newWatchdog returns a watchdog that is not armed. cancel is called with errStalled when it fires.
 func newWatchdog(timeout time.Duration, cancel context.CancelCauseFunc) *watchdog {
 	return &watchdog{timeout: timeout, onStall: func() { cancel(errStalled) }}
 }
 
-// arm starts the timeout. The timer is made here and not before: one made with a
-// timeout of 0 would fire at once, between its start and its stop.
+// arm starts the timeout. The timer is created here and not in newWatchdog: a timer created with a
+// timeout of 0 would fire immediately, before it could be stopped.
 func (d *watchdog) arm() {
 	switch {
 	case d.timeout <= 0:
@@ -45,8 +45,8 @@
 	}
 }
 
-// watchedBody is an answer's body under a watchdog. The time that its reader
-// spends between two reads does not count.
+// watchedBody is the body of an answer, guarded by a watchdog. The time between two reads does not
+// count towards the timeout.
 type watchedBody struct {
 	body   io.ReadCloser
 	dog    *watchdog
@@ -65,15 +65,15 @@
 	return n, err
 }
 
-// drain reads the end marker behind the last frame, so that the connection can be
-// used again. An endpoint that does not send it costs no more than drainTimeout.
+// drain reads the end marker after the last frame so that the connection can be reused. If the
+// endpoint does not send it, drain returns after drainTimeout.
 func (b *watchedBody) drain() {
 	b.dog.timeout = drainTimeout
 	_, _ = io.CopyN(io.Discard, b, 1)
 }
 
-// Close ends the exchange; an answer that was not read to its end breaks its
-// connection, which tells the endpoint that nobody listens any more.
+// Close ends the exchange. If the answer was not read to its end, the connection is closed, which
+// shows the endpoint that there is no longer a reader.
 func (b *watchedBody) Close() error {
 	b.dog.disarm()
 	b.cancel(nil)
