--- a/endpoint/checked_test.go
+++ b/endpoint/checked_test.go
@@ -13,7 +13,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/engine"
 )
 
-// frames is a stream of given frames.
+// frames is a Stream of the given frames.
 type frames []endpoint.Frame
 
 func (f *frames) Next() (endpoint.Frame, error) {
@@ -42,9 +42,9 @@
 		return out, drops, err
 	}
 
-	// An engine mixes up two answers, or sends frames again or late. A caller would
-	// read a stranger's text or the same words twice.
-	It("drop frames of others and repeats, and count them", func() {
+	// Guards against an answer that contains text of another request or repeated text because an
+	// engine mixes up two answers, repeats frames or sends them late.
+	It("drop and count frames of other requests and repeated frames", func() {
 		out, drops, err := check(frames{
 			token("g", 0), token("other", 1), token("g", 1), token("g", 1), token("g", 0), end("other", 2), end("g", 2),
 		}, 0)
@@ -53,28 +53,28 @@
 		Expect(drops).To(Equal(map[string]int{endpoint.DropCrossed: 2, endpoint.DropRepeated: 2}))
 	})
 
-	// A frame got lost. Passed on, the answer would lack a word that nobody misses.
-	It("fail at a gap", func() {
+	// Guards against an answer that silently lacks a token because a frame was lost.
+	It("fail at a gap in the indices", func() {
 		out, _, err := check(frames{token("g", 0), token("g", 2), end("g", 3)}, 0)
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindProtocol))
 		Expect(out).To(HaveLen(1))
 	})
 
-	It("fail at an end that leaves out tokens, or has none of its own", func() {
+	It("fail if the last frame leaves out tokens or is that of another generation", func() {
 		_, _, err := check(frames{token("g", 0), end("g", 5)}, 0)
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindProtocol))
 		_, _, err = check(frames{token("g", 0), end("other", 1)}, 0)
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindLost))
 	})
 
-	It("begin at the index asked for", func() {
+	It("begin at the requested index", func() {
 		out, drops, err := check(frames{token("g", 3), token("g", 4), end("g", 5)}, 4)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(out).To(HaveLen(2))
 		Expect(drops).To(HaveKeyWithValue(endpoint.DropRepeated, 1))
 	})
 
-	It("end when an engine sends nothing but wrong frames", func() {
+	It("end if an engine sends only invalid frames", func() {
 		var in frames
 		for range 5000 {
 			in = append(in, token("other", 0))
@@ -83,9 +83,9 @@
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindProtocol))
 	})
 
-	// All frame faults at once at a real engine: the answer is whole, or it ends
-	// with an error and can be resumed where it broke off.
-	It("keep an answer whole over a faulty engine with resume", func() {
+	// Guards against wrong answers from an engine with all frame faults at once: the answer must be
+	// complete, or end with an error and be resumable where it broke off.
+	It("deliver a complete answer of a faulty engine by resuming", func() {
 		ctx := context.Background()
 		client, faults := startEngine(engine.Options{Seed: 7})
 		Expect(faults.SetFaults(ctx, admin.EngineFaults{
--- a/endpoint/engine_test.go
+++ b/endpoint/engine_test.go
@@ -19,7 +19,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/engine"
 )
 
-// serve runs a handler and returns its address.
+// serve starts a server with the handler and returns its address.
 func serve(h http.Handler) string {
 	server := httptest.NewServer(h)
 	DeferCleanup(func() {
@@ -29,7 +29,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startEngine runs a stand-in that decodes a hundred times faster than real time.
+// startEngine starts a stand-in engine that decodes a hundred times faster than real time.
 func startEngine(o engine.Options) (endpoint.Engine, *admin.Client) {
 	o.TimeScale = 100
 	o.Models = []string{"m"}
@@ -73,7 +73,7 @@
 var _ = Describe("the engine client", func() {
 	ctx := context.Background()
 
-	It("reads a whole answer", func() {
+	It("reads a complete answer", func() {
 		client, _ := startEngine(engine.Options{})
 		stream, err := client.Generate(ctx, generation("g1234567890", "x [[len=4]]"))
 		Expect(err).NotTo(HaveOccurred())
@@ -84,7 +84,7 @@
 		Expect(frames[4]).To(And(HaveField("Done", true), HaveField("Index", 4), HaveField("FinishReason", "stop")))
 	})
 
-	It("ends at the bound with reason length", func() {
+	It("ends at the token limit with finish reason length", func() {
 		client, _ := startEngine(engine.Options{})
 		req := generation("g1", "x [[len=40]]")
 		req.MaxTokens = 3
@@ -95,7 +95,8 @@
 		Expect(frames[len(frames)-1]).To(And(HaveField("Index", 3), HaveField("FinishReason", "length")))
 	})
 
-	// The engine is down. Nothing was sent, so the request may go to another one.
+	// Guards against a lost retry: nothing was sent to an engine that is down, so the request may
+	// be sent to another one.
 	It("reports a refused connection as not run", func() {
 		server := httptest.NewServer(http.NotFoundHandler())
 		server.Close()
@@ -112,7 +113,8 @@
 		Expect(err).To(failure(crocusreel.OutcomeNotRun, endpoint.KindRefused))
 	})
 
-	// Something on the way answers 503 while the engine runs the work.
+	// Guards against running work twice: an intermediary may answer 503 while the engine runs the
+	// work.
 	It("reports an untyped error answer as unknown", func() {
 		addr := serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "unavailable", http.StatusServiceUnavailable)
@@ -121,8 +123,8 @@
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindProtocol))
 	})
 
-	// The engine accepts the work and the connection breaks before its answer. The
-	// work runs; to call it "not run" would let it run twice.
+	// Guards against running work twice: the engine accepts the work and the connection breaks
+	// before the answer, but the work runs.
 	It("reports a lost answer as unknown, and the run is listed", func() {
 		client, faults := startEngine(engine.Options{})
 		Expect(faults.SetFaults(ctx, admin.EngineFaults{LoseNext: 1})).To(Succeed())
@@ -131,8 +133,8 @@
 		Expect(faults.Runs(ctx)).To(HaveLen(1))
 	})
 
-	// A frame is cut in the middle of its text. What is there could pass for a
-	// shorter token, and the caller would get a wrong answer.
+	// Guards against a wrong answer: a frame that is cut within its text could be mistaken for a
+	// shorter token.
 	It("reports a truncated frame as lost", func() {
 		client, faults := startEngine(engine.Options{})
 		Expect(faults.SetFaults(ctx, admin.EngineFaults{TruncatedFrames: 1})).To(Succeed())
@@ -143,8 +145,7 @@
 		Expect(frames).To(BeEmpty())
 	})
 
-	// The line is complete JSON but the line break is missing, and the answer ends as
-	// if all were well.
+	// The last line is valid JSON but lacks its line break, and the answer ends without an error.
 	It("reports an answer that ends without its last frame as lost", func() {
 		addr := serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, `{"request_id":"r-g1","generation_id":"g1","index":0,"text":"a"}`+"\n"+
@@ -157,9 +158,9 @@
 		Expect(frames).To(HaveLen(1))
 	})
 
-	// The link goes silent without an error. Without a timeout the caller waits for
-	// ever.
-	It("reports a silent link as stalled", func() {
+	// Guards against a caller that waits forever because the connection becomes silent without an
+	// error.
+	It("reports a silent connection as stalled", func() {
 		release := make(chan struct{})
 		addr := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == endpoint.PathGenerate {
@@ -178,9 +179,9 @@
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindStalled))
 	})
 
-	// The engine computes something long and has no token for its answers, but its
-	// link is alive. A stall timeout that fires here would kill good answers.
-	It("does not take a waiting engine for a stalled link", func() {
+	// Guards against a stall timeout that aborts good answers: a busy engine has no token to send
+	// for a while, but sends keep-alive bytes.
+	It("does not report a stall while the engine sends keep-alive bytes", func() {
 		client, faults := startEngine(engine.Options{KeepAlive: 20 * time.Millisecond})
 		Expect(faults.SetFaults(ctx, admin.EngineFaults{Stalled: true})).To(Succeed())
 		stream, err := client.Generate(ctx, generation("g1", "x [[len=2]]"))
@@ -189,12 +190,12 @@
 		Expect(drain(stream)).To(HaveLen(3))
 	})
 
-	// Decoding hangs inside the engine while its server goes on with keep-alive bytes.
-	// The link is fine and the caller would wait for ever.
+	// Guards against a caller that waits forever: decoding hangs inside the engine while its server
+	// continues to send keep-alive bytes.
 	It("reports an engine that is alive but makes no progress as stalled", func() {
 		e, err := engine.New(engine.Options{Models: []string{"m"}, KeepAlive: 20 * time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
-		addr := serve(e.Handler()) // Run is not called: nothing is ever decoded.
+		addr := serve(e.Handler()) // Run is not called, so nothing is decoded.
 		client := endpoint.NewEngine(addr, endpoint.Options{ProgressTimeout: 200 * time.Millisecond})
 		stream, err := client.Generate(ctx, generation("g1", "x [[len=2]]"))
 		Expect(err).NotTo(HaveOccurred())
@@ -202,7 +203,7 @@
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindStalled))
 	})
 
-	It("maps unknown generations, stale fences and repeats", func() {
+	It("maps unknown generations, stale fences and repeated requests", func() {
 		client, _ := startEngine(engine.Options{ChecksFence: true, DropsRepeats: true})
 		_, err := client.Resume(ctx, "none", 0)
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindUnknownGeneration))
--- a/endpoint/fuzz_test.go
+++ b/endpoint/fuzz_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// FuzzFrames feeds the bytes of a hostile or broken engine through the frame reader
-// and the check. Whatever comes, frames are those of the generation, in order and
-// without a gap, and the stream ends with io.EOF only after the last frame.
+// FuzzFrames passes arbitrary bytes, as from a faulty or malicious engine, through the frame reader
+// and the validation. The frames returned must belong to the generation, in order and without a
+// gap, and the stream may end with io.EOF only after the last frame.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte(`{"request_id":"r","generation_id":"g","index":0,"text":"a"}` + "\n" +
 		`{"request_id":"r","generation_id":"g","index":1,"done":true}` + "\n"))
@@ -29,7 +29,7 @@
 				return
 			}
 			if done || frame.RequestID != "r" || frame.GenerationID != "g" || frame.Index != next {
-				t.Fatalf("frame %+v where %d was due, done %v", frame, next, done)
+				t.Fatalf("got frame %+v, want index %d, done %v", frame, next, done)
 			}
 			done = frame.Done
 		}
@@ -42,22 +42,22 @@
 		return
 	}
 	if !errors.As(err, &typed) || done {
-		t.Fatalf("ended with %v, done %v", err, done)
+		t.Fatalf("stream ended with error %v, done %v", err, done)
 	}
 }
 
-// An engine sends a line without an end. Read whole, it would fill the gateway's
-// memory and take every other stream with it.
+// Guards against an engine that sends an endless line, which would fill the gateway's memory if it
+// were read completely.
 func TestFrameWithoutEndIsCutOff(t *testing.T) {
 	endless := io.LimitReader(zeros{}, 100*maxFrame)
 	counted := &countingReader{r: endless}
 	_, err := newFrameStream(io.NopCloser(counted), time.Minute).Next()
 	var typed *Error
 	if !errors.As(err, &typed) || typed.Kind != KindProtocol {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want kind protocol", err)
 	}
 	if counted.n > 2*maxFrame {
-		t.Fatalf("read %d bytes", counted.n)
+		t.Fatalf("read %d bytes, want at most twice the maximum frame size", counted.n)
 	}
 }
 
--- a/endpoint/service_test.go
+++ b/endpoint/service_test.go
@@ -32,7 +32,7 @@
 var _ = Describe("the service client", func() {
 	ctx := context.Background()
 
-	It("passes on call and reply", func() {
+	It("transmits calls and replies", func() {
 		client, list := startService(service.Options{Name: "s"})
 		Expect(client.Ready(ctx)).To(Succeed())
 		reply, err := client.Do(ctx, booking("k"))
@@ -54,7 +54,7 @@
 		Expect(faults.Runs(ctx)).To(HaveLen(1))
 	})
 
-	It("gives up with an unknown outcome when the caller's time is over", func() {
+	It("returns an unknown outcome when the caller's deadline expires", func() {
 		client, faults := startService(service.Options{})
 		Expect(faults.SetFaults(ctx, admin.ServiceFaults{SlowAnswerMS: 2000})).To(Succeed())
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
@@ -63,8 +63,8 @@
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindLost))
 	})
 
-	// A route allows its calls more time than an engine may be silent for. A client
-	// that gives up earlier calls a booking unknown that is about to be answered.
+	// Guards against a client that gives up too early, so that a booking about to be answered has
+	// an unknown outcome: a route may allow its calls more time than the stall timeout of engines.
 	It("waits for a silent service as long as the context allows", func() {
 		client, faults := startService(service.Options{})
 		Expect(faults.SetFaults(ctx, admin.ServiceFaults{SlowMS: 5500})).To(Succeed())
@@ -74,9 +74,9 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// A timer that is made with a timeout of 0 fires at once and now and then cancels
-	// a call before it is sent: bookings fail for no reason that a clerk could see.
-	It("answers every one of many calls that have no stall timeout", func() {
+	// Guards against calls that fail at random: a timer created with a timeout of 0 fires
+	// immediately and occasionally cancels a call before it is sent.
+	It("answers all of many calls without a stall timeout", func() {
 		client, _ := startService(service.Options{})
 		for i := range 2000 {
 			_, err := client.Do(ctx, booking(fmt.Sprint(i)))
@@ -84,9 +84,9 @@
 		}
 	})
 
-	// A caller sends a booking again while the first still runs. A service that drops
-	// repeats books once and answers both alike.
-	It("sees one effect for a repeated key where the service drops repeats", func() {
+	// A caller repeats a booking while the first one may still be running. A service that drops
+	// repeated calls books once and answers both in the same way.
+	It("runs a call with a repeated key once if the service drops repeated calls", func() {
 		client, list := startService(service.Options{DropsRepeats: true})
 		first, err := client.Do(ctx, booking("k"))
 		Expect(err).NotTo(HaveOccurred())
@@ -94,7 +94,7 @@
 		Expect(list.Runs(ctx)).To(HaveLen(1))
 	})
 
-	// One call crashes the service that runs it, after its effect took place.
+	// The call crashes the service after its effect took place.
 	It("reports a call that crashes the service as unknown", func() {
 		client, list := startService(service.Options{Exit: func(int) { panic(http.ErrAbortHandler) }})
 		call := booking("k")
@@ -104,7 +104,7 @@
 		Expect(list.Runs(ctx)).To(HaveLen(1))
 	})
 
-	It("never lets a path name another host", func() {
+	It("never lets a path change the host", func() {
 		client, _ := startService(service.Options{})
 		call := booking("k")
 		call.Path = "@127.0.0.2/x"
