--- a/endpoint/checked.go
+++ b/endpoint/checked.go
@@ -19,8 +19,8 @@
 // indefinitely, because no stall timeout would detect it.
 const maxDrops = 1024
 
-// checked implements the stream returned by Checked.
-type checked struct {
+// validatedStream implements the stream returned by Checked.
+type validatedStream struct {
 	stream       Stream
 	requestID    string
 	generationID string
@@ -39,11 +39,11 @@
 	if onDrop == nil {
 		onDrop = func(string) {}
 	}
-	return &checked{stream: stream, requestID: requestID, generationID: generationID, next: next, onDrop: onDrop}
+	return &validatedStream{stream: stream, requestID: requestID, generationID: generationID, next: next, onDrop: onDrop}
 }
 
 // Next implements Stream.
-func (c *checked) Next() (Frame, error) {
+func (c *validatedStream) Next() (Frame, error) {
 	if c.ended {
 		return Frame{}, io.EOF
 	}
@@ -63,14 +63,14 @@
 }
 
 // Close implements Stream.
-func (c *checked) Close() error { return c.stream.Close() }
+func (c *validatedStream) Close() error { return c.stream.Close() }
 
-func (c *checked) read() (Frame, error) {
+func (c *validatedStream) read() (Frame, error) {
 	for range maxDrops {
 		f, err := c.stream.Next()
 		if err == io.EOF {
 			// The underlying stream ended with the last frame of another generation.
-			return Frame{}, unknown(KindLost, io.ErrUnexpectedEOF)
+			return Frame{}, unknownOutcomeError(KindLost, io.ErrUnexpectedEOF)
 		}
 		if err != nil {
 			return Frame{}, err
@@ -81,10 +81,10 @@
 		case f.Index < c.next:
 			c.onDrop(DropRepeated)
 		case f.Index > c.next:
-			return Frame{}, unknown(KindProtocol, eris.Errorf("frame %d where %d was due", f.Index, c.next))
+			return Frame{}, unknownOutcomeError(KindProtocol, eris.Errorf("frame %d where %d was due", f.Index, c.next))
 		default:
 			return f, nil
 		}
 	}
-	return Frame{}, unknown(KindProtocol, eris.Errorf("%d wrong frames one after the other", maxDrops))
+	return Frame{}, unknownOutcomeError(KindProtocol, eris.Errorf("%d wrong frames one after the other", maxDrops))
 }
--- a/endpoint/engine.go
+++ b/endpoint/engine.go
@@ -16,14 +16,14 @@
 }
 
 // engineClient implements Engine and KeyLookup over HTTP.
-type engineClient struct{ wire }
+type engineClient struct{ httpClient }
 
 // NewEngine returns a client of the engine at addr (IP:port). It does not retry requests.
 func NewEngine(addr string, o Options) Engine {
 	if o.StallTimeout <= 0 {
 		o.StallTimeout = defaultStallTimeout
 	}
-	return &engineClient{newWire(addr, o)}
+	return &engineClient{newHTTPClient(addr, o)}
 }
 
 // Generate implements Engine.
--- a/endpoint/fuzz_test.go
+++ b/endpoint/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Add([]byte("\n\n{\"request_id\":\"r\"}\n"))
 	f.Add([]byte(`{"request_id":"r","generation_id":"g","index":-1}` + "\n"))
 	f.Add([]byte(`{"request_id":"r","generation_id":"g","index":9223372036854775807,"text":"`))
-	f.Add(append(bytes.Repeat([]byte("x"), 2*streamBuffer), '\n'))
+	f.Add(append(bytes.Repeat([]byte("x"), 2*streamBufferBytes), '\n'))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		raw := newFrameStream(io.NopCloser(bytes.NewReader(data)), time.Minute)
 		stream := Checked(raw, "r", "g", 0, nil)
@@ -49,21 +49,21 @@
 // Guards against an engine that sends an endless line, which would fill the gateway's memory if it
 // were read completely.
 func TestFrameWithoutEndIsCutOff(t *testing.T) {
-	endless := io.LimitReader(zeros{}, 100*maxFrame)
+	endless := io.LimitReader(zeroReader{}, 100*maxFrameBytes)
 	counted := &countingReader{r: endless}
 	_, err := newFrameStream(io.NopCloser(counted), time.Minute).Next()
 	var typed *Error
 	if !errors.As(err, &typed) || typed.Kind != KindProtocol {
 		t.Fatalf("got error %v, want kind protocol", err)
 	}
-	if counted.n > 2*maxFrame {
+	if counted.n > 2*maxFrameBytes {
 		t.Fatalf("read %d bytes, want at most twice the maximum frame size", counted.n)
 	}
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) {
+func (zeroReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = '0'
 	}
--- a/endpoint/h1/client.go
+++ b/endpoint/h1/client.go
@@ -62,10 +62,10 @@
 	// userTimeout is the time after which a connection is closed that has become silent without a
 	// reset.
 	userTimeout = 1500 * time.Millisecond
-	// reuseWithout is the time for which an unused connection is kept if the endpoint states no
+	// defaultReuseTime is the time for which an unused connection is kept if the endpoint states no
 	// timeout. Timeouts are stated in whole seconds, so an endpoint that states none may have one
 	// below a second.
-	reuseWithout = 700 * time.Millisecond
+	defaultReuseTime = 700 * time.Millisecond
 	// reuseMargin is the time before the stated timeout from which a connection is no longer used.
 	// It is not known whether a request ran that was sent while the endpoint closed the connection.
 	reuseMargin = 500 * time.Millisecond
@@ -73,15 +73,15 @@
 	// hundred connections from all nodes together, and a node sends a few requests per second to
 	// each.
 	maxIdle = 4
-	// readBuffer is the size of a connection's read buffer in bytes: two events of a stream.
-	readBuffer = 2048
-	// maxForeign is the number of answers to other requests that are skipped on one connection,
-	// maxForeignBody the maximum size of their bodies in bytes.
-	maxForeign     = 2
-	maxForeignBody = 64 << 10
-	// writeApart is the body size in bytes from which the answer is read while the body is still
-	// being written, because an endpoint may answer before it has read a long body.
-	writeApart = 32 << 10
+	// readBufferBytes is the size of a connection's read buffer in bytes: two events of a stream.
+	readBufferBytes = 2048
+	// maxForeignAnswers is the number of answers to other requests that are skipped on one
+	// connection, maxForeignBodyBytes the maximum size of their bodies in bytes.
+	maxForeignAnswers   = 2
+	maxForeignBodyBytes = 64 << 10
+	// minConcurrentWriteBytes is the body size in bytes from which the answer is read while the
+	// body is still being written, because an endpoint may answer before it has read a long body.
+	minConcurrentWriteBytes = 32 << 10
 )
 
 // Client sends requests to endpoints and pools its connections. It is safe for concurrent use.
@@ -108,11 +108,11 @@
 // not been read yet. Every error is an *Error. When ctx is done, the connection is closed so that
 // the endpoint stops working on the request.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Response, error) {
-	conn, err := c.connection(ctx, address)
+	conn, err := c.getConn(ctx, address)
 	if err != nil {
 		return nil, &Error{Cause: err}
 	}
-	resp := &Response{client: c, conn: conn, address: address, stop: closeAfter(conn, ctx, r.Life)}
+	resp := &Response{client: c, conn: conn, address: address, stop: closeOnDone(conn, ctx, r.Life)}
 	if err := resp.exchange(r); err != nil {
 		resp.Close()
 		switch {
@@ -126,9 +126,9 @@
 	return resp, nil
 }
 
-// closeAfter closes the connection when one of the contexts is done, unless stop is called before.
+// closeOnDone closes the connection when one of the contexts is done, unless stop is called before.
 // stop returns false if the connection was closed or is about to be closed.
-func closeAfter(c *conn, ctx, life context.Context) (stop func() bool) {
+func closeOnDone(c *conn, ctx, life context.Context) (stop func() bool) {
 	closeConn := func() { _ = c.Close() }
 	stopCtx := context.AfterFunc(ctx, closeConn)
 	if life == nil {
@@ -153,7 +153,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-func (c *Client) connection(ctx context.Context, address string) (*conn, error) {
+func (c *Client) getConn(ctx context.Context, address string) (*conn, error) {
 	if kept := c.takeIdle(address); kept != nil {
 		return kept, nil
 	}
@@ -162,7 +162,7 @@
 		return nil, eris.Wrap(err, "connect")
 	}
 	c.Opened()
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
 func (c *Client) takeIdle(address string) *conn {
@@ -171,7 +171,7 @@
 		if kept == nil {
 			return nil
 		}
-		if time.Now().Before(kept.usableUntil) && kept.quiet() {
+		if time.Now().Before(kept.usableUntil) && kept.openAndEmpty() {
 			return kept
 		}
 		_ = kept.Close()
@@ -190,7 +190,7 @@
 	return kept
 }
 
-func (c *Client) keep(address string, kept *conn) {
+func (c *Client) putIdle(address string, kept *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[address]) >= maxIdle {
@@ -228,9 +228,9 @@
 	usableUntil time.Time
 }
 
-// quiet reports whether the connection is open and has no unread bytes. Bytes that arrive while no
-// request is pending belong to no request.
-func (c *conn) quiet() bool {
+// openAndEmpty reports whether the connection is open and has no unread bytes. Bytes that arrive
+// while no request is pending belong to no request.
+func (c *conn) openAndEmpty() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -260,10 +260,10 @@
 	conn    *conn
 	address string
 	stop    func() bool
-	// written receives the result of writing the request if it is written concurrently with reading
-	// the answer; nil otherwise.
-	written chan error
-	closed  bool
+	// writeResult receives the result of writing the request if it is writeResult concurrently with
+	// reading the answer; nil otherwise.
+	writeResult chan error
+	closed      bool
 }
 
 func (r *Response) exchange(req *Request) *Error {
@@ -271,7 +271,7 @@
 		return err
 	}
 	method := &http.Request{Method: req.Method}
-	for range maxForeign + 1 {
+	for range maxForeignAnswers + 1 {
 		resp, err := readFinal(r.conn.reader, method)
 		if err != nil {
 			return &Error{Sent: true, Cause: eris.Wrap(err, "read answer")}
@@ -280,8 +280,8 @@
 			r.Response = resp
 			return nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBody))
-		if err != nil || n == maxForeignBody || resp.Close {
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBodyBytes))
+		if err != nil || n == maxForeignBodyBytes || resp.Close {
 			break
 		}
 	}
@@ -290,17 +290,17 @@
 
 func (r *Response) send(req *Request) *Error {
 	head := req.head()
-	if len(req.Body) < writeApart {
+	if len(req.Body) < minConcurrentWriteBytes {
 		n, err := r.conn.Write(append(head, req.Body...))
 		if err != nil {
 			return &Error{Sent: n > 0, Cause: eris.Wrap(err, "send request")}
 		}
 		return nil
 	}
-	r.written = make(chan error, 1)
+	r.writeResult = make(chan error, 1)
 	go func() {
 		_, err := r.conn.Write(append(head, req.Body...))
-		r.written <- err
+		r.writeResult <- err
 	}()
 	return nil
 }
@@ -349,18 +349,18 @@
 		return
 	}
 	r.conn.usableUntil = time.Now().Add(reuseTime(r.Header.Get("Keep-Alive")))
-	r.client.keep(r.address, r.conn)
+	r.client.putIdle(r.address, r.conn)
 }
 
 func (r *Response) reusable() bool {
 	if r.Response == nil || r.Response.Close || !r.Framed() || r.conn.reader.Buffered() > 0 {
 		return false
 	}
-	if r.written == nil {
+	if r.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-r.written:
+	case err := <-r.writeResult:
 		return err == nil
 	default:
 		return false
@@ -389,5 +389,5 @@
 			return time.Duration(n)*time.Second - reuseMargin
 		}
 	}
-	return reuseWithout
+	return defaultReuseTime
 }
--- a/endpoint/http.go
+++ b/endpoint/http.go
@@ -38,10 +38,10 @@
 	defaultConnectTimeout  = time.Second
 	defaultStallTimeout    = 5 * time.Second
 	defaultProgressTimeout = 2 * time.Minute
-	defaultMaxBody         = 16 << 20
-	// maxSmallAnswer is the maximum size in bytes of answers other than streams and replies of
+	defaultMaxBodyBytes    = 16 << 20
+	// maxAnswerBytes is the maximum size in bytes of answers other than streams and replies of
 	// plain services.
-	maxSmallAnswer = 8 << 20
+	maxAnswerBytes = 8 << 20
 )
 
 func (o Options) withDefaults() Options {
@@ -52,21 +52,21 @@
 		o.ProgressTimeout = defaultProgressTimeout
 	}
 	if o.MaxBody <= 0 {
-		o.MaxBody = defaultMaxBody
+		o.MaxBody = defaultMaxBodyBytes
 	}
 	return o
 }
 
-// wire sends requests to one endpoint and classifies the failures.
-type wire struct {
+// httpClient sends requests to one endpoint and classifies the failures.
+type httpClient struct {
 	base    string
 	options Options
 	http    *httponce.Client
 }
 
-func newWire(addr string, o Options) wire {
+func newHTTPClient(addr string, o Options) httpClient {
 	o = o.withDefaults()
-	return wire{
+	return httpClient{
 		base:    "http://" + addr,
 		options: o,
 		http:    httponce.New(httponce.Options{ConnectTimeout: o.ConnectTimeout}),
@@ -75,28 +75,28 @@
 
 // send sends a request and returns the answer, whatever its status. Reading the body fails if no
 // byte is received within the stall timeout.
-func (w *wire) send(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Response, *Error) {
+func (w *httpClient) send(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Response, *Error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	req, err := httponce.NewRequest(ctx, method, w.base+path, body)
 	if err != nil {
 		cancel(nil)
-		return nil, notRun(KindProtocol, err)
+		return nil, notRunError(KindProtocol, err)
 	}
 	for name, values := range header {
 		req.Header[name] = values
 	}
-	dog := newWatchdog(w.options.StallTimeout, cancel)
-	dog.arm()
+	wd := newWatchdog(w.options.StallTimeout, cancel)
+	wd.arm()
 	resp, sent, err := w.http.Do(req)
-	dog.disarm()
+	wd.disarm()
 	if err != nil {
 		defer cancel(nil)
 		return nil, sendError(ctx, sent, err)
 	}
 	if w.options.Noticed != nil {
-		w.options.Noticed(readNotice(resp.StatusCode, resp.Header))
+		w.options.Noticed(parseNotice(resp.StatusCode, resp.Header))
 	}
-	resp.Body = &watchedBody{body: resp.Body, dog: dog, ctx: ctx, cancel: cancel}
+	resp.Body = &watchedBody{body: resp.Body, watchdog: wd, ctx: ctx, cancel: cancel}
 	return resp, nil
 }
 
@@ -104,9 +104,9 @@
 // was written is it certain that it did not run.
 func sendError(ctx context.Context, sent bool, err error) *Error {
 	if !sent {
-		return notRun(KindUnreachable, err)
+		return notRunError(KindUnreachable, err)
 	}
-	return unknown(lossKind(ctx), err)
+	return unknownOutcomeError(lossKind(ctx), err)
 }
 
 func lossKind(ctx context.Context) ErrorKind {
@@ -116,43 +116,43 @@
 	return KindLost
 }
 
-func notRun(kind ErrorKind, err error) *Error {
+func notRunError(kind ErrorKind, err error) *Error {
 	return &Error{Outcome: crocusreel.OutcomeNotRun, Kind: kind, Cause: err}
 }
 
-func unknown(kind ErrorKind, err error) *Error {
+func unknownOutcomeError(kind ErrorKind, err error) *Error {
 	return &Error{Outcome: crocusreel.OutcomeUnknown, Kind: kind, Cause: err}
 }
 
 // call sends a request and decodes the JSON answer into the given value, which may be nil.
-func (w *wire) call(ctx context.Context, method, path string, body, into any) error {
+func (w *httpClient) call(ctx context.Context, method, path string, body, result any) error {
 	resp, fail := w.sendJSON(ctx, method, path, body)
 	if fail != nil {
 		return fail
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := readAll(resp.Body, maxSmallAnswer)
+	data, err := readAll(resp.Body, maxAnswerBytes)
 	if err != nil {
 		return err
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(data, into); err != nil {
-		return unknown(KindProtocol, eris.Wrap(err, "decode answer"))
+	if err := json.Unmarshal(data, result); err != nil {
+		return unknownOutcomeError(KindProtocol, eris.Wrap(err, "decode answer"))
 	}
 	return nil
 }
 
 // sendJSON sends a request with a JSON body, if body is not nil, and returns an answer with status
 // 200.
-func (w *wire) sendJSON(ctx context.Context, method, path string, body any) (*http.Response, *Error) {
+func (w *httpClient) sendJSON(ctx context.Context, method, path string, body any) (*http.Response, *Error) {
 	var data []byte
 	header := http.Header{}
 	if body != nil {
 		var err error
 		if data, err = json.Marshal(body); err != nil {
-			return nil, notRun(KindProtocol, eris.Wrap(err, "encode request"))
+			return nil, notRunError(KindProtocol, eris.Wrap(err, "encode request"))
 		}
 		header.Set("Content-Type", "application/json")
 	}
@@ -171,21 +171,21 @@
 // typed body can state that the work was not started: a status without it may come from an
 // intermediary, or from an endpoint that failed while the work was running.
 func statusError(resp *http.Response) *Error {
-	data, fail := readAll(resp.Body, maxSmallAnswer)
+	data, fail := readAll(resp.Body, maxAnswerBytes)
 	if fail != nil {
 		return fail
 	}
 	cause := eris.Errorf("status %d", resp.StatusCode)
 	var body ErrorBody
 	if err := json.Unmarshal(data, &body); err != nil || body.Kind == "" {
-		return unknown(KindProtocol, cause)
+		return unknownOutcomeError(KindProtocol, cause)
 	}
 	cause = eris.Errorf("status %d: %s", resp.StatusCode, body.Message)
 	switch body.Outcome {
 	case crocusreel.OutcomeNotRun, crocusreel.OutcomeRan:
 		return &Error{Outcome: body.Outcome, Kind: body.Kind, Cause: cause}
 	default:
-		return unknown(body.Kind, cause)
+		return unknownOutcomeError(body.Kind, cause)
 	}
 }
 
@@ -196,7 +196,7 @@
 		return nil, readError(err)
 	}
 	if int64(len(data)) > limit {
-		return nil, unknown(KindProtocol, eris.Errorf("answer over %d bytes", limit))
+		return nil, unknownOutcomeError(KindProtocol, eris.Errorf("answer over %d bytes", limit))
 	}
 	return data, nil
 }
@@ -204,7 +204,7 @@
 // readError classifies the failure to read an answer to its end.
 func readError(err error) *Error {
 	if eris.Is(err, errStalled) {
-		return unknown(KindStalled, err)
+		return unknownOutcomeError(KindStalled, err)
 	}
-	return unknown(KindLost, err)
+	return unknownOutcomeError(KindLost, err)
 }
--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -11,12 +11,12 @@
 )
 
 // serviceClient implements Service over HTTP.
-type serviceClient struct{ wire }
+type serviceClient struct{ httpClient }
 
 // NewService returns a client of the plain service at addr (IP:port). It does not retry calls and
 // does not follow redirects.
 func NewService(addr string, o Options) Service {
-	return &serviceClient{newWire(addr, o)}
+	return &serviceClient{newHTTPClient(addr, o)}
 }
 
 // Do implements Service.
@@ -31,7 +31,7 @@
 		return Reply{}, fail
 	}
 	if resp.Header.Get(HeaderOutcome) == string(crocusreel.OutcomeNotRun) {
-		return Reply{}, notRun(KindRefused, eris.Errorf("status %d", resp.StatusCode))
+		return Reply{}, notRunError(KindRefused, eris.Errorf("status %d", resp.StatusCode))
 	}
 	return Reply{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
@@ -43,11 +43,11 @@
 		return fail
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if _, fail := readAll(resp.Body, maxSmallAnswer); fail != nil {
+	if _, fail := readAll(resp.Body, maxAnswerBytes); fail != nil {
 		return fail
 	}
 	if resp.StatusCode != http.StatusOK {
-		return notRun(KindRefused, eris.Errorf("status %d", resp.StatusCode))
+		return notRunError(KindRefused, eris.Errorf("status %d", resp.StatusCode))
 	}
 	return nil
 }
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	streamBuffer = 4 << 10
-	// maxFrame is the maximum size of an encoded frame in bytes.
-	maxFrame = 256 << 10
+	streamBufferBytes = 4 << 10
+	// maxFrameBytes is the maximum size of an encoded frame in bytes.
+	maxFrameBytes = 256 << 10
 )
 
 var errNoProgress = eris.New("no frame within the progress timeout")
@@ -21,15 +21,15 @@
 // frameStream reads newline-delimited JSON frames. Empty lines are keep-alives.
 type frameStream struct {
 	body io.Closer
-	// progress is the maximum time to wait for a frame.
-	progress time.Duration
-	lines    *bufio.Reader
-	ended    bool
-	failed   error
+	// progressTimeout is the maximum time to wait for a frame.
+	progressTimeout time.Duration
+	reader          *bufio.Reader
+	ended           bool
+	failed          error
 }
 
-func newFrameStream(body io.ReadCloser, progress time.Duration) *frameStream {
-	return &frameStream{body: body, progress: progress, lines: bufio.NewReaderSize(body, streamBuffer)}
+func newFrameStream(body io.ReadCloser, progressTimeout time.Duration) *frameStream {
+	return &frameStream{body: body, progressTimeout: progressTimeout, reader: bufio.NewReaderSize(body, streamBufferBytes)}
 }
 
 // Next implements Stream.
@@ -69,8 +69,8 @@
 		if line = bytes.TrimSpace(line); len(line) > 0 {
 			return decodeFrame(line)
 		}
-		if time.Since(started) > s.progress {
-			return Frame{}, unknown(KindStalled, errNoProgress)
+		if time.Since(started) > s.progressTimeout {
+			return Frame{}, unknownOutcomeError(KindStalled, errNoProgress)
 		}
 	}
 }
@@ -78,33 +78,33 @@
 // readLine returns a line including its line break. A line without one was truncated: the part
 // received may still be valid JSON, with a shorter token than the engine sent.
 func (s *frameStream) readLine() ([]byte, *Error) {
-	line, err := s.lines.ReadSlice('\n')
+	line, err := s.reader.ReadSlice('\n')
 	if err == nil {
 		return line, nil
 	}
-	long := bytes.Clone(line)
-	for eris.Is(err, bufio.ErrBufferFull) && len(long) <= maxFrame {
-		line, err = s.lines.ReadSlice('\n')
-		long = append(long, line...)
+	longLine := bytes.Clone(line)
+	for eris.Is(err, bufio.ErrBufferFull) && len(longLine) <= maxFrameBytes {
+		line, err = s.reader.ReadSlice('\n')
+		longLine = append(longLine, line...)
 	}
 	switch {
-	case len(long) > maxFrame:
-		return nil, unknown(KindProtocol, eris.Errorf("frame over %d bytes", maxFrame))
+	case len(longLine) > maxFrameBytes:
+		return nil, unknownOutcomeError(KindProtocol, eris.Errorf("frame over %d bytes", maxFrameBytes))
 	case err == io.EOF:
-		return nil, unknown(KindLost, io.ErrUnexpectedEOF)
+		return nil, unknownOutcomeError(KindLost, io.ErrUnexpectedEOF)
 	case err != nil:
 		return nil, readError(err)
 	}
-	return long, nil
+	return longLine, nil
 }
 
 func decodeFrame(line []byte) (Frame, *Error) {
 	var f Frame
 	if err := json.Unmarshal(line, &f); err != nil {
-		return Frame{}, unknown(KindProtocol, eris.Wrap(err, "decode frame"))
+		return Frame{}, unknownOutcomeError(KindProtocol, eris.Wrap(err, "decode frame"))
 	}
 	if f.Index < 0 || f.RequestID == "" || f.GenerationID == "" {
-		return Frame{}, unknown(KindProtocol, eris.New("frame without its IDs or index"))
+		return Frame{}, unknownOutcomeError(KindProtocol, eris.New("frame without its IDs or index"))
 	}
 	return f, nil
 }
--- a/endpoint/watchdog.go
+++ b/endpoint/watchdog.go
@@ -48,17 +48,17 @@
 // watchedBody is the body of an answer, guarded by a watchdog. The time between two reads does not
 // count towards the timeout.
 type watchedBody struct {
-	body   io.ReadCloser
-	dog    *watchdog
-	ctx    context.Context
-	cancel context.CancelCauseFunc
+	body     io.ReadCloser
+	watchdog *watchdog
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
 }
 
 // Read implements io.Reader.
 func (b *watchedBody) Read(p []byte) (int, error) {
-	b.dog.arm()
+	b.watchdog.arm()
 	n, err := b.body.Read(p)
-	b.dog.disarm()
+	b.watchdog.disarm()
 	if err != nil && err != io.EOF && eris.Is(context.Cause(b.ctx), errStalled) {
 		err = errStalled
 	}
@@ -68,14 +68,14 @@
 // drain reads the end marker after the last frame so that the connection can be reused. If the
 // endpoint does not send it, drain returns after drainTimeout.
 func (b *watchedBody) drain() {
-	b.dog.timeout = drainTimeout
+	b.watchdog.timeout = drainTimeout
 	_, _ = io.CopyN(io.Discard, b, 1)
 }
 
 // Close ends the exchange. If the answer was not read to its end, the connection is closed, which
 // shows the endpoint that there is no longer a reader.
 func (b *watchedBody) Close() error {
-	b.dog.disarm()
+	b.watchdog.disarm()
 	b.cancel(nil)
 	return b.body.Close()
 }
