--- a/endpoint/h1/client.go
+++ b/endpoint/h1/client.go
@@ -242,14 +242,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noInput := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, peekErr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(peekErr, unix.EAGAIN)
+		noInput = errors.Is(peekErr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noInput
 }
 
 // Response is the answer to a request. The caller must either read Body to its end and call Finish,
@@ -260,7 +260,7 @@
 	conn    *conn
 	address string
 	stop    func() bool
-	// writeResult receives the result of writing the request if it is writeResult concurrently with
+	// writeResult receives the result of writing the request if it is written concurrently with
 	// reading the answer; nil otherwise.
 	writeResult chan error
 	closed      bool
