--- a/endpoint/checked.go
+++ b/endpoint/checked.go
@@ -30,12 +30,12 @@
 	failed       error
 }
 
-// Checked wraps stream so that it yields only frames of the given request and generation, with
+// ValidateStream wraps stream so that it yields only frames of the given request and generation, with
 // consecutive indices starting at next. Frames of another request or generation and frames already
 // delivered are dropped and reported to onDrop, which may be nil. A gap in the indices is an error
 // of kind protocol: tokens are missing, but the generation can be resumed from the last valid
 // index.
-func Checked(stream Stream, requestID, generationID string, next int, onDrop func(kind string)) Stream {
+func ValidateStream(stream Stream, requestID, generationID string, next int, onDrop func(kind string)) Stream {
 	if onDrop == nil {
 		onDrop = func(string) {}
 	}
--- a/endpoint/checked_test.go
+++ b/endpoint/checked_test.go
@@ -38,7 +38,7 @@
 var _ = Describe("checked streams", func() {
 	check := func(in frames, next int) ([]endpoint.Frame, map[string]int, error) {
 		drops := map[string]int{}
-		out, err := drain(endpoint.Checked(&in, "r", "g", next, func(kind string) { drops[kind]++ }))
+		out, err := drain(endpoint.ValidateStream(&in, "r", "g", next, func(kind string) { drops[kind]++ }))
 		return out, drops, err
 	}
 
@@ -95,7 +95,7 @@
 		onDrop := func(string) { drops++ }
 		raw, err := client.Generate(ctx, generation("g1", "x [[len=200]]"))
 		Expect(err).NotTo(HaveOccurred())
-		got, err := drain(endpoint.Checked(raw, "r-g1", "g1", 0, onDrop))
+		got, err := drain(endpoint.ValidateStream(raw, "r-g1", "g1", 0, onDrop))
 		resumes := 0
 		for err != nil {
 			resumes++
@@ -103,7 +103,7 @@
 			raw, resumeErr := client.Resume(ctx, "g1", len(got))
 			Expect(resumeErr).NotTo(HaveOccurred())
 			var more []endpoint.Frame
-			more, err = drain(endpoint.Checked(raw, "r-g1", "g1", len(got), onDrop))
+			more, err = drain(endpoint.ValidateStream(raw, "r-g1", "g1", len(got), onDrop))
 			got = append(got, more...)
 		}
 		Expect(got).To(HaveLen(201))
--- a/endpoint/fuzz_test.go
+++ b/endpoint/fuzz_test.go
@@ -20,7 +20,7 @@
 	f.Add(append(bytes.Repeat([]byte("x"), 2*streamBufferBytes), '\n'))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		raw := newFrameStream(io.NopCloser(bytes.NewReader(data)), time.Minute)
-		stream := Checked(raw, "r", "g", 0, nil)
+		stream := ValidateStream(raw, "r", "g", 0, nil)
 		done := false
 		for next := 0; ; next++ {
 			frame, err := stream.Next()
--- a/gateway/enginerun.go
+++ b/gateway/enginerun.go
@@ -147,7 +147,7 @@
 
 // deliver passes frames to the caller until the stream ends or breaks.
 func (u *engineRun) deliver(raw endpoint.Stream) error {
-	stream := endpoint.Checked(raw, u.r.RequestID, u.id, u.next, metrics.Count)
+	stream := endpoint.ValidateStream(raw, u.r.RequestID, u.id, u.next, metrics.Count)
 	for {
 		f, err := stream.Next()
 		if err != nil {
