--- a/endpoint/http.go
+++ b/endpoint/http.go
@@ -27,11 +27,11 @@
 	// keep-alive bytes. The default is 2 minutes, because an overloaded engine may delay an answer
 	// for a long time.
 	ProgressTimeout time.Duration
-	// MaxBody is the maximum size of a plain service's answer in bytes. The default is 16 MiB.
-	MaxBody int64
-	// Noticed is called with what the endpoint reports about itself in each answer. It must not
+	// MaxBodyBytes is the maximum size of a plain service's answer in bytes. The default is 16 MiB.
+	MaxBodyBytes int64
+	// OnNotice is called with what the endpoint reports about itself in each answer. It must not
 	// block. It may be nil.
-	Noticed func(notice.Notice)
+	OnNotice func(notice.Notice)
 }
 
 const (
@@ -51,8 +51,8 @@
 	if o.ProgressTimeout <= 0 {
 		o.ProgressTimeout = defaultProgressTimeout
 	}
-	if o.MaxBody <= 0 {
-		o.MaxBody = defaultMaxBodyBytes
+	if o.MaxBodyBytes <= 0 {
+		o.MaxBodyBytes = defaultMaxBodyBytes
 	}
 	return o
 }
@@ -93,8 +93,8 @@
 		defer cancel(nil)
 		return nil, sendError(ctx, sent, err)
 	}
-	if w.options.Noticed != nil {
-		w.options.Noticed(parseNotice(resp.StatusCode, resp.Header))
+	if w.options.OnNotice != nil {
+		w.options.OnNotice(parseNotice(resp.StatusCode, resp.Header))
 	}
 	resp.Body = &watchedBody{body: resp.Body, watchdog: wd, ctx: ctx, cancel: cancel}
 	return resp, nil
--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -26,7 +26,7 @@
 		return Reply{}, fail
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, fail := readAll(resp.Body, s.options.MaxBody)
+	body, fail := readAll(resp.Body, s.options.MaxBodyBytes)
 	if fail != nil {
 		return Reply{}, fail
 	}
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -24,7 +24,7 @@
 
 // options are those of the client of the endpoint at an address.
 func (e *endpoints) options(address string) endpoint.Options {
-	return endpoint.Options{Noticed: func(said notice.Notice) { e.notices.note(address, said) }}
+	return endpoint.Options{OnNotice: func(said notice.Notice) { e.notices.note(address, said) }}
 }
 
 // engine returns the client of a configured engine.
