--- a/endpoint/h1/client.go
+++ b/endpoint/h1/client.go
@@ -30,14 +30,14 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether an answer with the given header belongs to the request. Faulty endpoints
-	// send answers to earlier requests late; these are skipped. If Mine is nil, every answer is
+	// MatchAnswer reports whether an answer with the given header belongs to the request. Faulty endpoints
+	// send answers to earlier requests late; these are skipped. If MatchAnswer is nil, every answer is
 	// accepted.
-	Mine func(http.Header) bool
-	// Life is cancelled when the endpoint is known to have died, which ends the exchange. Without
-	// it, a connection to an endpoint that has died may stay silent until it times out. Life is nil
+	MatchAnswer func(http.Header) bool
+	// EndpointContext is cancelled when the endpoint is known to have died, which ends the exchange. Without
+	// it, a connection to an endpoint that has died may stay silent until it times out. EndpointContext is nil
 	// if the death of the endpoint cannot be detected.
-	Life context.Context
+	EndpointContext context.Context
 }
 
 // Error is the error of a failed exchange.
@@ -89,8 +89,8 @@
 	dialer net.Dialer
 	mu     sync.Mutex
 	idle   map[string][]*conn
-	// Opened is called for each new connection.
-	Opened func()
+	// OnOpen is called for each new connection.
+	OnOpen func()
 }
 
 // NewClient returns a client without open connections.
@@ -98,7 +98,7 @@
 	c := &Client{
 		dialer: net.Dialer{Timeout: dialTimeout},
 		idle:   make(map[string][]*conn),
-		Opened: func() {},
+		OnOpen: func() {},
 	}
 	sockopt.Watch(&c.dialer, userTimeout)
 	return c
@@ -112,14 +112,14 @@
 	if err != nil {
 		return nil, &Error{Cause: err}
 	}
-	resp := &Response{client: c, conn: conn, address: address, stop: closeOnDone(conn, ctx, r.Life)}
+	resp := &Response{client: c, conn: conn, address: address, stop: closeOnDone(conn, ctx, r.EndpointContext)}
 	if err := resp.exchange(r); err != nil {
 		resp.Close()
 		switch {
 		case ctx.Err() != nil:
 			err.Cause = ctx.Err()
-		case r.Life != nil && r.Life.Err() != nil:
-			err.Cause = context.Cause(r.Life)
+		case r.EndpointContext != nil && r.EndpointContext.Err() != nil:
+			err.Cause = context.Cause(r.EndpointContext)
 		}
 		return nil, err
 	}
@@ -141,13 +141,13 @@
 	}
 }
 
-// Refuses reports whether connections to the address are refused, which means that no process
+// RefusesConnections reports whether connections to the address are refused, which means that no process
 // listens there any more. It returns false if this is not certain, for example if the endpoint is
 // unreachable.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	raw, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
-		c.Opened()
+		c.OnOpen()
 		_ = raw.Close()
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
@@ -161,7 +161,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "connect")
 	}
-	c.Opened()
+	c.OnOpen()
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
@@ -276,7 +276,7 @@
 		if err != nil {
 			return &Error{Sent: true, Cause: eris.Wrap(err, "read answer")}
 		}
-		if req.Mine == nil || req.Mine(resp.Header) {
+		if req.MatchAnswer == nil || req.MatchAnswer(resp.Header) {
 			r.Response = resp
 			return nil
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -113,7 +113,7 @@
 		peerClient:  peer.NewHTTPClient(nil),
 	}
 	n.engines = platform.NewEngines(n.client)
-	n.client.Opened = func() { metrics.Count("endpoint_connections") }
+	n.client.OnOpen = func() { metrics.Count("endpoint_connections") }
 	n.gossip = gossip.New(gossip.Options{
 		IP:          s.IP,
 		Port:        s.GossipPort,
--- a/relay/death.go
+++ b/relay/death.go
@@ -29,7 +29,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, deathCheckTimeout)
 	defer cancel()
-	return j.Client.Refuses(ctx, p.Instance().Address)
+	return j.Client.RefusesConnections(ctx, p.Instance().Address)
 }
 
 // strikeIfDead records a strike against the request if the placement's endpoint has died. An
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -290,13 +290,13 @@
 	j.result.Attempts++
 	j.result.Endpoint = attempt.Instance.ID
 	resp, err := j.Client.Do(ctx, attempt.Instance.Address, &h1.Request{
-		Method: j.r.Method,
-		Target: j.r.Target,
-		Host:   j.r.Host,
-		Header: j.Protocol.AttemptHeader(j.r, &attempt),
-		Body:   j.r.Body,
-		Mine:   func(h http.Header) bool { return j.Protocol.Mine(j.r, h) },
-		Life:   p.Life(),
+		Method:          j.r.Method,
+		Target:          j.r.Target,
+		Host:            j.r.Host,
+		Header:          j.Protocol.AttemptHeader(j.r, &attempt),
+		Body:            j.r.Body,
+		MatchAnswer:     func(h http.Header) bool { return j.Protocol.Mine(j.r, h) },
+		EndpointContext: p.Life(),
 	})
 	if err == nil {
 		j.recordNotice(attempt.Instance, resp)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -639,7 +639,7 @@
 			Expect(v.Refusal == nil || v.Refusal.Reason != crocusreel.ReasonSuspect).To(BeTrue(), "request %d", n)
 		}
 		Expect(engines).To(HaveEach(WithTransform(func(e *worker.Worker) bool {
-			return r.Client.Refuses(context.Background(), e.Address())
+			return r.Client.RefusesConnections(context.Background(), e.Address())
 		}, BeFalse())))
 	},
 		Entry("in the middle", worker.Truncate),
