--- a/node/node.go
+++ b/node/node.go
@@ -139,7 +139,7 @@
 	n.relay = &relay.Relay{
 		Fleet:    n.fleet,
 		Client:   n.client,
-		Protocol: platform.Wire{},
+		Protocol: platform.Protocol{},
 		Mover:    n.engines,
 		Budgets: &retry.Windows{
 			Ratio:  s.RetryRatio,
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -38,7 +38,7 @@
 	r.Relay = &relay.Relay{
 		Fleet:    fleet.New("dc1", boottime.Now),
 		Client:   client,
-		Protocol: platform.Wire{},
+		Protocol: platform.Protocol{},
 		Mover:    platform.NewEngines(client),
 		Budgets: &retry.Windows{
 			Ratio: 0.2, Slack: 100, Length: 10 * time.Second, Now: boottime.Now, Nodes: func() int { return 1 },
