--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -60,7 +60,7 @@
 			Denials: 1800 * time.Millisecond,
 		},
 		Relay: &relay.Relay{
-			Fleet: endpoints, Client: client, Protocol: platform.Protocol{}, Mover: platform.NewEngines(client), Log: zap.NewNop(),
+			Fleet: endpoints, Client: client, Protocol: platform.Protocol{}, Mover: platform.NewEngineClient(client), Log: zap.NewNop(),
 			Budgets: &retry.Windows{Ratio: 0.2, Slack: 50, Length: 10 * time.Second, Now: boottime.Now, Nodes: func() int { return 1 }},
 			Strikes: relay.NewStrikes(boottime.Now),
 			Vacated: relay.NewVacatedRuns(func() time.Duration { return time.Duration(time.Now().UnixNano()) }),
--- a/node/node.go
+++ b/node/node.go
@@ -74,7 +74,7 @@
 	gossip          *gossip.Gossip
 	relay           *relay.Relay
 	client          *h1.Client
-	engines         *platform.Engines
+	engines         *platform.EngineClient
 	gate            *entry.Gate
 	endpointTable   endpointTable
 	endpointUpdates endpointUpdates
@@ -112,7 +112,7 @@
 		gate:        entry.NewGate(),
 		peerClient:  peer.NewHTTPClient(nil),
 	}
-	n.engines = platform.NewEngines(n.client)
+	n.engines = platform.NewEngineClient(n.client)
 	n.client.OnOpen = func() { metrics.Count("endpoint_connections") }
 	n.gossip = gossip.New(gossip.Options{
 		IP:          s.IP,
@@ -134,7 +134,7 @@
 	n.fleet.Changed = n.announce
 	n.fleet.Believed = n.logExclusion
 	n.fleet.Noticed = n.logNoticeChange
-	n.engines.Noticed = n.fleet.RecordNoticeByAddress
+	n.engines.OnNotice = n.fleet.RecordNoticeByAddress
 	n.fleet.Wake = func(after time.Duration) { time.AfterFunc(after, n.fleet.Tick) }
 	n.relay = &relay.Relay{
 		Fleet:    n.fleet,
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -39,7 +39,7 @@
 		Fleet:    fleet.New("dc1", boottime.Now),
 		Client:   client,
 		Protocol: platform.Protocol{},
-		Mover:    platform.NewEngines(client),
+		Mover:    platform.NewEngineClient(client),
 		Budgets: &retry.Windows{
 			Ratio: 0.2, Slack: 100, Length: 10 * time.Second, Now: boottime.Now, Nodes: func() int { return 1 },
 		},
