--- a/entry/entry.go
+++ b/entry/entry.go
@@ -98,7 +98,7 @@
 	if snapshot.Table == nil {
 		return nil, refuseNotRun(crocusreel.ReasonNotReady, notReadyRetry, "no configuration yet")
 	}
-	head, err := platform.ReadCallerHead(r)
+	head, err := platform.ParseCallerHeader(r)
 	if err != nil {
 		return nil, refuseNotRun(crocusreel.ReasonBadRequest, 0, "%v", err)
 	}
@@ -133,14 +133,14 @@
 		Workspace:     ws,
 		ConfigVersion: snapshot.Table.Version,
 		Received:      received,
-		Deadline:      received.Add(timeAllowed(route, head.Patience)),
+		Deadline:      received.Add(timeAllowed(route, head.Timeout)),
 		Size:          head.Size,
 		Fingerprint:   relay.NewFingerprint(workspace, r.RequestURI, body),
 	}, nil
 }
 
 // authorize finds the route and the workspace of a request.
-func (h *Handler) authorize(s *knowledge.Snapshot, ages knowledge.Ages, r *http.Request, head *platform.CallerHead) (*routing.Route, *routing.Workspace, *crocusreel.Refusal) {
+func (h *Handler) authorize(s *knowledge.Snapshot, ages knowledge.Ages, r *http.Request, head *platform.CallerHeader) (*routing.Route, *routing.Workspace, *crocusreel.Refusal) {
 	outdated := outdated(ages)
 	route := s.Table.Match(r.Host, r.URL.Path)
 	if route == nil {
