--- a/node/addresses_test.go
+++ b/node/addresses_test.go
@@ -46,7 +46,7 @@
 			for i := range nodes {
 				nodes[i].Ready = !slices.Contains(c.gone, nodes[i].CallerAddress)
 			}
-			question := platform.AddressQuestion{Host: "a.example", DataCentre: c.caller, Region: regions[c.caller]}
+			question := platform.AddressQuery{Host: "a.example", DataCentre: c.caller, Region: regions[c.caller]}
 			if got := node.ChooseAddresses(nodes, regions, c.bound, "dc1", c.fresh, question); !slices.Equal(got, c.want) {
 				t.Errorf("chosen addresses %v, want %v", got, c.want)
 			}
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -153,7 +153,7 @@
 )
 
 // ChooseAddresses answers an address request at a node of the data centre ownDataCentre.
-func ChooseAddresses(nodes []gossip.Peer, regions map[string]string, boundRegions []string, ownDataCentre string, farFresh bool, q platform.AddressQuestion) []string {
+func ChooseAddresses(nodes []gossip.Peer, regions map[string]string, boundRegions []string, ownDataCentre string, farFresh bool, q platform.AddressQuery) []string {
 	v := addressView{nodes: nodes, regions: regions, boundRegions: boundRegions, ownDataCentre: ownDataCentre, farFresh: farFresh}
 	return v.choose(q)
 }
--- a/node/serve.go
+++ b/node/serve.go
@@ -78,7 +78,7 @@
 func (n *Node) addressHandler() http.Handler {
 	e := echo.New()
 	e.GET(platform.PathAddresses, func(c echo.Context) error {
-		question, err := platform.ReadAddressQuestion(c.Request())
+		question, err := platform.ParseAddressQuery(c.Request())
 		if err != nil {
 			return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 		}
@@ -100,7 +100,7 @@
 }
 
 // addresses returns the addresses of ready nodes for a caller.
-func (n *Node) addresses(q platform.AddressQuestion) []string {
+func (n *Node) addresses(q platform.AddressQuery) []string {
 	nodes := n.gossip.Live()
 	if n.ready() {
 		nodes = append(nodes, gossip.Peer{
@@ -137,7 +137,7 @@
 // the request does not leave these needlessly, else all. One node is enough if the host's routes
 // are bound. If losses in other data centres are detected late, a caller from another data centre
 // of this node's region is sent to this node's data centre.
-func (v *addressView) choose(q platform.AddressQuestion) []string {
+func (v *addressView) choose(q platform.AddressQuery) []string {
 	dataCentre := q.DataCentre
 	if !v.farFresh && v.regions[v.ownDataCentre] == q.Region {
 		dataCentre = v.ownDataCentre
