--- a/node/health.go
+++ b/node/health.go
@@ -99,10 +99,10 @@
 		n.log.Debug("health check failed", zap.String("endpoint", in.ID), zap.Error(err))
 		return
 	}
-	if answer.ColdFault != nil {
-		n.log.Warn("health answer not readable", zap.String("endpoint", in.ID), zap.Error(answer.ColdFault))
+	if answer.ColdErr != nil {
+		n.log.Warn("health answer not readable", zap.String("endpoint", in.ID), zap.Error(answer.ColdErr))
 	}
-	if answer.GoesOn {
+	if answer.Healthy {
 		n.fleet.ConfirmHealthy(in.Incarnation().Key())
 		if answer.Cold > 0 && n.fleet.SetCold(in.Incarnation().Key(), answer.Cold) {
 			n.log.Info("endpoint is cold by its health check", zap.String("endpoint", in.ID), zap.Duration("for", answer.Cold))
