--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -31,7 +31,7 @@
 func (n *Node) fromStore(apply func(platform.Listing, knowledge.Confirmation, uptimeUpdate)) func(platform.Listing, knowledge.Confirmation) {
 	return func(l platform.Listing, seen knowledge.Confirmation) {
 		n.peerStoreAway.Store(false)
-		apply(l, seen, func() time.Duration { return n.uptime.RecordAnswer(l.At) })
+		apply(l, seen, func() time.Duration { return n.uptime.RecordAnswer(l.StoreTime) })
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -214,7 +214,7 @@
 		address string
 		handler http.Handler
 	}{
-		{n.settings.AddressesAddress, n.addressHandler()},
+		{n.settings.LookupAddress, n.addressHandler()},
 		{n.settings.ReadyAddress, n.readyHandler()},
 		{n.metricsAddress(), metricsHandler()},
 	}
