--- a/endpoint/checked.go
+++ b/endpoint/checked.go
@@ -19,7 +19,7 @@
 // indefinitely, because no stall timeout would detect it.
 const maxDrops = 1024
 
-// validatedStream implements the stream returned by Checked.
+// validatedStream implements the stream returned by ValidateStream.
 type validatedStream struct {
 	stream       Stream
 	requestID    string
@@ -30,11 +30,11 @@
 	failed       error
 }
 
-// ValidateStream wraps stream so that it yields only frames of the given request and generation, with
-// consecutive indices starting at next. Frames of another request or generation and frames already
-// delivered are dropped and reported to onDrop, which may be nil. A gap in the indices is an error
-// of kind protocol: tokens are missing, but the generation can be resumed from the last valid
-// index.
+// ValidateStream wraps stream so that it yields only frames of the given request and generation,
+// with consecutive indices starting at next. Frames of another request or generation and frames
+// already delivered are dropped and reported to onDrop, which may be nil. A gap in the indices is
+// an error of kind protocol: tokens are missing, but the generation can be resumed from the last
+// valid index.
 func ValidateStream(stream Stream, requestID, generationID string, next int, onDrop func(kind string)) Stream {
 	if onDrop == nil {
 		onDrop = func(string) {}
--- a/endpoint/h1/client.go
+++ b/endpoint/h1/client.go
@@ -30,13 +30,13 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MatchAnswer reports whether an answer with the given header belongs to the request. Faulty endpoints
-	// send answers to earlier requests late; these are skipped. If MatchAnswer is nil, every answer is
-	// accepted.
+	// MatchAnswer reports whether an answer with the given header belongs to the request. Faulty
+	// endpoints send answers to earlier requests late; these are skipped. If MatchAnswer is nil,
+	// every answer is accepted.
 	MatchAnswer func(http.Header) bool
-	// EndpointContext is cancelled when the endpoint is known to have died, which ends the exchange. Without
-	// it, a connection to an endpoint that has died may stay silent until it times out. EndpointContext is nil
-	// if the death of the endpoint cannot be detected.
+	// EndpointContext is cancelled when the endpoint is known to have died, which ends the
+	// exchange. Without it, a connection to an endpoint that has died may stay silent until it
+	// times out. EndpointContext is nil if the death of the endpoint cannot be detected.
 	EndpointContext context.Context
 }
 
@@ -128,22 +128,22 @@
 
 // closeOnDone closes the connection when one of the contexts is done, unless stop is called before.
 // stop returns false if the connection was closed or is about to be closed.
-func closeOnDone(c *conn, ctx, life context.Context) (stop func() bool) {
+func closeOnDone(c *conn, ctx, endpointCtx context.Context) (stop func() bool) {
 	closeConn := func() { _ = c.Close() }
 	stopCtx := context.AfterFunc(ctx, closeConn)
-	if life == nil {
+	if endpointCtx == nil {
 		return stopCtx
 	}
-	stopLife := context.AfterFunc(life, closeConn)
+	stopEndpointCtx := context.AfterFunc(endpointCtx, closeConn)
 	return func() bool {
-		alive := stopLife()
-		return stopCtx() && alive
+		endpointAlive := stopEndpointCtx()
+		return stopCtx() && endpointAlive
 	}
 }
 
-// RefusesConnections reports whether connections to the address are refused, which means that no process
-// listens there any more. It returns false if this is not certain, for example if the endpoint is
-// unreachable.
+// RefusesConnections reports whether connections to the address are refused, which means that no
+// process listens there any more. It returns false if this is not certain, for example if the
+// endpoint is unreachable.
 func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	raw, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
