--- a/endpoint/h1/client.go
+++ b/endpoint/h1/client.go
@@ -87,8 +87,9 @@
 // Client sends requests to endpoints and pools its connections. It is safe for concurrent use.
 type Client struct {
 	dialer net.Dialer
-	mu     sync.Mutex
-	idle   map[string][]*conn
+	// mu guards idle, the idle connections by address.
+	mu   sync.Mutex
+	idle map[string][]*conn
 	// OnOpen is called for each new connection.
 	OnOpen func()
 }
--- a/endpoint/prompt.go
+++ b/endpoint/prompt.go
@@ -19,7 +19,8 @@
 }
 
 // PrefixHashes returns the hashes of all prefixes of the prompt that consist of complete blocks,
-// shortest first. Cache events identify prefixes by these hashes.
+// shortest first. The hashes also depend on the model. Cache events identify prefixes by these
+// hashes.
 func PrefixHashes(model, prompt string) []uint64 {
 	hashes := make([]uint64, 0, len(prompt)/blockBytes)
 	h := fnv.New64a()
