--- a/endpoint/checked.go
+++ b/endpoint/checked.go
@@ -10,17 +10,17 @@
 const (
 	// DropCrossed is a frame of another request or generation.
 	DropCrossed = "frame_crossed"
-	// DropRepeated is a frame with an index that was delivered before.
+	// DropRepeated is a frame with an index that was already delivered.
 	DropRepeated = "frame_repeated"
 )
 
-// maxDrops bounds the frames dropped between two good ones. An engine that sends
-// nothing but wrong frames would otherwise keep its link busy and the caller
-// waiting without an end, and no stall timeout would notice.
+// maxDrops is the maximum number of frames dropped between two valid ones. Without this limit, an
+// engine that sends only invalid frames would keep its connection busy and the caller waiting
+// indefinitely, because no stall timeout would detect it.
 const maxDrops = 1024
 
-// checked passes on the frames of one generation, each index once and in order.
-type checked struct {
+// validatedStream implements the stream returned by ValidateStream.
+type validatedStream struct {
 	stream       Stream
 	requestID    string
 	generationID string
@@ -30,20 +30,20 @@
 	failed       error
 }
 
-// Checked wraps a stream so that it yields only frames of the given request and
-// generation, with consecutive indices from next. Frames of another request or
-// generation and frames already seen are dropped and reported to onDrop, which may
-// be nil. A gap is an error of kind protocol: tokens are missing, but the
-// generation can be resumed from the last good index.
-func Checked(stream Stream, requestID, generationID string, next int, onDrop func(kind string)) Stream {
+// ValidateStream wraps stream so that it yields only frames of the given request and generation,
+// with consecutive indices starting at next. Frames of another request or generation and frames
+// already delivered are dropped and reported to onDrop, which may be nil. A gap in the indices is
+// an error of kind protocol: tokens are missing, but the generation can be resumed from the last
+// valid index.
+func ValidateStream(stream Stream, requestID, generationID string, next int, onDrop func(kind string)) Stream {
 	if onDrop == nil {
 		onDrop = func(string) {}
 	}
-	return &checked{stream: stream, requestID: requestID, generationID: generationID, next: next, onDrop: onDrop}
+	return &validatedStream{stream: stream, requestID: requestID, generationID: generationID, next: next, onDrop: onDrop}
 }
 
 // Next implements Stream.
-func (c *checked) Next() (Frame, error) {
+func (c *validatedStream) Next() (Frame, error) {
 	if c.ended {
 		return Frame{}, io.EOF
 	}
@@ -63,14 +63,14 @@
 }
 
 // Close implements Stream.
-func (c *checked) Close() error { return c.stream.Close() }
+func (c *validatedStream) Close() error { return c.stream.Close() }
 
-func (c *checked) read() (Frame, error) {
+func (c *validatedStream) read() (Frame, error) {
 	for range maxDrops {
 		f, err := c.stream.Next()
 		if err == io.EOF {
-			// The underlying stream ended with a Done frame of another generation.
-			return Frame{}, unknown(KindLost, io.ErrUnexpectedEOF)
+			// The underlying stream ended with the last frame of another generation.
+			return Frame{}, unknownOutcomeError(KindLost, io.ErrUnexpectedEOF)
 		}
 		if err != nil {
 			return Frame{}, err
@@ -81,10 +81,10 @@
 		case f.Index < c.next:
 			c.onDrop(DropRepeated)
 		case f.Index > c.next:
-			return Frame{}, unknown(KindProtocol, eris.Errorf("frame %d where %d was due", f.Index, c.next))
+			return Frame{}, unknownOutcomeError(KindProtocol, eris.Errorf("frame %d where %d was due", f.Index, c.next))
 		default:
 			return f, nil
 		}
 	}
-	return Frame{}, unknown(KindProtocol, eris.Errorf("%d wrong frames one after the other", maxDrops))
+	return Frame{}, unknownOutcomeError(KindProtocol, eris.Errorf("%d wrong frames one after the other", maxDrops))
 }
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -24,7 +24,7 @@
 
 // options returns the client options for the endpoint at an address.
 func (e *endpoints) options(address string) endpoint.Options {
-	return endpoint.Options{Noticed: func(received notice.Notice) { e.notices.record(address, received) }}
+	return endpoint.Options{OnNotice: func(received notice.Notice) { e.notices.record(address, received) }}
 }
 
 // engine returns the client of a configured engine.
--- a/gateway/enginerun.go
+++ b/gateway/enginerun.go
@@ -149,7 +149,7 @@
 // deliver passes frames to the caller until the stream ends or breaks. It returns nil only if the
 // answer is complete.
 func (u *engineRun) deliver(raw endpoint.Stream) error {
-	stream := endpoint.Checked(raw, u.gen.RequestID, u.id, u.next, metrics.Count)
+	stream := endpoint.ValidateStream(raw, u.gen.RequestID, u.id, u.next, metrics.Count)
 	for {
 		f, err := stream.Next()
 		if err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -74,7 +74,7 @@
 	gossip          *gossip.Gossip
 	relay           *relay.Relay
 	client          *h1.Client
-	engines         *platform.Engines
+	engines         *platform.EngineClient
 	gate            *entry.Gate
 	endpointTable   endpointTable
 	endpointUpdates endpointUpdates
@@ -112,8 +112,8 @@
 		gate:        entry.NewGate(),
 		peerClient:  peer.NewHTTPClient(nil),
 	}
-	n.engines = platform.NewEngines(n.client)
-	n.client.Opened = func() { metrics.Count("endpoint_connections") }
+	n.engines = platform.NewEngineClient(n.client)
+	n.client.OnOpen = func() { metrics.Count("endpoint_connections") }
 	n.gossip = gossip.New(gossip.Options{
 		IP:          s.IP,
 		Port:        s.GossipPort,
@@ -134,12 +134,12 @@
 	n.fleet.Broadcast = n.announce
 	n.fleet.OnExclusion = n.logExclusion
 	n.fleet.OnNotice = n.logNoticeChange
-	n.engines.Noticed = n.fleet.RecordNoticeByAddress
+	n.engines.OnNotice = n.fleet.RecordNoticeByAddress
 	n.fleet.ScheduleTick = func(after time.Duration) { time.AfterFunc(after, n.fleet.Tick) }
 	n.relay = &relay.Relay{
 		Fleet:    n.fleet,
 		Client:   n.client,
-		Protocol: platform.Wire{},
+		Protocol: platform.Protocol{},
 		Mover:    n.engines,
 		Budgets: &retry.Windows{
 			Ratio:  s.RetryRatio,
@@ -214,7 +214,7 @@
 		address string
 		handler http.Handler
 	}{
-		{n.settings.AddressesAddress, n.addressHandler()},
+		{n.settings.LookupAddress, n.addressHandler()},
 		{n.settings.ReadyAddress, n.readyHandler()},
 		{n.metricsAddress(), metricsHandler()},
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -38,8 +38,8 @@
 	r.Relay = &relay.Relay{
 		Fleet:    fleet.New("dc1", boottime.Now),
 		Client:   client,
-		Protocol: platform.Wire{},
-		Mover:    platform.NewEngines(client),
+		Protocol: platform.Protocol{},
+		Mover:    platform.NewEngineClient(client),
 		Budgets: &retry.Windows{
 			Ratio: 0.2, Slack: 100, Length: 10 * time.Second, Now: boottime.Now, Nodes: func() int { return 1 },
 		},
@@ -639,7 +639,7 @@
 			Expect(v.Refusal == nil || v.Refusal.Reason != crocusreel.ReasonSuspectRequest).To(BeTrue(), "request %d", n)
 		}
 		Expect(engines).To(HaveEach(WithTransform(func(e *worker.Worker) bool {
-			return r.Client.Refuses(context.Background(), e.Address())
+			return r.Client.RefusesConnections(context.Background(), e.Address())
 		}, BeFalse())))
 	},
 		Entry("in the middle", worker.Truncate),
