--- a/client/addresses.go
+++ b/client/addresses.go
@@ -15,30 +15,37 @@
 )
 
 const (
-	// avoidTime is how long an address is passed over after a failed exchange.
+	// avoidTime is how long an address is avoided after a failed exchange.
 	avoidTime = 2 * time.Second
-	// addressTimeout bounds one question for addresses.
+	// addressTimeout limits one request for the address list.
 	addressTimeout = 2 * time.Second
-	// minAddressTTL keeps a zero lifetime from causing a question per request.
+	// minAddressTTL is the minimum lifetime of an address list. Without it, a list with a TTL of 0
+	// would be refreshed before every request.
 	minAddressTTL = 100 * time.Millisecond
-	// maxAddressBytes bounds an address answer.
+	// maxAddressBytes limits the size of an address list response.
 	maxAddressBytes = 1 << 20
 )
 
+// fetchFunc requests the address list from the gateway at from.
 type fetchFunc func(ctx context.Context, from string) (api.Addresses, error)
 
-// addressBook keeps the last address answer for its lifetime and picks from it.
+// addressBook caches the gateway addresses for their TTL and selects an address for each exchange.
+// It is safe for concurrent use.
 type addressBook struct {
 	seeds []string
 	fetch fetchFunc
 
-	// refreshing is held by the one goroutine that asks.
+	// refreshing is held by the goroutine that refreshes the address list. It is acquired before
+	// mu, which is never held during a request.
 	refreshing sync.Mutex
 
-	mu       sync.Mutex
-	known    []string
-	expires  time.Time
-	avoided  map[string]time.Time
+	// mu guards the fields below.
+	mu      sync.Mutex
+	known   []string
+	expires time.Time
+	// avoided maps an address to the time until which it is avoided.
+	avoided map[string]time.Time
+	// inFlight counts this client's running exchanges per address.
 	inFlight map[string]int
 }
 
@@ -51,15 +58,17 @@
 	}
 }
 
+// snapshot returns the cached addresses and whether their TTL has not expired yet.
 func (b *addressBook) snapshot() (known []string, fresh bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.known, time.Now().Before(b.expires)
 }
 
-// current returns the addresses in use. An expired answer stays in use if no
-// gateway can be asked: its gateways may still work, and without them the caller
-// would have nowhere to go.
+// current returns the gateway addresses and refreshes them if they have expired. While one
+// goroutine refreshes, the others continue with the expired list; they wait only if there is no
+// list yet. If no gateway answers, the expired list stays in use: its gateways may still work, and
+// without it the caller could not send any request.
 func (b *addressBook) current(ctx context.Context) ([]string, error) {
 	known, fresh := b.snapshot()
 	if fresh {
@@ -83,8 +92,9 @@
 	return nil, err
 }
 
-// refresh asks the known gateways and then the seeds, in random order, until one
-// answers.
+// refresh requests the address list from the known gateways and then from the seeds, each group in
+// random order, until one returns a list that is not empty. Otherwise it returns the error of the
+// last request that failed. The caller holds refreshing.
 func (b *addressBook) refresh(ctx context.Context) error {
 	var last error
 	for _, from := range b.sources() {
@@ -100,9 +110,11 @@
 			break
 		}
 	}
-	return eris.Wrap(last, "client: no gateway told its addresses")
+	return eris.Wrap(last, "client: no gateway returned its address list")
 }
 
+// sources returns the addresses to request the list from: the known gateways, then the seeds, each
+// group shuffled, without duplicates.
 func (b *addressBook) sources() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -123,6 +135,7 @@
 	return out
 }
 
+// keep caches an address list and removes the entries of avoided that have expired.
 func (b *addressBook) keep(answer api.Addresses) {
 	ttl := max(time.Duration(answer.TTLMS)*time.Millisecond, minAddressTTL)
 	b.mu.Lock()
@@ -136,9 +149,10 @@
 	}
 }
 
-// pick chooses an address for one exchange: of two random ones the one with fewer
-// exchanges of this client, passing over those in not and those that failed of
-// late as long as others are left. The caller calls done when the exchange ends.
+// pick selects an address for one exchange by the power of two choices: of two random addresses, it
+// takes the one with fewer exchanges of this client in flight. Addresses in not and addresses that
+// failed within avoidTime are excluded as long as others remain. The caller must call done when the
+// exchange ends.
 func (b *addressBook) pick(ctx context.Context, not map[string]bool) (addr string, done func(), err error) {
 	known, err := b.current(ctx)
 	if err != nil {
@@ -155,6 +169,8 @@
 	return addr, sync.OnceFunc(func() { b.release(addr) }), nil
 }
 
+// usable returns the addresses that pick chooses from: those neither in not nor avoided; if there
+// are none, those not in not; if there are none either, all. The caller holds mu.
 func (b *addressBook) usable(known []string, not map[string]bool) []string {
 	now := time.Now()
 	var good, untried []string
@@ -186,13 +202,14 @@
 	}
 }
 
-// failed passes the address over for a while.
+// failed records a failed exchange, after which the address is avoided for avoidTime.
 func (b *addressBook) failed(addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.avoided[addr] = time.Now().Add(avoidTime)
 }
 
+// fetchAddresses is the fetchFunc of a Client.
 func (c *Client) fetchAddresses(ctx context.Context, from string) (api.Addresses, error) {
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
@@ -204,7 +221,7 @@
 	req.Header.Set("Authorization", "Bearer "+c.opts.Key)
 	res, err := c.http.Do(req)
 	if err != nil {
-		return answer, eris.Wrapf(err, "client: ask %s for addresses", from)
+		return answer, eris.Wrapf(err, "client: request address list from %s", from)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
@@ -212,10 +229,10 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAddressBytes))
 	if err != nil {
-		return answer, eris.Wrapf(err, "client: read addresses from %s", from)
+		return answer, eris.Wrapf(err, "client: read address list from %s", from)
 	}
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return answer, eris.Wrapf(err, "client: decode addresses from %s", from)
+		return answer, eris.Wrapf(err, "client: decode address list from %s", from)
 	}
 	return answer, nil
 }
--- a/client/call.go
+++ b/client/call.go
@@ -12,34 +12,34 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// servicePrefix leads the path of every plain service.
+// servicePrefix is the path prefix of all plain services at a gateway.
 const servicePrefix = "/services"
 
-// CallRequest is one call of a plain service. Methods other than GET and HEAD count
-// as non-idempotent unless Idempotent is set.
+// CallRequest is one call to a plain service, that is, one that answers a request with a single
+// response. Methods other than GET and HEAD are treated as non-idempotent unless Idempotent is set.
 type CallRequest struct {
 	Meta
-	// Idempotent marks a call of another method that may be repeated.
+	// Idempotent allows retries of a call with a method other than GET and HEAD.
 	Idempotent bool
 	// Method is the HTTP method; default GET.
 	Method string
-	// Path is the path behind /services, such as "/beds/12", with its query.
+	// Path is the path below /services with its query, such as "/beds/12".
 	Path        string
 	ContentType string
 	Body        []byte
 }
 
-// Reply is a plain service's answer.
+// Reply is the response of a plain service.
 type Reply struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// RequestID names the request at the gateway that answered.
+	// RequestID is the request's ID at the gateway that answered.
 	RequestID string
 }
 
-// Call sends one request to a plain service and returns its whole reply, whatever
-// its status. Errors: *crocusreel.Refusal, *LostError, or the error of ctx.
+// Call sends one request to a plain service and returns its complete response, whatever its status
+// code. It fails with a *crocusreel.Refusal, a *LostError, or the error of ctx.
 func (c *Client) Call(ctx context.Context, req CallRequest) (Reply, error) {
 	req.Meta = req.withKey()
 	if req.Method == "" {
@@ -55,7 +55,7 @@
 			return reply, nil
 		}
 		if ctx.Err() != nil {
-			return Reply{}, eris.Wrap(ctx.Err(), "client: call ended by its caller")
+			return Reply{}, eris.Wrap(ctx.Err(), "client: call ended by the caller's context")
 		}
 		if !tries.next(ctx, gateway, err) {
 			return Reply{}, tries.truthful(err)
@@ -63,6 +63,8 @@
 	}
 }
 
+// callOnce makes one attempt and also returns the gateway that it used, which is empty if there was
+// none.
 func (c *Client) callOnce(ctx context.Context, req CallRequest, tries *attempts) (Reply, string, error) {
 	gateway, release, err := c.addresses.pick(ctx, tries.failed)
 	if err != nil {
@@ -89,8 +91,8 @@
 	return reply, gateway, err
 }
 
-// readReply tells a service's reply from a gateway's refusal by the body: only the
-// latter holds a reason and an outcome.
+// readReply reads the response of a service, or returns the refusal of a gateway as an error. With
+// an error status, the body distinguishes the two: only a refusal holds a reason and an outcome.
 func readReply(res *http.Response) (Reply, error) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
--- a/client/chunk.go
+++ b/client/chunk.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// wireChunk is one chunk of a streamed answer, of a completion or a chat.
+// wireChunk is one chunk of a streamed completion or chat completion.
 type wireChunk struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -23,10 +23,10 @@
 	Extension api.Extension `json:"crocusreel"`
 }
 
-// read takes one event. ok is false for an event without a token.
+// read waits for one event and processes it. ok is false for an event without a new token.
 func (s *Stream) read() (token Token, ok bool, err error) {
-	// The timer runs only while this waits, so that a caller who takes its time
-	// between tokens loses nothing.
+	// The timer runs only while read waits for an event, so that a caller that is slow to ask for
+	// the next token does not cause a timeout.
 	s.conn.watchdog.Reset(s.client.opts.StallTimeout)
 	more := s.conn.decoder.Next()
 	s.conn.watchdog.Stop()
@@ -48,12 +48,12 @@
 	return s.take([]byte(data))
 }
 
-// take reads one chunk and checks that it continues the answer. A repeated token
-// is dropped; after a gap the stream is resumed from the token that is missing.
+// take decodes one chunk and checks that it continues the answer. It drops a repeated token. A gap
+// is returned as a *LostError, so that the stream is resumed from the first missing token.
 func (s *Stream) take(data []byte) (Token, bool, error) {
 	var chunk wireChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return Token{}, false, s.lost(eris.Wrap(err, "malformed chunk"))
+		return Token{}, false, s.lost(eris.Wrap(err, "malformed stream chunk"))
 	}
 	if s.handle == "" {
 		s.handle = chunk.Extension.Handle
@@ -77,26 +77,28 @@
 		return Token{}, false, nil
 	}
 	if *index > s.next {
-		return Token{}, false, s.lost(eris.Errorf("token %d came in place of %d", *index, s.next))
+		return Token{}, false, s.lost(eris.Errorf("gap in stream: got token %d, want token %d", *index, s.next))
 	}
 	s.next++
 	return Token{Index: *index, Text: text}, true, nil
 }
 
-// checkLength compares the length told by the last chunk with the tokens that came.
+// checkLength compares the length of the answer, which is the index of the chunk with the finish
+// reason, with the number of tokens received. If tokens are missing, it returns a *LostError, so
+// that the stream is resumed.
 func (s *Stream) checkLength(finish string, index *int) error {
 	if finish == "" || index == nil || *index <= s.next {
 		return nil
 	}
 	s.answer.FinishReason = ""
-	return s.lost(eris.Errorf("answer of %d tokens ended after %d", *index, s.next))
+	return s.lost(eris.Errorf("answer truncated: its length is %d tokens, received %d", *index, s.next))
 }
 
-// finish accepts the end marker only after a finish reason; without one the answer
-// may have been cut.
+// finish processes the end marker. It accepts the marker only after a finish reason, because the
+// answer may have been truncated otherwise.
 func (s *Stream) finish() error {
 	if s.answer.FinishReason == "" {
-		return s.lost(eris.New("end marker without finish reason"))
+		return s.lost(eris.New("stream ended without a finish reason"))
 	}
 	s.whole = true
 	s.answer.Tokens = s.next
--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
-// Package client is the Go client for callers. It asks a gateway which addresses
-// to use, spreads requests over them, retries where the outcome of an attempt
-// allows it, and continues a broken stream at another gateway.
+// Package client is the Go client library for callers. It discovers the gateway addresses from a
+// seed gateway, balances requests over them, retries where the outcome of an attempt permits it, and
+// resumes an interrupted stream at another gateway.
 package client
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// Defaults of Options.
+// Default values of Options. dialTimeout is not configurable.
 const (
 	defaultAttempts     = 6
 	defaultRetryRatio   = 0.2
@@ -29,35 +29,37 @@
 	dialTimeout         = 2 * time.Second
 )
 
-// Options set up a Client. Seeds and Key are required.
+// Options configures a Client. Seeds and Key are required.
 type Options struct {
-	// Seeds are IP:port addresses of gateways to ask first.
+	// Seeds are the IP:port addresses of the gateways from which the address list is first
+	// requested.
 	Seeds []string
-	// Key is the caller key of the workspace.
+	// Key is the caller key of the workspace, sent as bearer token.
 	Key string
 	// Scheme is "http" (default) or "https".
 	Scheme string
-	// HTTP carries the requests; nil takes a client of its own.
+	// HTTP sends the requests; if nil, the client creates an http.Client for itself.
 	HTTP *http.Client
-	// Attempts bounds the attempts at one request; default 6.
+	// Attempts is the maximum number of attempts per request, including the first; default 6.
 	Attempts int
-	// RetryRatio is the number of retries that each request earns; default 0.2.
+	// RetryRatio is the number of retries that each request adds to the retry budget; default 0.2.
 	RetryRatio float64
-	// RetryBurst bounds the retries saved up; default 20.
+	// RetryBurst is the maximum number of retries that the budget accumulates; default 20.
 	RetryBurst float64
-	// BaseBackoff and MaxBackoff bound the jitter before a retry; defaults 50 ms
-	// and 3 s.
+	// BaseBackoff and MaxBackoff limit the random delay before a retry, which is added to the
+	// delay that a refusal asks for. The upper bound is BaseBackoff before the first retry and
+	// doubles with each one up to MaxBackoff; defaults 50 ms and 3 s.
 	BaseBackoff time.Duration
 	MaxBackoff  time.Duration
-	// StartTimeout is the longest wait for a generation's first token before the
-	// request is sent to another gateway; default 60 s. It must be longer than the
-	// service's longest queueing time.
+	// StartTimeout is the maximum wait for the first token of a generation before the request is
+	// sent to another gateway; default 60 s. It must be longer than the service's maximum queueing
+	// time.
 	StartTimeout time.Duration
-	// CallTimeout is the same for the reply to a call; default 20 s. It must be longer
-	// than the routes' timeouts.
+	// CallTimeout is the maximum duration of one attempt of a call, up to the end of the response;
+	// default 20 s. It must be longer than the timeouts of the routes.
 	CallTimeout time.Duration
-	// StallTimeout is the longest time without an event on a started stream
-	// before it is resumed elsewhere; default 30 s.
+	// StallTimeout is the maximum time without an event on a started stream before the stream is
+	// resumed at another gateway; default 30 s.
 	StallTimeout time.Duration
 }
 
@@ -70,30 +72,30 @@
 	counters  counters
 }
 
-// counters of a Client's recoveries.
+// counters is the live form of Counts.
 type counters struct {
 	retries  atomic.Int64
 	resumes  atomic.Int64
 	restarts atomic.Int64
 }
 
-// Counts tells how often a Client had to recover.
+// Counts holds the number of recoveries of a Client from failures.
 type Counts struct {
 	// Retries counts attempts after the first one.
 	Retries int64 `json:"retries"`
-	// Resumes counts streams continued at a gateway after a break.
+	// Resumes counts the interrupted streams that were resumed at a gateway.
 	Resumes int64 `json:"resumes"`
-	// Restarts counts whole answers started anew after a lost generation.
+	// Restarts counts the generations that Complete started again after a generation failed midway.
 	Restarts int64 `json:"restarts"`
 }
 
 // New returns a Client. It fails if a required option is missing.
 func New(opts Options) (*Client, error) {
 	if len(opts.Seeds) == 0 {
-		return nil, eris.New("client: no seed address")
+		return nil, eris.New("client: at least one seed address is required")
 	}
 	if opts.Key == "" {
-		return nil, eris.New("client: no caller key")
+		return nil, eris.New("client: a caller key is required")
 	}
 	opts = withDefaults(opts)
 	c := &Client{
@@ -121,8 +123,8 @@
 	return o
 }
 
-// newTransport returns a transport whose keep-alive probes notice within some
-// seconds that a gateway's VM vanished without closing its connections.
+// newTransport returns a transport with TCP keep-alive probes. They detect within seconds (5 s idle,
+// then three probes 2 s apart) that a gateway's VM has disappeared without closing its connections.
 func newTransport() *http.Transport {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
@@ -141,7 +143,7 @@
 	}
 }
 
-// Counts returns how often the client had to recover so far.
+// Counts returns the number of recoveries since the client was created.
 func (c *Client) Counts() Counts {
 	return Counts{
 		Retries:  c.counters.retries.Load(),
@@ -150,11 +152,11 @@
 	}
 }
 
-// Addresses returns the gateways in use, nearest first, and asks for them if the
-// last answer has expired.
+// Addresses returns the addresses of the gateways in use, nearest first. It requests them from a
+// gateway if the cached list has expired.
 func (c *Client) Addresses(ctx context.Context) ([]string, error) {
 	return c.addresses.current(ctx)
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -33,7 +33,7 @@
 		DeferCleanup(c.Close)
 	})
 
-	It("keeps the addresses for their lifetime and uses all of them", func() {
+	It("caches the addresses for their TTL and uses all of them", func() {
 		fake.script = func(_ int, w http.ResponseWriter, _ *http.Request, _ string) {
 			sendTokens(w, "g", 0, 3)
 			sendEnd(w, 3)
@@ -53,9 +53,9 @@
 		Expect(fake.asked).To(Equal(1))
 	})
 
-	// A gateway dies in mid-stream. Its connections break without an end marker, and
-	// a caller that gave up here would have half an answer.
-	It("continues a broken stream at another gateway from the next token", func() {
+	// Guards against incomplete answers when a gateway dies while it sends a stream: the connection
+	// breaks without an end marker.
+	It("resumes an interrupted stream at another gateway from the next token", func() {
 		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 0 {
 				sendTokens(w, "g", 0, 4)
@@ -76,9 +76,9 @@
 		Expect(c.Counts().Resumes).To(BeEquivalentTo(1))
 	})
 
-	// A gateway's process hangs: it accepts the request and its connection stays open.
-	// A caller without a bound would wait until its user gives up.
-	It("goes to another gateway if one hangs before the first token or the reply", func() {
+	// Guards against callers that wait without limit when the process of a gateway hangs: it accepts
+	// the request, the connection stays open, and no response arrives.
+	It("retries at another gateway if one hangs before the first token or the reply", func() {
 		hung := make(chan struct{})
 		DeferCleanup(func() { close(hung) })
 		fake.script = func(n int, w http.ResponseWriter, r *http.Request, _ string) {
@@ -111,9 +111,9 @@
 		Expect(seen[0].Gateway).NotTo(Equal(seen[1].Gateway))
 	})
 
-	// A gateway repeats tokens that the caller has, and later leaves one out. Without
-	// a check on indices the caller would print a word twice and miss another.
-	It("drops repeated tokens and fetches those left out", func() {
+	// Guards against repeated and missing tokens in an answer: a gateway sends tokens again that the
+	// caller already has, and later omits some. The client has to check the token indices.
+	It("drops repeated tokens and fetches the missing ones", func() {
 		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 0 {
 				sendTokens(w, "g", 0, 3)
@@ -131,9 +131,9 @@
 		Expect(fake.seen()[1].Body).To(MatchJSON(`{"handle":"handle-g","next_index":3}`))
 	})
 
-	// The last tokens are missing although the stream has its end marker. The caller
-	// would take a cut answer for a whole one.
-	It("does not accept an answer shorter than the last chunk tells", func() {
+	// Guards against a truncated answer that is reported as complete: the last tokens are missing
+	// although the stream has its end marker.
+	It("does not accept an answer shorter than the length in the last chunk", func() {
 		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 0 {
 				sendTokens(w, "g", 0, 3)
@@ -148,9 +148,9 @@
 		Expect(answer.Text).To(Equal(wholeText("g", 5)))
 	})
 
-	// The engine dies, and with it the generation. The tokens of a second generation
-	// must not be appended to those of the first.
-	It("starts a whole answer anew after a lost generation, and ends a stream", func() {
+	// Guards against an answer that mixes two generations: the engine dies, its generation is lost,
+	// and the tokens of a second one must not be appended to those of the first.
+	It("restarts a complete answer after a lost generation, but ends a stream", func() {
 		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n%2 == 0 {
 				sendTokens(w, "lost", 0, 4)
@@ -173,8 +173,9 @@
 		Expect(refusal.Reason).To(Equal(crocusreel.ReasonGenerationLost))
 	})
 
-	// The system is full. Callers that come back at once and together keep it full.
-	It("waits at least as long as the refusal says", func() {
+	// Guards against sustained overload: if the callers that a full system refuses all retry at once,
+	// they keep it full.
+	It("waits at least as long as the refusal asks for", func() {
 		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 0 {
 				refuse(w, 503, crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, 300)
@@ -189,9 +190,9 @@
 		Expect(time.Since(begin)).To(BeNumerically(">=", 300*time.Millisecond))
 	})
 
-	// The connection breaks after a booking was sent, on a connection that was used
-	// before. net/http would send it again by itself as attempt 1, and the gateway
-	// could answer "not run" for a booking that an earlier copy made.
+	// Guards against resends by net/http itself: if a reused connection breaks after a booking was
+	// sent, net/http would resend it with the same attempt number 1, and the gateway could answer
+	// not_run for a booking that the first copy made.
 	It("numbers every attempt of non-idempotent work under one key", func() {
 		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 1 || n == 2 {
@@ -216,7 +217,7 @@
 		}
 	})
 
-	DescribeTable("repeats non-idempotent work only where that is safe",
+	DescribeTable("retries non-idempotent work only where that is safe",
 		func(reason crocusreel.Reason, outcome crocusreel.Outcome, retryMS, attempts int) {
 			fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 				if n == 0 {
@@ -231,14 +232,14 @@
 			Expect(fake.seen()).To(HaveLen(attempts))
 		},
 		Entry("did not run", crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, 1, 2),
-		Entry("did not run and never will", crocusreel.ReasonUnknownRoute, crocusreel.OutcomeNotRun, 0, 1),
+		Entry("did not run and is not retryable", crocusreel.ReasonUnknownRoute, crocusreel.OutcomeNotRun, 0, 1),
 		Entry("may have run", crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, 1, 1),
 		Entry("is running", crocusreel.ReasonRunInProgress, crocusreel.OutcomeUnknown, 1, 2),
-		Entry("ran, with its result lost", crocusreel.ReasonRunInProgress, crocusreel.OutcomeUnknown, 0, 1),
-		Entry("gateway leaves", crocusreel.ReasonShuttingDown, crocusreel.OutcomeNotRun, 0, 2),
+		Entry("ran, but its result is lost", crocusreel.ReasonRunInProgress, crocusreel.OutcomeUnknown, 0, 1),
+		Entry("gateway is shutting down", crocusreel.ReasonShuttingDown, crocusreel.OutcomeNotRun, 0, 2),
 	)
 
-	It("passes a service's own error on as its reply", func() {
+	It("returns a service's own error status as its reply", func() {
 		fake.script = func(_ int, w http.ResponseWriter, _ *http.Request, _ string) {
 			w.WriteHeader(http.StatusNotFound)
 			_, _ = io.WriteString(w, `{"reason":"","detail":"no such bed"}`)
@@ -248,9 +249,9 @@
 		Expect(reply.Status).To(Equal(http.StatusNotFound))
 	})
 
-	// Every gateway refuses for a long time. Without a bound the retries would be many
-	// times the requests.
-	It("bounds retries by a budget", func() {
+	// Guards against retry storms: if every gateway refuses for a long time, the retries would be
+	// many times the requests without a budget.
+	It("limits retries by a budget", func() {
 		fake.script = func(_ int, w http.ResponseWriter, _ *http.Request, _ string) {
 			refuse(w, 503, crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, 1)
 		}
@@ -267,9 +268,9 @@
 		Expect(len(fake.seen())).To(BeNumerically("<=", requests+5+requests/10))
 	})
 
-	// The booking was sent and its connection broke; then the whole site goes away. A
-	// caller that heard "not run" would book again under a new key.
-	It("tells unknown if an earlier attempt may have run", func() {
+	// Guards against double bookings: the connection breaks after a booking was sent, and then no
+	// gateway can be reached. A caller that got not_run would book again under a new key.
+	It("reports unknown if an earlier attempt may have run", func() {
 		fake.script = func(_ int, _ http.ResponseWriter, _ *http.Request, _ string) {
 			go fake.close()
 			breakOff()
@@ -282,8 +283,7 @@
 		Expect(lost.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 	})
 
-	// All gateways are gone. The caller gets an error that says that nothing ran.
-	It("tells not_run if no gateway can be reached", func() {
+	It("reports not_run if no gateway can be reached", func() {
 		fake.close()
 		_, err := c.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
 		var lost *client.LostError
--- a/client/complete.go
+++ b/client/complete.go
@@ -11,12 +11,12 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// maxAnswerBytes bounds an answer that comes whole.
+// maxAnswerBytes limits the size of a response that is not streamed.
 const maxAnswerBytes = 64 << 20
 
-// Complete returns the whole answer to a generation. An idempotent one is started
-// anew if its generation is lost midway; nothing of the lost one is kept.
-// Errors: as of Generate.
+// Complete runs a generation and returns its complete answer. If an idempotent generation fails
+// midway, Complete starts it again and discards the tokens of the failed one. It fails with the same
+// errors as Generate.
 func (c *Client) Complete(ctx context.Context, req Request) (Answer, error) {
 	req.Meta = req.withKey()
 	tries := c.newAttempts(req.Meta)
@@ -32,7 +32,7 @@
 	}
 }
 
-// completeOnce collects one generation; its tokens all come from that one.
+// completeOnce collects the tokens of a single generation.
 func (c *Client) completeOnce(ctx context.Context, req Request, tries *attempts) (Answer, error) {
 	stream, err := c.generate(ctx, req, tries)
 	if err != nil {
@@ -55,20 +55,20 @@
 	return answer, nil
 }
 
-// midStreamError marks an error that came after the generation had started.
+// midStreamError wraps an error that occurred after the generation had started.
 type midStreamError struct{ error }
 
 // Unwrap returns the cause.
 func (e *midStreamError) Unwrap() error { return e.error }
 
-// restartable tells whether a whole answer may be generated anew after err. Errors
-// before the start have used up their retries already.
+// restartable reports whether the answer may be generated again after err. This excludes errors
+// from before the start of the generation, which have already been retried.
 func restartable(err error, nonIdempotent bool) bool {
 	var mid *midStreamError
 	return !nonIdempotent && errors.As(err, &mid)
 }
 
-// wireAnswer is an answer that comes whole.
+// wireAnswer is the body of a completion or chat completion that is not streamed.
 type wireAnswer struct {
 	Choices []struct {
 		Text    string `json:"text"`
@@ -79,8 +79,8 @@
 	} `json:"choices"`
 }
 
-// takeWhole takes an answer that came whole in place of a stream: the kept result
-// of a run with the same key.
+// takeWhole reads an answer that the gateway sent in one piece in place of a stream. This is the
+// stored result of an earlier run with the same idempotency key.
 func (s *Stream) takeWhole(res *http.Response) error {
 	defer res.Body.Close()
 	gateway := res.Request.URL.Host
@@ -93,7 +93,7 @@
 		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: err}
 	}
 	if len(answer.Choices) == 0 {
-		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: errors.New("answer without choices")}
+		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: errors.New("response contains no choices")}
 	}
 	choice := answer.Choices[0]
 	s.kept = choice.Text + choice.Message.Content
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -17,30 +17,31 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// maxErrorBytes bounds an error body.
+// maxErrorBytes limits the size of an error body.
 const maxErrorBytes = 1 << 20
 
-// LostError means that the exchange with a gateway broke before its end.
+// LostError reports that an exchange with a gateway failed before the response was complete.
 type LostError struct {
-	// Outcome is not_run only if no connection was made.
+	// Outcome is not_run only if no connection was established. When it ends a request with several
+	// attempts, it holds for all of them.
 	Outcome crocusreel.Outcome
-	// Gateway is the address of the gateway.
+	// Gateway is the address of the gateway, or "none" if no address was available.
 	Gateway string
 	Cause   error
 }
 
 // Error implements the error interface.
 func (e *LostError) Error() string {
-	return "gateway " + e.Gateway + " lost (outcome " + string(e.Outcome) + "): " + e.Cause.Error()
+	return "exchange with gateway " + e.Gateway + " failed (outcome " + string(e.Outcome) + "): " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (e *LostError) Unwrap() error { return e.Cause }
 
-// send makes one HTTP exchange. GetBody is left out so that net/http never sends
-// the request a second time by itself: it takes an Idempotency-Key header as leave
-// to do so, and the copy would repeat "Crocusreel-Attempt: 1" after the first one
-// may have run. A gateway could then truthfully answer not_run for work that ran.
+// send makes one HTTP exchange. It leaves GetBody unset so that net/http never resends the request
+// on its own. net/http treats a request with an Idempotency-Key header as safe to resend, and the
+// copy would carry the same Crocusreel-Attempt number, such as 1, although the original may have
+// run. A gateway could then answer not_run for work that did run.
 func (c *Client) send(ctx context.Context, method, url string, header http.Header, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
@@ -57,7 +58,8 @@
 	return res, nil
 }
 
-// outcomeOf tells whether a request can have reached the gateway.
+// outcomeOf returns the outcome of a request that failed with err: not_run if no connection was
+// established, and unknown if the request may have reached the gateway.
 func outcomeOf(err error) crocusreel.Outcome {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -66,8 +68,8 @@
 	return crocusreel.OutcomeUnknown
 }
 
-// decodeRefusal reads the refusal from an error response. A body that is no
-// refusal has outcome unknown, since nothing proves that the work did not run.
+// decodeRefusal reads the refusal from an error response. If the body is not a refusal, the outcome
+// is unknown, because nothing proves that the work did not run.
 func decodeRefusal(res *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
 	if err != nil {
@@ -80,6 +82,8 @@
 	return refusal
 }
 
+// parseRefusal decodes a refusal. If body is not one, it returns a refusal without a reason, with
+// outcome unknown and with fallback as its message.
 func parseRefusal(body []byte, fallback string) *crocusreel.Refusal {
 	var w api.ErrorBody
 	if json.Unmarshal(body, &w) != nil || w.Reason == "" {
@@ -88,6 +92,8 @@
 	return w.Refusal()
 }
 
+// retryAfter returns the delay that the response asks for, or 0. The Crocusreel header in
+// milliseconds takes precedence over Retry-After in seconds.
 func retryAfter(h http.Header) time.Duration {
 	if ms, err := strconv.ParseInt(h.Get(api.HeaderRetryAfterMS), 10, 64); err == nil && ms > 0 {
 		return time.Duration(ms) * time.Millisecond
--- a/client/fake_test.go
+++ b/client/fake_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// fakeRequest is what a fake gateway saw of one request.
+// fakeRequest is a request as received by a fake gateway.
 type fakeRequest struct {
 	Gateway string
 	Path    string
@@ -19,14 +19,16 @@
 	Body    string
 }
 
-// fakeSystem is some gateways that share their generations, as real ones do
-// through the engines.
+// fakeSystem is a set of fake gateways that share their generations, as real ones do through the
+// engines.
 type fakeSystem struct {
-	mu       sync.Mutex
-	servers  []*httptest.Server
+	mu      sync.Mutex
+	servers []*httptest.Server
+	// requests and asked are guarded by mu. asked counts the requests for the address list, which
+	// are not in requests.
 	requests []fakeRequest
 	asked    int
-	// script answers the n-th request (from 0) other than one for addresses.
+	// script answers the n-th request, counted from 0 and without those for the address list.
 	script func(n int, w http.ResponseWriter, r *http.Request, body string)
 }
 
@@ -87,6 +89,7 @@
 	return append([]fakeRequest(nil), f.requests...)
 }
 
+// refuse sends a refusal. retryMS is the retry delay in milliseconds; 0 sends none.
 func refuse(w http.ResponseWriter, status int, reason crocusreel.Reason, outcome crocusreel.Outcome, retryMS int) {
 	if retryMS > 0 {
 		w.Header().Set("Retry-After", "1")
@@ -101,7 +104,7 @@
 	return fmt.Sprintf(`{"error":{"message":"refused","type":"t","code":"c"},"reason":%q,"outcome":%q}`, reason, outcome)
 }
 
-// sendTokens streams the tokens [from, to) of a generation.
+// sendTokens streams the tokens [from, to) of a generation. The first chunk carries the handle.
 func sendTokens(w http.ResponseWriter, generation string, from, to int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from; i < to; i++ {
@@ -115,6 +118,7 @@
 	w.(http.Flusher).Flush()
 }
 
+// sendEnd streams the last chunk, which gives the length in tokens, and the end marker.
 func sendEnd(w http.ResponseWriter, tokens int) {
 	fmt.Fprintf(w, "data: {\"choices\":[{\"text\":\"\",\"finish_reason\":\"stop\"}],\"crocusreel\":{\"index\":%d,\"preemptions\":2}}\n\n", tokens)
 	fmt.Fprint(w, "data: [DONE]\n\n")
@@ -124,9 +128,10 @@
 	fmt.Fprintf(w, "event: error\ndata: %s\n\n", refusalBody(reason, crocusreel.OutcomeRan))
 }
 
-// breakOff cuts the connection without an end.
+// breakOff aborts the connection in the middle of the response.
 func breakOff() { panic(http.ErrAbortHandler) }
 
+// wholeText returns the text of the first tokens of a generation, as sendTokens sends it.
 func wholeText(generation string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
--- a/client/random_test.go
+++ b/client/random_test.go
@@ -17,10 +17,11 @@
 	"github.com/crocusreel/crocusreel/client"
 )
 
-// fault is what goes wrong with one response of a gateway.
+// fault describes a fault in one response of a gateway.
 type fault struct {
-	// kind is what happens after the response has sent some tokens.
+	// kind is the fault that occurs after the response has sent some tokens.
 	kind string
+	// sent is the number of tokens before the fault.
 	sent int
 }
 
@@ -35,8 +36,8 @@
 	}), 0, 5).Draw(t, "faults")
 }
 
-// respond answers one request of a generation of length tokens, which the gateway
-// was asked to send from the token next.
+// respond answers a request for a generation of length tokens, starting at the token next, with the
+// fault f.
 func respond(w http.ResponseWriter, f fault, generation string, next, length int) {
 	upTo := min(next+f.sent, length)
 	switch f.kind {
@@ -67,10 +68,10 @@
 	sendEnd(w, length)
 }
 
-// Gateways cut streams, repeat and leave out tokens, end too early or lose the
-// generation, in any order. Whatever a caller gets must be the start of one
-// generation, and the whole of it if the client says so.
-var _ = It("gives one whole generation or an error, whatever the gateways do", func(ctx SpecContext) {
+// Guards against wrong answers when gateways truncate streams, repeat or omit tokens, end too early
+// or lose the generation, in any order. The tokens that a caller gets must be a prefix of one
+// generation, and the complete generation if the client returns io.EOF.
+var _ = It("returns one complete generation or an error, whatever the gateways do", func(ctx SpecContext) {
 	fake := newFakeSystem(3)
 	DeferCleanup(fake.close)
 	rapid.Check(GinkgoT(), func(t *rapid.T) {
--- a/client/request.go
+++ b/client/request.go
@@ -13,58 +13,59 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// Message is one message of a chat.
+// Message is one message of a chat, as in the OpenAI API.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Meta holds what generations and calls have in common.
+// Meta holds the options that generations and calls have in common.
 type Meta struct {
-	// Key is the idempotency key. If it is empty, the client makes one and keeps
-	// it over all attempts.
+	// Key is the idempotency key. If it is empty, the client generates one and uses it for all
+	// attempts.
 	Key string
-	// NonIdempotent marks work that may run at most once.
+	// NonIdempotent marks work that must run at most once.
 	NonIdempotent bool
-	// Resent tells that the caller already sent this key in an earlier call, so
-	// that no attempt of this call may claim to be the first.
+	// Resent means that the caller has sent this key before, in an earlier call. The attempts are
+	// then numbered from 2, since none of them is the first under the key.
 	Resent   bool
 	Priority crocusreel.Priority
-	// Deadline is the time in which the answer is of use; 0 means none.
+	// Deadline is the time from the start of each attempt within which the answer is useful; 0 means
+	// no deadline.
 	Deadline time.Duration
 }
 
-// Request asks for one generation.
+// Request describes one generation.
 type Request struct {
 	Meta
 	Model string
 	// Prompt is used if Messages is empty.
 	Prompt   string
 	Messages []Message
-	// MaxTokens bounds the answer in tokens; 0 leaves the bound to the service.
+	// MaxTokens is the maximum length of the answer in tokens; 0 leaves the limit to the service.
 	MaxTokens int
 	Class     crocusreel.Class
-	// LengthHint tells the answer's length in tokens to the oracle policy, which
-	// exists for measurements only; 0 tells nothing.
+	// LengthHint is the length of the answer in tokens for the oracle policy, which exists for
+	// measurements only; 0 means no hint.
 	LengthHint int
 }
 
 // Token is one token of an answer.
 type Token struct {
-	// Index is the position in the answer, from 0.
+	// Index is the position in the answer, counted from 0.
 	Index int
 	Text  string
 }
 
-// Answer is one whole answer.
+// Answer is the complete answer to a Request.
 type Answer struct {
 	Text string
-	// Tokens is the length in tokens; 0 if the gateway sent a kept answer whole.
+	// Tokens is the length in tokens; 0 if the gateway sent the stored result of an earlier run.
 	Tokens       int
 	FinishReason string
 	// Preemptions counts how often the engine preempted the generation.
 	Preemptions int
-	// RequestID names the request at the gateway that ended it.
+	// RequestID is the request's ID at the gateway that sent the end of the answer.
 	RequestID string
 }
 
@@ -77,7 +78,7 @@
 	Stream    bool      `json:"stream"`
 }
 
-// encode returns the path and the body of a request.
+// encode returns the path and the JSON body of a request.
 func (r Request) encode(stream bool) (path string, body []byte, err error) {
 	path = "/v1/completions"
 	if len(r.Messages) > 0 {
@@ -93,6 +94,7 @@
 	return path, body, eris.Wrap(err, "client: encode request")
 }
 
+// headers sets the headers that only generations have.
 func (r Request) headers(h http.Header) {
 	if r.Class != "" {
 		h.Set(api.HeaderClass, string(r.Class))
@@ -102,7 +104,7 @@
 	}
 }
 
-// headers sets what all attempts have in common. attempt counts from 1.
+// headers sets the headers that generations and calls have in common. attempt counts from 1.
 func (m Meta) headers(h http.Header, attempt int) {
 	h.Set(api.HeaderIdempotencyKey, m.Key)
 	if m.Resent {
@@ -120,6 +122,7 @@
 	}
 }
 
+// withKey returns m with a generated idempotency key if it has none.
 func (m Meta) withKey() Meta {
 	if m.Key == "" {
 		m.Key = uuid.NewString()
--- a/client/retry.go
+++ b/client/retry.go
@@ -10,24 +10,23 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// verdict tells what to do after a failed attempt.
+// verdict is the decision whether and how to retry a failed attempt.
 type verdict struct {
 	retry bool
-	// wait is the least time before the next attempt.
+	// wait is the minimum delay before the next attempt.
 	wait time.Duration
-	// elsewhere asks for another gateway.
+	// elsewhere requires another gateway for the next attempt, if there is one.
 	elsewhere bool
 }
 
 var giveUp = verdict{}
 
-// judge decides whether a failed attempt may be repeated under the same key.
+// judge decides whether a failed attempt may be retried under the same idempotency key.
 //
-// Idempotent work may be repeated whatever its outcome, as long as no token of the
-// answer has gone to the caller. Non-idempotent work is sent again, always with the
-// same key, only if it did not run, or if the gateway may hold its result: the
-// gateways refuse to run a key twice, so that such an attempt fetches the kept
-// result.
+// Idempotent work may be retried whatever its outcome, as long as no token of the answer has been
+// returned to the caller. After a refusal, non-idempotent work is retried only if it did not run, or
+// if the gateways may hold its result. The gateways refuse to run a key twice, so a retry with the
+// same key returns the stored result. For the same reason, any work is retried after a *LostError.
 func judge(err error, nonIdempotent bool) verdict {
 	var lost *LostError
 	if errors.As(err, &lost) {
@@ -52,19 +51,20 @@
 	return verdict{retry: true, wait: refusal.RetryAfter}
 }
 
-// mayHoldResult tells whether an attempt with the same key may later get the
-// result of a run whose outcome is not known yet.
+// mayHoldResult reports whether a later attempt with the same key may return the result of a run
+// whose outcome is not known yet.
 func mayHoldResult(reason crocusreel.Reason) bool {
 	return reason == crocusreel.ReasonRunInProgress || reason == crocusreel.ReasonLedgerUnavailable
 }
 
-// attempts counts the attempts at one request and the gateways that failed it.
+// attempts tracks the attempts of one request and the gateways that failed during them.
 type attempts struct {
 	client *Client
 	meta   Meta
+	// number is the number of the current attempt, counted from 1.
 	number int
 	failed map[string]bool
-	// uncertain is set once an attempt may have run.
+	// uncertain is set once any attempt may have run.
 	uncertain bool
 }
 
@@ -73,10 +73,10 @@
 	return &attempts{client: c, meta: meta, number: 1, failed: map[string]bool{}, uncertain: meta.Resent}
 }
 
-// truthful corrects an outcome of not_run that holds for the last attempt only: an
-// earlier one may have run. A caller that was told not_run would book again under a
-// new key. A gateway's own not_run for
-// non-idempotent work holds for the key, since it has looked at the key's record.
+// truthful changes the outcome of err from not_run to unknown if an earlier attempt may have run,
+// because the not_run then holds for the last attempt only. A caller that gets not_run may repeat
+// the work, such as a booking, under a new key. A not_run in a gateway's refusal of non-idempotent
+// work is kept: it holds for the key, since the gateway has checked the record of the key.
 func (a *attempts) truthful(err error) error {
 	var lost *LostError
 	if errors.As(err, &lost) && lost.Outcome == crocusreel.OutcomeNotRun && a.uncertain {
@@ -94,7 +94,7 @@
 	return &corrected
 }
 
-// mayHaveRun tells whether the attempt that failed with err may have run.
+// mayHaveRun reports whether the attempt that failed with err may have run.
 func mayHaveRun(err error) bool {
 	var lost *LostError
 	if errors.As(err, &lost) {
@@ -104,7 +104,9 @@
 	return !errors.As(err, &refusal) || refusal.Outcome != crocusreel.OutcomeNotRun
 }
 
-// next waits before another attempt. It returns false if err is final.
+// next waits until the next attempt and counts it. It returns false if there must be none: err does
+// not permit a retry, the attempts or the retry budget are used up, or ctx ends before the attempt
+// would start. If err requires another gateway, it excludes the given one from later attempts.
 func (a *attempts) next(ctx context.Context, gateway string, err error) bool {
 	if mayHaveRun(err) {
 		a.uncertain = true
@@ -132,8 +134,8 @@
 	return true
 }
 
-// jitter is uniform between zero and an exponentially growing bound, so that
-// clients refused together do not come back together.
+// jitter returns a random delay, uniform between 0 and an exponentially growing bound, so that
+// clients that were refused at the same time do not retry at the same time.
 func (a *attempts) jitter() time.Duration {
 	bound := a.client.opts.BaseBackoff << min(a.number-1, 16)
 	bound = min(bound, a.client.opts.MaxBackoff)
--- a/client/stream.go
+++ b/client/stream.go
@@ -16,11 +16,11 @@
 	"github.com/crocusreel/crocusreel/api"
 )
 
-// resumePath continues a stream.
+// resumePath is the path of the request that resumes a stream.
 const resumePath = "/v1/resume"
 
-// Stream delivers the tokens of one generation in order. If its gateway is lost,
-// it continues the same generation at another one. It is used by one goroutine.
+// Stream returns the tokens of one generation in order. If the connection to its gateway fails, it
+// resumes the same generation at another gateway. It is not safe for concurrent use.
 type Stream struct {
 	client  *Client
 	ctx     context.Context
@@ -28,24 +28,28 @@
 	tries   *attempts
 	request Request
 
+	// conn is nil while no gateway carries the stream.
 	conn   *connection
 	handle string
+	// next is the index of the next token to return.
 	next   int
 	answer Answer
-	// whole is set when the end of the answer has come.
+	// whole is set once the end of the answer has been received.
 	whole bool
-	// kept is the text of an answer that came whole, until Next returns it.
+	// kept is the text of a stored result that was sent in one piece, until Next returns it.
 	kept string
-	err  error
+	// err is the final error, which every later call of Next returns.
+	err error
 }
 
-// connection is one HTTP exchange that carries (a part of) a stream.
+// connection is one HTTP exchange that carries a stream or a part of it.
 type connection struct {
 	gateway string
 	decoder ssestream.Decoder
 	cancel  context.CancelFunc
+	// release ends the exchange in the address book.
 	release func()
-	// watchdog cancels the exchange if no event comes for too long.
+	// watchdog cancels the exchange if no event arrives within StallTimeout.
 	watchdog *time.Timer
 }
 
@@ -56,9 +60,9 @@
 	c.release()
 }
 
-// Generate starts a generation and returns its stream, whose end the caller must
-// await or Close. Attempts are repeated until the first gateway accepts the work.
-// Errors: *crocusreel.Refusal, *LostError, or the error of ctx.
+// Generate starts a generation and returns its stream. The caller must read the stream until Next
+// returns an error, or call Close. Generate retries until a gateway sends the start of the answer.
+// It fails with a *crocusreel.Refusal, a *LostError, or the error of ctx.
 func (c *Client) Generate(ctx context.Context, req Request) (*Stream, error) {
 	req.Meta = req.withKey()
 	return c.generate(ctx, req, c.newAttempts(req.Meta))
@@ -74,7 +78,7 @@
 	return s, nil
 }
 
-// start opens the generation, with retries.
+// start sends the request, with retries, until a gateway answers with a stream or a stored result.
 func (s *Stream) start() error {
 	path, body, err := s.request.encode(true)
 	if err != nil {
@@ -94,26 +98,28 @@
 	}
 }
 
-// final prefers the caller's own cancellation to what it brought about.
+// final returns the error that the caller gets for err. If the caller's context has ended, that is
+// the context's error in place of the failures that this causes; a refusal is returned in any case.
 func (s *Stream) final(err error) error {
 	if s.ctx.Err() != nil {
 		var refusal *crocusreel.Refusal
 		if !errors.As(err, &refusal) {
-			return eris.Wrap(s.ctx.Err(), "client: request ended by its caller")
+			return eris.Wrap(s.ctx.Err(), "client: request ended by the caller's context")
 		}
 	}
 	return s.tries.truthful(err)
 }
 
-// open makes one exchange and takes its response as the stream's connection.
+// open sends one request and sets the stream's connection from the response. It also returns the
+// gateway that it used, which is empty if there was none.
 func (s *Stream) open(path string, header http.Header, body []byte) (gateway string, err error) {
 	gateway, release, err := s.client.addresses.pick(s.ctx, s.tries.failed)
 	if err != nil {
 		return "", &LostError{Outcome: crocusreel.OutcomeNotRun, Gateway: "none", Cause: err}
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
-	// A gateway whose process hangs keeps its connections open and answers nothing.
-	// Without this timer the caller would wait for ever, while other gateways live.
+	// A gateway whose process hangs keeps its connections open and sends nothing. Without this
+	// timer the caller would wait forever, although other gateways work.
 	watchdog := time.AfterFunc(s.client.opts.StartTimeout, cancel)
 	res, err := s.client.send(ctx, http.MethodPost, s.client.url(gateway, path), header, body)
 	if err == nil && res.StatusCode != http.StatusOK {
@@ -144,8 +150,9 @@
 	return gateway, nil
 }
 
-// Next returns the next token. It returns io.EOF after the last token of a whole
-// answer; any other error means that the rest of the answer will not come.
+// Next returns the next token. It returns io.EOF after the last token of a complete answer; any
+// other error is final and means that the answer is incomplete. A stored result of an earlier run is
+// returned as a single token.
 func (s *Stream) Next() (Token, error) {
 	for s.err == nil && !s.whole {
 		if s.conn == nil {
@@ -173,8 +180,9 @@
 	return Token{}, io.EOF
 }
 
-// fail ends the connection after an error. A refusal ends the stream; a lost
-// gateway leaves it to be resumed.
+// fail closes the connection after an error. A refusal ends the stream. After a *LostError, fail
+// waits for the next attempt, in which Next resumes the stream, or ends the stream if there is none
+// left.
 func (s *Stream) fail(err error) {
 	gateway := s.conn.gateway
 	s.drop()
@@ -188,6 +196,7 @@
 	}
 }
 
+// drop closes the connection, if there is one.
 func (s *Stream) drop() {
 	if s.conn != nil {
 		s.conn.close()
@@ -195,15 +204,15 @@
 	}
 }
 
-// resume continues the generation at a gateway. Without a handle no token has
-// come, and the request is sent again under its key.
+// resume continues the generation at any gateway, with retries. If there is no handle, no token has
+// been received yet, and the request is sent again under its idempotency key.
 func (s *Stream) resume() error {
 	if s.handle == "" {
 		return s.start()
 	}
 	body, err := json.Marshal(api.ResumeRequest{Handle: s.handle, NextIndex: s.next})
 	if err != nil {
-		return eris.Wrap(err, "client: encode resume")
+		return eris.Wrap(err, "client: encode resume request")
 	}
 	for {
 		header := http.Header{"Content-Type": {"application/json"}}
@@ -222,12 +231,12 @@
 	}
 }
 
-// Answer returns what is known of the answer besides its tokens; it is complete
-// once Next has returned io.EOF.
+// Answer returns the data of the answer other than its text, as far as received. It is complete once
+// Next has returned io.EOF.
 func (s *Stream) Answer() Answer { return s.answer }
 
-// Gateway is the address of the gateway that carries the stream now; empty if none
-// does.
+// Gateway returns the address of the gateway that carries the stream, or "" if there is none at the
+// moment.
 func (s *Stream) Gateway() string {
 	if s.conn == nil {
 		return ""
@@ -235,11 +244,12 @@
 	return s.conn.gateway
 }
 
-// Handle returns the handle with which any gateway continues the generation; it is
-// empty before the first token.
+// Handle returns the handle with which the generation can be resumed at any gateway. It is empty
+// before the first token.
 func (s *Stream) Handle() string { return s.handle }
 
-// Close ends the stream. Closing before the end gives the generation up.
+// Close ends the stream. If the answer is incomplete, this abandons the generation. It always
+// returns nil.
 func (s *Stream) Close() error {
 	s.drop()
 	s.cancel()
--- a/operator/client.go
+++ b/operator/client.go
@@ -16,32 +16,35 @@
 	"github.com/crocusreel/crocusreel/config"
 )
 
-// ErrUnreachable means that the controller could not be reached or gave no answer
-// that can be read.
+// ErrUnreachable means that the controller could not be reached or that its response could not be
+// read or decoded.
 var ErrUnreachable = eris.New("the controller cannot be reached")
 
-// clientTimeout bounds one request. It is longer than the server's own bounds, so
-// that its answer arrives.
+// clientTimeout limits one request. It is longer than the server's timeouts (applyTimeout and
+// readTimeout), so that the server's error response arrives first.
 const clientTimeout = 15 * time.Second
 
-// maxAnswer bounds an answer, in bytes.
+// maxAnswer limits the size of a response body, in bytes.
 const maxAnswer = 16 << 20
 
-// Client speaks to one controller's administration API.
+// Client is a client of the administration API of one controller. It is safe for concurrent use.
+// Its methods return an error response as a *RemoteError, and an error that wraps ErrUnreachable if
+// there is no valid response.
 type Client struct {
 	base string
 	key  string
 	http *http.Client
 }
 
-// NewClient returns a client for a base URL such as "http://IP:port". A nil
-// transport means the default one.
+// NewClient returns a client for a base URL such as "http://IP:port" that authenticates with an
+// operator key. If transport is nil, it uses http.DefaultTransport.
 func NewClient(base, key string, transport http.RoundTripper) *Client {
 	return &Client{base: base, key: key, http: &http.Client{Timeout: clientTimeout, Transport: transport}}
 }
 
-// RemoteError is a refusal of the controller.
+// RemoteError is an error response of the controller.
 type RemoteError struct {
+	// Status is the HTTP status code.
 	Status int
 	ErrorBody
 }
@@ -64,19 +67,20 @@
 	return get[[]Version](ctx, c, pathHistory+"?limit="+strconv.Itoa(limit))
 }
 
-// Status returns what the controller knows.
+// Status returns the state of the system as known to the controller.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	return get[Status](ctx, c, pathStatus)
 }
 
-// Apply sends an edit.
+// Apply submits an edit and returns the new version without its document.
 func (c *Client) Apply(ctx context.Context, e Edit) (Version, error) {
 	var v Version
 	err := c.do(ctx, http.MethodPost, pathConfig, e, &v)
 	return v, err
 }
 
-// Validate has the controller check a document.
+// Validate has the controller check a document without applying it. The problems of an invalid
+// document are in the Problems field of the *RemoteError.
 func (c *Client) Validate(ctx context.Context, doc config.Document) error {
 	return c.do(ctx, http.MethodPost, pathValidate, doc, nil)
 }
@@ -92,6 +96,8 @@
 	return out, err
 }
 
+// do sends a request with body as JSON, if body is not nil, and decodes the response into out, if
+// out is not nil.
 func (c *Client) do(ctx context.Context, method, path string, body, out any) error {
 	var payload io.Reader
 	if body != nil {
@@ -119,11 +125,13 @@
 	return decodeAnswer(res.StatusCode, answer, out)
 }
 
+// decodeAnswer decodes a response body into out, or an error response into a *RemoteError. An error
+// response without an error code does not come from a controller and counts as ErrUnreachable.
 func decodeAnswer(status int, answer []byte, out any) error {
 	if status >= http.StatusBadRequest {
 		refusal := &RemoteError{Status: status}
 		if err := json.Unmarshal(answer, &refusal.ErrorBody); err != nil || refusal.Code == "" {
-			return eris.Wrapf(ErrUnreachable, "answer with status %d that is not the controller's", status)
+			return eris.Wrapf(ErrUnreachable, "response with status %d is not from a controller", status)
 		}
 		return refusal
 	}
@@ -131,7 +139,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(answer, out); err != nil {
-		return eris.Wrap(ErrUnreachable, "malformed answer: "+err.Error())
+		return eris.Wrap(ErrUnreachable, "malformed response: "+err.Error())
 	}
 	return nil
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -24,7 +24,7 @@
 	RunSpecs(t, "operator")
 }
 
-// backend answers with what the test sets.
+// backend is a fake Backend that records edits and returns the configured version and error.
 type backend struct {
 	current operator.Version
 	err     error
@@ -78,7 +78,7 @@
 		url = server.URL
 	})
 
-	It("takes each of the valid keys, and refuses and counts all others", func() {
+	It("accepts each of the valid keys, and refuses and counts all others", func() {
 		for _, key := range []string{"old", "new"} {
 			_, err := client(key).Status(ctx)
 			Expect(err).NotTo(HaveOccurred())
@@ -95,8 +95,9 @@
 		Expect(refused(operator.CodeUnauthorized)).NotTo(Equal(before))
 	})
 
-	// Two operators edit at once. The one who comes second must see what to merge.
-	It("tells what changed in a conflict", func() {
+	// Guards against lost edits when two operators edit concurrently: the second one must see the
+	// changes to merge.
+	It("returns the changes of the other edit in a conflict", func() {
 		change := config.Change{Part: "base", Key: "service.name", Old: "a", New: "b"}
 		b.err = &operator.Conflict{Current: operator.Version{Version: 7, EditID: "x"}, Changes: []config.Change{change}}
 		_, err := client("new").Apply(ctx, operator.Edit{ExpectedVersion: 6, EditID: "y"})
@@ -107,7 +108,7 @@
 		Expect(refusal.Conflict.Changes).To(Equal([]config.Change{change}))
 	})
 
-	It("names every mistake of a document and changes nothing", func() {
+	It("reports every problem of a document and changes nothing", func() {
 		err := client("new").Validate(ctx, config.Document{Base: "a = 1\nb = 2\n"})
 		var refusal *operator.RemoteError
 		Expect(errors.As(err, &refusal)).To(BeTrue())
@@ -116,7 +117,7 @@
 		Expect(b.edits).To(BeEmpty())
 	})
 
-	DescribeTable("says truthfully what is known of an edit", func(err error, code string) {
+	DescribeTable("reports whether an edit may be in force", func(err error, code string) {
 		b.err = eris.Wrap(err, "detail")
 		_, got := client("new").Apply(ctx, operator.Edit{EditID: "y"})
 		var refusal *operator.RemoteError
@@ -127,7 +128,7 @@
 		Entry("it may be in force", operator.ErrUnknown, operator.CodeUnknown),
 	)
 
-	It("refuses an edit without a name, a body that is too large and a limit out of range", func() {
+	It("refuses an edit without an ID, a body that is too large and a limit out of range", func() {
 		_, err := client("new").Apply(ctx, operator.Edit{})
 		Expect(err).To(MatchError(ContainSubstring("edit_id")))
 		_, err = client("new").Apply(ctx, operator.Edit{EditID: "x", Document: config.Document{Base: strings.Repeat("#", 5<<20)}})
@@ -137,7 +138,7 @@
 		Expect(b.edits).To(BeEmpty())
 	})
 
-	It("is reported as unreachable when nobody, or somebody else, answers", func() {
+	It("is reported as unreachable if no connection can be established", func() {
 		_, err := operator.NewClient("http://127.0.0.1:1", "new", nil).Status(ctx)
 		Expect(errors.Is(err, operator.ErrUnreachable)).To(BeTrue())
 	})
--- a/operator/server.go
+++ b/operator/server.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	// applyTimeout bounds an edit, including the reading back of lost answers.
+	// applyTimeout limits an edit. It includes the time to read the result back after a response of
+	// the platform was lost.
 	applyTimeout = 10 * time.Second
-	// readTimeout bounds requests that only read.
+	// readTimeout limits requests that only read.
 	readTimeout = 5 * time.Second
-	// maxBody bounds a request body, in bytes.
+	// maxBody limits the size of a request body, in bytes.
 	maxBody = 4 << 20
-	// defaultHistory and maxHistory bound the versions in one history.
+	// defaultHistory and maxHistory are the default and the maximum number of versions in one
+	// history.
 	defaultHistory = 20
 	maxHistory     = 200
-	// Addresses of the API.
+	// Paths of the API.
 	pathConfig   = "/v1/config"
 	pathValidate = "/v1/config/validate"
 	pathHistory  = "/v1/config/history"
@@ -34,8 +36,8 @@
 	pathVMs      = "/v1/vms/"
 )
 
-// Codes in error bodies. Each is counted as a refusal under its name, after
-// "operator_".
+// Codes in error bodies. Each refusal is counted in the refusals metric under its code with the
+// prefix "operator_".
 const (
 	CodeUnauthorized = "unauthorized"
 	CodeBadRequest   = "bad_request"
@@ -48,7 +50,7 @@
 	CodeInternal     = "internal"
 )
 
-// ErrorBody is the JSON of every refusal.
+// ErrorBody is the JSON body of every error response.
 type ErrorBody struct {
 	Code     string          `json:"code"`
 	Message  string          `json:"message"`
@@ -62,8 +64,8 @@
 	log     *zap.Logger
 }
 
-// NewHandler returns the administration API. Every address but /healthz asks for
-// an operator key.
+// NewHandler returns the handler of the administration API. Every path except /healthz requires an
+// operator key.
 func NewHandler(backend Backend, keys Keys, log *zap.Logger) http.Handler {
 	s := &server{backend: backend, keys: keys, log: log}
 	e := echo.New()
@@ -81,9 +83,10 @@
 	return http.MaxBytesHandler(e, maxBody)
 }
 
-// errUnauthorized is the refusal of a request without a valid operator key.
+// errUnauthorized is the error of a request without a valid operator key.
 var errUnauthorized = errors.New("an operator key is required")
 
+// authorise is middleware that rejects requests without a valid operator key.
 func (s *server) authorise(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !s.keys.Valid(c.Request().Header.Get(echo.HeaderAuthorization)) {
@@ -167,7 +170,8 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// fail writes the error body and counts the refusal.
+// fail is the HTTP error handler. It counts and logs the refusal, and writes the error body unless
+// the response has already started.
 func (s *server) fail(err error, c echo.Context) {
 	status, body := describe(err)
 	metrics.Refused(crocusreel.Reason("operator_" + body.Code))
@@ -177,6 +181,8 @@
 	}
 }
 
+// describe maps an error to an HTTP status code and an error body. The message of err is sent to the
+// client.
 func describe(err error) (int, ErrorBody) {
 	body := ErrorBody{Message: err.Error()}
 	var conflict *Conflict
