--- a/client/addresses.go
+++ b/client/addresses.go
@@ -35,9 +35,9 @@
 	seeds []string
 	fetch fetchFunc
 
-	// refreshing is held by the goroutine that refreshes the address list. It is acquired before
+	// refreshMu is held by the goroutine that refreshes the address list. It is acquired before
 	// mu, which is never held during a request.
-	refreshing sync.Mutex
+	refreshMu sync.Mutex
 
 	// mu guards the fields below.
 	mu      sync.Mutex
@@ -74,13 +74,13 @@
 	if fresh {
 		return known, nil
 	}
-	if len(known) > 0 && !b.refreshing.TryLock() {
+	if len(known) > 0 && !b.refreshMu.TryLock() {
 		return known, nil
 	}
 	if len(known) == 0 {
-		b.refreshing.Lock()
+		b.refreshMu.Lock()
 	}
-	defer b.refreshing.Unlock()
+	defer b.refreshMu.Unlock()
 	if known, fresh = b.snapshot(); fresh {
 		return known, nil
 	}
@@ -94,23 +94,23 @@
 
 // refresh requests the address list from the known gateways and then from the seeds, each group in
 // random order, until one returns a list that is not empty. Otherwise it returns the error of the
-// last request that failed. The caller holds refreshing.
+// last request that failed. The caller holds refreshMu.
 func (b *addressBook) refresh(ctx context.Context) error {
-	var last error
+	var lastErr error
 	for _, from := range b.sources() {
 		answer, err := b.fetch(ctx, from)
 		if err == nil && len(answer.Addresses) > 0 {
-			b.keep(answer)
+			b.store(answer)
 			return nil
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return eris.Wrap(last, "client: no gateway returned its address list")
+	return eris.Wrap(lastErr, "client: no gateway returned its address list")
 }
 
 // sources returns the addresses to request the list from: the known gateways, then the seeds, each
@@ -135,8 +135,8 @@
 	return out
 }
 
-// keep caches an address list and removes the entries of avoided that have expired.
-func (b *addressBook) keep(answer api.Addresses) {
+// store caches an address list and removes the entries of avoided that have expired.
+func (b *addressBook) store(answer api.Addresses) {
 	ttl := max(time.Duration(answer.TTLMS)*time.Millisecond, minAddressTTL)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,42 +150,42 @@
 }
 
 // pick selects an address for one exchange by the power of two choices: of two random addresses, it
-// takes the one with fewer exchanges of this client in flight. Addresses in not and addresses that
-// failed within avoidTime are excluded as long as others remain. The caller must call done when the
-// exchange ends.
-func (b *addressBook) pick(ctx context.Context, not map[string]bool) (addr string, done func(), err error) {
+// takes the one with fewer exchanges of this client in flight. Addresses in excluded and addresses
+// that failed within avoidTime are passed over as long as others remain. The caller must call done
+// when the exchange ends.
+func (b *addressBook) pick(ctx context.Context, excluded map[string]bool) (addr string, done func(), err error) {
 	known, err := b.current(ctx)
 	if err != nil {
 		return "", nil, err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	choices := b.usable(known, not)
-	addr = choices[rand.IntN(len(choices))]
-	if other := choices[rand.IntN(len(choices))]; b.inFlight[other] < b.inFlight[addr] {
+	candidates := b.candidates(known, excluded)
+	addr = candidates[rand.IntN(len(candidates))]
+	if other := candidates[rand.IntN(len(candidates))]; b.inFlight[other] < b.inFlight[addr] {
 		addr = other
 	}
 	b.inFlight[addr]++
 	return addr, sync.OnceFunc(func() { b.release(addr) }), nil
 }
 
-// usable returns the addresses that pick chooses from: those neither in not nor avoided; if there
-// are none, those not in not; if there are none either, all. The caller holds mu.
-func (b *addressBook) usable(known []string, not map[string]bool) []string {
+// candidates returns the addresses that pick chooses from: those neither in excluded nor avoided;
+// if there are none, those not in excluded; if there are none either, all. The caller holds mu.
+func (b *addressBook) candidates(known []string, excluded map[string]bool) []string {
 	now := time.Now()
-	var good, untried []string
+	var preferred, untried []string
 	for _, a := range known {
-		if not[a] {
+		if excluded[a] {
 			continue
 		}
 		untried = append(untried, a)
 		if now.After(b.avoided[a]) {
-			good = append(good, a)
+			preferred = append(preferred, a)
 		}
 	}
 	switch {
-	case len(good) > 0:
-		return good
+	case len(preferred) > 0:
+		return preferred
 	case len(untried) > 0:
 		return untried
 	default:
@@ -202,8 +202,8 @@
 	}
 }
 
-// failed records a failed exchange, after which the address is avoided for avoidTime.
-func (b *addressBook) failed(addr string) {
+// markFailed records a failed exchange, after which the address is avoided for avoidTime.
+func (b *addressBook) markFailed(addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.avoided[addr] = time.Now().Add(avoidTime)
--- a/client/call.go
+++ b/client/call.go
@@ -57,8 +57,8 @@
 		if ctx.Err() != nil {
 			return Reply{}, eris.Wrap(ctx.Err(), "client: call ended by the caller's context")
 		}
-		if !tries.next(ctx, gateway, err) {
-			return Reply{}, tries.truthful(err)
+		if !tries.waitForNext(ctx, gateway, err) {
+			return Reply{}, tries.correctOutcome(err)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 // callOnce makes one attempt and also returns the gateway that it used, which is empty if there was
 // none.
 func (c *Client) callOnce(ctx context.Context, req CallRequest, tries *attempts) (Reply, string, error) {
-	gateway, release, err := c.addresses.pick(ctx, tries.failed)
+	gateway, release, err := c.addresses.pick(ctx, tries.failedGateways)
 	if err != nil {
 		return Reply{}, "", &LostError{Outcome: crocusreel.OutcomeNotRun, Gateway: "none", Cause: err}
 	}
@@ -77,7 +77,7 @@
 	if req.ContentType != "" {
 		header.Set("Content-Type", req.ContentType)
 	}
-	req.Meta.headers(header, tries.number)
+	req.Meta.setCommonHeaders(header, tries.number)
 	if req.Idempotent {
 		header.Set(api.HeaderIdempotent, "true")
 	}
--- a/client/chunk.go
+++ b/client/chunk.go
@@ -23,10 +23,10 @@
 	Extension api.Extension `json:"crocusreel"`
 }
 
-// read waits for one event and processes it. ok is false for an event without a new token.
-func (s *Stream) read() (token Token, ok bool, err error) {
-	// The timer runs only while read waits for an event, so that a caller that is slow to ask for
-	// the next token does not cause a timeout.
+// readEvent waits for one event and processes it. ok is false for an event without a new token.
+func (s *Stream) readEvent() (token Token, ok bool, err error) {
+	// The timer runs only while readEvent waits for an event, so that a caller that is slow to ask
+	// for the next token does not cause a timeout.
 	s.conn.watchdog.Reset(s.client.opts.StallTimeout)
 	more := s.conn.decoder.Next()
 	s.conn.watchdog.Stop()
@@ -35,7 +35,7 @@
 		if cause == nil {
 			cause = io.ErrUnexpectedEOF
 		}
-		return Token{}, false, s.lost(cause)
+		return Token{}, false, s.lostError(cause)
 	}
 	event := s.conn.decoder.Event()
 	data := strings.TrimSpace(string(event.Data))
@@ -43,17 +43,17 @@
 		return Token{}, false, parseRefusal(event.Data, "malformed error event")
 	}
 	if data == api.DoneMarker {
-		return Token{}, false, s.finish()
+		return Token{}, false, s.handleEnd()
 	}
-	return s.take([]byte(data))
+	return s.handleChunk([]byte(data))
 }
 
-// take decodes one chunk and checks that it continues the answer. It drops a repeated token. A gap
-// is returned as a *LostError, so that the stream is resumed from the first missing token.
-func (s *Stream) take(data []byte) (Token, bool, error) {
+// handleChunk decodes one chunk and checks that it continues the answer. It drops a repeated token.
+// A gap is returned as a *LostError, so that the stream is resumed from the first missing token.
+func (s *Stream) handleChunk(data []byte) (Token, bool, error) {
 	var chunk wireChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return Token{}, false, s.lost(eris.Wrap(err, "malformed stream chunk"))
+		return Token{}, false, s.lostError(eris.Wrap(err, "malformed stream chunk"))
 	}
 	if s.handle == "" {
 		s.handle = chunk.Extension.Handle
@@ -73,13 +73,13 @@
 	if index == nil || (text == "" && choice.FinishReason != "") {
 		return Token{}, false, s.checkLength(choice.FinishReason, index)
 	}
-	if *index < s.next {
+	if *index < s.nextIndex {
 		return Token{}, false, nil
 	}
-	if *index > s.next {
-		return Token{}, false, s.lost(eris.Errorf("gap in stream: got token %d, want token %d", *index, s.next))
+	if *index > s.nextIndex {
+		return Token{}, false, s.lostError(eris.Errorf("gap in stream: got token %d, want token %d", *index, s.nextIndex))
 	}
-	s.next++
+	s.nextIndex++
 	return Token{Index: *index, Text: text}, true, nil
 }
 
@@ -87,24 +87,24 @@
 // reason, with the number of tokens received. If tokens are missing, it returns a *LostError, so
 // that the stream is resumed.
 func (s *Stream) checkLength(finish string, index *int) error {
-	if finish == "" || index == nil || *index <= s.next {
+	if finish == "" || index == nil || *index <= s.nextIndex {
 		return nil
 	}
 	s.answer.FinishReason = ""
-	return s.lost(eris.Errorf("answer truncated: its length is %d tokens, received %d", *index, s.next))
+	return s.lostError(eris.Errorf("answer truncated: its length is %d tokens, received %d", *index, s.nextIndex))
 }
 
-// finish processes the end marker. It accepts the marker only after a finish reason, because the
+// handleEnd processes the end marker. It accepts the marker only after a finish reason, because the
 // answer may have been truncated otherwise.
-func (s *Stream) finish() error {
+func (s *Stream) handleEnd() error {
 	if s.answer.FinishReason == "" {
-		return s.lost(eris.New("stream ended without a finish reason"))
+		return s.lostError(eris.New("stream ended without a finish reason"))
 	}
-	s.whole = true
-	s.answer.Tokens = s.next
+	s.complete = true
+	s.answer.Tokens = s.nextIndex
 	return nil
 }
 
-func (s *Stream) lost(cause error) error {
+func (s *Stream) lostError(cause error) error {
 	return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: s.conn.gateway, Cause: cause}
 }
--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
 // Package client is the Go client library for callers. It discovers the gateway addresses from a
-// seed gateway, balances requests over them, retries where the outcome of an attempt permits it, and
-// resumes an interrupted stream at another gateway.
+// seed gateway, balances requests over them, retries where the outcome of an attempt permits it,
+// and resumes an interrupted stream at another gateway.
 package client
 
 import (
@@ -18,7 +18,7 @@
 
 // Default values of Options. dialTimeout is not configurable.
 const (
-	defaultAttempts     = 6
+	defaultMaxAttempts  = 6
 	defaultRetryRatio   = 0.2
 	defaultRetryBurst   = 20
 	defaultBaseBackoff  = 50 * time.Millisecond
@@ -112,7 +112,7 @@
 		o.HTTP = &http.Client{Transport: newTransport()}
 	}
 	o.Scheme = cmp.Or(o.Scheme, "http")
-	o.Attempts = cmp.Or(o.Attempts, defaultAttempts)
+	o.Attempts = cmp.Or(o.Attempts, defaultMaxAttempts)
 	o.RetryRatio = cmp.Or(o.RetryRatio, defaultRetryRatio)
 	o.RetryBurst = cmp.Or(o.RetryBurst, defaultRetryBurst)
 	o.BaseBackoff = cmp.Or(o.BaseBackoff, defaultBaseBackoff)
@@ -123,8 +123,9 @@
 	return o
 }
 
-// newTransport returns a transport with TCP keep-alive probes. They detect within seconds (5 s idle,
-// then three probes 2 s apart) that a gateway's VM has disappeared without closing its connections.
+// newTransport returns a transport with TCP keep-alive probes. They detect within seconds (5 s
+// idle, then three probes 2 s apart) that a gateway's VM has disappeared without closing its
+// connections.
 func newTransport() *http.Transport {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -17,7 +17,7 @@
 var _ = Describe("Client", func() {
 	var (
 		ctx  context.Context
-		fake *fakeSystem
+		fake *fakeGateways
 		c    *client.Client
 	)
 
@@ -25,7 +25,7 @@
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(context.Background(), 30*time.Second)
 		DeferCleanup(cancel)
-		fake = newFakeSystem(2)
+		fake = newFakeGateways(2)
 		DeferCleanup(fake.close)
 		var err error
 		c, err = client.New(client.Options{Seeds: fake.addresses()[:1], Key: "secret"})
@@ -34,7 +34,7 @@
 	})
 
 	It("caches the addresses for their TTL and uses all of them", func() {
-		fake.script = func(_ int, w http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(_ int, w http.ResponseWriter, _ *http.Request, _ string) {
 			sendTokens(w, "g", 0, 3)
 			sendEnd(w, 3)
 		}
@@ -42,33 +42,33 @@
 		for range 40 {
 			answer, err := c.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.Text).To(Equal(wholeText("g", 3)))
+			Expect(answer.Text).To(Equal(fullText("g", 3)))
 			Expect(answer.Preemptions).To(Equal(2))
 		}
-		for _, r := range fake.seen() {
+		for _, r := range fake.received() {
 			gateways[r.Gateway] = true
 			Expect(r.Header.Get("Authorization")).To(Equal("Bearer secret"))
 		}
 		Expect(gateways).To(HaveLen(2))
-		Expect(fake.asked).To(Equal(1))
+		Expect(fake.addressRequests).To(Equal(1))
 	})
 
 	// Guards against incomplete answers when a gateway dies while it sends a stream: the connection
 	// breaks without an end marker.
 	It("resumes an interrupted stream at another gateway from the next token", func() {
-		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 0 {
 				sendTokens(w, "g", 0, 4)
-				breakOff()
+				abortConnection()
 			}
 			sendTokens(w, "g", 4, 9)
 			sendEnd(w, 9)
 		}
 		answer, err := c.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal(wholeText("g", 9)))
+		Expect(answer.Text).To(Equal(fullText("g", 9)))
 		Expect(answer.Tokens).To(Equal(9))
-		seen := fake.seen()
+		seen := fake.received()
 		Expect(seen).To(HaveLen(2))
 		Expect(seen[1].Path).To(Equal("/v1/resume"))
 		Expect(seen[1].Body).To(MatchJSON(`{"handle":"handle-g","next_index":4}`))
@@ -76,15 +76,15 @@
 		Expect(c.Counts().Resumes).To(BeEquivalentTo(1))
 	})
 
-	// Guards against callers that wait without limit when the process of a gateway hangs: it accepts
-	// the request, the connection stays open, and no response arrives.
+	// Guards against callers that wait without limit when the process of a gateway hangs: it
+	// accepts the request, the connection stays open, and no response arrives.
 	It("retries at another gateway if one hangs before the first token or the reply", func() {
-		hung := make(chan struct{})
-		DeferCleanup(func() { close(hung) })
-		fake.script = func(n int, w http.ResponseWriter, r *http.Request, _ string) {
+		unblock := make(chan struct{})
+		DeferCleanup(func() { close(unblock) })
+		fake.handler = func(n int, w http.ResponseWriter, r *http.Request, _ string) {
 			if n%2 == 0 {
 				select {
-				case <-hung:
+				case <-unblock:
 				case <-r.Context().Done():
 				}
 				return
@@ -96,25 +96,25 @@
 			sendTokens(w, "g", 0, 2)
 			sendEnd(w, 2)
 		}
-		hasty, err := client.New(client.Options{
+		impatient, err := client.New(client.Options{
 			Seeds: fake.addresses(), Key: "secret",
 			StartTimeout: 200 * time.Millisecond, CallTimeout: 200 * time.Millisecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		answer, err := hasty.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
+		answer, err := impatient.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal(wholeText("g", 2)))
-		reply, err := hasty.Call(ctx, client.CallRequest{Path: "/beds"})
+		Expect(answer.Text).To(Equal(fullText("g", 2)))
+		reply, err := impatient.Call(ctx, client.CallRequest{Path: "/beds"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(reply.Body)).To(Equal("12 beds"))
-		seen := fake.seen()
+		seen := fake.received()
 		Expect(seen[0].Gateway).NotTo(Equal(seen[1].Gateway))
 	})
 
-	// Guards against repeated and missing tokens in an answer: a gateway sends tokens again that the
-	// caller already has, and later omits some. The client has to check the token indices.
+	// Guards against repeated and missing tokens in an answer: a gateway sends tokens again that
+	// the caller already has, and later omits some. The client has to check the token indices.
 	It("drops repeated tokens and fetches the missing ones", func() {
-		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 0 {
 				sendTokens(w, "g", 0, 3)
 				sendTokens(w, "g", 1, 3)
@@ -127,14 +127,14 @@
 		}
 		answer, err := c.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal(wholeText("g", 6)))
-		Expect(fake.seen()[1].Body).To(MatchJSON(`{"handle":"handle-g","next_index":3}`))
+		Expect(answer.Text).To(Equal(fullText("g", 6)))
+		Expect(fake.received()[1].Body).To(MatchJSON(`{"handle":"handle-g","next_index":3}`))
 	})
 
 	// Guards against a truncated answer that is reported as complete: the last tokens are missing
 	// although the stream has its end marker.
 	It("does not accept an answer shorter than the length in the last chunk", func() {
-		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 0 {
 				sendTokens(w, "g", 0, 3)
 				sendEnd(w, 5)
@@ -145,13 +145,13 @@
 		}
 		answer, err := c.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal(wholeText("g", 5)))
+		Expect(answer.Text).To(Equal(fullText("g", 5)))
 	})
 
 	// Guards against an answer that mixes two generations: the engine dies, its generation is lost,
 	// and the tokens of a second one must not be appended to those of the first.
 	It("restarts a complete answer after a lost generation, but ends a stream", func() {
-		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n%2 == 0 {
 				sendTokens(w, "lost", 0, 4)
 				sendErrorEvent(w, crocusreel.ReasonGenerationLost)
@@ -162,7 +162,7 @@
 		}
 		answer, err := c.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal(wholeText("new", 5)))
+		Expect(answer.Text).To(Equal(fullText("new", 5)))
 
 		stream, err := c.Generate(ctx, client.Request{Model: "m", Prompt: "p"})
 		Expect(err).NotTo(HaveOccurred())
@@ -173,10 +173,10 @@
 		Expect(refusal.Reason).To(Equal(crocusreel.ReasonGenerationLost))
 	})
 
-	// Guards against sustained overload: if the callers that a full system refuses all retry at once,
-	// they keep it full.
+	// Guards against sustained overload: if the callers that a full system refuses all retry at
+	// once, they keep it full.
 	It("waits at least as long as the refusal asks for", func() {
-		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 0 {
 				refuse(w, 503, crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, 300)
 				return
@@ -194,9 +194,9 @@
 	// sent, net/http would resend it with the same attempt number 1, and the gateway could answer
 	// not_run for a booking that the first copy made.
 	It("numbers every attempt of non-idempotent work under one key", func() {
-		fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 			if n == 1 || n == 2 {
-				breakOff()
+				abortConnection()
 			}
 			_, _ = io.WriteString(w, "booked")
 		}
@@ -207,7 +207,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(string(reply.Body)).To(Equal("booked"))
 		}
-		seen := fake.seen()
+		seen := fake.received()
 		Expect(seen).To(HaveLen(4))
 		for i, attempt := range []string{"1", "2", "3"} {
 			r := seen[i+1]
@@ -219,7 +219,7 @@
 
 	DescribeTable("retries non-idempotent work only where that is safe",
 		func(reason crocusreel.Reason, outcome crocusreel.Outcome, retryMS, attempts int) {
-			fake.script = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
+			fake.handler = func(n int, w http.ResponseWriter, _ *http.Request, _ string) {
 				if n == 0 {
 					refuse(w, 503, reason, outcome, retryMS)
 					return
@@ -229,7 +229,7 @@
 			call := client.CallRequest{Method: http.MethodPost, Path: "/beds/1"}
 			call.NonIdempotent = true
 			_, _ = c.Call(ctx, call)
-			Expect(fake.seen()).To(HaveLen(attempts))
+			Expect(fake.received()).To(HaveLen(attempts))
 		},
 		Entry("did not run", crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, 1, 2),
 		Entry("did not run and is not retryable", crocusreel.ReasonUnknownRoute, crocusreel.OutcomeNotRun, 0, 1),
@@ -240,7 +240,7 @@
 	)
 
 	It("returns a service's own error status as its reply", func() {
-		fake.script = func(_ int, w http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(_ int, w http.ResponseWriter, _ *http.Request, _ string) {
 			w.WriteHeader(http.StatusNotFound)
 			_, _ = io.WriteString(w, `{"reason":"","detail":"no such bed"}`)
 		}
@@ -252,28 +252,28 @@
 	// Guards against retry storms: if every gateway refuses for a long time, the retries would be
 	// many times the requests without a budget.
 	It("limits retries by a budget", func() {
-		fake.script = func(_ int, w http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(_ int, w http.ResponseWriter, _ *http.Request, _ string) {
 			refuse(w, 503, crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, 1)
 		}
-		tight, err := client.New(client.Options{
+		smallBudget, err := client.New(client.Options{
 			Seeds: fake.addresses(), Key: "secret", RetryRatio: 0.1, RetryBurst: 5,
 			BaseBackoff: time.Millisecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		const requests = 50
 		for range requests {
-			_, err := tight.Call(ctx, client.CallRequest{Path: "/beds"})
+			_, err := smallBudget.Call(ctx, client.CallRequest{Path: "/beds"})
 			Expect(err).To(HaveOccurred())
 		}
-		Expect(len(fake.seen())).To(BeNumerically("<=", requests+5+requests/10))
+		Expect(len(fake.received())).To(BeNumerically("<=", requests+5+requests/10))
 	})
 
 	// Guards against double bookings: the connection breaks after a booking was sent, and then no
 	// gateway can be reached. A caller that got not_run would book again under a new key.
 	It("reports unknown if an earlier attempt may have run", func() {
-		fake.script = func(_ int, _ http.ResponseWriter, _ *http.Request, _ string) {
+		fake.handler = func(_ int, _ http.ResponseWriter, _ *http.Request, _ string) {
 			go fake.close()
-			breakOff()
+			abortConnection()
 		}
 		call := client.CallRequest{Method: http.MethodPost, Path: "/beds/1"}
 		call.NonIdempotent = true
--- a/client/complete.go
+++ b/client/complete.go
@@ -15,8 +15,8 @@
 const maxAnswerBytes = 64 << 20
 
 // Complete runs a generation and returns its complete answer. If an idempotent generation fails
-// midway, Complete starts it again and discards the tokens of the failed one. It fails with the same
-// errors as Generate.
+// midway, Complete starts it again and discards the tokens of the failed one. It fails with the
+// same errors as Generate.
 func (c *Client) Complete(ctx context.Context, req Request) (Answer, error) {
 	req.Meta = req.withKey()
 	tries := c.newAttempts(req.Meta)
@@ -25,7 +25,7 @@
 		if err == nil {
 			return answer, nil
 		}
-		if !restartable(err, req.NonIdempotent) || !tries.next(ctx, "", err) {
+		if !restartable(err, req.NonIdempotent) || !tries.waitForNext(ctx, "", err) {
 			return Answer{}, err
 		}
 		c.counters.restarts.Add(1)
@@ -79,9 +79,9 @@
 	} `json:"choices"`
 }
 
-// takeWhole reads an answer that the gateway sent in one piece in place of a stream. This is the
-// stored result of an earlier run with the same idempotency key.
-func (s *Stream) takeWhole(res *http.Response) error {
+// readStoredResult reads an answer that the gateway sent in one piece in place of a stream. This is
+// the stored result of an earlier run with the same idempotency key.
+func (s *Stream) readStoredResult(res *http.Response) error {
 	defer res.Body.Close()
 	gateway := res.Request.URL.Host
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
@@ -96,8 +96,8 @@
 		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: errors.New("response contains no choices")}
 	}
 	choice := answer.Choices[0]
-	s.kept = choice.Text + choice.Message.Content
+	s.storedText = choice.Text + choice.Message.Content
 	s.answer.FinishReason = choice.FinishReason
-	s.whole = true
+	s.complete = true
 	return nil
 }
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -53,14 +53,14 @@
 	req.Header.Set("Authorization", "Bearer "+c.opts.Key)
 	res, err := c.http.Do(req)
 	if err != nil {
-		return nil, &LostError{Outcome: outcomeOf(err), Gateway: req.URL.Host, Cause: err}
+		return nil, &LostError{Outcome: outcomeOfSendError(err), Gateway: req.URL.Host, Cause: err}
 	}
 	return res, nil
 }
 
-// outcomeOf returns the outcome of a request that failed with err: not_run if no connection was
-// established, and unknown if the request may have reached the gateway.
-func outcomeOf(err error) crocusreel.Outcome {
+// outcomeOfSendError returns the outcome of a request that failed with err: not_run if no
+// connection was established, and unknown if the request may have reached the gateway.
+func outcomeOfSendError(err error) crocusreel.Outcome {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return crocusreel.OutcomeNotRun
--- a/client/fake_test.go
+++ b/client/fake_test.go
@@ -19,21 +19,21 @@
 	Body    string
 }
 
-// fakeSystem is a set of fake gateways that share their generations, as real ones do through the
+// fakeGateways is a set of fake gateways that share their generations, as real ones do through the
 // engines.
-type fakeSystem struct {
+type fakeGateways struct {
 	mu      sync.Mutex
 	servers []*httptest.Server
-	// requests and asked are guarded by mu. asked counts the requests for the address list, which
-	// are not in requests.
-	requests []fakeRequest
-	asked    int
-	// script answers the n-th request, counted from 0 and without those for the address list.
-	script func(n int, w http.ResponseWriter, r *http.Request, body string)
+	// requests and addressRequests are guarded by mu. addressRequests counts the requests for the
+	// address list, which are not in requests.
+	requests        []fakeRequest
+	addressRequests int
+	// handler answers the n-th request, counted from 0 and without those for the address list.
+	handler func(n int, w http.ResponseWriter, r *http.Request, body string)
 }
 
-func newFakeSystem(gateways int) *fakeSystem {
-	f := &fakeSystem{}
+func newFakeGateways(gateways int) *fakeGateways {
+	f := &fakeGateways{}
 	for range gateways {
 		var server *httptest.Server
 		server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -44,7 +44,7 @@
 	return f
 }
 
-func (f *fakeSystem) addresses() []string {
+func (f *fakeGateways) addresses() []string {
 	var out []string
 	for _, s := range f.servers {
 		out = append(out, s.Listener.Addr().String())
@@ -52,17 +52,17 @@
 	return out
 }
 
-func (f *fakeSystem) close() {
+func (f *fakeGateways) close() {
 	for _, s := range f.servers {
 		s.CloseClientConnections()
 		s.Close()
 	}
 }
 
-func (f *fakeSystem) serve(server *httptest.Server, w http.ResponseWriter, r *http.Request) {
+func (f *fakeGateways) serve(server *httptest.Server, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/addresses" {
 		f.mu.Lock()
-		f.asked++
+		f.addressRequests++
 		f.mu.Unlock()
 		_ = json.NewEncoder(w).Encode(map[string]any{"addresses": f.addresses(), "ttl_ms": 60000})
 		return
@@ -80,10 +80,10 @@
 	n := len(f.requests)
 	f.requests = append(f.requests, fakeRequest{server.Listener.Addr().String(), r.URL.Path, r.Header.Clone(), body.String()})
 	f.mu.Unlock()
-	f.script(n, w, r, body.String())
+	f.handler(n, w, r, body.String())
 }
 
-func (f *fakeSystem) seen() []fakeRequest {
+func (f *fakeGateways) received() []fakeRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]fakeRequest(nil), f.requests...)
@@ -128,11 +128,11 @@
 	fmt.Fprintf(w, "event: error\ndata: %s\n\n", refusalBody(reason, crocusreel.OutcomeRan))
 }
 
-// breakOff aborts the connection in the middle of the response.
-func breakOff() { panic(http.ErrAbortHandler) }
+// abortConnection aborts the connection in the middle of the response.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
-// wholeText returns the text of the first tokens of a generation, as sendTokens sends it.
-func wholeText(generation string, tokens int) string {
+// fullText returns the text of the first tokens of a generation, as sendTokens sends it.
+func fullText(generation string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
 		fmt.Fprintf(&b, "%s.%d ", generation, i)
--- a/client/random_test.go
+++ b/client/random_test.go
@@ -46,7 +46,7 @@
 		return
 	case "cut":
 		sendTokens(w, generation, next, upTo)
-		breakOff()
+		abortConnection()
 	case "lost":
 		sendTokens(w, generation, next, upTo)
 		sendErrorEvent(w, crocusreel.ReasonGenerationLost)
@@ -72,14 +72,14 @@
 // or lose the generation, in any order. The tokens that a caller gets must be a prefix of one
 // generation, and the complete generation if the client returns io.EOF.
 var _ = It("returns one complete generation or an error, whatever the gateways do", func(ctx SpecContext) {
-	fake := newFakeSystem(3)
+	fake := newFakeGateways(3)
 	DeferCleanup(fake.close)
 	rapid.Check(GinkgoT(), func(t *rapid.T) {
 		faults := drawFaults(t)
 		length := rapid.IntRange(1, 8).Draw(t, "length")
 		started := 0
 		served := 0
-		fake.script = func(_ int, w http.ResponseWriter, r *http.Request, body string) {
+		fake.handler = func(_ int, w http.ResponseWriter, r *http.Request, body string) {
 			f := fault{kind: "none"}
 			if served < len(faults) {
 				f = faults[served]
@@ -108,11 +108,11 @@
 		for {
 			token, err := stream.Next()
 			if errors.Is(err, io.EOF) {
-				Expect(text.String()).To(Equal(wholeText(fmt.Sprintf("g%d", started), length)))
+				Expect(text.String()).To(Equal(fullText(fmt.Sprintf("g%d", started), length)))
 				return
 			}
 			if err != nil {
-				Expect(wholeText(fmt.Sprintf("g%d", started), length)).To(HavePrefix(text.String()))
+				Expect(fullText(fmt.Sprintf("g%d", started), length)).To(HavePrefix(text.String()))
 				return
 			}
 			text.WriteString(token.Text)
--- a/client/request.go
+++ b/client/request.go
@@ -30,8 +30,8 @@
 	// then numbered from 2, since none of them is the first under the key.
 	Resent   bool
 	Priority crocusreel.Priority
-	// Deadline is the time from the start of each attempt within which the answer is useful; 0 means
-	// no deadline.
+	// Deadline is the time from the start of each attempt within which the answer is useful; 0
+	// means no deadline.
 	Deadline time.Duration
 }
 
@@ -94,8 +94,8 @@
 	return path, body, eris.Wrap(err, "client: encode request")
 }
 
-// headers sets the headers that only generations have.
-func (r Request) headers(h http.Header) {
+// setGenerationHeaders sets the headers that only generations have.
+func (r Request) setGenerationHeaders(h http.Header) {
 	if r.Class != "" {
 		h.Set(api.HeaderClass, string(r.Class))
 	}
@@ -104,8 +104,9 @@
 	}
 }
 
-// headers sets the headers that generations and calls have in common. attempt counts from 1.
-func (m Meta) headers(h http.Header, attempt int) {
+// setCommonHeaders sets the headers that generations and calls have in common. attempt counts from
+// 1.
+func (m Meta) setCommonHeaders(h http.Header, attempt int) {
 	h.Set(api.HeaderIdempotencyKey, m.Key)
 	if m.Resent {
 		attempt++
--- a/client/retry.go
+++ b/client/retry.go
@@ -10,45 +10,46 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// verdict is the decision whether and how to retry a failed attempt.
-type verdict struct {
+// retryDecision is the decision whether and how to retry a failed attempt.
+type retryDecision struct {
 	retry bool
 	// wait is the minimum delay before the next attempt.
 	wait time.Duration
-	// elsewhere requires another gateway for the next attempt, if there is one.
-	elsewhere bool
+	// otherGateway requires another gateway for the next attempt, if there is one.
+	otherGateway bool
 }
 
-var giveUp = verdict{}
+var noRetry = retryDecision{}
 
-// judge decides whether a failed attempt may be retried under the same idempotency key.
+// decideRetry decides whether a failed attempt may be retried under the same idempotency key.
 //
 // Idempotent work may be retried whatever its outcome, as long as no token of the answer has been
-// returned to the caller. After a refusal, non-idempotent work is retried only if it did not run, or
-// if the gateways may hold its result. The gateways refuse to run a key twice, so a retry with the
-// same key returns the stored result. For the same reason, any work is retried after a *LostError.
-func judge(err error, nonIdempotent bool) verdict {
+// returned to the caller. After a refusal, non-idempotent work is retried only if it did not run,
+// or if the gateways may hold its result. The gateways refuse to run a key twice, so a retry with
+// the same key returns the stored result. For the same reason, any work is retried after a
+// *LostError.
+func decideRetry(err error, nonIdempotent bool) retryDecision {
 	var lost *LostError
 	if errors.As(err, &lost) {
-		return verdict{retry: true, elsewhere: true}
+		return retryDecision{retry: true, otherGateway: true}
 	}
 	var refusal *crocusreel.Refusal
 	if !errors.As(err, &refusal) {
-		return giveUp
+		return noRetry
 	}
 	switch refusal.Reason {
 	case crocusreel.ReasonShuttingDown, crocusreel.ReasonNotReady:
-		return verdict{retry: refusal.Outcome == crocusreel.OutcomeNotRun || !nonIdempotent, elsewhere: true}
+		return retryDecision{retry: refusal.Outcome == crocusreel.OutcomeNotRun || !nonIdempotent, otherGateway: true}
 	case crocusreel.ReasonGenerationLost, crocusreel.ReasonEndpointLost:
-		return verdict{retry: !nonIdempotent, wait: refusal.RetryAfter}
+		return retryDecision{retry: !nonIdempotent, wait: refusal.RetryAfter}
 	}
 	if refusal.RetryAfter <= 0 {
-		return giveUp
+		return noRetry
 	}
 	if nonIdempotent && refusal.Outcome != crocusreel.OutcomeNotRun && !mayHoldResult(refusal.Reason) {
-		return giveUp
+		return noRetry
 	}
-	return verdict{retry: true, wait: refusal.RetryAfter}
+	return retryDecision{retry: true, wait: refusal.RetryAfter}
 }
 
 // mayHoldResult reports whether a later attempt with the same key may return the result of a run
@@ -62,22 +63,23 @@
 	client *Client
 	meta   Meta
 	// number is the number of the current attempt, counted from 1.
-	number int
-	failed map[string]bool
+	number         int
+	failedGateways map[string]bool
 	// uncertain is set once any attempt may have run.
 	uncertain bool
 }
 
 func (c *Client) newAttempts(meta Meta) *attempts {
 	c.budget.RecordAttempt()
-	return &attempts{client: c, meta: meta, number: 1, failed: map[string]bool{}, uncertain: meta.Resent}
+	return &attempts{client: c, meta: meta, number: 1, failedGateways: map[string]bool{}, uncertain: meta.Resent}
 }
 
-// truthful changes the outcome of err from not_run to unknown if an earlier attempt may have run,
-// because the not_run then holds for the last attempt only. A caller that gets not_run may repeat
-// the work, such as a booking, under a new key. A not_run in a gateway's refusal of non-idempotent
-// work is kept: it holds for the key, since the gateway has checked the record of the key.
-func (a *attempts) truthful(err error) error {
+// correctOutcome changes the outcome of err from not_run to unknown if an earlier attempt may have
+// run, because the not_run then holds for the last attempt only. A caller that gets not_run may
+// repeat the work, such as a booking, under a new key. A not_run in a gateway's refusal of
+// non-idempotent work is kept: it holds for the key, since the gateway has checked the record of
+// the key.
+func (a *attempts) correctOutcome(err error) error {
 	var lost *LostError
 	if errors.As(err, &lost) && lost.Outcome == crocusreel.OutcomeNotRun && a.uncertain {
 		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: lost.Gateway, Cause: lost.Cause}
@@ -104,22 +106,23 @@
 	return !errors.As(err, &refusal) || refusal.Outcome != crocusreel.OutcomeNotRun
 }
 
-// next waits until the next attempt and counts it. It returns false if there must be none: err does
-// not permit a retry, the attempts or the retry budget are used up, or ctx ends before the attempt
-// would start. If err requires another gateway, it excludes the given one from later attempts.
-func (a *attempts) next(ctx context.Context, gateway string, err error) bool {
+// waitForNext waits until the next attempt and counts it. It returns false if there must be none:
+// err does not permit a retry, the attempts or the retry budget are used up, or ctx ends before the
+// attempt would start. If err requires another gateway, it excludes the given one from later
+// attempts.
+func (a *attempts) waitForNext(ctx context.Context, gateway string, err error) bool {
 	if mayHaveRun(err) {
 		a.uncertain = true
 	}
-	v := judge(err, a.meta.NonIdempotent)
-	if !v.retry || a.number >= a.client.opts.Attempts || ctx.Err() != nil {
+	decision := decideRetry(err, a.meta.NonIdempotent)
+	if !decision.retry || a.number >= a.client.opts.Attempts || ctx.Err() != nil {
 		return false
 	}
-	if v.elsewhere && gateway != "" {
-		a.failed[gateway] = true
-		a.client.addresses.failed(gateway)
+	if decision.otherGateway && gateway != "" {
+		a.failedGateways[gateway] = true
+		a.client.addresses.markFailed(gateway)
 	}
-	wait := v.wait + a.jitter()
+	wait := decision.wait + a.jitter()
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < wait {
 		return false
 	}
--- a/client/stream.go
+++ b/client/stream.go
@@ -31,13 +31,13 @@
 	// conn is nil while no gateway carries the stream.
 	conn   *connection
 	handle string
-	// next is the index of the next token to return.
-	next   int
-	answer Answer
-	// whole is set once the end of the answer has been received.
-	whole bool
-	// kept is the text of a stored result that was sent in one piece, until Next returns it.
-	kept string
+	// nextIndex is the index of the next token to return.
+	nextIndex int
+	answer    Answer
+	// complete is set once the end of the answer has been received.
+	complete bool
+	// storedText is the text of a stored result that was sent in one piece, until Next returns it.
+	storedText string
 	// err is the final error, which every later call of Next returns.
 	err error
 }
@@ -86,34 +86,35 @@
 	}
 	for {
 		header := http.Header{"Content-Type": {"application/json"}}
-		s.request.Meta.headers(header, s.tries.number)
-		s.request.headers(header)
+		s.request.Meta.setCommonHeaders(header, s.tries.number)
+		s.request.setGenerationHeaders(header)
 		gateway, err := s.open(path, header, body)
 		if err == nil {
 			return nil
 		}
-		if !s.tries.next(s.ctx, gateway, err) {
-			return s.final(err)
+		if !s.tries.waitForNext(s.ctx, gateway, err) {
+			return s.finalError(err)
 		}
 	}
 }
 
-// final returns the error that the caller gets for err. If the caller's context has ended, that is
-// the context's error in place of the failures that this causes; a refusal is returned in any case.
-func (s *Stream) final(err error) error {
+// finalError returns the error that the caller gets for err. If the caller's context has ended,
+// that is the context's error in place of the failures that this causes; a refusal is returned in
+// any case.
+func (s *Stream) finalError(err error) error {
 	if s.ctx.Err() != nil {
 		var refusal *crocusreel.Refusal
 		if !errors.As(err, &refusal) {
 			return eris.Wrap(s.ctx.Err(), "client: request ended by the caller's context")
 		}
 	}
-	return s.tries.truthful(err)
+	return s.tries.correctOutcome(err)
 }
 
 // open sends one request and sets the stream's connection from the response. It also returns the
 // gateway that it used, which is empty if there was none.
 func (s *Stream) open(path string, header http.Header, body []byte) (gateway string, err error) {
-	gateway, release, err := s.client.addresses.pick(s.ctx, s.tries.failed)
+	gateway, release, err := s.client.addresses.pick(s.ctx, s.tries.failedGateways)
 	if err != nil {
 		return "", &LostError{Outcome: crocusreel.OutcomeNotRun, Gateway: "none", Cause: err}
 	}
@@ -137,7 +138,7 @@
 		defer release()
 		defer cancel()
 		defer watchdog.Stop()
-		return gateway, s.takeWhole(res)
+		return gateway, s.readStoredResult(res)
 	}
 	watchdog.Stop()
 	s.conn = &connection{
@@ -151,53 +152,53 @@
 }
 
 // Next returns the next token. It returns io.EOF after the last token of a complete answer; any
-// other error is final and means that the answer is incomplete. A stored result of an earlier run is
-// returned as a single token.
+// other error is final and means that the answer is incomplete. A stored result of an earlier run
+// is returned as a single token.
 func (s *Stream) Next() (Token, error) {
-	for s.err == nil && !s.whole {
+	for s.err == nil && !s.complete {
 		if s.conn == nil {
 			s.err = s.resume()
 			continue
 		}
-		token, ok, err := s.read()
+		token, ok, err := s.readEvent()
 		if err != nil {
-			s.fail(err)
+			s.handleError(err)
 			continue
 		}
 		if ok {
 			return token, nil
 		}
 	}
-	s.drop()
+	s.closeConnection()
 	if s.err != nil {
 		return Token{}, s.err
 	}
-	if s.kept != "" {
-		token := Token{Text: s.kept}
-		s.kept = ""
+	if s.storedText != "" {
+		token := Token{Text: s.storedText}
+		s.storedText = ""
 		return token, nil
 	}
 	return Token{}, io.EOF
 }
 
-// fail closes the connection after an error. A refusal ends the stream. After a *LostError, fail
-// waits for the next attempt, in which Next resumes the stream, or ends the stream if there is none
-// left.
-func (s *Stream) fail(err error) {
+// handleError closes the connection after an error. A refusal ends the stream. After a *LostError,
+// it waits for the next attempt, in which Next resumes the stream, or ends the stream if there is
+// none left.
+func (s *Stream) handleError(err error) {
 	gateway := s.conn.gateway
-	s.drop()
+	s.closeConnection()
 	var lost *LostError
 	if !errors.As(err, &lost) || s.ctx.Err() != nil {
-		s.err = s.final(err)
+		s.err = s.finalError(err)
 		return
 	}
-	if !s.tries.next(s.ctx, gateway, err) {
-		s.err = s.final(err)
+	if !s.tries.waitForNext(s.ctx, gateway, err) {
+		s.err = s.finalError(err)
 	}
 }
 
-// drop closes the connection, if there is one.
-func (s *Stream) drop() {
+// closeConnection closes the connection, if there is one.
+func (s *Stream) closeConnection() {
 	if s.conn != nil {
 		s.conn.close()
 		s.conn = nil
@@ -210,7 +211,7 @@
 	if s.handle == "" {
 		return s.start()
 	}
-	body, err := json.Marshal(api.ResumeRequest{Handle: s.handle, NextIndex: s.next})
+	body, err := json.Marshal(api.ResumeRequest{Handle: s.handle, NextIndex: s.nextIndex})
 	if err != nil {
 		return eris.Wrap(err, "client: encode resume request")
 	}
@@ -225,14 +226,14 @@
 		if errors.As(err, &refusal) && refusal.Reason == crocusreel.ReasonGenerationLost {
 			return err
 		}
-		if !s.tries.next(s.ctx, gateway, err) {
-			return s.final(err)
+		if !s.tries.waitForNext(s.ctx, gateway, err) {
+			return s.finalError(err)
 		}
 	}
 }
 
-// Answer returns the data of the answer other than its text, as far as received. It is complete once
-// Next has returned io.EOF.
+// Answer returns the data of the answer other than its text, as far as received. It is complete
+// once Next has returned io.EOF.
 func (s *Stream) Answer() Answer { return s.answer }
 
 // Gateway returns the address of the gateway that carries the stream, or "" if there is none at the
@@ -251,7 +252,7 @@
 // Close ends the stream. If the answer is incomplete, this abandons the generation. It always
 // returns nil.
 func (s *Stream) Close() error {
-	s.drop()
+	s.closeConnection()
 	s.cancel()
 	return nil
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -24,22 +24,22 @@
 // readTimeout), so that the server's error response arrives first.
 const clientTimeout = 15 * time.Second
 
-// maxAnswer limits the size of a response body, in bytes.
-const maxAnswer = 16 << 20
+// maxResponseBytes limits the size of a response body, in bytes.
+const maxResponseBytes = 16 << 20
 
 // Client is a client of the administration API of one controller. It is safe for concurrent use.
 // Its methods return an error response as a *RemoteError, and an error that wraps ErrUnreachable if
 // there is no valid response.
 type Client struct {
-	base string
-	key  string
-	http *http.Client
+	baseURL string
+	key     string
+	http    *http.Client
 }
 
 // NewClient returns a client for a base URL such as "http://IP:port" that authenticates with an
 // operator key. If transport is nil, it uses http.DefaultTransport.
-func NewClient(base, key string, transport http.RoundTripper) *Client {
-	return &Client{base: base, key: key, http: &http.Client{Timeout: clientTimeout, Transport: transport}}
+func NewClient(baseURL, key string, transport http.RoundTripper) *Client {
+	return &Client{baseURL: baseURL, key: key, http: &http.Client{Timeout: clientTimeout, Transport: transport}}
 }
 
 // RemoteError is an error response of the controller.
@@ -107,7 +107,7 @@
 		}
 		payload = bytes.NewReader(data)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, payload)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, payload)
 	if err != nil {
 		return eris.Wrap(err, "build request")
 	}
@@ -118,19 +118,20 @@
 		return eris.Wrap(ErrUnreachable, err.Error())
 	}
 	defer res.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	responseBody, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return eris.Wrap(ErrUnreachable, err.Error())
 	}
-	return decodeAnswer(res.StatusCode, answer, out)
+	return decodeResponse(res.StatusCode, responseBody, out)
 }
 
-// decodeAnswer decodes a response body into out, or an error response into a *RemoteError. An error
-// response without an error code does not come from a controller and counts as ErrUnreachable.
-func decodeAnswer(status int, answer []byte, out any) error {
+// decodeResponse decodes a response body into out, or an error response into a *RemoteError. An
+// error response without an error code does not come from a controller and counts as
+// ErrUnreachable.
+func decodeResponse(status int, body []byte, out any) error {
 	if status >= http.StatusBadRequest {
 		refusal := &RemoteError{Status: status}
-		if err := json.Unmarshal(answer, &refusal.ErrorBody); err != nil || refusal.Code == "" {
+		if err := json.Unmarshal(body, &refusal.ErrorBody); err != nil || refusal.Code == "" {
 			return eris.Wrapf(ErrUnreachable, "response with status %d is not from a controller", status)
 		}
 		return refusal
@@ -138,7 +139,7 @@
 	if out == nil {
 		return nil
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
+	if err := json.Unmarshal(body, out); err != nil {
 		return eris.Wrap(ErrUnreachable, "malformed response: "+err.Error())
 	}
 	return nil
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -29,7 +29,8 @@
 }
 
 // Valid reports whether an Authorization header carries one of the keys as a bearer token. It
-// compares with every digest in constant time, so that the response time reveals nothing about them.
+// compares with every digest in constant time, so that the response time reveals nothing about
+// them.
 func (k Keys) Valid(authorization string) bool {
 	token, ok := strings.CutPrefix(authorization, "Bearer ")
 	given := sha256.Sum256([]byte(token))
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -29,7 +29,7 @@
 	current operator.Version
 	err     error
 	edits   []operator.Edit
-	left    string
+	leaving string
 }
 
 func (b *backend) Current() operator.Version { return b.current }
@@ -47,7 +47,7 @@
 }
 func (b *backend) Status() operator.Status { return operator.Status{VM: "vm-1"} }
 func (b *backend) Leave(_ context.Context, vm string) error {
-	b.left = vm
+	b.leaving = vm
 	return b.err
 }
 
@@ -56,7 +56,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func refused(code string) string {
+func refusalCount(code string) string {
 	if v := expvar.Get("refusals").(*expvar.Map).Get("operator_" + code); v != nil {
 		return v.String()
 	}
@@ -83,7 +83,7 @@
 			_, err := client(key).Status(ctx)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		before := refused(operator.CodeUnauthorized)
+		before := refusalCount(operator.CodeUnauthorized)
 		var refusal *operator.RemoteError
 		for _, key := range []string{"", "older", digest("old")} {
 			_, err := client(key).Status(ctx)
@@ -91,8 +91,8 @@
 			Expect(refusal.Code).To(Equal(operator.CodeUnauthorized))
 			Expect(errors.As(client(key).Leave(ctx, "vm-1"), &refusal)).To(BeTrue())
 		}
-		Expect(b.left).To(BeEmpty())
-		Expect(refused(operator.CodeUnauthorized)).NotTo(Equal(before))
+		Expect(b.leaving).To(BeEmpty())
+		Expect(refusalCount(operator.CodeUnauthorized)).NotTo(Equal(before))
 	})
 
 	// Guards against lost edits when two operators edit concurrently: the second one must see the
--- a/operator/server.go
+++ b/operator/server.go
@@ -21,8 +21,8 @@
 	applyTimeout = 10 * time.Second
 	// readTimeout limits requests that only read.
 	readTimeout = 5 * time.Second
-	// maxBody limits the size of a request body, in bytes.
-	maxBody = 4 << 20
+	// maxBodyBytes limits the size of a request body, in bytes.
+	maxBodyBytes = 4 << 20
 	// defaultHistory and maxHistory are the default and the maximum number of versions in one
 	// history.
 	defaultHistory = 20
@@ -70,7 +70,7 @@
 	s := &server{backend: backend, keys: keys, log: log}
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.HTTPErrorHandler = s.fail
+	e.HTTPErrorHandler = s.handleError
 	e.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	api := e.Group("", s.authorise)
 	api.GET(pathConfig, s.current)
@@ -80,7 +80,7 @@
 	api.GET(pathVersions+":version", s.version)
 	api.GET(pathStatus, func(c echo.Context) error { return c.JSON(http.StatusOK, s.backend.Status()) })
 	api.POST(pathVMs+":vm/leave", s.leave)
-	return http.MaxBytesHandler(e, maxBody)
+	return http.MaxBytesHandler(e, maxBodyBytes)
 }
 
 // errUnauthorized is the error of a request without a valid operator key.
@@ -170,10 +170,10 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// fail is the HTTP error handler. It counts and logs the refusal, and writes the error body unless
-// the response has already started.
-func (s *server) fail(err error, c echo.Context) {
-	status, body := describe(err)
+// handleError is the HTTP error handler. It counts and logs the refusal, and writes the error body
+// unless the response has already started.
+func (s *server) handleError(err error, c echo.Context) {
+	status, body := errorResponse(err)
 	metrics.Refused(crocusreel.Reason("operator_" + body.Code))
 	s.log.Info("operator request refused", zap.String("code", body.Code), zap.String("path", c.Path()), zap.Int("status", status))
 	if !c.Response().Committed {
@@ -181,9 +181,9 @@
 	}
 }
 
-// describe maps an error to an HTTP status code and an error body. The message of err is sent to the
-// client.
-func describe(err error) (int, ErrorBody) {
+// errorResponse maps an error to an HTTP status code and an error body. The message of err is sent
+// to the client.
+func errorResponse(err error) (int, ErrorBody) {
 	body := ErrorBody{Message: err.Error()}
 	var conflict *Conflict
 	var problems config.Problems
--- a/operator/types.go
+++ b/operator/types.go
@@ -24,8 +24,8 @@
 
 // Edit replaces the configuration.
 type Edit struct {
-	// ExpectedVersion is the version that the edit is based on, or 0 for the first configuration. The
-	// edit is a conflict if another version is in force.
+	// ExpectedVersion is the version that the edit is based on, or 0 for the first configuration.
+	// The edit is a conflict if another version is in force.
 	ExpectedVersion uint64 `json:"expected_version"`
 	// EditID identifies the edit; an edit that is sent twice is applied once.
 	EditID   string          `json:"edit_id"`
@@ -46,12 +46,13 @@
 	return "another edit is in force"
 }
 
-// Errors of a Backend, besides *Conflict and config.Problems. Their messages are sent to the client.
+// Errors of a Backend, besides *Conflict and config.Problems. Their messages are sent to the
+// client.
 var (
 	// ErrUnavailable means that the platform cannot be reached. The configuration is unchanged.
 	ErrUnavailable = eris.New("the platform is unavailable; nothing was changed")
-	// ErrUnknown means that the result of an edit is unknown: it may or may not be in force. The same
-	// edit with the same edit ID may be sent again.
+	// ErrUnknown means that the result of an edit is unknown: it may or may not be in force. The
+	// same edit with the same edit ID may be sent again.
 	ErrUnknown = eris.New("the platform's answer was lost; the edit may be in force")
 	// ErrNoVersion means that the requested version does not exist.
 	ErrNoVersion = eris.New("there is no such version")
