--- a/client/call.go
+++ b/client/call.go
@@ -18,7 +18,7 @@
 // CallRequest is one call to a plain service, that is, one that answers a request with a single
 // response. Methods other than GET and HEAD are treated as non-idempotent unless Idempotent is set.
 type CallRequest struct {
-	Meta
+	RequestOptions
 	// Idempotent allows retries of a call with a method other than GET and HEAD.
 	Idempotent bool
 	// Method is the HTTP method; default GET.
@@ -39,16 +39,16 @@
 }
 
 // Call sends one request to a plain service and returns its complete response, whatever its status
-// code. It fails with a *crocusreel.Refusal, a *LostError, or the error of ctx.
+// code. It fails with a *crocusreel.Refusal, a *GatewayLostError, or the error of ctx.
 func (c *Client) Call(ctx context.Context, req CallRequest) (Reply, error) {
-	req.Meta = req.withKey()
+	req.RequestOptions = req.withKey()
 	if req.Method == "" {
 		req.Method = http.MethodGet
 	}
 	if req.Method != http.MethodGet && req.Method != http.MethodHead && !req.Idempotent {
 		req.NonIdempotent = true
 	}
-	tries := c.newAttempts(req.Meta)
+	tries := c.newAttempts(req.RequestOptions)
 	for {
 		reply, gateway, err := c.callOnce(ctx, req, tries)
 		if err == nil {
@@ -68,7 +68,7 @@
 func (c *Client) callOnce(ctx context.Context, req CallRequest, tries *attempts) (Reply, string, error) {
 	gateway, release, err := c.addresses.pick(ctx, tries.failedGateways)
 	if err != nil {
-		return Reply{}, "", &LostError{Outcome: crocusreel.OutcomeNotRun, Gateway: "none", Cause: err}
+		return Reply{}, "", &GatewayLostError{Outcome: crocusreel.OutcomeNotRun, Gateway: "none", Cause: err}
 	}
 	defer release()
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
@@ -77,7 +77,7 @@
 	if req.ContentType != "" {
 		header.Set("Content-Type", req.ContentType)
 	}
-	req.Meta.setCommonHeaders(header, tries.number)
+	req.RequestOptions.setCommonHeaders(header, tries.number)
 	if req.Idempotent {
 		header.Set(api.HeaderIdempotent, "true")
 	}
@@ -96,7 +96,7 @@
 func readReply(res *http.Response) (Reply, error) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
-		return Reply{}, &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: res.Request.URL.Host, Cause: err}
+		return Reply{}, &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: res.Request.URL.Host, Cause: err}
 	}
 	if res.StatusCode >= http.StatusBadRequest {
 		if refusal := parseRefusal(body, ""); refusal.Reason != "" {
--- a/client/chunk.go
+++ b/client/chunk.go
@@ -49,7 +49,8 @@
 }
 
 // handleChunk decodes one chunk and checks that it continues the answer. It drops a repeated token.
-// A gap is returned as a *LostError, so that the stream is resumed from the first missing token.
+// A gap is returned as a *GatewayLostError, so that the stream is resumed from the first missing
+// token.
 func (s *Stream) handleChunk(data []byte) (Token, bool, error) {
 	var chunk wireChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
@@ -84,8 +85,8 @@
 }
 
 // checkLength compares the length of the answer, which is the index of the chunk with the finish
-// reason, with the number of tokens received. If tokens are missing, it returns a *LostError, so
-// that the stream is resumed.
+// reason, with the number of tokens received. If tokens are missing, it returns a
+// *GatewayLostError, so that the stream is resumed.
 func (s *Stream) checkLength(finish string, index *int) error {
 	if finish == "" || index == nil || *index <= s.nextIndex {
 		return nil
@@ -106,5 +107,5 @@
 }
 
 func (s *Stream) lostError(cause error) error {
-	return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: s.conn.gateway, Cause: cause}
+	return &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: s.conn.gateway, Cause: cause}
 }
--- a/client/client.go
+++ b/client/client.go
@@ -40,8 +40,8 @@
 	Scheme string
 	// HTTP sends the requests; if nil, the client creates an http.Client for itself.
 	HTTP *http.Client
-	// Attempts is the maximum number of attempts per request, including the first; default 6.
-	Attempts int
+	// MaxAttempts is the maximum number of attempts per request, including the first; default 6.
+	MaxAttempts int
 	// RetryRatio is the number of retries that each request adds to the retry budget; default 0.2.
 	RetryRatio float64
 	// RetryBurst is the maximum number of retries that the budget accumulates; default 20.
@@ -112,7 +112,7 @@
 		o.HTTP = &http.Client{Transport: newTransport()}
 	}
 	o.Scheme = cmp.Or(o.Scheme, "http")
-	o.Attempts = cmp.Or(o.Attempts, defaultMaxAttempts)
+	o.MaxAttempts = cmp.Or(o.MaxAttempts, defaultMaxAttempts)
 	o.RetryRatio = cmp.Or(o.RetryRatio, defaultRetryRatio)
 	o.RetryBurst = cmp.Or(o.RetryBurst, defaultRetryBurst)
 	o.BaseBackoff = cmp.Or(o.BaseBackoff, defaultBaseBackoff)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -278,7 +278,7 @@
 		call := client.CallRequest{Method: http.MethodPost, Path: "/beds/1"}
 		call.NonIdempotent = true
 		_, err := c.Call(ctx, call)
-		var lost *client.LostError
+		var lost *client.GatewayLostError
 		Expect(errors.As(err, &lost)).To(BeTrue())
 		Expect(lost.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 	})
@@ -286,7 +286,7 @@
 	It("reports not_run if no gateway can be reached", func() {
 		fake.close()
 		_, err := c.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
-		var lost *client.LostError
+		var lost *client.GatewayLostError
 		Expect(errors.As(err, &lost)).To(BeTrue())
 		Expect(lost.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 	})
--- a/client/complete.go
+++ b/client/complete.go
@@ -18,8 +18,8 @@
 // midway, Complete starts it again and discards the tokens of the failed one. It fails with the
 // same errors as Generate.
 func (c *Client) Complete(ctx context.Context, req Request) (Answer, error) {
-	req.Meta = req.withKey()
-	tries := c.newAttempts(req.Meta)
+	req.RequestOptions = req.withKey()
+	tries := c.newAttempts(req.RequestOptions)
 	for {
 		answer, err := c.completeOnce(ctx, req, tries)
 		if err == nil {
@@ -86,14 +86,14 @@
 	gateway := res.Request.URL.Host
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
-		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: err}
+		return &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: err}
 	}
 	var answer wireAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: err}
+		return &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: err}
 	}
 	if len(answer.Choices) == 0 {
-		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: errors.New("response contains no choices")}
+		return &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: errors.New("response contains no choices")}
 	}
 	choice := answer.Choices[0]
 	s.storedText = choice.Text + choice.Message.Content
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -20,8 +20,8 @@
 // maxErrorBytes limits the size of an error body.
 const maxErrorBytes = 1 << 20
 
-// LostError reports that an exchange with a gateway failed before the response was complete.
-type LostError struct {
+// GatewayLostError reports that an exchange with a gateway failed before the response was complete.
+type GatewayLostError struct {
 	// Outcome is not_run only if no connection was established. When it ends a request with several
 	// attempts, it holds for all of them.
 	Outcome crocusreel.Outcome
@@ -31,12 +31,12 @@
 }
 
 // Error implements the error interface.
-func (e *LostError) Error() string {
+func (e *GatewayLostError) Error() string {
 	return "exchange with gateway " + e.Gateway + " failed (outcome " + string(e.Outcome) + "): " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *GatewayLostError) Unwrap() error { return e.Cause }
 
 // send makes one HTTP exchange. It leaves GetBody unset so that net/http never resends the request
 // on its own. net/http treats a request with an Idempotency-Key header as safe to resend, and the
@@ -53,7 +53,7 @@
 	req.Header.Set("Authorization", "Bearer "+c.opts.Key)
 	res, err := c.http.Do(req)
 	if err != nil {
-		return nil, &LostError{Outcome: outcomeOfSendError(err), Gateway: req.URL.Host, Cause: err}
+		return nil, &GatewayLostError{Outcome: outcomeOfSendError(err), Gateway: req.URL.Host, Cause: err}
 	}
 	return res, nil
 }
@@ -73,7 +73,7 @@
 func decodeRefusal(res *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
 	if err != nil {
-		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: res.Request.URL.Host, Cause: err}
+		return &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: res.Request.URL.Host, Cause: err}
 	}
 	refusal := parseRefusal(body, "HTTP status "+strconv.Itoa(res.StatusCode))
 	if wait := retryAfter(res.Header); wait > 0 {
--- a/client/random_test.go
+++ b/client/random_test.go
@@ -98,7 +98,7 @@
 			respond(w, f, fmt.Sprintf("g%d", started), next, length)
 		}
 		c, err := client.New(client.Options{
-			Seeds: fake.addresses(), Key: "k", Attempts: 20, RetryBurst: 1000, BaseBackoff: time.Microsecond,
+			Seeds: fake.addresses(), Key: "k", MaxAttempts: 20, RetryBurst: 1000, BaseBackoff: time.Microsecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		stream, err := c.Generate(ctx, client.Request{Model: "m", Prompt: "p"})
--- a/client/request.go
+++ b/client/request.go
@@ -19,8 +19,8 @@
 	Content string `json:"content"`
 }
 
-// Meta holds the options that generations and calls have in common.
-type Meta struct {
+// RequestOptions holds the options that generations and calls have in common.
+type RequestOptions struct {
 	// Key is the idempotency key. If it is empty, the client generates one and uses it for all
 	// attempts.
 	Key string
@@ -37,7 +37,7 @@
 
 // Request describes one generation.
 type Request struct {
-	Meta
+	RequestOptions
 	Model string
 	// Prompt is used if Messages is empty.
 	Prompt   string
@@ -106,7 +106,7 @@
 
 // setCommonHeaders sets the headers that generations and calls have in common. attempt counts from
 // 1.
-func (m Meta) setCommonHeaders(h http.Header, attempt int) {
+func (m RequestOptions) setCommonHeaders(h http.Header, attempt int) {
 	h.Set(api.HeaderIdempotencyKey, m.Key)
 	if m.Resent {
 		attempt++
@@ -124,7 +124,7 @@
 }
 
 // withKey returns m with a generated idempotency key if it has none.
-func (m Meta) withKey() Meta {
+func (m RequestOptions) withKey() RequestOptions {
 	if m.Key == "" {
 		m.Key = uuid.NewString()
 	}
--- a/client/retry.go
+++ b/client/retry.go
@@ -27,9 +27,9 @@
 // returned to the caller. After a refusal, non-idempotent work is retried only if it did not run,
 // or if the gateways may hold its result. The gateways refuse to run a key twice, so a retry with
 // the same key returns the stored result. For the same reason, any work is retried after a
-// *LostError.
+// *GatewayLostError.
 func decideRetry(err error, nonIdempotent bool) retryDecision {
-	var lost *LostError
+	var lost *GatewayLostError
 	if errors.As(err, &lost) {
 		return retryDecision{retry: true, otherGateway: true}
 	}
@@ -60,8 +60,8 @@
 
 // attempts tracks the attempts of one request and the gateways that failed during them.
 type attempts struct {
-	client *Client
-	meta   Meta
+	client  *Client
+	options RequestOptions
 	// number is the number of the current attempt, counted from 1.
 	number         int
 	failedGateways map[string]bool
@@ -69,9 +69,9 @@
 	uncertain bool
 }
 
-func (c *Client) newAttempts(meta Meta) *attempts {
+func (c *Client) newAttempts(options RequestOptions) *attempts {
 	c.budget.RecordAttempt()
-	return &attempts{client: c, meta: meta, number: 1, failedGateways: map[string]bool{}, uncertain: meta.Resent}
+	return &attempts{client: c, options: options, number: 1, failedGateways: map[string]bool{}, uncertain: options.Resent}
 }
 
 // correctOutcome changes the outcome of err from not_run to unknown if an earlier attempt may have
@@ -80,15 +80,15 @@
 // non-idempotent work is kept: it holds for the key, since the gateway has checked the record of
 // the key.
 func (a *attempts) correctOutcome(err error) error {
-	var lost *LostError
+	var lost *GatewayLostError
 	if errors.As(err, &lost) && lost.Outcome == crocusreel.OutcomeNotRun && a.uncertain {
-		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: lost.Gateway, Cause: lost.Cause}
+		return &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: lost.Gateway, Cause: lost.Cause}
 	}
 	var refusal *crocusreel.Refusal
 	if !errors.As(err, &refusal) || refusal.Outcome != crocusreel.OutcomeNotRun {
 		return err
 	}
-	if !a.uncertain || a.meta.NonIdempotent {
+	if !a.uncertain || a.options.NonIdempotent {
 		return err
 	}
 	corrected := *refusal
@@ -98,7 +98,7 @@
 
 // mayHaveRun reports whether the attempt that failed with err may have run.
 func mayHaveRun(err error) bool {
-	var lost *LostError
+	var lost *GatewayLostError
 	if errors.As(err, &lost) {
 		return lost.Outcome != crocusreel.OutcomeNotRun
 	}
@@ -114,8 +114,8 @@
 	if mayHaveRun(err) {
 		a.uncertain = true
 	}
-	decision := decideRetry(err, a.meta.NonIdempotent)
-	if !decision.retry || a.number >= a.client.opts.Attempts || ctx.Err() != nil {
+	decision := decideRetry(err, a.options.NonIdempotent)
+	if !decision.retry || a.number >= a.client.opts.MaxAttempts || ctx.Err() != nil {
 		return false
 	}
 	if decision.otherGateway && gateway != "" {
--- a/client/stream.go
+++ b/client/stream.go
@@ -62,10 +62,10 @@
 
 // Generate starts a generation and returns its stream. The caller must read the stream until Next
 // returns an error, or call Close. Generate retries until a gateway sends the start of the answer.
-// It fails with a *crocusreel.Refusal, a *LostError, or the error of ctx.
+// It fails with a *crocusreel.Refusal, a *GatewayLostError, or the error of ctx.
 func (c *Client) Generate(ctx context.Context, req Request) (*Stream, error) {
-	req.Meta = req.withKey()
-	return c.generate(ctx, req, c.newAttempts(req.Meta))
+	req.RequestOptions = req.withKey()
+	return c.generate(ctx, req, c.newAttempts(req.RequestOptions))
 }
 
 func (c *Client) generate(ctx context.Context, req Request, tries *attempts) (*Stream, error) {
@@ -86,7 +86,7 @@
 	}
 	for {
 		header := http.Header{"Content-Type": {"application/json"}}
-		s.request.Meta.setCommonHeaders(header, s.tries.number)
+		s.request.RequestOptions.setCommonHeaders(header, s.tries.number)
 		s.request.setGenerationHeaders(header)
 		gateway, err := s.open(path, header, body)
 		if err == nil {
@@ -116,7 +116,7 @@
 func (s *Stream) open(path string, header http.Header, body []byte) (gateway string, err error) {
 	gateway, release, err := s.client.addresses.pick(s.ctx, s.tries.failedGateways)
 	if err != nil {
-		return "", &LostError{Outcome: crocusreel.OutcomeNotRun, Gateway: "none", Cause: err}
+		return "", &GatewayLostError{Outcome: crocusreel.OutcomeNotRun, Gateway: "none", Cause: err}
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
 	// A gateway whose process hangs keeps its connections open and sends nothing. Without this
@@ -181,13 +181,13 @@
 	return Token{}, io.EOF
 }
 
-// handleError closes the connection after an error. A refusal ends the stream. After a *LostError,
-// it waits for the next attempt, in which Next resumes the stream, or ends the stream if there is
-// none left.
+// handleError closes the connection after an error. A refusal ends the stream. After a
+// *GatewayLostError, it waits for the next attempt, in which Next resumes the stream, or ends the
+// stream if there is none left.
 func (s *Stream) handleError(err error) {
 	gateway := s.conn.gateway
 	s.closeConnection()
-	var lost *LostError
+	var lost *GatewayLostError
 	if !errors.As(err, &lost) || s.ctx.Err() != nil {
 		s.err = s.finalError(err)
 		return
--- a/cmd/crocusreel/config.go
+++ b/cmd/crocusreel/config.go
@@ -152,7 +152,7 @@
 			refusal.Conflict.Current.Version, refusal.Conflict.Current.EditID,
 			refusal.Conflict.Current.At.Format(time.RFC3339), edit.ExpectedVersion)
 		printChanges(os.Stderr, refusal.Conflict.Changes)
-	case refusal.Code == operator.CodeUnknown:
+	case refusal.Code == operator.CodeResultUnknown:
 		fmt.Fprintf(os.Stderr, "send the same edit again with --base %d --edit-id %s\n", edit.ExpectedVersion, edit.EditID)
 	case len(refusal.Problems) > 0:
 		fmt.Fprintln(os.Stderr, refusal.Problems.Error())
--- a/cmd/crocusreel/demo.go
+++ b/cmd/crocusreel/demo.go
@@ -181,11 +181,11 @@
 	const key = "demo-booking-1"
 	for attempt := range 2 {
 		call := client.CallRequest{
-			Meta:        client.Meta{Key: key, NonIdempotent: true, Resent: attempt > 0},
-			Method:      http.MethodPost,
-			Path:        demoPrefix + "/booking",
-			ContentType: "application/json",
-			Body:        []byte(`{"bed":12}`),
+			RequestOptions: client.RequestOptions{Key: key, NonIdempotent: true, Resent: attempt > 0},
+			Method:         http.MethodPost,
+			Path:           demoPrefix + "/booking",
+			ContentType:    "application/json",
+			Body:           []byte(`{"bed":12}`),
 		}
 		reply, err := d.client.Call(ctx, call)
 		if err != nil {
@@ -212,8 +212,8 @@
 
 func (d *demo) lookup(ctx context.Context) error {
 	reply, err := d.client.Call(ctx, client.CallRequest{
-		Meta: client.Meta{Priority: crocusreel.MaxPriority},
-		Path: demoPrefix + "/count",
+		RequestOptions: client.RequestOptions{Priority: crocusreel.MaxPriority},
+		Path:           demoPrefix + "/count",
 	})
 	if err != nil {
 		return eris.Wrap(err, "lookup")
--- a/cmd/crocusreel/main.go
+++ b/cmd/crocusreel/main.go
@@ -83,9 +83,9 @@
 	switch refusal.Code {
 	case operator.CodeConflict:
 		return exitConflict
-	case operator.CodeInvalid:
+	case operator.CodeInvalidDocument:
 		return exitUsage
-	case operator.CodeUnavailable, operator.CodeUnknown, operator.CodeUnreachable:
+	case operator.CodePlatformUnavailable, operator.CodeResultUnknown, operator.CodeVMUnreachable:
 		return exitUnreachable
 	}
 	return exitFailed
--- a/cmd/crocusreel/main_test.go
+++ b/cmd/crocusreel/main_test.go
@@ -24,9 +24,9 @@
 	}
 	codes := map[int][]error{
 		exitFailed:      {errors.New("other"), remote(operator.CodeUnauthorized), remote(operator.CodeNotFound)},
-		exitUsage:       {usageError{errors.New("no key")}, config.Problems{{}}, remote(operator.CodeInvalid)},
+		exitUsage:       {usageError{errors.New("no key")}, config.Problems{{}}, remote(operator.CodeInvalidDocument)},
 		exitConflict:    {remote(operator.CodeConflict)},
-		exitUnreachable: {eris.Wrap(operator.ErrUnreachable, "x"), remote(operator.CodeUnavailable), remote(operator.CodeUnknown)},
+		exitUnreachable: {eris.Wrap(operator.ErrUnreachable, "x"), remote(operator.CodePlatformUnavailable), remote(operator.CodeResultUnknown)},
 	}
 	for code, errs := range codes {
 		for _, err := range errs {
--- a/controller/backend.go
+++ b/controller/backend.go
@@ -47,7 +47,7 @@
 
 func unavailable(err error) error {
 	if errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown) {
-		return eris.Wrap(operator.ErrUnavailable, err.Error())
+		return eris.Wrap(operator.ErrPlatformUnavailable, err.Error())
 	}
 	return err
 }
@@ -79,7 +79,7 @@
 		}
 	}
 	if address == "" {
-		return operator.ErrNoVM
+		return operator.ErrVMNotFound
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -52,7 +52,7 @@
 		return operator.Version{}, eris.Wrap(err, "read configuration version")
 	}
 	if row.Version == 0 {
-		return operator.Version{}, operator.ErrNoVersion
+		return operator.Version{}, operator.ErrVersionNotFound
 	}
 	return decodeVersion(row)
 }
@@ -95,7 +95,7 @@
 func (v *versionStore) apply(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	head, row, err := v.head(ctx)
 	if err != nil {
-		return operator.Version{}, eris.Wrap(operator.ErrUnavailable, err.Error())
+		return operator.Version{}, eris.Wrap(operator.ErrPlatformUnavailable, err.Error())
 	}
 	if head.Version != e.ExpectedVersion {
 		return v.settled(ctx, e, head)
@@ -114,7 +114,7 @@
 		case errors.Is(err, platform.ErrConflict):
 			return v.readBack(ctx, e)
 		case errors.Is(err, platform.ErrUnavailable) && !sent:
-			return operator.Version{}, eris.Wrap(operator.ErrUnavailable, err.Error())
+			return operator.Version{}, eris.Wrap(operator.ErrPlatformUnavailable, err.Error())
 		}
 		// The answer was lost, so the edit may be in force. The same transaction goes
 		// out again: its conditions let it take effect once at most, and if it has
@@ -122,7 +122,7 @@
 		// would not do, since the first attempt may still be on its way.
 		sent = true
 		if !sleep(ctx, applyRetryDelay) {
-			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
+			return operator.Version{}, eris.Wrap(operator.ErrResultUnknown, err.Error())
 		}
 	}
 }
@@ -135,7 +135,7 @@
 			return v.settled(ctx, e, head)
 		}
 		if !sleep(ctx, applyRetryDelay) {
-			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
+			return operator.Version{}, eris.Wrap(operator.ErrResultUnknown, err.Error())
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	if head.Version > e.ExpectedVersion {
 		successor, err := v.read(ctx, e.ExpectedVersion+1)
 		if err != nil {
-			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
+			return operator.Version{}, eris.Wrap(operator.ErrResultUnknown, err.Error())
 		}
 		if successor.EditID == e.EditID {
 			return successor, nil
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -102,7 +102,7 @@
 		p := newFakePlatform()
 		p.down = true
 		_, err := newStore(p).apply(context.Background(), edit(0, "e"))
-		Expect(errors.Is(err, operator.ErrUnavailable)).To(BeTrue())
+		Expect(errors.Is(err, operator.ErrPlatformUnavailable)).To(BeTrue())
 	})
 })
 
@@ -143,7 +143,7 @@
 				switch {
 				case a.err == nil && stored[a.id] != 1:
 					t.Fatalf("edit %s was accepted and is stored %d times", a.id, stored[a.id])
-				case (errors.As(a.err, &conflict) || errors.Is(a.err, operator.ErrUnavailable)) && stored[a.id] != 0:
+				case (errors.As(a.err, &conflict) || errors.Is(a.err, operator.ErrPlatformUnavailable)) && stored[a.id] != 0:
 					t.Fatalf("edit %s was refused (%v) and is stored", a.id, a.err)
 				}
 			}
--- a/load/run.go
+++ b/load/run.go
@@ -121,10 +121,10 @@
 	r.clients = make(map[string]*client.Client)
 	for _, ws := range r.trace.Mix.Workspaces {
 		c, err := client.New(client.Options{
-			Seeds:    r.opts.Gateways,
-			Key:      r.opts.Key(ws.Name),
-			Attempts: r.opts.Attempts,
-			HTTP:     &http.Client{Transport: transport},
+			Seeds:       r.opts.Gateways,
+			Key:         r.opts.Key(ws.Name),
+			MaxAttempts: r.opts.Attempts,
+			HTTP:        &http.Client{Transport: transport},
 		})
 		if err != nil {
 			return eris.Wrapf(err, "load: workspace %s", ws.Name)
--- a/load/send.go
+++ b/load/send.go
@@ -46,7 +46,7 @@
 	if errors.Is(err, context.Canceled) {
 		return reasonUnfinished
 	}
-	var lost *client.LostError
+	var lost *client.GatewayLostError
 	if errors.As(err, &lost) {
 		return reasonGatewayLost
 	}
@@ -56,7 +56,7 @@
 func (r *runner) call(ctx context.Context, res *result, planned time.Time) error {
 	work := res.item.Work
 	_, err := r.clients[res.item.Workspace].Call(ctx, client.CallRequest{
-		Meta: client.Meta{
+		RequestOptions: client.RequestOptions{
 			Key:           res.item.Key,
 			NonIdempotent: work.Kind == KindNonIdempotent,
 			Priority:      crocusreel.Priority(work.Priority),
@@ -71,11 +71,11 @@
 func (r *runner) generate(ctx context.Context, res *result, planned time.Time) error {
 	item := res.item
 	req := client.Request{
-		Meta:      client.Meta{Key: item.Key, Priority: crocusreel.Priority(item.Work.Priority)},
-		Model:     r.trace.Mix.Model,
-		Prompt:    item.Prompt,
-		MaxTokens: item.Work.MaxTokens,
-		Class:     item.Class(),
+		RequestOptions: client.RequestOptions{Key: item.Key, Priority: crocusreel.Priority(item.Work.Priority)},
+		Model:          r.trace.Mix.Model,
+		Prompt:         item.Prompt,
+		MaxTokens:      item.Work.MaxTokens,
+		Class:          item.Class(),
 	}
 	if r.opts.TellLengths {
 		req.LengthHint = item.Tokens
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -112,7 +112,7 @@
 		err := client("new").Validate(ctx, config.Document{Base: "a = 1\nb = 2\n"})
 		var refusal *operator.RemoteError
 		Expect(errors.As(err, &refusal)).To(BeTrue())
-		Expect(refusal.Code).To(Equal(operator.CodeInvalid))
+		Expect(refusal.Code).To(Equal(operator.CodeInvalidDocument))
 		Expect(len(refusal.Problems)).To(BeNumerically(">=", 3))
 		Expect(b.edits).To(BeEmpty())
 	})
@@ -124,8 +124,8 @@
 		Expect(errors.As(got, &refusal)).To(BeTrue())
 		Expect(refusal.Code).To(Equal(code))
 	},
-		Entry("nothing was changed", operator.ErrUnavailable, operator.CodeUnavailable),
-		Entry("it may be in force", operator.ErrUnknown, operator.CodeUnknown),
+		Entry("nothing was changed", operator.ErrPlatformUnavailable, operator.CodePlatformUnavailable),
+		Entry("it may be in force", operator.ErrResultUnknown, operator.CodeResultUnknown),
 	)
 
 	It("refuses an edit without an ID, a body that is too large and a limit out of range", func() {
--- a/operator/server.go
+++ b/operator/server.go
@@ -39,15 +39,15 @@
 // Codes in error bodies. Each refusal is counted in the refusals metric under its code with the
 // prefix "operator_".
 const (
-	CodeUnauthorized = "unauthorized"
-	CodeBadRequest   = "bad_request"
-	CodeInvalid      = "invalid_document"
-	CodeConflict     = "conflict"
-	CodeUnavailable  = "platform_unavailable"
-	CodeUnknown      = "result_unknown"
-	CodeNotFound     = "not_found"
-	CodeUnreachable  = "vm_unreachable"
-	CodeInternal     = "internal"
+	CodeUnauthorized        = "unauthorized"
+	CodeBadRequest          = "bad_request"
+	CodeInvalidDocument     = "invalid_document"
+	CodeConflict            = "conflict"
+	CodePlatformUnavailable = "platform_unavailable"
+	CodeResultUnknown       = "result_unknown"
+	CodeNotFound            = "not_found"
+	CodeVMUnreachable       = "vm_unreachable"
+	CodeInternal            = "internal"
 )
 
 // ErrorBody is the JSON body of every error response.
@@ -193,18 +193,18 @@
 	case errors.As(err, &conflict):
 		status, body.Code, body.Conflict = http.StatusConflict, CodeConflict, conflict
 	case errors.As(err, &problems):
-		status, body.Code, body.Problems = http.StatusUnprocessableEntity, CodeInvalid, problems
+		status, body.Code, body.Problems = http.StatusUnprocessableEntity, CodeInvalidDocument, problems
 		body.Message = "the document holds mistakes; nothing was changed"
 	case errors.Is(err, errUnauthorized):
 		status, body.Code = http.StatusUnauthorized, CodeUnauthorized
-	case errors.Is(err, ErrUnavailable):
-		status, body.Code = http.StatusServiceUnavailable, CodeUnavailable
-	case errors.Is(err, ErrUnknown):
-		status, body.Code = http.StatusGatewayTimeout, CodeUnknown
-	case errors.Is(err, ErrNoVersion), errors.Is(err, ErrNoVM):
+	case errors.Is(err, ErrPlatformUnavailable):
+		status, body.Code = http.StatusServiceUnavailable, CodePlatformUnavailable
+	case errors.Is(err, ErrResultUnknown):
+		status, body.Code = http.StatusGatewayTimeout, CodeResultUnknown
+	case errors.Is(err, ErrVersionNotFound), errors.Is(err, ErrVMNotFound):
 		status, body.Code = http.StatusNotFound, CodeNotFound
 	case errors.Is(err, ErrVMUnreachable):
-		status, body.Code = http.StatusBadGateway, CodeUnreachable
+		status, body.Code = http.StatusBadGateway, CodeVMUnreachable
 	case errors.As(err, &httpError):
 		status, body.Code = httpError.Code, CodeBadRequest
 		if status == http.StatusNotFound {
--- a/operator/types.go
+++ b/operator/types.go
@@ -49,15 +49,16 @@
 // Errors of a Backend, besides *Conflict and config.Problems. Their messages are sent to the
 // client.
 var (
-	// ErrUnavailable means that the platform cannot be reached. The configuration is unchanged.
-	ErrUnavailable = eris.New("the platform is unavailable; nothing was changed")
-	// ErrUnknown means that the result of an edit is unknown: it may or may not be in force. The
-	// same edit with the same edit ID may be sent again.
-	ErrUnknown = eris.New("the platform's answer was lost; the edit may be in force")
-	// ErrNoVersion means that the requested version does not exist.
-	ErrNoVersion = eris.New("there is no such version")
-	// ErrNoVM means that no live VM has the requested ID.
-	ErrNoVM = eris.New("there is no live VM with this ID")
+	// ErrPlatformUnavailable means that the platform cannot be reached. The configuration is
+	// unchanged.
+	ErrPlatformUnavailable = eris.New("the platform is unavailable; nothing was changed")
+	// ErrResultUnknown means that the result of an edit is unknown: it may or may not be in force.
+	// The same edit with the same edit ID may be sent again.
+	ErrResultUnknown = eris.New("the platform's answer was lost; the edit may be in force")
+	// ErrVersionNotFound means that the requested version does not exist.
+	ErrVersionNotFound = eris.New("there is no such version")
+	// ErrVMNotFound means that no live VM has the requested ID.
+	ErrVMNotFound = eris.New("there is no live VM with this ID")
 	// ErrVMUnreachable means that the controller of the VM did not answer.
 	ErrVMUnreachable = eris.New("the VM's controller did not answer")
 )
@@ -119,9 +120,9 @@
 	// History returns the latest versions, newest first, without documents.
 	History(ctx context.Context, limit int) ([]Version, error)
 	// Apply validates an edit and puts it in force. It fails with *Conflict, config.Problems,
-	// ErrUnavailable or ErrUnknown.
+	// ErrPlatformUnavailable or ErrResultUnknown.
 	Apply(ctx context.Context, e Edit) (Version, error)
 	Status() Status
-	// Leave marks a VM as leaving. It fails with ErrNoVM or ErrVMUnreachable.
+	// Leave marks a VM as leaving. It fails with ErrVMNotFound or ErrVMUnreachable.
 	Leave(ctx context.Context, vm string) error
 }
--- a/tests/configuration_test.go
+++ b/tests/configuration_test.go
@@ -144,7 +144,7 @@
 		})
 		var refused *operator.RemoteError
 		Expect(errors.As(err, &refused)).To(BeTrue(), "%v", err)
-		Expect(refused.Code).To(Equal(operator.CodeUnavailable))
+		Expect(refused.Code).To(Equal(operator.CodePlatformUnavailable))
 		platformFaults(ctx, r, admin.PlatformFaults{})
 		expectNeverAgain(ctx, r, "outage")
 	}, SpecTimeout(time.Minute))
--- a/tests/deadly_test.go
+++ b/tests/deadly_test.go
@@ -104,7 +104,7 @@
 func innocentLoad(ctx context.Context, r *rig.Rig) <-chan []error {
 	GinkgoHelper()
 	c, err := client.New(client.Options{
-		Seeds: r.CallerAddresses(), Key: rig.DefaultKey, Attempts: 20, RetryRatio: 2, RetryBurst: 1000,
+		Seeds: r.CallerAddresses(), Key: rig.DefaultKey, MaxAttempts: 20, RetryRatio: 2, RetryBurst: 1000,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	result := make(chan []error, 1)
--- a/tests/soak/load_test.go
+++ b/tests/soak/load_test.go
@@ -63,7 +63,7 @@
 // outcome is what the caller was told; empty if it gave up by itself.
 func (r result) outcome() crocusreel.Outcome {
 	var refusal *crocusreel.Refusal
-	var lost *client.LostError
+	var lost *client.GatewayLostError
 	switch {
 	case r.err == nil:
 		return crocusreel.OutcomeRan
@@ -90,7 +90,7 @@
 func load(ctx context.Context, r *rig.Rig, seed uint64, requests int) []result {
 	patient := newClient(r, client.Options{StallTimeout: 4 * time.Second, RetryRatio: 1, RetryBurst: 200})
 	defer patient.Close()
-	single := newClient(r, client.Options{Attempts: 1})
+	single := newClient(r, client.Options{MaxAttempts: 1})
 	defer single.Close()
 	results := make([]result, requests)
 	next := make(chan int)
@@ -125,7 +125,7 @@
 	defer cancel()
 	r := result{kind: pick(random), key: key}
 	length := 5 + random.IntN(60)
-	g := client.Request{Meta: client.Meta{Key: key}, Model: "m", Prompt: fmt.Sprintf("%s [[len=%d]]", key, length)}
+	g := client.Request{RequestOptions: client.RequestOptions{Key: key}, Model: "m", Prompt: fmt.Sprintf("%s [[len=%d]]", key, length)}
 	switch r.kind {
 	case kindStream:
 		r.stream(ctx, c, g, length)
@@ -143,11 +143,11 @@
 			r.wrong = wrongText(strings.Fields(answer.Text), length)
 		}
 	case kindLookup:
-		r.call(ctx, c, client.CallRequest{Meta: g.Meta, Method: http.MethodGet, Path: "/beds/free?for=" + key})
+		r.call(ctx, c, client.CallRequest{RequestOptions: g.RequestOptions, Method: http.MethodGet, Path: "/beds/free?for=" + key})
 	case kindSingle:
-		r.call(ctx, single, client.CallRequest{Meta: g.Meta, Method: http.MethodPost, Path: "/beds/book", Body: []byte(key)})
+		r.call(ctx, single, client.CallRequest{RequestOptions: g.RequestOptions, Method: http.MethodPost, Path: "/beds/book", Body: []byte(key)})
 	case kindBooking:
-		r.call(ctx, c, client.CallRequest{Meta: g.Meta, Method: http.MethodPost, Path: "/beds/book", Body: []byte(key)})
+		r.call(ctx, c, client.CallRequest{RequestOptions: g.RequestOptions, Method: http.MethodPost, Path: "/beds/book", Body: []byte(key)})
 	}
 	return r
 }
