--- a/client/client.go
+++ b/client/client.go
@@ -72,7 +72,7 @@
 	counters  counters
 }
 
-// counters is the live form of Counts.
+// counters holds the atomic counters behind Counts.
 type counters struct {
 	retries  atomic.Int64
 	resumes  atomic.Int64
--- a/client/request.go
+++ b/client/request.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// setCommonHeaders sets the headers that generations and calls have in common. attempt counts from
-// 1.
+// setCommonHeaders sets the headers that generations and calls have in common. attempt is counted
+// from 1.
 func (m RequestOptions) setCommonHeaders(h http.Header, attempt int) {
 	h.Set(api.HeaderIdempotencyKey, m.Key)
 	if m.Resent {
--- a/client/stream.go
+++ b/client/stream.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// finalError returns the error that the caller gets for err. If the caller's context has ended,
-// that is the context's error in place of the failures that this causes; a refusal is returned in
-// any case.
+// finalError returns the error that the caller gets for err. If the caller's context has ended, the
+// exchange failed for that reason, and finalError returns the context's error unless err is a
+// refusal.
 func (s *Stream) finalError(err error) error {
 	if s.ctx.Err() != nil {
 		var refusal *crocusreel.Refusal
