--- a/client/fake_test.go
+++ b/client/fake_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// fakeRequest is what a fake gateway saw of one request.
+// fakeRequest is a request as received by a fake gateway.
 type fakeRequest struct {
 	Gateway string
 	Path    string
@@ -19,19 +19,21 @@
 	Body    string
 }
 
-// fakeSystem is some gateways that share their generations, as real ones do
-// through the engines.
-type fakeSystem struct {
-	mu       sync.Mutex
-	servers  []*httptest.Server
-	requests []fakeRequest
-	asked    int
-	// script answers the n-th request (from 0) other than one for addresses.
-	script func(n int, w http.ResponseWriter, r *http.Request, body string)
+// fakeGateways is a set of fake gateways that share their generations, as real ones do through the
+// engines.
+type fakeGateways struct {
+	mu      sync.Mutex
+	servers []*httptest.Server
+	// requests and addressRequests are guarded by mu. addressRequests counts the requests for the
+	// address list, which are not in requests.
+	requests        []fakeRequest
+	addressRequests int
+	// handler answers the n-th request, counted from 0 and without those for the address list.
+	handler func(n int, w http.ResponseWriter, r *http.Request, body string)
 }
 
-func newFakeSystem(gateways int) *fakeSystem {
-	f := &fakeSystem{}
+func newFakeGateways(gateways int) *fakeGateways {
+	f := &fakeGateways{}
 	for range gateways {
 		var server *httptest.Server
 		server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +44,7 @@
 	return f
 }
 
-func (f *fakeSystem) addresses() []string {
+func (f *fakeGateways) addresses() []string {
 	var out []string
 	for _, s := range f.servers {
 		out = append(out, s.Listener.Addr().String())
@@ -50,17 +52,17 @@
 	return out
 }
 
-func (f *fakeSystem) close() {
+func (f *fakeGateways) close() {
 	for _, s := range f.servers {
 		s.CloseClientConnections()
 		s.Close()
 	}
 }
 
-func (f *fakeSystem) serve(server *httptest.Server, w http.ResponseWriter, r *http.Request) {
+func (f *fakeGateways) serve(server *httptest.Server, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/addresses" {
 		f.mu.Lock()
-		f.asked++
+		f.addressRequests++
 		f.mu.Unlock()
 		_ = json.NewEncoder(w).Encode(map[string]any{"addresses": f.addresses(), "ttl_ms": 60000})
 		return
@@ -78,15 +80,16 @@
 	n := len(f.requests)
 	f.requests = append(f.requests, fakeRequest{server.Listener.Addr().String(), r.URL.Path, r.Header.Clone(), body.String()})
 	f.mu.Unlock()
-	f.script(n, w, r, body.String())
+	f.handler(n, w, r, body.String())
 }
 
-func (f *fakeSystem) seen() []fakeRequest {
+func (f *fakeGateways) received() []fakeRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]fakeRequest(nil), f.requests...)
 }
 
+// refuse sends a refusal. retryMS is the retry delay in milliseconds; 0 sends none.
 func refuse(w http.ResponseWriter, status int, reason crocusreel.Reason, outcome crocusreel.Outcome, retryMS int) {
 	if retryMS > 0 {
 		w.Header().Set("Retry-After", "1")
@@ -101,7 +104,7 @@
 	return fmt.Sprintf(`{"error":{"message":"refused","type":"t","code":"c"},"reason":%q,"outcome":%q}`, reason, outcome)
 }
 
-// sendTokens streams the tokens [from, to) of a generation.
+// sendTokens streams the tokens [from, to) of a generation. The first chunk carries the handle.
 func sendTokens(w http.ResponseWriter, generation string, from, to int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from; i < to; i++ {
@@ -115,6 +118,7 @@
 	w.(http.Flusher).Flush()
 }
 
+// sendEnd streams the last chunk, which gives the length in tokens, and the end marker.
 func sendEnd(w http.ResponseWriter, tokens int) {
 	fmt.Fprintf(w, "data: {\"choices\":[{\"text\":\"\",\"finish_reason\":\"stop\"}],\"crocusreel\":{\"index\":%d,\"preemptions\":2}}\n\n", tokens)
 	fmt.Fprint(w, "data: [DONE]\n\n")
@@ -124,10 +128,11 @@
 	fmt.Fprintf(w, "event: error\ndata: %s\n\n", refusalBody(reason, crocusreel.OutcomeRan))
 }
 
-// breakOff cuts the connection without an end.
-func breakOff() { panic(http.ErrAbortHandler) }
+// abortConnection aborts the connection in the middle of the response.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
-func wholeText(generation string, tokens int) string {
+// fullText returns the text of the first tokens of a generation, as sendTokens sends it.
+func fullText(generation string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
 		fmt.Fprintf(&b, "%s.%d ", generation, i)
--- a/client/random_test.go
+++ b/client/random_test.go
@@ -17,10 +17,11 @@
 	"github.com/crocusreel/crocusreel/client"
 )
 
-// fault is what goes wrong with one response of a gateway.
+// fault describes a fault in one response of a gateway.
 type fault struct {
-	// kind is what happens after the response has sent some tokens.
+	// kind is the fault that occurs after the response has sent some tokens.
 	kind string
+	// sent is the number of tokens before the fault.
 	sent int
 }
 
@@ -35,8 +36,8 @@
 	}), 0, 5).Draw(t, "faults")
 }
 
-// respond answers one request of a generation of length tokens, which the gateway
-// was asked to send from the token next.
+// respond answers a request for a generation of length tokens, starting at the token next, with the
+// fault f.
 func respond(w http.ResponseWriter, f fault, generation string, next, length int) {
 	upTo := min(next+f.sent, length)
 	switch f.kind {
@@ -45,7 +46,7 @@
 		return
 	case "cut":
 		sendTokens(w, generation, next, upTo)
-		breakOff()
+		abortConnection()
 	case "lost":
 		sendTokens(w, generation, next, upTo)
 		sendErrorEvent(w, crocusreel.ReasonGenerationLost)
@@ -67,18 +68,18 @@
 	sendEnd(w, length)
 }
 
-// Gateways cut streams, repeat and leave out tokens, end too early or lose the
-// generation, in any order. Whatever a caller gets must be the start of one
-// generation, and the whole of it if the client says so.
-var _ = It("gives one whole generation or an error, whatever the gateways do", func(ctx SpecContext) {
-	fake := newFakeSystem(3)
+// Guards against wrong answers when gateways truncate streams, repeat or omit tokens, end too early
+// or lose the generation, in any order. The tokens that a caller gets must be a prefix of one
+// generation, and the complete generation if the client returns io.EOF.
+var _ = It("returns one complete generation or an error, whatever the gateways do", func(ctx SpecContext) {
+	fake := newFakeGateways(3)
 	DeferCleanup(fake.close)
 	rapid.Check(GinkgoT(), func(t *rapid.T) {
 		faults := drawFaults(t)
 		length := rapid.IntRange(1, 8).Draw(t, "length")
 		started := 0
 		served := 0
-		fake.script = func(_ int, w http.ResponseWriter, r *http.Request, body string) {
+		fake.handler = func(_ int, w http.ResponseWriter, r *http.Request, body string) {
 			f := fault{kind: "none"}
 			if served < len(faults) {
 				f = faults[served]
@@ -97,7 +98,7 @@
 			respond(w, f, fmt.Sprintf("g%d", started), next, length)
 		}
 		c, err := client.New(client.Options{
-			Seeds: fake.addresses(), Key: "k", Attempts: 20, RetryBurst: 1000, BaseBackoff: time.Microsecond,
+			Seeds: fake.addresses(), Key: "k", MaxAttempts: 20, RetryBurst: 1000, BaseBackoff: time.Microsecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		stream, err := c.Generate(ctx, client.Request{Model: "m", Prompt: "p"})
@@ -107,11 +108,11 @@
 		for {
 			token, err := stream.Next()
 			if errors.Is(err, io.EOF) {
-				Expect(text.String()).To(Equal(wholeText(fmt.Sprintf("g%d", started), length)))
+				Expect(text.String()).To(Equal(fullText(fmt.Sprintf("g%d", started), length)))
 				return
 			}
 			if err != nil {
-				Expect(wholeText(fmt.Sprintf("g%d", started), length)).To(HavePrefix(text.String()))
+				Expect(fullText(fmt.Sprintf("g%d", started), length)).To(HavePrefix(text.String()))
 				return
 			}
 			text.WriteString(token.Text)
--- a/client/retry.go
+++ b/client/retry.go
@@ -10,83 +10,85 @@
 	"github.com/crocusreel/crocusreel/retry"
 )
 
-// verdict tells what to do after a failed attempt.
-type verdict struct {
+// retryDecision is the decision whether and how to retry a failed attempt.
+type retryDecision struct {
 	retry bool
-	// wait is the least time before the next attempt.
+	// wait is the minimum delay before the next attempt.
 	wait time.Duration
-	// elsewhere asks for another gateway.
-	elsewhere bool
+	// otherGateway requires another gateway for the next attempt, if there is one.
+	otherGateway bool
 }
 
-var giveUp = verdict{}
+var noRetry = retryDecision{}
 
-// judge decides whether a failed attempt may be repeated under the same key.
+// decideRetry decides whether a failed attempt may be retried under the same idempotency key.
 //
-// Idempotent work may be repeated whatever its outcome, as long as no token of the
-// answer has gone to the caller. Non-idempotent work is sent again, always with the
-// same key, only if it did not run, or if the gateway may hold its result: the
-// gateways refuse to run a key twice, so that such an attempt fetches the kept
-// result.
-func judge(err error, nonIdempotent bool) verdict {
-	var lost *LostError
+// Idempotent work may be retried whatever its outcome, as long as no token of the answer has been
+// returned to the caller. After a refusal, non-idempotent work is retried only if it did not run,
+// or if the gateways may hold its result. The gateways refuse to run a key twice, so a retry with
+// the same key returns the stored result. For the same reason, any work is retried after a
+// *GatewayLostError.
+func decideRetry(err error, nonIdempotent bool) retryDecision {
+	var lost *GatewayLostError
 	if errors.As(err, &lost) {
-		return verdict{retry: true, elsewhere: true}
+		return retryDecision{retry: true, otherGateway: true}
 	}
 	var refusal *crocusreel.Refusal
 	if !errors.As(err, &refusal) {
-		return giveUp
+		return noRetry
 	}
 	switch refusal.Reason {
 	case crocusreel.ReasonShuttingDown, crocusreel.ReasonNotReady:
-		return verdict{retry: refusal.Outcome == crocusreel.OutcomeNotRun || !nonIdempotent, elsewhere: true}
+		return retryDecision{retry: refusal.Outcome == crocusreel.OutcomeNotRun || !nonIdempotent, otherGateway: true}
 	case crocusreel.ReasonGenerationLost, crocusreel.ReasonEndpointLost:
-		return verdict{retry: !nonIdempotent, wait: refusal.RetryAfter}
+		return retryDecision{retry: !nonIdempotent, wait: refusal.RetryAfter}
 	}
 	if refusal.RetryAfter <= 0 {
-		return giveUp
+		return noRetry
 	}
 	if nonIdempotent && refusal.Outcome != crocusreel.OutcomeNotRun && !mayHoldResult(refusal.Reason) {
-		return giveUp
+		return noRetry
 	}
-	return verdict{retry: true, wait: refusal.RetryAfter}
+	return retryDecision{retry: true, wait: refusal.RetryAfter}
 }
 
-// mayHoldResult tells whether an attempt with the same key may later get the
-// result of a run whose outcome is not known yet.
+// mayHoldResult reports whether a later attempt with the same key may return the result of a run
+// whose outcome is not known yet.
 func mayHoldResult(reason crocusreel.Reason) bool {
 	return reason == crocusreel.ReasonRunInProgress || reason == crocusreel.ReasonLedgerUnavailable
 }
 
-// attempts counts the attempts at one request and the gateways that failed it.
+// attempts tracks the attempts of one request and the gateways that failed during them.
 type attempts struct {
-	client *Client
-	meta   Meta
-	number int
-	failed map[string]bool
-	// uncertain is set once an attempt may have run.
+	client  *Client
+	options RequestOptions
+	// number is the number of the current attempt, counted from 1.
+	number         int
+	failedGateways map[string]bool
+	// uncertain is set once any attempt may have run.
 	uncertain bool
 }
 
-func (c *Client) newAttempts(meta Meta) *attempts {
+func (c *Client) newAttempts(options RequestOptions) *attempts {
 	c.budget.RecordAttempt()
-	return &attempts{client: c, meta: meta, number: 1, failed: map[string]bool{}, uncertain: meta.Resent}
+	return &attempts{client: c, options: options, number: 1, failedGateways: map[string]bool{}, uncertain: options.Resent}
 }
 
-// truthful corrects an outcome of not_run that holds for the last attempt only: an
-// earlier one may have run. A caller that was told not_run would book again under a
-// new key. A gateway's own not_run for
-// non-idempotent work holds for the key, since it has looked at the key's record.
-func (a *attempts) truthful(err error) error {
-	var lost *LostError
+// correctOutcome changes the outcome of err from not_run to unknown if an earlier attempt may have
+// run, because the not_run then holds for the last attempt only. A caller that gets not_run may
+// repeat the work, such as a booking, under a new key. A not_run in a gateway's refusal of
+// non-idempotent work is kept: it holds for the key, since the gateway has checked the record of
+// the key.
+func (a *attempts) correctOutcome(err error) error {
+	var lost *GatewayLostError
 	if errors.As(err, &lost) && lost.Outcome == crocusreel.OutcomeNotRun && a.uncertain {
-		return &LostError{Outcome: crocusreel.OutcomeUnknown, Gateway: lost.Gateway, Cause: lost.Cause}
+		return &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: lost.Gateway, Cause: lost.Cause}
 	}
 	var refusal *crocusreel.Refusal
 	if !errors.As(err, &refusal) || refusal.Outcome != crocusreel.OutcomeNotRun {
 		return err
 	}
-	if !a.uncertain || a.meta.NonIdempotent {
+	if !a.uncertain || a.options.NonIdempotent {
 		return err
 	}
 	corrected := *refusal
@@ -94,9 +96,9 @@
 	return &corrected
 }
 
-// mayHaveRun tells whether the attempt that failed with err may have run.
+// mayHaveRun reports whether the attempt that failed with err may have run.
 func mayHaveRun(err error) bool {
-	var lost *LostError
+	var lost *GatewayLostError
 	if errors.As(err, &lost) {
 		return lost.Outcome != crocusreel.OutcomeNotRun
 	}
@@ -104,20 +106,23 @@
 	return !errors.As(err, &refusal) || refusal.Outcome != crocusreel.OutcomeNotRun
 }
 
-// next waits before another attempt. It returns false if err is final.
-func (a *attempts) next(ctx context.Context, gateway string, err error) bool {
+// waitForNext waits until the next attempt and counts it. It returns false if there must be none:
+// err does not permit a retry, the attempts or the retry budget are used up, or ctx ends before the
+// attempt would start. If err requires another gateway, it excludes the given one from later
+// attempts.
+func (a *attempts) waitForNext(ctx context.Context, gateway string, err error) bool {
 	if mayHaveRun(err) {
 		a.uncertain = true
 	}
-	v := judge(err, a.meta.NonIdempotent)
-	if !v.retry || a.number >= a.client.opts.Attempts || ctx.Err() != nil {
+	decision := decideRetry(err, a.options.NonIdempotent)
+	if !decision.retry || a.number >= a.client.opts.MaxAttempts || ctx.Err() != nil {
 		return false
 	}
-	if v.elsewhere && gateway != "" {
-		a.failed[gateway] = true
-		a.client.addresses.failed(gateway)
+	if decision.otherGateway && gateway != "" {
+		a.failedGateways[gateway] = true
+		a.client.addresses.markFailed(gateway)
 	}
-	wait := v.wait + a.jitter()
+	wait := decision.wait + a.jitter()
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < wait {
 		return false
 	}
@@ -132,8 +137,8 @@
 	return true
 }
 
-// jitter is uniform between zero and an exponentially growing bound, so that
-// clients refused together do not come back together.
+// jitter returns a random delay, uniform between 0 and an exponentially growing bound, so that
+// clients that were refused at the same time do not retry at the same time.
 func (a *attempts) jitter() time.Duration {
 	bound := a.client.opts.BaseBackoff << min(a.number-1, 16)
 	bound = min(bound, a.client.opts.MaxBackoff)
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -53,7 +53,7 @@
 		return operator.Version{}, eris.Wrap(err, "read configuration version")
 	}
 	if row.Version == 0 {
-		return operator.Version{}, operator.ErrNoVersion
+		return operator.Version{}, operator.ErrVersionNotFound
 	}
 	return decodeVersion(row)
 }
@@ -98,7 +98,7 @@
 func (v *versionStore) apply(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	head, row, err := v.head(ctx)
 	if err != nil {
-		return operator.Version{}, eris.Wrap(operator.ErrUnavailable, err.Error())
+		return operator.Version{}, eris.Wrap(operator.ErrPlatformUnavailable, err.Error())
 	}
 	if head.Version != e.ExpectedVersion {
 		return v.resolveOutdated(ctx, e, head)
@@ -117,7 +117,7 @@
 		case errors.Is(err, platform.ErrConflict):
 			return v.resolveConflict(ctx, e)
 		case errors.Is(err, platform.ErrUnavailable) && !maybeApplied:
-			return operator.Version{}, eris.Wrap(operator.ErrUnavailable, err.Error())
+			return operator.Version{}, eris.Wrap(operator.ErrPlatformUnavailable, err.Error())
 		}
 		// The response was lost, so the edit may be in force. The same transaction is sent again:
 		// its conditions let it take effect at most once, and if it already has, the conflict leads
@@ -125,7 +125,7 @@
 		// may still be in transit.
 		maybeApplied = true
 		if !sleepWithJitter(ctx, applyRetryDelay) {
-			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
+			return operator.Version{}, eris.Wrap(operator.ErrResultUnknown, err.Error())
 		}
 	}
 }
@@ -139,7 +139,7 @@
 			return v.resolveOutdated(ctx, e, head)
 		}
 		if !sleepWithJitter(ctx, applyRetryDelay) {
-			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
+			return operator.Version{}, eris.Wrap(operator.ErrResultUnknown, err.Error())
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	if head.Version > e.ExpectedVersion {
 		successor, err := v.read(ctx, e.ExpectedVersion+1)
 		if err != nil {
-			return operator.Version{}, eris.Wrap(operator.ErrUnknown, err.Error())
+			return operator.Version{}, eris.Wrap(operator.ErrResultUnknown, err.Error())
 		}
 		if successor.EditID == e.EditID {
 			return successor, nil
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -24,12 +24,12 @@
 	RunSpecs(t, "operator")
 }
 
-// backend answers with what the test sets.
+// backend is a fake Backend that records edits and returns the configured version and error.
 type backend struct {
 	current operator.Version
 	err     error
 	edits   []operator.Edit
-	left    string
+	leaving string
 }
 
 func (b *backend) Current() operator.Version { return b.current }
@@ -47,7 +47,7 @@
 }
 func (b *backend) Status() operator.Status { return operator.Status{VM: "vm-1"} }
 func (b *backend) Leave(_ context.Context, vm string) error {
-	b.left = vm
+	b.leaving = vm
 	return b.err
 }
 
@@ -56,7 +56,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func refused(code string) string {
+func refusalCount(code string) string {
 	if v := expvar.Get("refusals").(*expvar.Map).Get("operator_" + code); v != nil {
 		return v.String()
 	}
@@ -78,12 +78,12 @@
 		url = server.URL
 	})
 
-	It("takes each of the valid keys, and refuses and counts all others", func() {
+	It("accepts each of the valid keys, and refuses and counts all others", func() {
 		for _, key := range []string{"old", "new"} {
 			_, err := client(key).Status(ctx)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		before := refused(operator.CodeUnauthorized)
+		before := refusalCount(operator.CodeUnauthorized)
 		var refusal *operator.RemoteError
 		for _, key := range []string{"", "older", digest("old")} {
 			_, err := client(key).Status(ctx)
@@ -91,12 +91,13 @@
 			Expect(refusal.Code).To(Equal(operator.CodeUnauthorized))
 			Expect(errors.As(client(key).Leave(ctx, "vm-1"), &refusal)).To(BeTrue())
 		}
-		Expect(b.left).To(BeEmpty())
-		Expect(refused(operator.CodeUnauthorized)).NotTo(Equal(before))
+		Expect(b.leaving).To(BeEmpty())
+		Expect(refusalCount(operator.CodeUnauthorized)).NotTo(Equal(before))
 	})
 
-	// Two operators edit at once. The one who comes second must see what to merge.
-	It("tells what changed in a conflict", func() {
+	// Guards against lost edits when two operators edit concurrently: the second one must see the
+	// changes to merge.
+	It("returns the changes of the other edit in a conflict", func() {
 		change := config.Change{Part: "base", Key: "service.name", Old: "a", New: "b"}
 		b.err = &operator.Conflict{Current: operator.Version{Version: 7, EditID: "x"}, Changes: []config.Change{change}}
 		_, err := client("new").Apply(ctx, operator.Edit{ExpectedVersion: 6, EditID: "y"})
@@ -107,27 +108,27 @@
 		Expect(refusal.Conflict.Changes).To(Equal([]config.Change{change}))
 	})
 
-	It("names every mistake of a document and changes nothing", func() {
+	It("reports every problem of a document and changes nothing", func() {
 		err := client("new").Validate(ctx, config.Document{Base: "a = 1\nb = 2\n"})
 		var refusal *operator.RemoteError
 		Expect(errors.As(err, &refusal)).To(BeTrue())
-		Expect(refusal.Code).To(Equal(operator.CodeInvalid))
+		Expect(refusal.Code).To(Equal(operator.CodeInvalidDocument))
 		Expect(len(refusal.Problems)).To(BeNumerically(">=", 3))
 		Expect(b.edits).To(BeEmpty())
 	})
 
-	DescribeTable("says truthfully what is known of an edit", func(err error, code string) {
+	DescribeTable("reports whether an edit may be in force", func(err error, code string) {
 		b.err = eris.Wrap(err, "detail")
 		_, got := client("new").Apply(ctx, operator.Edit{EditID: "y"})
 		var refusal *operator.RemoteError
 		Expect(errors.As(got, &refusal)).To(BeTrue())
 		Expect(refusal.Code).To(Equal(code))
 	},
-		Entry("nothing was changed", operator.ErrUnavailable, operator.CodeUnavailable),
-		Entry("it may be in force", operator.ErrUnknown, operator.CodeUnknown),
+		Entry("nothing was changed", operator.ErrPlatformUnavailable, operator.CodePlatformUnavailable),
+		Entry("it may be in force", operator.ErrResultUnknown, operator.CodeResultUnknown),
 	)
 
-	It("refuses an edit without a name, a body that is too large and a limit out of range", func() {
+	It("refuses an edit without an ID, a body that is too large and a limit out of range", func() {
 		_, err := client("new").Apply(ctx, operator.Edit{})
 		Expect(err).To(MatchError(ContainSubstring("edit_id")))
 		_, err = client("new").Apply(ctx, operator.Edit{EditID: "x", Document: config.Document{Base: strings.Repeat("#", 5<<20)}})
@@ -137,7 +138,7 @@
 		Expect(b.edits).To(BeEmpty())
 	})
 
-	It("is reported as unreachable when nobody, or somebody else, answers", func() {
+	It("is reported as unreachable if no connection can be established", func() {
 		_, err := operator.NewClient("http://127.0.0.1:1", "new", nil).Status(ctx)
 		Expect(errors.Is(err, operator.ErrUnreachable)).To(BeTrue())
 	})
--- a/operator/server.go
+++ b/operator/server.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	// applyTimeout bounds an edit, including the reading back of lost answers.
+	// applyTimeout limits an edit. It includes the time to read the result back after a response of
+	// the platform was lost.
 	applyTimeout = 10 * time.Second
-	// readTimeout bounds requests that only read.
+	// readTimeout limits requests that only read.
 	readTimeout = 5 * time.Second
-	// maxBody bounds a request body, in bytes.
-	maxBody = 4 << 20
-	// defaultHistory and maxHistory bound the versions in one history.
+	// maxBodyBytes limits the size of a request body, in bytes.
+	maxBodyBytes = 4 << 20
+	// defaultHistory and maxHistory are the default and the maximum number of versions in one
+	// history.
 	defaultHistory = 20
 	maxHistory     = 200
-	// Addresses of the API.
+	// Paths of the API.
 	pathConfig   = "/v1/config"
 	pathValidate = "/v1/config/validate"
 	pathHistory  = "/v1/config/history"
@@ -34,21 +36,21 @@
 	pathVMs      = "/v1/vms/"
 )
 
-// Codes in error bodies. Each is counted as a refusal under its name, after
-// "operator_".
+// Codes in error bodies. Each refusal is counted in the refusals metric under its code with the
+// prefix "operator_".
 const (
-	CodeUnauthorized = "unauthorized"
-	CodeBadRequest   = "bad_request"
-	CodeInvalid      = "invalid_document"
-	CodeConflict     = "conflict"
-	CodeUnavailable  = "platform_unavailable"
-	CodeUnknown      = "result_unknown"
-	CodeNotFound     = "not_found"
-	CodeUnreachable  = "vm_unreachable"
-	CodeInternal     = "internal"
+	CodeUnauthorized        = "unauthorized"
+	CodeBadRequest          = "bad_request"
+	CodeInvalidDocument     = "invalid_document"
+	CodeConflict            = "conflict"
+	CodePlatformUnavailable = "platform_unavailable"
+	CodeResultUnknown       = "result_unknown"
+	CodeNotFound            = "not_found"
+	CodeVMUnreachable       = "vm_unreachable"
+	CodeInternal            = "internal"
 )
 
-// ErrorBody is the JSON of every refusal.
+// ErrorBody is the JSON body of every error response.
 type ErrorBody struct {
 	Code     string          `json:"code"`
 	Message  string          `json:"message"`
@@ -62,13 +64,13 @@
 	log     *zap.Logger
 }
 
-// NewHandler returns the administration API. Every address but /healthz asks for
-// an operator key.
+// NewHandler returns the handler of the administration API. Every path except /healthz requires an
+// operator key.
 func NewHandler(backend Backend, keys Keys, log *zap.Logger) http.Handler {
 	s := &server{backend: backend, keys: keys, log: log}
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.HTTPErrorHandler = s.fail
+	e.HTTPErrorHandler = s.handleError
 	e.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	api := e.Group("", s.authorise)
 	api.GET(pathConfig, s.current)
@@ -78,12 +80,13 @@
 	api.GET(pathVersions+":version", s.version)
 	api.GET(pathStatus, func(c echo.Context) error { return c.JSON(http.StatusOK, s.backend.Status()) })
 	api.POST(pathVMs+":vm/leave", s.leave)
-	return http.MaxBytesHandler(e, maxBody)
+	return http.MaxBytesHandler(e, maxBodyBytes)
 }
 
-// errUnauthorized is the refusal of a request without a valid operator key.
+// errUnauthorized is the error of a request without a valid operator key.
 var errUnauthorized = errors.New("an operator key is required")
 
+// authorise is middleware that rejects requests without a valid operator key.
 func (s *server) authorise(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !s.keys.Valid(c.Request().Header.Get(echo.HeaderAuthorization)) {
@@ -167,9 +170,10 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// fail writes the error body and counts the refusal.
-func (s *server) fail(err error, c echo.Context) {
-	status, body := describe(err)
+// handleError is the HTTP error handler. It counts and logs the refusal, and writes the error body
+// unless the response has already started.
+func (s *server) handleError(err error, c echo.Context) {
+	status, body := errorResponse(err)
 	metrics.Refused(crocusreel.Reason("operator_" + body.Code))
 	s.log.Info("operator request refused", zap.String("code", body.Code), zap.String("path", c.Path()), zap.Int("status", status))
 	if !c.Response().Committed {
@@ -177,7 +181,9 @@
 	}
 }
 
-func describe(err error) (int, ErrorBody) {
+// errorResponse maps an error to an HTTP status code and an error body. The message of err is sent
+// to the client.
+func errorResponse(err error) (int, ErrorBody) {
 	body := ErrorBody{Message: err.Error()}
 	var conflict *Conflict
 	var problems config.Problems
@@ -187,18 +193,18 @@
 	case errors.As(err, &conflict):
 		status, body.Code, body.Conflict = http.StatusConflict, CodeConflict, conflict
 	case errors.As(err, &problems):
-		status, body.Code, body.Problems = http.StatusUnprocessableEntity, CodeInvalid, problems
+		status, body.Code, body.Problems = http.StatusUnprocessableEntity, CodeInvalidDocument, problems
 		body.Message = "the document holds mistakes; nothing was changed"
 	case errors.Is(err, errUnauthorized):
 		status, body.Code = http.StatusUnauthorized, CodeUnauthorized
-	case errors.Is(err, ErrUnavailable):
-		status, body.Code = http.StatusServiceUnavailable, CodeUnavailable
-	case errors.Is(err, ErrUnknown):
-		status, body.Code = http.StatusGatewayTimeout, CodeUnknown
-	case errors.Is(err, ErrNoVersion), errors.Is(err, ErrNoVM):
+	case errors.Is(err, ErrPlatformUnavailable):
+		status, body.Code = http.StatusServiceUnavailable, CodePlatformUnavailable
+	case errors.Is(err, ErrResultUnknown):
+		status, body.Code = http.StatusGatewayTimeout, CodeResultUnknown
+	case errors.Is(err, ErrVersionNotFound), errors.Is(err, ErrVMNotFound):
 		status, body.Code = http.StatusNotFound, CodeNotFound
 	case errors.Is(err, ErrVMUnreachable):
-		status, body.Code = http.StatusBadGateway, CodeUnreachable
+		status, body.Code = http.StatusBadGateway, CodeVMUnreachable
 	case errors.As(err, &httpError):
 		status, body.Code = httpError.Code, CodeBadRequest
 		if status == http.StatusNotFound {
