--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip tells the other nodes several times a second what this node runs and
-// whether callers may be sent to it, and keeps what they tell. All of it is soft state:
-// a lost datagram is replaced by the next one.
+// Package gossip sends the state of this node to the other nodes several times a second over UDP:
+// its load, and whether callers may be sent to it. It keeps the states that the other nodes send.
+// All of it is soft state: a lost datagram is superseded by the next one.
 package gossip
 
 import (
@@ -23,53 +23,56 @@
 )
 
 const (
-	// interval is the time between two datagrams to each node of this data centre, and to
-	// each of the others, while there are at most fullRate of them; beyond, it grows with
-	// their number, so that a node's traffic stays the same. A load that is 150 ms old is about
-	// one request behind. Callers are sent to nodes of their own data centre, and work is kept
-	// there, so that nodes hear of a loss nearby in a second when there are hundreds of them.
+	// interval is the time between two datagrams to each node of a group of up to fullRate nodes.
+	// With more nodes it grows in proportion to their number, so that the traffic of a node stays
+	// the same. A load that is 150 ms old is about one request behind. The nodes of this data
+	// centre form a group of their own because callers are sent to, and work stays in, their own
+	// data centre: the loss of a nearby node is detected within about a second even with hundreds
+	// of nodes elsewhere.
 	interval = 150 * time.Millisecond
 	fullRate = 8
-	// shortestGap is the least time between two rounds. New work is told at once: nodes
-	// that learn of it 150 ms later all choose the same engine meanwhile, and the last
-	// of their callers waits two seconds for its prompt to be read.
+	// shortestGap is the minimum time between two rounds. New work is announced at once: nodes that
+	// learn of it 150 ms later would all choose the same engine in the meantime, and the last of
+	// their callers would wait two seconds for its prompt to be processed.
 	shortestGap = 10 * time.Millisecond
-	// urgentGap is the same for news that must be everywhere before a caller comes again
-	// elsewhere, a few ways between data centres later. It bounds the rounds when an engine
-	// with many answers dies.
+	// urgentGap replaces shortestGap for changes that must reach all nodes before a caller retries
+	// at another node, which takes a few one-way delays between data centres. It bounds the number
+	// of rounds when an engine with many running answers dies.
 	urgentGap = 2 * time.Millisecond
-	// fullEvery is the time between two datagrams to a node that also carry addresses;
-	// those between are shorter by far. Nobody needs addresses often: a node that was just
-	// found is told everything.
+	// fullEvery is the time between two full datagrams to a node. Those between are brief: they
+	// leave out the addresses and are much smaller. Addresses are rarely needed, because a newly
+	// discovered node is sent a full datagram at once.
 	fullEvery = 6 * time.Second
-	// fullRounds is the least number of rounds between two of them: where rounds are rare,
-	// each datagram would else carry addresses.
+	// fullRounds is the minimum number of rounds between two full datagrams to a node. Without it,
+	// every datagram would carry addresses where rounds are rare.
 	fullRounds = 10
-	// liveFor is how long a node counts as live after its last datagram, in intervals:
-	// a lost datagram and a late one in a row must not take a node out.
+	// liveFor is how long a node counts as live after its last datagram, in periods of its group:
+	// one lost datagram followed by a late one must not remove a node.
 	liveFor = 6
-	// longestLive bounds that time, so that callers are not told of nodes that are gone, as
-	// long as it is leastLiveFor intervals: two datagrams may be lost.
+	// longestLive caps that time, so that callers are not sent to nodes that are gone. It never
+	// falls below leastLiveFor periods, so that two datagrams may be lost.
 	longestLive  = 5 * time.Second
 	leastLiveFor = 3
-	// probeEvery is the time between datagrams to a node that is not heard of, and
-	// forgetAfter the time after which it is given up. A node that was cut off that
-	// long finds the others through the store.
+	// probeEvery is the time between datagrams to a node that is not live. forgetAfter is the time
+	// without a datagram after which a node is removed; a node that was disconnected for that long
+	// finds the others through the store.
 	probeEvery  = time.Second
 	forgetAfter = time.Minute
-	// TellAllUpTo is the usual number of nodes up to which all are told of new work at
-	// once: work goes to other data centres more often, and starts later, where the nodes
-	// there hear of it late. Beyond, bytes grow with the square of the number of nodes.
+	// TellAllUpTo is the usual number of nodes up to which new work is announced to all of them at
+	// once: if nodes of other data centres learn of it late, work is sent to other data centres
+	// more often and starts later. Beyond it, the bytes sent would grow with the square of the
+	// number of nodes.
 	TellAllUpTo = 128
-	// maxDatagram bounds a datagram in bytes: the network's packets hold no more.
+	// maxDatagram bounds a datagram in bytes, so that it fits into one packet of the network.
 	maxDatagram = 1400
-	// maxKnown bounds the addresses of other nodes in a datagram to a node that was just
-	// found, and fewKnown in any other: those that a node lacks come with some other.
+	// maxKnown bounds the addresses of other nodes in a datagram to a newly discovered node, and
+	// fewKnown those in any other full datagram. Addresses that a node still lacks arrive with
+	// later datagrams.
 	maxKnown = 12
 	fewKnown = 4
 )
 
-// Peer is another node as it last told of itself.
+// Peer is another node according to its last datagram.
 type Peer struct {
 	Address       string
 	CallerAddress string
@@ -77,84 +80,88 @@
 	DataCentre    string
 	Ready         bool
 	Leaving       bool
-	// Store is the node's own way to the store.
+	// Store is the state of the node's own connection to the store.
 	Store exchangev1.StoreLink
 }
 
 type peer struct {
 	Peer
+	// incarnation and sequence identify the newest state that was received.
 	incarnation, sequence uint64
-	heard                 time.Duration
-	added                 time.Duration
-	sent                  time.Duration
-	// full is when the node was last told everything; 0 if it has to be.
+	// heard is when the last state was received, added when the node became known, and sent when it
+	// was last probed.
+	heard time.Duration
+	added time.Duration
+	sent  time.Duration
+	// full is when the node was last sent a full datagram, 0 if the next one has to be full.
 	full time.Duration
 	live bool
 }
 
-// Options describe the node and the rest of the process.
+// Options configure a Gossip and connect it to the rest of the process.
 type Options struct {
-	// IP is this node's address; Port is that of all nodes' datagrams.
+	// IP is the address of this node. Port is the UDP port that all nodes use.
 	IP         string
 	Port       int
 	DataCentre string
-	// TellAllUpTo is the number of other nodes up to which Tell tells all of them.
+	// TellAllUpTo is the number of other nodes up to which Tell announces a change to all of them.
 	TellAllUpTo int
 	// Now reads a monotonic clock.
 	Now func() time.Duration
-	// State returns what to tell, without addresses of other nodes.
+	// State returns the state of this node to send, without addresses of other nodes.
 	State func() *exchangev1.NodeState
-	// Heard takes each state that is newer than the last of its node; Lost takes the
-	// address of a node that is no longer live.
+	// Heard is called with each state that is newer than the last one of its node, and Lost with
+	// the address of a node that is no longer live. Both are called without locks of the Gossip
+	// held.
 	Heard func(*exchangev1.NodeState)
 	Lost  func(address string)
 	Log   *zap.Logger
 }
 
-// Gossip exchanges states with the other nodes.
+// Gossip exchanges states with the other nodes. Its methods are safe for concurrent use.
 type Gossip struct {
 	o        Options
 	mu       sync.Mutex
 	peers    map[string]*peer
 	sequence uint64
-	// near and far are the regular rounds to the nodes of this data centre and to others.
+	// near schedules the rounds to the nodes of this data centre, far those to all others.
 	near, far rounds
-	// changed asks for a round before the next one is due, and audience tells to whom.
+	// changed requests a round before the next one is due; audience holds its recipients.
 	changed chan struct{}
-	// urgent ends the usual pause before a round.
+	// urgent ends the shortestGap before a round early.
 	urgent chan struct{}
-	// audienceMu guards audience alone. Those who tell hold locks of their own, which are
-	// also taken while a lost node is told of: were it mu, each would wait for the other.
+	// audienceMu guards audience only. Callers of Tell hold locks of their own that Lost also
+	// takes: if Tell took mu instead, a callback that runs with mu held would deadlock with it.
 	audienceMu sync.Mutex
 	audience   audience
-	// known is the number of peers.
+	// known is the number of peers; Tell reads it without mu.
 	known atomic.Int32
-	// view is what Live returns until something in it changes, or until viewUntil at the
-	// latest; nil if it has to be made.
+	// view caches the result of Live until a live node changes, or until viewUntil at the latest.
+	// It is nil if it has to be built.
 	view      []Peer
 	viewUntil time.Duration
 }
 
-// rounds are the regular ones to a group of nodes.
+// rounds is the schedule of regular rounds to a group of nodes.
 type rounds struct {
-	// members is the number of nodes that the period is for: those of this data centre, or
-	// all, since bytes between data centres are dear.
+	// members is the number of nodes that determines the period: those of this data centre for the
+	// near group, and all nodes for the far one, since traffic between data centres is expensive.
 	members int
-	// last is when all of them were last told.
+	// last is when the last regular round to the whole group began.
 	last time.Duration
 }
 
-// period is the time between two rounds.
+// period returns the time between two regular rounds.
 func (r *rounds) period() time.Duration {
 	return interval * time.Duration(max(r.members, fullRate)) / fullRate
 }
 
-// liveTime is how long a node of the group counts as live after its last datagram.
+// liveTime returns how long a node of the group counts as live after its last datagram.
 func (r *rounds) liveTime() time.Duration {
 	return max(min(liveFor*r.period(), longestLive), leastLiveFor*r.period())
 }
 
-// begin tells whether a round is due, and begins it.
+// begin reports whether a round is due, and if so records that it begins now.
 func (r *rounds) begin(now time.Duration) bool {
 	if now-r.last < r.period() {
 		return false
@@ -163,7 +170,8 @@
 	return true
 }
 
-// audience is who must hear of a change at once. Nodes that were just found always do.
+// audience is the set of nodes that must receive a change at once. Newly discovered nodes are
+// always sent it.
 type audience struct {
 	all         bool
 	dataCentres map[string]bool
@@ -178,12 +186,12 @@
 
 func (a *audience) includes(dataCentre string) bool { return a.all || a.dataCentres[dataCentre] }
 
-// New returns a Gossip that knows no other node.
+// New returns a Gossip that knows no other node. Run starts it.
 func New(o Options) *Gossip {
 	return &Gossip{o: o, peers: make(map[string]*peer), changed: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
 }
 
-// Add makes nodes known by their IPs.
+// Add adds nodes by their IP addresses. Invalid addresses and that of this node are ignored.
 func (g *Gossip) Add(addresses ...string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -192,6 +200,8 @@
 	}
 }
 
+// addLocked returns the peer with the given address and adds it if it is new. It returns nil for an
+// invalid address and for that of this node. The caller holds g.mu.
 func (g *Gossip) addLocked(address string) *peer {
 	if address == g.o.IP || net.ParseIP(address) == nil {
 		return nil
@@ -204,8 +214,8 @@
 	return p
 }
 
-// Tell makes the next round come at once, to the nodes of this data centre and the given
-// ones, or to all if there are few. It never blocks.
+// Tell requests an immediate round to the nodes of this data centre and of the given ones, or to
+// all nodes if there are at most TellAllUpTo. It never blocks.
 func (g *Gossip) Tell(dataCentres ...string) {
 	g.audienceMu.Lock()
 	g.audience.all = g.audience.all || int(g.known.Load()) <= g.o.TellAllUpTo
@@ -217,7 +227,7 @@
 	g.wake()
 }
 
-// TellAll makes the next round come at once, to all nodes. It never blocks.
+// TellAll requests an immediate round to all nodes. It never blocks.
 func (g *Gossip) TellAll() {
 	g.audienceMu.Lock()
 	g.audience.all = true
@@ -225,7 +235,8 @@
 	g.wake()
 }
 
-// TellNow makes the next round come before the usual gap between two, to all nodes.
+// TellNow requests a round to all nodes without waiting for the usual gap between two rounds. It
+// never blocks.
 func (g *Gossip) TellNow() {
 	select {
 	case g.urgent <- struct{}{}:
@@ -241,9 +252,9 @@
 	}
 }
 
-// Live returns the nodes heard of lately, ordered by address. The result is shared and
-// must not be changed: it is asked for with each request and many times a second besides,
-// and to make it anew each time would take a small VM's processor once there are hundreds.
+// Live returns the live nodes, ordered by address. The result is shared and must not be modified:
+// it is read for each request and many times a second besides, and building it each time would take
+// up the processor of a small VM once there are hundreds of nodes.
 func (g *Gossip) Live() []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -254,14 +265,16 @@
 	return g.view
 }
 
-// FarLiveTime is how long a node of another data centre counts as live after its last datagram.
+// FarLiveTime returns how long a node of another data centre counts as live after its last
+// datagram.
 func (g *Gossip) FarLiveTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.far.liveTime()
 }
 
-// liveLocked returns the live nodes and until when they are, if nothing is heard.
+// liveLocked returns the live nodes, and the time until which they stay live if no further datagram
+// arrives. The caller holds g.mu.
 func (g *Gossip) liveLocked(now time.Duration) (live []Peer, until time.Duration) {
 	live, until = []Peer{}, now+g.near.liveTime()
 	for _, p := range g.peers {
@@ -275,7 +288,8 @@
 	return slices.Clip(live), until
 }
 
-// Run exchanges datagrams until ctx ends.
+// Run exchanges datagrams until ctx is cancelled. It returns an error if it cannot listen on the
+// node's address.
 func (g *Gossip) Run(ctx context.Context) error {
 	conn, err := net.ListenPacket("udp4", net.JoinHostPort(g.o.IP, strconv.Itoa(g.o.Port)))
 	if err != nil {
@@ -291,7 +305,7 @@
 			_ = conn.Close()
 			return
 		}
-		<-closed // the port is free once Run returns
+		<-closed // The port is free once Run has returned.
 	}()
 	go g.receive(ctx, conn)
 	for {
@@ -302,7 +316,7 @@
 	}
 }
 
-// wait waits until the next round is due or asked for; it returns false once ctx ends.
+// wait blocks until the next round is due or requested. It returns false if ctx is cancelled.
 func (g *Gossip) wait(ctx context.Context) bool {
 	due := time.NewTimer(g.untilRegular())
 	defer due.Stop()
@@ -318,7 +332,7 @@
 	return true
 }
 
-// space keeps two rounds apart; it returns false once ctx ends.
+// space enforces the minimum gap between two rounds. It returns false if ctx is cancelled.
 func (g *Gossip) space(ctx context.Context) bool {
 	spaced := time.NewTimer(shortestGap)
 	defer spaced.Stop()
@@ -334,14 +348,15 @@
 	return true
 }
 
+// untilRegular returns the time until the next regular round is due.
 func (g *Gossip) untilRegular() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return min(g.near.last+g.near.period(), g.far.last+g.far.period()) - g.o.Now()
 }
 
-// groupLocked returns the regular rounds that a node is in. One that was not heard of yet
-// is taken for a far one.
+// groupLocked returns the schedule of the group of p. A node that has not sent a state yet has no
+// known data centre and counts as far. The caller holds g.mu.
 func (g *Gossip) groupLocked(p *peer) *rounds {
 	if p.DataCentre == g.o.DataCentre {
 		return &g.near
@@ -349,14 +364,16 @@
 	return &g.far
 }
 
-// recipients are the nodes of one round, by what they are told.
+// recipients are the addresses to send to in one round, by the content of the datagram.
 type recipients struct {
-	// brief get loads only, whole everything, and found many known addresses as well. Probed
-	// are those that are not heard of: whoever answers has its addresses from others.
+	// brief nodes are sent the state without its addresses; whole ones are sent the full state and
+	// a few addresses of other nodes, and found ones (newly discovered) more of these. probed nodes
+	// are not live and are sent no addresses of others: a node that responds learns these from the
+	// full datagram that follows.
 	brief, whole, found, probed []string
 }
 
-// round sends this node's state to every node that is due.
+// round sends the state of this node to every node that is due.
 func (g *Gossip) round(conn net.PacketConn) {
 	to := g.due()
 	g.send(conn, to.brief, func(s *exchangev1.NodeState) { shorten(s) })
@@ -365,6 +382,7 @@
 	g.send(conn, to.probed, func(*exchangev1.NodeState) {})
 }
 
+// send sends one datagram to each target. shape adapts the state to this kind of recipient.
 func (g *Gossip) send(conn net.PacketConn, targets []string, shape func(*exchangev1.NodeState)) {
 	if len(targets) == 0 {
 		return
@@ -378,7 +396,7 @@
 	}
 }
 
-// takeAudience returns who has to hear of changes and empties the list.
+// takeAudience returns the recipients of pending changes and clears them.
 func (g *Gossip) takeAudience() audience {
 	g.audienceMu.Lock()
 	defer g.audienceMu.Unlock()
@@ -387,7 +405,7 @@
 	return a
 }
 
-// due lists the nodes to send to and drops those that are given up.
+// due returns the nodes to send to, and calls Lost for those that have become silent.
 func (g *Gossip) due() recipients {
 	to, lost := g.look(g.takeAudience())
 	for _, address := range lost {
@@ -396,7 +414,8 @@
 	return to
 }
 
-// look goes through all nodes; lost are those that were live until now.
+// look selects the recipients of a round and removes nodes that have been silent for forgetAfter.
+// lost are the nodes that were live until now.
 func (g *Gossip) look(heard audience) (to recipients, lost []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -435,7 +454,8 @@
 	return to, lost
 }
 
-// addLive adds a live node, which is told its share of addresses again after the given time.
+// addLive adds a live node. It is sent a full datagram if it is newly discovered or if its last one
+// is at least fullAfter old.
 func (r *recipients) addLive(address string, p *peer, now, fullAfter time.Duration) {
 	switch {
 	case p.full == 0:
@@ -449,8 +469,8 @@
 	p.full = now
 }
 
-// someLive returns addresses of live nodes, at most the given number. A map's order is
-// random, so that others come at other times.
+// someLive returns at most the given number of addresses of live nodes. The iteration order of maps
+// is random, so that each call returns other ones.
 func (g *Gossip) someLive(most int) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -463,6 +483,7 @@
 	return known
 }
 
+// encode returns the encoded state of this node with the next sequence number.
 func (g *Gossip) encode(shape func(*exchangev1.NodeState)) []byte {
 	state := g.o.State()
 	shape(state)
@@ -472,8 +493,8 @@
 	g.mu.Unlock()
 	data, err := proto.Marshal(state)
 	for err == nil && len(data) > maxDatagram && len(state.GetLoads()) > 0 {
-		// A node with work on very many endpoints tells of the first ones only; the
-		// others are then a little more crowded than nodes think.
+		// A node with work on very many endpoints sends the loads of the first ones only. Other
+		// nodes then slightly underestimate the load of the remaining endpoints.
 		state.Loads = state.GetLoads()[:len(state.GetLoads())/2]
 		metrics.Count("gossip_loads_cut")
 		data, err = proto.Marshal(state)
@@ -484,7 +505,7 @@
 	return data
 }
 
-// shorten leaves out what changes with a new incarnation only.
+// shorten removes the fields that change with a new incarnation only.
 func shorten(s *exchangev1.NodeState) {
 	s.Brief = true
 	s.CallerAddress, s.PeerAddress, s.DataCentre = "", "", ""
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -16,11 +16,11 @@
 	"github.com/crocusreel/crocusreel/internal/boottime"
 )
 
-// node is one node on a loopback address of its own.
+// node is a Gossip on a loopback address of its own.
 type node struct {
 	*gossip.Gossip
 	ip string
-	// stop ends the node and waits until its address is free again.
+	// stop stops the node and waits until its address is free again.
 	stop func()
 
 	mu    sync.Mutex
@@ -29,11 +29,11 @@
 	ready bool
 }
 
-// own returns an address of this process: two runs of the suite at the same time would not get
-// each other's, and one of them would fail to listen.
+// own returns an address derived from the process ID, so that two runs of the suite at the same
+// time do not listen on the same address.
 func own(n int) string { return fmt.Sprintf("127.%d.0.%d", 1+os.Getpid()%250, n) }
 
-// port is one that is below the ports of outgoing connections.
+// port lies below the range of ephemeral ports.
 const port = 23117
 
 func start(ip string, incarnation uint64) *node { return startIn("dc", ip, incarnation) }
@@ -56,7 +56,7 @@
 			n.heard = append(n.heard, s)
 		},
 		Lost: func(address string) {
-			// As the fleet does, which then has room to tell of.
+			// The fleet also announces a change here: it has free capacity after a loss.
 			n.TellAll()
 			n.Tell("dc")
 			n.mu.Lock()
@@ -105,7 +105,7 @@
 	return append([]*exchangev1.NodeState(nil), n.heard[count:]...)
 }
 
-// elsewhere returns addresses of nodes that are not heard of.
+// elsewhere returns addresses at which no node responds.
 func elsewhere(count int) []string {
 	var addresses []string
 	for i := range count {
@@ -114,9 +114,9 @@
 	return addresses
 }
 
-var _ = Describe("nodes that gossip", func() {
-	// A new node knows one other node only, as after a start with one good seed.
-	It("learn of all through one, and tell what has changed", func() {
+var _ = Describe("gossip between nodes", func() {
+	// A new node knows a single other node, as after a start with only one working seed.
+	It("discovers all nodes through one of them and propagates changes", func() {
 		a, b, c := start(own(11), 1), start(own(12), 1), start(own(13), 1)
 		a.Add(b.ip)
 		c.Add(b.ip)
@@ -129,9 +129,9 @@
 		Expect(a.Live()[0].PeerAddress).To(Equal(b.ip + ":2"))
 	})
 
-	// A node that was just found is told addresses at once. Told of loads only, the other
-	// could do nothing with it, and for a second they would choose the same engines.
-	It("know each other within two rounds", func() {
+	// Guards against sending only loads to a newly discovered node: without the addresses it could
+	// not use them, and both nodes would choose the same engines for a second.
+	It("makes nodes known to each other within two rounds", func() {
 		a, b := start(own(41), 1), start(own(42), 1)
 		time.Sleep(250 * time.Millisecond)
 		a.Add(b.ip)
@@ -139,11 +139,10 @@
 		Eventually(a.live, 600*time.Millisecond, 10*time.Millisecond).ShouldNot(BeEmpty())
 	})
 
-	// A node falls silent without a word. The work that it told of must not be counted
-	// for ever, and callers must not be sent there. Who hears of the loss tells of what
-	// changes by it at once, under locks of its own: a gossip that waited for those would
-	// stand still for ever, and its node would soon serve no keys.
-	It("lose one that is silent, and find it again", func() {
+	// Guards against counting the work of a node that has stopped without notice, and sending
+	// callers to it, forever. Lost announces the resulting change at once while it holds its own
+	// locks: a Gossip that waited for these would deadlock, and its node would soon serve no keys.
+	It("detects the loss of a silent node and its return", func() {
 		a, b := start(own(21), 1), start(own(22), 1)
 		a.Add(b.ip)
 		Eventually(a.live, 2*time.Second).Should(Equal([]string{b.ip}))
@@ -154,9 +153,9 @@
 		Eventually(a.live, 3*time.Second).Should(Equal([]string{again.ip}))
 	})
 
-	// With some sixty nodes, addresses were two fifths of all bytes between data centres.
-	// They are told to a node that was just found, and then hardly ever.
-	It("tell addresses once, and loads in each round", func() {
+	// Guards against sending addresses in each datagram: with some sixty nodes they made up two
+	// fifths of all bytes between data centres. Only a newly discovered node needs them at once.
+	It("sends addresses once and loads in each round", func() {
 		a, b := start(own(51), 1), start(own(52), 1)
 		a.Add(b.ip)
 		Eventually(a.live, 2*time.Second).ShouldNot(BeEmpty())
@@ -175,10 +174,9 @@
 		Expect(whole).To(BeNumerically("<=", 1))
 	})
 
-	// New work on an engine is told at once to the nodes that choose it first, those of its
-	// data centre. To tell all nodes of each request costs bytes that grow with the square
-	// of their number.
-	It("tell of new work where it matters, and elsewhere with the next round", func() {
+	// Guards against announcing each request to all nodes at once: the bytes sent would grow with
+	// the square of their number. Only nodes of the same data centre choose the engine first.
+	It("announces new work at once in its data centre and elsewhere with the next round", func() {
 		a, near, far := start(own(61), 1), start(own(62), 1), startIn("far", own(63), 1)
 		a.Add(near.ip, far.ip)
 		Eventually(a.live, 2*time.Second).Should(HaveLen(2))
@@ -193,11 +191,10 @@
 		Expect(far.heardCount()).To(BeNumerically(">", farBefore))
 	})
 
-	// A node dies that others of its data centre send callers to, and there are hundreds of
-	// nodes elsewhere. Each round to all of them takes longer the more they are; were a loss
-	// nearby to show after some of these rounds only, callers would be sent to the dead node
-	// for many seconds.
-	It("lose one nearby as soon with hundreds of others elsewhere", func() {
+	// Guards against sending callers to a dead node of the same data centre for many seconds:
+	// rounds to all nodes become rarer as nodes are added, and a nearby loss must not depend on
+	// these.
+	It("detects a nearby loss just as fast with hundreds of nodes elsewhere", func() {
 		a, b := start(own(71), 1), start(own(72), 1)
 		a.Add(b.ip)
 		a.Add(elsewhere(200)...)
@@ -208,9 +205,9 @@
 		Eventually(a.lostNodes, 1500*time.Millisecond).Should(Equal([]string{b.ip}))
 	})
 
-	// Guards against a node that restarts within a moment and hears of nobody for seconds: the
-	// others take it for live and go on leaving out the addresses that it knew before.
-	It("tell one that has restarted within a moment everything at once", func() {
+	// Guards against a node that restarts quickly and receives no addresses for seconds: the others
+	// still consider it live and leave out the addresses that it knew before.
+	It("sends the full state at once to a node that has restarted quickly", func() {
 		a, b := start(own(71), 1), start(own(72), 1)
 		a.Add(b.ip)
 		Eventually(a.live, time.Second).Should(ConsistOf(b.ip))
@@ -222,10 +219,10 @@
 		Eventually(again.live, 500*time.Millisecond, 5*time.Millisecond).Should(ConsistOf(b.ip))
 	})
 
-	// All nodes start at once, and each knows the seeds only. A seed that answers with its
-	// next round, which comes seconds later once it knows hundreds of nodes, keeps them from
-	// serving for as long.
-	It("answer one that they have not heard of at once", func() {
+	// Guards against a slow start of the whole system: all nodes start at once and know the seeds
+	// only. A seed that knows hundreds of nodes has seconds between its regular rounds; if it
+	// responded only then, the new nodes could not serve for as long.
+	It("responds to an unknown node at once", func() {
 		a := startIn("far", own(81), 1)
 		a.Add(elsewhere(300)...)
 		time.Sleep(500 * time.Millisecond)
@@ -234,9 +231,9 @@
 		Eventually(b.live, 400*time.Millisecond, 10*time.Millisecond).Should(Equal([]string{a.ip}))
 	})
 
-	// New work is told at once: a node that learns of it a round later chooses the same
-	// engine meanwhile.
-	It("tell of new work before the next round", func() {
+	// Guards against announcing new work only with the next regular round: a node that learns of it
+	// that late chooses the same engine in the meantime.
+	It("announces new work before the next regular round", func() {
 		a, b := start(own(31), 1), start(own(32), 1)
 		a.Add(b.ip)
 		Eventually(a.live, 2*time.Second).ShouldNot(BeEmpty())
--- a/gossip/live_test.go
+++ b/gossip/live_test.go
@@ -7,17 +7,17 @@
 	"github.com/crocusreel/crocusreel/gossip"
 )
 
-// Guards against callers who are told for long of nodes nearby that are gone, and against
-// nodes that are lost for two datagrams.
+// Guards against sending callers to nearby nodes for long after these are gone, and against
+// treating nodes as lost after only two lost datagrams.
 func TestLiveTime(t *testing.T) {
 	const bound = 7 * time.Second
 	for _, members := range []int{1, 8, 24, 75, 100} {
 		live, period := gossip.LiveTime(members)
 		if live > bound {
-			t.Errorf("%d nodes: gone ones count as live for %v", members, live)
+			t.Errorf("group of %d nodes: a lost node counts as live for %v, which is too long", members, live)
 		}
 		if live < 3*period {
-			t.Errorf("%d nodes: %v for datagrams each %v", members, live, period)
+			t.Errorf("group of %d nodes: live time of %v is less than three periods of %v", members, live, period)
 		}
 	}
 }
--- a/gossip/receive.go
+++ b/gossip/receive.go
@@ -12,6 +12,7 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
+// receive reads datagrams and passes new states to Heard until ctx is cancelled.
 func (g *Gossip) receive(ctx context.Context, conn net.PacketConn) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -35,7 +36,8 @@
 	}
 }
 
-// take records a state; it returns false for one that is not newer than the last.
+// take records a state. It returns false if the state is not newer than the last one of its node,
+// or is brief although the addresses of that incarnation are not known.
 func (g *Gossip) take(s *exchangev1.NodeState) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,8 +51,8 @@
 		return false
 	}
 	if s.GetBrief() && s.GetIncarnation() != p.incarnation {
-		// Its addresses come with the next whole datagram; it is asked for by telling
-		// the node of this one.
+		// The addresses arrive with the next full datagram. Probing the sender at once
+		// prompts it to send one.
 		p.live, p.sent, p.full = false, 0, 0
 		g.view = nil
 		g.wake()
@@ -71,7 +73,7 @@
 	}
 	if !p.live || started {
 		// A node that was not live may have missed the addresses. One that has just started
-		// knows the seeds only, and waits for their answer.
+		// knows the seeds only and waits for their response.
 		p.full = 0
 		g.wake()
 	}
