--- a/ledger/background.go
+++ b/ledger/background.go
@@ -16,6 +16,7 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
+	// mu guards closed, and keeps add from sending on jobs after close has closed it.
 	mu     sync.Mutex
 	closed bool
 }
@@ -35,7 +36,7 @@
 	}
 }
 
-// add queues a job; it returns false if the queue is full or closed.
+// add queues a job without blocking. It returns false if the queue is full or closed.
 func (p *pool) add(job func(context.Context)) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,6 +51,8 @@
 	}
 }
 
+// close stops accepting jobs and waits until the queued ones have run. Once ctx is done, the
+// context of the jobs is cancelled.
 func (p *pool) close(ctx context.Context) {
 	p.mu.Lock()
 	if !p.closed {
@@ -63,9 +66,9 @@
 	p.cancel()
 }
 
-// inBackground repeats f until it succeeds, a bounded number of times. A job that is
-// dropped leaves its record started, which reads as unknown: safe, but the key
-// stays blocked, so that drops are counted.
+// inBackground runs f in the background until it succeeds, at most endTries times. A job that is
+// dropped or given up leaves its record in the started state. Later attempts read that as unknown,
+// which is safe but blocks the key, so drops are counted.
 func (l *Ledger) inBackground(f func(context.Context) error) {
 	job := func(ctx context.Context) {
 		for try := range endTries {
@@ -84,9 +87,9 @@
 	}
 }
 
-// pause waits before the next try: a random time up to RetryBase doubled with each
-// try. The jitter spreads the tries of all gateways after an outage. It returns
-// false if ctx ended.
+// pause waits before the next try, for a random time of up to RetryBase doubled with each try and
+// at most maxBackoff. The jitter spreads the retries of all gateways after an outage. It returns
+// false if ctx is cancelled.
 func (l *Ledger) pause(ctx context.Context, try int) bool {
 	limit := maxBackoff
 	if shifted := l.opts.RetryBase << min(try, 10); shifted < limit {
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -10,12 +10,13 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// Claim asks for the right to send the work named by key. firstAttempt states that
-// the caller has never sent this key before; without that, a refusal during an
-// outage has to be unknown, since an earlier attempt may have run.
+// Claim requests the right to send the work identified by key. firstAttempt states that the caller
+// has never sent this key before. Without it, a refusal during an outage must have the outcome
+// unknown, since an earlier attempt may have run.
 //
-// Call it as the last step before the work is sent. It never waits for another
-// attempt and never takes over a record that another attempt started.
+// Claim must be called as the last step before the work is sent. It never waits for another
+// attempt, and it replaces the record of another attempt only if that record is in the not_run
+// state.
 func (l *Ledger) Claim(ctx context.Context, key Key, bodySHA256 string, firstAttempt bool) ClaimResult {
 	a := &attempt{ledger: l, claim: Claim{Key: key, AttemptID: l.opts.NewAttemptID(), sole: firstAttempt}}
 	a.claim.record = Record{
@@ -28,28 +29,27 @@
 	return a.run(ctx)
 }
 
-// attempt is one call of Claim.
+// attempt is the state of one call of Claim.
 type attempt struct {
 	ledger *Ledger
 	claim  Claim
-	// base is the version of the row over which the claim is written.
+	// base is the version of the row that the claim replaces, 0 if there is no row.
 	base int64
-	// pending is set once a write may have been applied, or may still be, although
-	// no answer said so.
+	// pending is set once a write without a confirming answer may have been applied or may still
+	// be.
 	pending bool
-	// conflicted is set once a write met a row of another version; unless it is
-	// read, it may be another attempt's.
+	// conflicted is set once a write failed because the row had another version. Unless the row is
+	// then read, it may belong to another attempt.
 	conflicted bool
 }
 
-// run writes the claim and reads back whatever the answer leaves open.
+// run writes the claim, and reads the row back if the answer leaves the result open.
 //
-// The answer to a write can be lost after the write took effect. Sending the work
-// without a look would be wrong if another attempt holds the row; giving up would
-// leave our own claim behind and block the key. So the row is read, and the
-// attempt ID in it tells whose it is. If the row is as it was before, the write is
-// repeated under the same version: at most one of the two can be applied, and
-// both carry the same attempt ID.
+// The answer to a write can be lost after the write took effect. Sending the work without checking
+// would be wrong if another attempt holds the row; giving up would leave the claim of this attempt
+// behind and block the key. The row is therefore read, and the attempt ID in it shows which attempt
+// holds it. If the row is unchanged, the write is repeated with the same version: at most one of
+// the two writes can be applied, and both carry the same attempt ID.
 func (a *attempt) run(ctx context.Context) ClaimResult {
 	for range claimTries {
 		version, err := a.write(ctx)
@@ -77,8 +77,8 @@
 	return a.ledger.put(ctx, a.claim.Key, a.base, a.claim.record)
 }
 
-// readBack looks at the row after a write that was not confirmed. It is undecided
-// if the write should be made again.
+// readBack reads the row after an unconfirmed write. decided is false if the write should be
+// repeated.
 func (a *attempt) readBack(ctx context.Context) (result ClaimResult, decided bool) {
 	row, rec, err := a.ledger.readRow(ctx, a.claim.Key)
 	if err != nil {
@@ -105,9 +105,8 @@
 	return ClaimResult{Claim: &a.claim}
 }
 
-// unavailable refuses because the platform could not record the claim. This
-// attempt never sends its work, so that a claim which may yet be applied is
-// withdrawn in the background.
+// unavailable refuses the claim because the platform could not record it. This attempt never sends
+// its work, so a claim that may still be applied is withdrawn in the background.
 func (a *attempt) unavailable() ClaimResult {
 	if a.pending {
 		metrics.Count("ledger_abandoned")
@@ -118,9 +117,9 @@
 		outageRetryAfter, "the run could not be recorded")}
 }
 
-// withdraw makes sure that the claim does not stay started. It also writes over a
-// row that the claim has not reached: a write that is still under way then meets
-// another version and is never applied.
+// withdraw ensures that the claim does not remain in the started state. It also overwrites a row
+// that the claim has not reached: a write that is still in flight then meets another version and is
+// never applied.
 func (a *attempt) withdraw(ctx context.Context) error {
 	row, rec, err := a.ledger.readRow(ctx, a.claim.Key)
 	if err != nil {
@@ -136,10 +135,10 @@
 	return err
 }
 
-// notRunOutcome is what may be told to the caller of an attempt that certainly did
-// not send its work. Unless it is the caller's first attempt, an earlier one may
-// sleep in a frozen gateway and run its work after it wakes, so that not_run would
-// be false for the key.
+// notRunOutcome returns the outcome to report to the caller of an attempt that certainly did not
+// send its work. Unless this is the caller's first attempt, an earlier one may be suspended in a
+// frozen gateway and run its work after the gateway resumes, which would make not_run false for the
+// key.
 func (c *Claim) notRunOutcome() crocusreel.Outcome {
 	if c.sole {
 		return crocusreel.OutcomeNotRun
@@ -147,7 +146,7 @@
 	return crocusreel.OutcomeUnknown
 }
 
-// existing answers from the record of another attempt.
+// existing returns the result of a claim whose key already has a record of another attempt.
 func (l *Ledger) existing(ctx context.Context, rec Record, bodySHA256 string) ClaimResult {
 	outcome := crocusreel.OutcomeUnknown
 	if rec.State == StateDone {
@@ -170,7 +169,8 @@
 	return ClaimResult{Done: &result}
 }
 
-// loadResult completes a result whose body is in the object store.
+// loadResult returns the result with its body, which it reads from the object store if it is kept
+// there.
 func (l *Ledger) loadResult(ctx context.Context, result Result) (Result, error) {
 	if result.Object == "" {
 		return result, nil
@@ -183,7 +183,8 @@
 	return result, nil
 }
 
-// readRow reads a record, with a bounded number of tries.
+// readRow reads the record of key, with at most readTries tries. The version of the row is 0 if
+// there is no record.
 func (l *Ledger) readRow(ctx context.Context, key Key) (platform.Row, Record, error) {
 	var row platform.Row
 	var err error
@@ -200,13 +201,13 @@
 	}
 	var rec Record
 	if json.Unmarshal(row.Value, &rec) != nil {
-		// A record that cannot be read may stand for a run.
+		// A record that cannot be decoded may belong to work that ran.
 		rec = Record{State: StateUnknown}
 	}
 	return row, rec, nil
 }
 
-// put writes the record if the row still has the given version, and returns the new one.
+// put writes the record if the row still has the given version, and returns the new version.
 func (l *Ledger) put(ctx context.Context, key Key, version int64, rec Record) (int64, error) {
 	value, err := json.Marshal(rec)
 	if err != nil {
--- a/ledger/claim_test.go
+++ b/ledger/claim_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scripted is a platform whose next calls fail as listed; "" lets a call pass.
+// scripted is a platform whose next calls fail as listed; "" lets a call succeed.
 type scripted struct {
 	*world
 	mu     sync.Mutex
@@ -61,7 +61,7 @@
 	return s.apply(txn)
 }
 
-// bench is a ledger over a scripted platform.
+// bench is a Ledger on a scripted platform.
 type bench struct {
 	*ledger.Ledger
 	platform *scripted
@@ -83,8 +83,8 @@
 
 var key = ledger.Key{Workspace: "desk", IdempotencyKey: "print-7"}
 
-// The platform records the claim and its answer is lost. Taking that for a failure,
-// the gateway would refuse a letter that nobody else may print any more.
+// Guards against treating a lost answer of the platform as a failed claim: the gateway would refuse
+// work that then no attempt could run any more, since the claim was recorded.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	for _, faults := range [][]string{{"lost"}, {"dropped"}, {"lost", "down"}, {"dropped", "", "lost"}, {"dropped", "", "dropped"}} {
 		g := NewWithT(t)
@@ -98,8 +98,8 @@
 	}
 }
 
-// The platform is away. A caller that has sent the key before may have had its work
-// run then, so that only a first attempt may be told not_run.
+// Guards against a false not_run while the platform is unavailable: the work of a caller that has
+// sent the key before may have run, so only a first attempt may receive not_run.
 func TestOutageIsAnsweredTruthfully(t *testing.T) {
 	cases := []struct {
 		faults  []string
@@ -122,8 +122,8 @@
 	}
 }
 
-// A claim is applied, but neither its answer nor a look at the row gets through. The
-// gateway gives it up; later attempts must not find the key blocked for ever.
+// Guards against a key that stays blocked forever: a claim is applied, but neither its answer nor
+// the read of the row gets through, and the gateway gives it up.
 func TestUnreadableClaimIsWithdrawn(t *testing.T) {
 	for _, first := range []string{"lost", "dropped"} {
 		g := NewWithT(t)
@@ -134,8 +134,8 @@
 	}
 }
 
-// The work ran and the platform is away when its result is to be kept. The caller
-// has its answer; an attempt with the same key gets it again after the outage.
+// Guards against losing the result of a run because the platform is unavailable when it is to be
+// stored. Another attempt with the same key must receive it after the outage.
 func TestResultIsKeptAfterAnOutage(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t, "", "down", "down", "lost", "down", "down", "down", "down")
@@ -148,8 +148,8 @@
 	g.Expect(b.store.data).To(HaveLen(1))
 }
 
-// A second attempt arrives while the first one runs, or after its gateway died. It
-// must neither run the work again nor claim that it did not run.
+// Guards against running the work again, or reporting that it did not run, when a second attempt
+// arrives while the first one runs or after its gateway died.
 func TestRecordOfAnotherAttempt(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
@@ -166,9 +166,9 @@
 	g.Expect(b.Claim(t.Context(), key, "h", false).Refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 }
 
-// A first attempt sleeps in a frozen gateway while a second one is refused by the
-// endpoint. Told not_run, the caller would book under a new key; the first attempt
-// then wakes and books too.
+// Guards against reporting not_run to a later attempt that the endpoint refused while the first one
+// is suspended in a frozen gateway: the caller would book again under a new key, and the first
+// attempt would then resume and book too.
 func TestLaterAttemptIsNeverToldNotRun(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
@@ -177,8 +177,8 @@
 	g.Expect(b.Claim(t.Context(), key, "h", true).Claim).NotTo(BeNil())
 }
 
-// Two keys that read alike once joined must not share a record: one workspace would
-// get the other's answer.
+// Guards against two keys that are equal when joined sharing a record: one workspace would receive
+// the answer of the other.
 func TestKeysDoNotCollide(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
--- a/ledger/end.go
+++ b/ledger/end.go
@@ -9,15 +9,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrEnded means that the claim was ended before.
+// ErrEnded is returned if the claim was already ended.
 var ErrEnded = eris.New("ledger: claim already ended")
 
-// errTaken means that the row does not hold the claim any more. Nobody but the
-// holder may change a started record, so that this is a fault of the platform.
-var errTaken = eris.New("ledger: record of a held claim was changed by another")
+// errTaken means that the row no longer holds the claim. Only its holder may change a started
+// record, so this is a fault of the platform.
+var errTaken = eris.New("ledger: record of a held claim was changed by another writer")
 
-// Done keeps the result of the run. If the platform is away it returns an error and
-// goes on in the background; the caller's answer does not depend on that.
+// Done records the result of the run and ends the claim. If the platform is unavailable it returns
+// an error and retries in the background; the answer to the caller does not depend on it.
 func (l *Ledger) Done(ctx context.Context, c *Claim, result Result) error {
 	rec := c.record
 	rec.State = StateDone
@@ -36,10 +36,10 @@
 	})
 }
 
-// NotRun records that the work certainly never started, and returns the outcome
-// that is true for the caller's key: not_run for a first attempt, else unknown.
-// Only a holder with proof may call it: nothing was sent, or the endpoint itself
-// said that it did not start the work.
+// NotRun records that the work certainly never started, and ends the claim. It returns the outcome
+// that is true for the caller's key: not_run for a first attempt, otherwise unknown. It must be
+// called only with proof: nothing was sent, or the endpoint itself reported that it did not start
+// the work.
 func (l *Ledger) NotRun(ctx context.Context, c *Claim) crocusreel.Outcome {
 	rec := c.record
 	rec.State = StateNotRun
@@ -48,15 +48,16 @@
 	return c.notRunOutcome()
 }
 
-// Unknown records that the work may have run and that its result is lost.
+// Unknown records that the work may have run and that its result is lost, and ends the claim.
 func (l *Ledger) Unknown(ctx context.Context, c *Claim) {
 	rec := c.record
 	rec.State = StateUnknown
-	// An error is retried in the background; a started record reads the same.
+	// An error is retried in the background; a started record also reads as unknown.
 	_ = l.end(ctx, c, func(ctx context.Context) error { return l.endRecord(ctx, c, rec) })
 }
 
-// end tries once and leaves the rest to the background.
+// end runs f, which ends the claim, and retries it in the background if it fails. Only the first
+// call for a claim has an effect; later ones return ErrEnded.
 func (l *Ledger) end(ctx context.Context, c *Claim, f func(context.Context) error) error {
 	if !c.ended.CompareAndSwap(false, true) {
 		return ErrEnded
@@ -66,12 +67,11 @@
 		return err
 	}
 	l.inBackground(f)
-	return eris.Wrap(err, "end of claim goes on in the background")
+	return eris.Wrap(err, "end claim, retried in the background")
 }
 
-// endRecord replaces the started record of a held claim. A lost answer is settled by
-// reading the row: either it has the new state, or the write is made again under
-// the same version.
+// endRecord replaces the started record of a held claim. A lost answer is resolved by reading the
+// row: either it has the new state, or the write is repeated with the same version.
 func (l *Ledger) endRecord(ctx context.Context, c *Claim, rec Record) error {
 	_, err := l.put(ctx, c.Key, c.version, rec)
 	if err == nil || errors.Is(err, platform.ErrUnavailable) {
@@ -83,11 +83,11 @@
 	}
 	switch {
 	case row.Version == c.version:
-		return eris.Wrap(err, "record not ended yet")
+		return eris.Wrap(err, "record is still in the started state")
 	case found.AttemptID == rec.AttemptID && found.State == rec.State:
 		return nil
 	case rec.State == StateNotRun:
-		// Our not_run landed although its answer was lost, and another attempt has
+		// The not_run state was written although its answer was lost, and another attempt has
 		// claimed the key since.
 		return nil
 	default:
--- a/ledger/fake_test.go
+++ b/ledger/fake_test.go
@@ -8,7 +8,7 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// fault is what happens to one call of the platform.
+// fault is what happens to one call of the platform or the endpoint.
 type fault int
 
 const (
@@ -22,30 +22,33 @@
 	faultCount
 )
 
-// step is one call that waits for the driver's decision.
+// step is a call that is blocked until the driver decides its fault.
 type step struct {
 	gateway int
 	// send marks a call of the endpoint; the others are calls of the platform.
 	send  bool
 	write bool
-	go_   chan fault
+	// go_ passes the fault to the blocked call. Closing it ends the goroutine of the call.
+	go_ chan fault
 }
 
-// world is a platform in memory together with the endpoint's count of runs. Each
-// call stops at a step until the driver lets it go on.
+// world is an in-memory platform that also counts the runs at the endpoint. Each call blocks at a
+// step until the driver releases it.
 type world struct {
-	version int64 // of the last transaction
+	version int64 // Version of the last transaction.
 	mu      sync.Mutex
 	rows    map[string]platform.Row
 	waiting []*step
+	// delayed are the commits whose answers were lost and that are applied later.
 	delayed []platform.Txn
-	runs    []int // gateways whose work ran, in order
+	runs    []int // Attempts whose work ran, in order.
 	history []event
 }
 
 func newWorld() *world { return &world{rows: map[string]platform.Row{}} }
 
-// stop waits for the driver. A step of a gateway that was killed never returns.
+// stop blocks until the driver releases the call, and returns its fault. It never returns for a
+// gateway that was killed.
 func (w *world) stop(gateway int, send, write bool) fault {
 	s := &step{gateway: gateway, send: send, write: write, go_: make(chan fault)}
 	w.mu.Lock()
@@ -58,6 +61,7 @@
 	return f
 }
 
+// apply commits a transaction if its conditions hold, and returns the new version.
 func (w *world) apply(txn platform.Txn) (int64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,7 +80,7 @@
 	return w.version, nil
 }
 
-// tables is the platform as one gateway sees it.
+// tables implements platform.Tables for one gateway.
 type tables struct {
 	*world
 	gateway int
@@ -118,7 +122,7 @@
 	}
 }
 
-// objects is an object store that never fails.
+// objects is an in-memory object store that never fails.
 type objects struct {
 	mu   sync.Mutex
 	data map[string][]byte
--- a/ledger/interleaving_test.go
+++ b/ledger/interleaving_test.go
@@ -16,19 +16,17 @@
 
 const attempts = 3
 
-// event is what one attempt's caller was told.
+// event is the outcome that the caller of one attempt received.
 type event struct {
 	attempt int
 	outcome crocusreel.Outcome
-	// done is set if the caller got a result.
+	// done is set if the caller received a result.
 	done bool
 }
 
-// A caller sends a bed booking, hears nothing, and sends it again through other
-// gateways. Meanwhile gateways freeze at any point and wake later, die, and lose
-// answers of the platform, which also goes away for a while. Were any step of the
-// ledger wrong, one bed would be booked twice, or the caller would be told that a
-// booking did not run which did.
+// Guards against running one booking twice, or reporting not_run for a booking that ran. A caller
+// without an answer retries through other gateways, while gateways freeze, resume or die at any
+// point and the platform loses answers or is unavailable for a while.
 func TestEveryInterleavingRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.IntRange(0, 1<<16), 0, 80).Draw(rt, "script")
@@ -40,8 +38,8 @@
 	})
 }
 
-// interleave runs three attempts of one key under the drawn decisions and returns
-// the broken promise, if any.
+// interleave runs three attempts with one key under the drawn decisions. It returns a description
+// of the violated guarantee, or an empty string.
 func interleave(script []int) string {
 	w := newWorld()
 	d := &driver{world: w, script: script, live: map[int]bool{}}
@@ -54,25 +52,25 @@
 	return w.check()
 }
 
-// check looks at what callers and the endpoint saw.
+// check verifies the guarantees against what the callers and the endpoint saw.
 func (w *world) check() string {
 	if len(w.runs) > 1 {
-		return fmt.Sprintf("the work ran %d times: attempts %v, callers saw %+v", len(w.runs), w.runs, w.history)
+		return fmt.Sprintf("the work ran %d times, by attempts %v; callers received %+v", len(w.runs), w.runs, w.history)
 	}
 	for _, e := range w.history {
 		for _, run := range w.runs {
 			if e.outcome == crocusreel.OutcomeNotRun && run <= e.attempt {
-				return fmt.Sprintf("attempt %d was told not_run, yet attempt %d ran", e.attempt, run)
+				return fmt.Sprintf("attempt %d received not_run, but attempt %d ran", e.attempt, run)
 			}
 		}
 		if e.done && len(w.runs) == 0 {
-			return fmt.Sprintf("attempt %d got a result, yet nothing ran", e.attempt)
+			return fmt.Sprintf("attempt %d received a result, but nothing ran", e.attempt)
 		}
 	}
 	return ""
 }
 
-// driver decides which waiting call goes on next and with which fault.
+// driver decides which blocked call proceeds next and with which fault.
 type driver struct {
 	*world
 	script  []int
@@ -81,6 +79,7 @@
 	dead    []int
 }
 
+// next returns the next number of the script, 0 after its end.
 func (d *driver) next() int {
 	if len(d.script) == 0 {
 		return 0
@@ -107,7 +106,7 @@
 	go d.attempt(l, n)
 }
 
-// attempt is what a gateway does with one request.
+// attempt does what a gateway does with one request.
 func (d *driver) attempt(l *ledger.Ledger, n int) {
 	ctx := context.Background()
 	result := l.Claim(ctx, ledger.Key{Workspace: "w", IdempotencyKey: "k"}, "hash", n == 0)
@@ -121,7 +120,7 @@
 	}
 }
 
-// send has the endpoint run the work, refuse it, or run it and lose the answer.
+// send lets the endpoint run the work, refuse it, or run it and lose the answer.
 func (d *driver) send(ctx context.Context, l *ledger.Ledger, c *ledger.Claim, n int) {
 	switch d.stop(n, true, false) {
 	case faultDown:
@@ -149,7 +148,8 @@
 	d.history = append(d.history, e)
 }
 
-// run takes the given number of decisions; with -1 it goes on until nothing waits.
+// run makes up to the given number of decisions, without a bound for -1. It stops early if no call
+// is blocked for three minutes of simulated time.
 func (d *driver) run(decisions int) {
 	for idle := 0; decisions != 0 && idle < 3; {
 		synctest.Wait()
@@ -163,7 +163,8 @@
 	}
 }
 
-// decide lets one waiting call go on, applies a delayed commit, or kills a gateway.
+// decide releases one blocked call, which may kill its gateway, or applies a delayed commit. It
+// returns false if there is neither.
 func (d *driver) decide() bool {
 	d.mu.Lock()
 	choice := d.next()
@@ -178,8 +179,8 @@
 		d.mu.Unlock()
 		return false
 	}
-	// Calls that arrive at the same moment come in any order; sorted, a script has
-	// the same meaning in each run.
+	// Calls that arrive at the same moment are queued in any order. Sorting them makes the
+	// effect of a script reproducible.
 	slices.SortStableFunc(d.waiting, func(a, b *step) int { return cmp.Compare(a.gateway, b.gateway) })
 	i := choice % len(d.waiting)
 	s := d.waiting[i]
@@ -189,7 +190,7 @@
 	return true
 }
 
-// release ends the wait of one step. One in sixteen gateways dies at it.
+// release ends the wait of one step. In one of sixteen cases its gateway dies there.
 func (d *driver) release(s *step) {
 	choice := d.next()
 	if choice%16 == 15 {
@@ -202,7 +203,7 @@
 	s.go_ <- fault(choice % int(faultCount))
 }
 
-// closeAll lets the background work of the live gateways end.
+// closeAll closes all ledgers and lets the background work of the gateways that are alive end.
 func (d *driver) closeAll() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
