--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry serves callers of the platform: it checks their requests against the
-// configuration, hands them to the relay and writes the answers.
+// Package entry serves the HTTP requests of callers: it checks them against the configuration,
+// passes them to the relay and writes the answers.
 package entry
 
 import (
@@ -20,40 +20,40 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Handler serves callers' requests.
+// Handler is the HTTP handler for callers.
 type Handler struct {
 	Config *knowledge.ConfigurationTracker
 	Relay  *relay.Relay
 	Gate   *Gate
 	Bodies *Bodies
-	// Freshness says how old knowledge may be.
+	// Freshness limits the age of the configuration that decisions are based on.
 	Freshness Freshness
 	Log       *zap.Logger
 }
 
-// Freshness bounds the age of knowledge that decisions are made on.
+// Freshness limits the age of the configuration that decisions are based on.
 type Freshness struct {
-	// Keys is the age of certain knowledge from which requests with a key are refused:
-	// the key may have been taken away.
+	// Keys is the time since the configuration was last confirmed after which requests with a key
+	// are refused as not ready, since the key may have been revoked.
 	Keys time.Duration
-	// Denials is the time since the store's last answer from which an unknown key or
-	// route is refused with "come back" in place of "not allowed": it may have been
-	// added.
+	// Denials is the time since the store last answered after which an unknown key or route is
+	// refused with a retryable reason instead of a final one, since it may have been added.
 	Denials time.Duration
 }
 
-// Times after which refused callers may come back.
+// Delays after which refused callers may retry.
 const (
-	// notReadyRetry is for a node that has just started or was cut off: others serve.
+	// notReadyRetry applies to a node that has just started or was disconnected: other nodes serve.
 	notReadyRetry = 200 * time.Millisecond
-	// leavingRetry is for a node that is about to stop.
+	// leavingRetry applies to a node that is about to stop.
 	leavingRetry = 50 * time.Millisecond
 )
 
-// fallbackBody bounds bodies when the configuration does not.
+// fallbackBody bounds request bodies, in bytes, if the configuration does not.
 const fallbackBody = 4 << 20
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. While the node is leaving, it closes each connection after the
+// answer, so that callers reconnect to another node.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	received := time.Now()
 	if h.Gate.Leaving() {
@@ -81,18 +81,18 @@
 	h.logEnd(r, req, verdict)
 	observe(req, &verdict)
 	if verdict.Broken {
-		// The caller must see that the answer is not whole.
+		// Aborts the connection, so that the caller sees that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// turnAway refuses a request that was not taken on.
+// turnAway refuses a request that was not admitted, and logs it.
 func (h *Handler) turnAway(s *sink, r *http.Request, refusal *crocusreel.Refusal) {
 	h.refuse(s, refusal)
 	h.logEnd(r, nil, relay.Result{Refusal: refusal, Status: statusOf(refusal)})
 }
 
-// admit checks a request; it returns a refusal for one that cannot be served.
+// admit checks a request and reads its body. It returns a refusal if the request cannot be served.
 func (h *Handler) admit(w http.ResponseWriter, r *http.Request, received time.Time) (*relay.Request, *crocusreel.Refusal) {
 	snapshot, ages := h.Config.Current()
 	if snapshot.Table == nil {
@@ -139,7 +139,8 @@
 	}, nil
 }
 
-// authorize finds the route and the workspace of a request.
+// authorize returns the route and the workspace of a request, or a refusal. The workspace is nil if
+// no key is needed.
 func (h *Handler) authorize(s *knowledge.Snapshot, ages knowledge.Ages, r *http.Request, head *platform.CallerHead) (*routing.Route, *routing.Workspace, *crocusreel.Refusal) {
 	outdated := outdated(ages)
 	route := s.Table.Match(r.Host, r.URL.Path)
@@ -165,8 +166,8 @@
 	return route, ws, nil
 }
 
-// Recheck refuses a request that waited if the knowledge under which it was admitted
-// has become too old meanwhile, as on a machine that was suspended.
+// Recheck refuses a request that has waited if the configuration under which it was admitted has
+// become too old in the meantime, for example because the machine was suspended.
 func (h *Handler) Recheck(r *relay.Request) *crocusreel.Refusal {
 	if r.Workspace == nil {
 		return nil
@@ -177,12 +178,14 @@
 	return nil
 }
 
+// outdated returns the refusal for a configuration that is too old to decide on.
 func outdated(ages knowledge.Ages) *crocusreel.Refusal {
 	return refuseNotRun(crocusreel.ReasonNotReady, notReadyRetry, "the configuration was last confirmed %s ago, the store answered %s ago",
 		ages.Confirmed.Round(time.Millisecond), ages.Answered.Round(time.Millisecond))
 }
 
-// leavingSoon refuses streams that cannot end before this node stops.
+// leavingSoon refuses a stream that may not end before this node stops. It assumes the longest
+// answer that the request allows.
 func (h *Handler) leavingSoon(route *routing.Route, size relay.Size) *crocusreel.Refusal {
 	if !h.Gate.Leaving() || route.Kind != routing.Streaming {
 		return nil
@@ -193,7 +196,8 @@
 	return refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetry, "this node is leaving; use another address")
 }
 
-// timeAllowed is the shorter of the caller's patience and the route's timeout.
+// timeAllowed returns the shorter of the caller's and the route's timeout. A patience of 0 means
+// that the caller sets none, and a route timeout of 0 that the route sets none.
 func timeAllowed(route *routing.Route, patience time.Duration) time.Duration {
 	if patience <= 0 || (route.Timeout > 0 && route.Timeout < patience) {
 		return route.Timeout
@@ -201,6 +205,7 @@
 	return patience
 }
 
+// readBody reads the request body, up to limit bytes, or fallbackBody if limit is not positive.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *crocusreel.Refusal) {
 	if limit <= 0 {
 		limit = fallbackBody
@@ -225,8 +230,8 @@
 	return crocusreel.Refuse(reason, crocusreel.OutcomeNotRun, retryAfter, format, args...)
 }
 
-// statusOf returns the status of a refusal. Only work that has not run may be answered
-// with 503 or 429, by which callers are promised that it never will.
+// statusOf returns the HTTP status of a refusal. Only work that has not run may be answered with
+// 503 or 429, since these promise callers that it never will.
 func statusOf(r *crocusreel.Refusal) int {
 	switch r.Reason {
 	case crocusreel.ReasonBadRequest:
@@ -247,6 +252,7 @@
 	return http.StatusBadGateway
 }
 
+// refuse writes a refusal as the answer.
 func (h *Handler) refuse(s *sink, refusal *crocusreel.Refusal) {
 	metrics.Refused(refusal.Reason)
 	header := s.w.Header()
@@ -260,8 +266,8 @@
 	}
 }
 
-// logEnd writes the line of a request. Its fields lead from the request's ID to the
-// endpoint and the cause.
+// logEnd logs the outcome of a request. The fields allow an operator to get from the request ID to
+// the endpoint and the cause. req is nil if the request was not admitted.
 func (h *Handler) logEnd(r *http.Request, req *relay.Request, v relay.Result) {
 	fields := []zap.Field{
 		zap.String("path", r.URL.Path),
@@ -298,6 +304,7 @@
 	h.Log.Info("request ended", fields...)
 }
 
+// observe records the latencies of a request.
 func observe(req *relay.Request, v *relay.Result) {
 	kind := "call"
 	if req.Route.Kind == routing.Streaming {
@@ -309,11 +316,11 @@
 	metrics.Observe(kind+"_whole_ms", time.Since(req.Received))
 }
 
-// writeTimeout bounds one write to a caller: one that does not read would otherwise
-// keep its answer, and its place at an endpoint, for ever.
+// writeTimeout bounds one write to a caller. A caller that does not read would otherwise hold its
+// answer, and its slot at an endpoint, forever.
 const writeTimeout = 5 * time.Second
 
-// sink writes an answer to a caller.
+// sink is a relay.Sink that writes the answer to a caller.
 type sink struct {
 	w     http.ResponseWriter
 	rc    *http.ResponseController
@@ -327,7 +334,7 @@
 		target[name] = values
 	}
 	if header.Get("Content-Type") == "" {
-		// Without this the server would guess a type that the endpoint did not send.
+		// A nil value keeps net/http from guessing a type that the endpoint did not send.
 		target["Content-Type"] = nil
 	}
 	if header.Get("Date") == "" {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -24,14 +24,15 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// site is an entry with one plain service and one engine behind it.
+// site is an entry.Handler with one service for plain calls and one engine behind it.
 type site struct {
 	now    time.Duration
 	config *knowledge.ConfigurationTracker
 	gate   *entry.Gate
 	app    *worker.Worker
 	url    string
-	// usage and hint are the sizes that callers state.
+	// usage and hint are the header values in which callers state token counts and the expected
+	// length.
 	usage, hint string
 }
 
@@ -73,7 +74,7 @@
 	return s
 }
 
-// configure puts a configuration in force that was confirmed just now.
+// configure applies a configuration that was confirmed just now.
 func (s *site) configure() {
 	s.config.Apply(routing.NewTable(&routing.Configuration{
 		Version: 1,
@@ -140,7 +141,7 @@
 		Expect(run.Header).NotTo(HaveKey("Authorization"))
 	})
 
-	DescribeTable("refuses what is wrong with a status of its own, unrun",
+	DescribeTable("refuses invalid requests with the matching status and does not run them",
 		func(id, path, key, body string, status int) {
 			s := newSite()
 			s.configure()
@@ -156,9 +157,9 @@
 		Entry("body over the limit", "r", "/calls/1", "key", string(make([]byte, 1001)), http.StatusRequestEntityTooLarge),
 	)
 
-	// Callers send many large bodies at once. Those for which there is no memory are asked
-	// to come back; what is read is given back when a request ends.
-	It("bounds the memory of all bodies together", func() {
+	// Guards against running out of memory when callers send many large bodies at once. Bodies over
+	// the bound are refused with a retry delay, and the memory is returned when a request ends.
+	It("bounds the memory of all request bodies together", func() {
 		s := newSite()
 		s.configure()
 		large := string(make([]byte, 900))
@@ -175,19 +176,19 @@
 		}
 	})
 
-	// A node that has just started knows no configuration. 404 or 401 would make callers
-	// give up for good.
-	It("asks callers to come back while it knows no configuration", func() {
+	// Guards against answering 404 or 401 on a node that has just started and has no configuration
+	// yet: callers would give up for good.
+	It("asks callers to retry while it has no configuration", func() {
 		s := newSite()
 		r := s.send("/calls/1", "key", "")
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.header.Get("Retry-After")).To(Equal("0.2"))
 	})
 
-	// A node is cut off from the store, or its machine was suspended, and a key is taken
-	// away meanwhile. Past the limit the node must not serve any key; it does not know
-	// that one is wrong, so it may not say so either.
-	It("serves no key that was not confirmed lately, and does not call it unknown", func() {
+	// Guards against serving a key that was revoked while the node was disconnected from the store
+	// or its machine was suspended. Past the limit the node must not serve any key, but must not
+	// report one as unknown either.
+	It("serves no key that was not confirmed recently and does not reject it as unknown", func() {
 		s := newSite()
 		s.configure()
 		s.now += 4500 * time.Millisecond
@@ -200,9 +201,9 @@
 		Expect(s.app.Runs()).To(HaveLen(2))
 	})
 
-	// A route was added, and this node has not heard from the store since. Callers of the
-	// new route come back in place of giving up.
-	It("does not deny a route while the store is silent", func() {
+	// Guards against final refusals for a route that was added after the store last answered this
+	// node: its callers must retry instead of giving up.
+	It("does not reject a route as unknown while the store does not answer", func() {
 		s := newSite()
 		s.configure()
 		s.now += 1900 * time.Millisecond
@@ -210,9 +211,9 @@
 		Expect(s.send("/calls/1", "key", "").status).To(Equal(http.StatusOK))
 	})
 
-	// A node is told to stop. A stream that cannot end in time would be cut; its caller
-	// is sent elsewhere at once. Calls go on to be served, and callers told to leave.
-	It("refuses long streams while it is leaving, and serves calls", func() {
+	// Guards against cutting streams when a node stops: one that cannot end in time is refused at
+	// once, so that its caller uses another node. Calls are still served.
+	It("refuses long streams while it is leaving and serves calls", func() {
 		s := newSite()
 		s.configure()
 		s.gate.Leave(time.Now().Add(3 * time.Second))
@@ -223,10 +224,10 @@
 		Expect(call.status).To(Equal(http.StatusOK))
 	})
 
-	// Callers' estimates are often far too low: a draft that was expected to take two
-	// seconds takes twenty, and is cut when the node stops. Only the longest answer that
-	// is allowed says whether it can end in time.
-	It("does not trust a caller's estimate while it is leaving", func() {
+	// Guards against cutting a stream that takes far longer than its caller estimated, such as
+	// twenty seconds instead of two. Only the maximum length allowed shows whether it can end in
+	// time.
+	It("ignores the caller's length estimate while it is leaving", func() {
 		s := newSite()
 		s.configure()
 		s.hint = "40"
@@ -236,9 +237,8 @@
 		Expect(s.send("/drafts/1", "key", "").status).To(Equal(http.StatusOK))
 	})
 
-	// A process ends between two requests of one connection. A request that comes in that
-	// moment must not be begun.
-	It("begins nothing once it is closed", func() {
+	// Guards against starting a request that arrives on an open connection while the process exits.
+	It("starts no request once it is closed", func() {
 		s := newSite()
 		s.configure()
 		Expect(s.gate.Enter()).To(BeTrue())
@@ -249,7 +249,7 @@
 		Expect(s.app.Runs()).To(BeEmpty())
 	})
 
-	It("forwards a stream as it comes and unchanged", func() {
+	It("forwards a stream unchanged", func() {
 		s := newSite()
 		s.configure()
 		r := s.send("/drafts/1", "key", "")
@@ -259,8 +259,9 @@
 		Expect(r.header.Get("Crocusreel-Response-Seal")).To(Equal(worker.Seal("e1", "request-1")))
 	})
 
-	// A caller leaves in the middle of its stream.
-	It("ends requests whose callers are gone", func() {
+	// Guards against requests that stay in flight after the caller disconnects in the middle of the
+	// stream.
+	It("ends requests whose callers have disconnected", func() {
 		s := newSite()
 		s.configure()
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
--- a/entry/gate.go
+++ b/entry/gate.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Gate knows the requests under way and whether the node is leaving.
+// Gate counts the requests in flight and records whether the node is leaving. Its methods are safe
+// for concurrent use.
 type Gate struct {
 	mu      sync.Mutex
 	inside  int
@@ -14,14 +15,14 @@
 	stopsAt time.Time
 }
 
-// NewGate returns an open gate.
+// NewGate returns a Gate that admits requests.
 func NewGate() *Gate {
 	g := &Gate{}
 	return g
 }
 
-// Enter counts a request; it returns false if the gate is closed. Each entry is ended by
-// one Exit.
+// Enter counts a request as in flight. It returns false if the gate is closed; otherwise Exit must
+// be called once when the request ends.
 func (g *Gate) Enter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -32,15 +33,16 @@
 	return true
 }
 
-// Exit ends a request.
+// Exit ends a request that Enter has counted.
 func (g *Gate) Exit() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inside--
 }
 
-// Close closes the gate if nothing is inside, and tells whether it did. A process that
-// ended on a look at Inside alone would cut off a request that came in between.
+// Close closes the gate if no request is in flight, and reports whether the gate is closed.
+// Checking Inside before stopping the process is not enough: a request could arrive in between and
+// would be cut off.
 func (g *Gate) Close() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -48,14 +50,14 @@
 	return g.closed
 }
 
-// Inside returns the number of requests under way.
+// Inside returns the number of requests in flight.
 func (g *Gate) Inside() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inside
 }
 
-// Leave marks the node as leaving; it will stop at the given time.
+// Leave marks the node as leaving; it will stop at stopsAt.
 func (g *Gate) Leave(stopsAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,14 +65,14 @@
 	g.stopsAt = stopsAt
 }
 
-// Leaving tells whether the node is about to stop.
+// Leaving reports whether the node is about to stop.
 func (g *Gate) Leaving() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.leaving
 }
 
-// Remaining is the time until a leaving node stops.
+// Remaining returns the time until a leaving node stops.
 func (g *Gate) Remaining() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
