--- a/entry/entry.go
+++ b/entry/entry.go
@@ -43,14 +43,15 @@
 
 // Delays after which refused callers may retry.
 const (
-	// notReadyRetry applies to a node that has just started or was disconnected: other nodes serve.
-	notReadyRetry = 200 * time.Millisecond
-	// leavingRetry applies to a node that is about to stop.
-	leavingRetry = 50 * time.Millisecond
+	// notReadyRetryAfter applies to a node that has just started or was disconnected: other nodes
+	// serve.
+	notReadyRetryAfter = 200 * time.Millisecond
+	// leavingRetryAfter applies to a node that is about to stop.
+	leavingRetryAfter = 50 * time.Millisecond
 )
 
-// fallbackBody bounds request bodies, in bytes, if the configuration does not.
-const fallbackBody = 4 << 20
+// defaultMaxBodyBytes bounds request bodies, in bytes, if the configuration does not.
+const defaultMaxBodyBytes = 4 << 20
 
 // ServeHTTP implements http.Handler. While the node is leaving, it closes each connection after the
 // answer, so that callers reconnect to another node.
@@ -59,44 +60,44 @@
 	if h.Gate.Leaving() {
 		w.Header().Set("Connection", "close")
 	}
-	sink := &sink{w: w, rc: http.NewResponseController(w)}
+	sink := &responseSink{w: w, rc: http.NewResponseController(w)}
 	if !h.Gate.Enter() {
-		h.turnAway(sink, r, refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetry, "this node has stopped"))
+		h.reject(sink, r, refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetryAfter, "this node has stopped"))
 		return
 	}
 	defer h.Gate.Exit()
-	content := &body{Reader: r.Body, bodies: h.Bodies}
-	defer content.release()
-	r.Body = io.NopCloser(content)
+	metered := &meteredBody{Reader: r.Body, budget: h.Bodies}
+	defer metered.release()
+	r.Body = io.NopCloser(metered)
 	req, refusal := h.admit(w, r, received)
 	if refusal != nil {
-		h.turnAway(sink, r, refusal)
+		h.reject(sink, r, refusal)
 		return
 	}
-	verdict := h.Relay.Serve(r.Context(), req, sink)
-	if verdict.Refusal != nil && !verdict.Broken {
-		verdict.Status = statusOf(verdict.Refusal)
-		h.refuse(sink, verdict.Refusal)
+	result := h.Relay.Serve(r.Context(), req, sink)
+	if result.Refusal != nil && !result.Broken {
+		result.Status = statusOf(result.Refusal)
+		h.writeRefusal(sink, result.Refusal)
 	}
-	h.logEnd(r, req, verdict)
-	observe(req, &verdict)
-	if verdict.Broken {
+	h.logOutcome(r, req, result)
+	observeLatency(req, &result)
+	if result.Broken {
 		// Aborts the connection, so that the caller sees that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// turnAway refuses a request that was not admitted, and logs it.
-func (h *Handler) turnAway(s *sink, r *http.Request, refusal *crocusreel.Refusal) {
-	h.refuse(s, refusal)
-	h.logEnd(r, nil, relay.Result{Refusal: refusal, Status: statusOf(refusal)})
+// reject refuses a request that was not admitted, and logs it.
+func (h *Handler) reject(s *responseSink, r *http.Request, refusal *crocusreel.Refusal) {
+	h.writeRefusal(s, refusal)
+	h.logOutcome(r, nil, relay.Result{Refusal: refusal, Status: statusOf(refusal)})
 }
 
 // admit checks a request and reads its body. It returns a refusal if the request cannot be served.
 func (h *Handler) admit(w http.ResponseWriter, r *http.Request, received time.Time) (*relay.Request, *crocusreel.Refusal) {
 	snapshot, ages := h.Config.Current()
 	if snapshot.Table == nil {
-		return nil, refuseNotRun(crocusreel.ReasonNotReady, notReadyRetry, "no configuration yet")
+		return nil, refuseNotRun(crocusreel.ReasonNotReady, notReadyRetryAfter, "no configuration yet")
 	}
 	head, err := platform.ReadCallerHead(r)
 	if err != nil {
@@ -108,9 +109,9 @@
 	}
 	service := snapshot.Table.Choose(route, head.AttemptID)
 	if service == nil {
-		return nil, refuseNotRun(crocusreel.ReasonNoEndpoint, notReadyRetry, "route %s has no service", route.Name)
+		return nil, refuseNotRun(crocusreel.ReasonNoEndpoint, notReadyRetryAfter, "route %s has no service", route.Name)
 	}
-	if refusal := h.leavingSoon(route, head.Size); refusal != nil {
+	if refusal := h.refuseLateStream(route, head.Size); refusal != nil {
 		return nil, refusal
 	}
 	body, refusal := readBody(w, r, snapshot.Table.Limits.MaxBodyBytes)
@@ -133,7 +134,7 @@
 		Workspace:     ws,
 		ConfigVersion: snapshot.Table.Version,
 		Received:      received,
-		Deadline:      received.Add(timeAllowed(route, head.Patience)),
+		Deadline:      received.Add(requestTimeout(route, head.Patience)),
 		Size:          head.Size,
 		Fingerprint:   relay.NewFingerprint(workspace, r.RequestURI, body),
 	}, nil
@@ -142,11 +143,11 @@
 // authorize returns the route and the workspace of a request, or a refusal. The workspace is nil if
 // no key is needed.
 func (h *Handler) authorize(s *knowledge.Snapshot, ages knowledge.Ages, r *http.Request, head *platform.CallerHead) (*routing.Route, *routing.Workspace, *crocusreel.Refusal) {
-	outdated := outdated(ages)
+	outdatedRefusal := refuseOutdated(ages)
 	route := s.Table.Match(r.Host, r.URL.Path)
 	if route == nil {
 		if ages.Answered > h.Freshness.Denials {
-			return nil, nil, outdated
+			return nil, nil, outdatedRefusal
 		}
 		return nil, nil, refuseNotRun(crocusreel.ReasonUnknownRoute, 0, "no route for this host and path")
 	}
@@ -154,12 +155,12 @@
 		return route, nil, nil
 	}
 	if ages.Confirmed > h.Freshness.Keys {
-		return nil, nil, outdated
+		return nil, nil, outdatedRefusal
 	}
 	ws := s.Table.Keys[head.Key]
 	if ws == nil {
 		if ages.Answered > h.Freshness.Denials {
-			return nil, nil, outdated
+			return nil, nil, outdatedRefusal
 		}
 		return nil, nil, refuseNotRun(crocusreel.ReasonUnauthorized, 0, "unknown key")
 	}
@@ -173,42 +174,43 @@
 		return nil
 	}
 	if _, ages := h.Config.Current(); ages.Confirmed > h.Freshness.Keys {
-		return outdated(ages)
+		return refuseOutdated(ages)
 	}
 	return nil
 }
 
-// outdated returns the refusal for a configuration that is too old to decide on.
-func outdated(ages knowledge.Ages) *crocusreel.Refusal {
-	return refuseNotRun(crocusreel.ReasonNotReady, notReadyRetry, "the configuration was last confirmed %s ago, the store answered %s ago",
+// refuseOutdated returns the refusal for a configuration that is too old to decide on.
+func refuseOutdated(ages knowledge.Ages) *crocusreel.Refusal {
+	return refuseNotRun(crocusreel.ReasonNotReady, notReadyRetryAfter, "the configuration was last confirmed %s ago, the store answered %s ago",
 		ages.Confirmed.Round(time.Millisecond), ages.Answered.Round(time.Millisecond))
 }
 
-// leavingSoon refuses a stream that may not end before this node stops. It assumes the longest
+// refuseLateStream refuses a stream that may not end before this node stops. It assumes the longest
 // answer that the request allows.
-func (h *Handler) leavingSoon(route *routing.Route, size relay.Size) *crocusreel.Refusal {
+func (h *Handler) refuseLateStream(route *routing.Route, size relay.Size) *crocusreel.Refusal {
 	if !h.Gate.Leaving() || route.Kind != routing.Streaming {
 		return nil
 	}
 	if relay.MaxGenerationTime(size) < h.Gate.Remaining() {
 		return nil
 	}
-	return refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetry, "this node is leaving; use another address")
+	return refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetryAfter, "this node is leaving; use another address")
 }
 
-// timeAllowed returns the shorter of the caller's and the route's timeout. A patience of 0 means
-// that the caller sets none, and a route timeout of 0 that the route sets none.
-func timeAllowed(route *routing.Route, patience time.Duration) time.Duration {
-	if patience <= 0 || (route.Timeout > 0 && route.Timeout < patience) {
+// requestTimeout returns the shorter of the caller's and the route's timeout. A callerTimeout of 0
+// means that the caller sets none, and a route timeout of 0 that the route sets none.
+func requestTimeout(route *routing.Route, callerTimeout time.Duration) time.Duration {
+	if callerTimeout <= 0 || (route.Timeout > 0 && route.Timeout < callerTimeout) {
 		return route.Timeout
 	}
-	return patience
+	return callerTimeout
 }
 
-// readBody reads the request body, up to limit bytes, or fallbackBody if limit is not positive.
+// readBody reads the request body, up to limit bytes, or defaultMaxBodyBytes if limit is not
+// positive.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *crocusreel.Refusal) {
 	if limit <= 0 {
-		limit = fallbackBody
+		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
 		return nil, refuseNotRun(crocusreel.ReasonTooLarge, 0, "the body is over %d bytes", limit)
@@ -218,8 +220,8 @@
 	switch {
 	case errors.As(err, &tooLarge):
 		return nil, refuseNotRun(crocusreel.ReasonTooLarge, 0, "the body is over %d bytes", limit)
-	case errors.Is(err, errBodiesFull):
-		return nil, refuseNotRun(crocusreel.ReasonQueueFull, notReadyRetry, "%v", err)
+	case errors.Is(err, errBodyMemoryFull):
+		return nil, refuseNotRun(crocusreel.ReasonQueueFull, notReadyRetryAfter, "%v", err)
 	case err != nil:
 		return nil, refuseNotRun(crocusreel.ReasonBadRequest, 0, "the body ended early")
 	}
@@ -252,8 +254,8 @@
 	return http.StatusBadGateway
 }
 
-// refuse writes a refusal as the answer.
-func (h *Handler) refuse(s *sink, refusal *crocusreel.Refusal) {
+// writeRefusal writes a refusal as the answer.
+func (h *Handler) writeRefusal(s *responseSink, refusal *crocusreel.Refusal) {
 	metrics.Refused(refusal.Reason)
 	header := s.w.Header()
 	header.Set("Content-Type", "application/json")
@@ -266,9 +268,9 @@
 	}
 }
 
-// logEnd logs the outcome of a request. The fields allow an operator to get from the request ID to
-// the endpoint and the cause. req is nil if the request was not admitted.
-func (h *Handler) logEnd(r *http.Request, req *relay.Request, v relay.Result) {
+// logOutcome logs the outcome of a request. The fields allow an operator to get from the request ID
+// to the endpoint and the cause. req is nil if the request was not admitted.
+func (h *Handler) logOutcome(r *http.Request, req *relay.Request, v relay.Result) {
 	fields := []zap.Field{
 		zap.String("path", r.URL.Path),
 		zap.Int("status", v.Status),
@@ -278,8 +280,8 @@
 			zap.String("outcome", string(v.Refusal.Outcome)), zap.String("message", v.Refusal.Message))
 	}
 	if req == nil {
-		known, ages := h.Config.Current()
-		h.Log.Info("request refused", append(fields, zap.String("request", platform.AttemptID(r)), zap.Int64("config_row", known.RowVersion),
+		snapshot, ages := h.Config.Current()
+		h.Log.Info("request refused", append(fields, zap.String("request", platform.AttemptID(r)), zap.Int64("config_row", snapshot.RowVersion),
 			zap.Duration("config_age", ages.Confirmed))...)
 		return
 	}
@@ -304,8 +306,8 @@
 	h.Log.Info("request ended", fields...)
 }
 
-// observe records the latencies of a request.
-func observe(req *relay.Request, v *relay.Result) {
+// observeLatency records the latencies of a request.
+func observeLatency(req *relay.Request, v *relay.Result) {
 	kind := "call"
 	if req.Route.Kind == routing.Streaming {
 		kind = "stream"
@@ -320,15 +322,15 @@
 // answer, and its slot at an endpoint, forever.
 const writeTimeout = 5 * time.Second
 
-// sink is a relay.Sink that writes the answer to a caller.
-type sink struct {
+// responseSink is a relay.Sink that writes the answer to a caller.
+type responseSink struct {
 	w     http.ResponseWriter
 	rc    *http.ResponseController
 	begun bool
 }
 
 // Begin implements relay.Sink.
-func (s *sink) Begin(status int, header http.Header) error {
+func (s *responseSink) Begin(status int, header http.Header) error {
 	target := s.w.Header()
 	for name, values := range header {
 		target[name] = values
@@ -346,7 +348,7 @@
 }
 
 // Write implements relay.Sink.
-func (s *sink) Write(part []byte) error {
+func (s *responseSink) Write(part []byte) error {
 	if err := s.rc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
@@ -357,4 +359,4 @@
 }
 
 // Begun implements relay.Sink.
-func (s *sink) Begun() bool { return s.begun }
+func (s *responseSink) Begun() bool { return s.begun }
--- a/entry/gate.go
+++ b/entry/gate.go
@@ -8,11 +8,11 @@
 // Gate counts the requests in flight and records whether the node is leaving. Its methods are safe
 // for concurrent use.
 type Gate struct {
-	mu      sync.Mutex
-	inside  int
-	leaving bool
-	closed  bool
-	stopsAt time.Time
+	mu       sync.Mutex
+	inFlight int
+	leaving  bool
+	closed   bool
+	stopsAt  time.Time
 }
 
 // NewGate returns a Gate that admits requests.
@@ -29,7 +29,7 @@
 	if g.closed {
 		return false
 	}
-	g.inside++
+	g.inFlight++
 	return true
 }
 
@@ -37,7 +37,7 @@
 func (g *Gate) Exit() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.inside--
+	g.inFlight--
 }
 
 // Close closes the gate if no request is in flight, and reports whether the gate is closed.
@@ -46,7 +46,7 @@
 func (g *Gate) Close() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closed = g.closed || g.inside == 0
+	g.closed = g.closed || g.inFlight == 0
 	return g.closed
 }
 
@@ -54,7 +54,7 @@
 func (g *Gate) Inside() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.inside
+	return g.inFlight
 }
 
 // Leave marks the node as leaving; it will stop at stopsAt.
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -23,53 +23,53 @@
 )
 
 const (
-	// interval is the time between two datagrams to each node of a group of up to fullRate nodes.
-	// With more nodes it grows in proportion to their number, so that the traffic of a node stays
-	// the same. A load that is 150 ms old is about one request behind. The nodes of this data
+	// interval is the time between two datagrams to each node of a group of up to fullRateNodes
+	// nodes. With more nodes it grows in proportion to their number, so that the traffic of a node
+	// stays the same. A load that is 150 ms old is about one request behind. The nodes of this data
 	// centre form a group of their own because callers are sent to, and work stays in, their own
 	// data centre: the loss of a nearby node is detected within about a second even with hundreds
 	// of nodes elsewhere.
-	interval = 150 * time.Millisecond
-	fullRate = 8
-	// shortestGap is the minimum time between two rounds. New work is announced at once: nodes that
+	interval      = 150 * time.Millisecond
+	fullRateNodes = 8
+	// minRoundGap is the minimum time between two rounds. New work is announced at once: nodes that
 	// learn of it 150 ms later would all choose the same engine in the meantime, and the last of
 	// their callers would wait two seconds for its prompt to be processed.
-	shortestGap = 10 * time.Millisecond
-	// urgentGap replaces shortestGap for changes that must reach all nodes before a caller retries
-	// at another node, which takes a few one-way delays between data centres. It bounds the number
-	// of rounds when an engine with many running answers dies.
-	urgentGap = 2 * time.Millisecond
-	// fullEvery is the time between two full datagrams to a node. Those between are brief: they
-	// leave out the addresses and are much smaller. Addresses are rarely needed, because a newly
-	// discovered node is sent a full datagram at once.
-	fullEvery = 6 * time.Second
-	// fullRounds is the minimum number of rounds between two full datagrams to a node. Without it,
-	// every datagram would carry addresses where rounds are rare.
-	fullRounds = 10
-	// liveFor is how long a node counts as live after its last datagram, in periods of its group:
-	// one lost datagram followed by a late one must not remove a node.
-	liveFor = 6
-	// longestLive caps that time, so that callers are not sent to nodes that are gone. It never
-	// falls below leastLiveFor periods, so that two datagrams may be lost.
-	longestLive  = 5 * time.Second
-	leastLiveFor = 3
-	// probeEvery is the time between datagrams to a node that is not live. forgetAfter is the time
-	// without a datagram after which a node is removed; a node that was disconnected for that long
-	// finds the others through the store.
-	probeEvery  = time.Second
-	forgetAfter = time.Minute
+	minRoundGap = 10 * time.Millisecond
+	// minUrgentRoundGap replaces minRoundGap for changes that must reach all nodes before a caller
+	// retries at another node, which takes a few one-way delays between data centres. It bounds the
+	// number of rounds when an engine with many running answers dies.
+	minUrgentRoundGap = 2 * time.Millisecond
+	// fullStateInterval is the time between two full datagrams to a node. Those between are brief:
+	// they leave out the addresses and are much smaller. Addresses are rarely needed, because a
+	// newly discovered node is sent a full datagram at once.
+	fullStateInterval = 6 * time.Second
+	// fullStateMinRounds is the minimum number of rounds between two full datagrams to a node.
+	// Without it, every datagram would carry addresses where rounds are rare.
+	fullStateMinRounds = 10
+	// livePeriods is how long a node counts as live after its last datagram, in periods of its
+	// group: one lost datagram followed by a late one must not remove a node.
+	livePeriods = 6
+	// maxLiveTime caps that time, so that callers are not sent to nodes that are gone. It never
+	// falls below minLivePeriods periods, so that two datagrams may be lost.
+	maxLiveTime    = 5 * time.Second
+	minLivePeriods = 3
+	// probeInterval is the time between datagrams to a node that is not live. forgetAfter is the
+	// time without a datagram after which a node is removed; a node that was disconnected for that
+	// long finds the others through the store.
+	probeInterval = time.Second
+	forgetAfter   = time.Minute
 	// TellAllUpTo is the usual number of nodes up to which new work is announced to all of them at
 	// once: if nodes of other data centres learn of it late, work is sent to other data centres
 	// more often and starts later. Beyond it, the bytes sent would grow with the square of the
 	// number of nodes.
 	TellAllUpTo = 128
-	// maxDatagram bounds a datagram in bytes, so that it fits into one packet of the network.
-	maxDatagram = 1400
-	// maxKnown bounds the addresses of other nodes in a datagram to a newly discovered node, and
-	// fewKnown those in any other full datagram. Addresses that a node still lacks arrive with
-	// later datagrams.
-	maxKnown = 12
-	fewKnown = 4
+	// maxDatagramBytes bounds a datagram in bytes, so that it fits into one packet of the network.
+	maxDatagramBytes = 1400
+	// maxKnownDiscovered bounds the addresses of other nodes in a datagram to a newly discovered
+	// node, and maxKnownRegular those in any other full datagram. Addresses that a node still lacks
+	// arrive with later datagrams.
+	maxKnownDiscovered = 12
+	maxKnownRegular    = 4
 )
 
 // Peer is another node according to its last datagram.
@@ -88,14 +88,15 @@
 	Peer
 	// incarnation and sequence identify the newest state that was received.
 	incarnation, sequence uint64
-	// heard is when the last state was received, added when the node became known, and sent when it
-	// was last probed.
-	heard time.Duration
-	added time.Duration
-	sent  time.Duration
-	// full is when the node was last sent a full datagram, 0 if the next one has to be full.
-	full time.Duration
-	live bool
+	// lastReceived is when the last state was received, addedAt when the node became known, and
+	// lastProbe when it was last probed.
+	lastReceived time.Duration
+	addedAt      time.Duration
+	lastProbe    time.Duration
+	// lastFullSent is when the node was last sent a full datagram, 0 if the next one has to be
+	// full.
+	lastFullSent time.Duration
+	live         bool
 }
 
 // Options configure a Gossip and connect it to the rest of the process.
@@ -120,75 +121,75 @@
 
 // Gossip exchanges states with the other nodes. Its methods are safe for concurrent use.
 type Gossip struct {
-	o        Options
+	opts     Options
 	mu       sync.Mutex
 	peers    map[string]*peer
 	sequence uint64
 	// near schedules the rounds to the nodes of this data centre, far those to all others.
-	near, far rounds
-	// changed requests a round before the next one is due; audience holds its recipients.
-	changed chan struct{}
-	// urgent ends the shortestGap before a round early.
+	near, far roundSchedule
+	// roundRequested requests a round before the next one is due; pending holds its recipients.
+	roundRequested chan struct{}
+	// urgent ends the minRoundGap before a round early.
 	urgent chan struct{}
-	// audienceMu guards audience only. Callers of Tell hold locks of their own that Lost also
+	// pendingMu guards pending only. Callers of Tell hold locks of their own that Lost also
 	// takes: if Tell took mu instead, a callback that runs with mu held would deadlock with it.
-	audienceMu sync.Mutex
-	audience   audience
-	// known is the number of peers; Tell reads it without mu.
-	known atomic.Int32
-	// view caches the result of Live until a live node changes, or until viewUntil at the latest.
-	// It is nil if it has to be built.
-	view      []Peer
-	viewUntil time.Duration
-}
-
-// rounds is the schedule of regular rounds to a group of nodes.
-type rounds struct {
+	pendingMu sync.Mutex
+	pending   recipientFilter
+	// peerCount is the number of peers; Tell reads it without mu.
+	peerCount atomic.Int32
+	// liveCache caches the result of Live until a live node changes, or until liveCacheUntil at the
+	// latest. It is nil if it has to be built.
+	liveCache      []Peer
+	liveCacheUntil time.Duration
+}
+
+// roundSchedule is the schedule of regular rounds to a group of nodes.
+type roundSchedule struct {
 	// members is the number of nodes that determines the period: those of this data centre for the
 	// near group, and all nodes for the far one, since traffic between data centres is expensive.
 	members int
-	// last is when the last regular round to the whole group began.
-	last time.Duration
+	// lastStart is when the last regular round to the whole group began.
+	lastStart time.Duration
 }
 
 // period returns the time between two regular rounds.
-func (r *rounds) period() time.Duration {
-	return interval * time.Duration(max(r.members, fullRate)) / fullRate
+func (r *roundSchedule) period() time.Duration {
+	return interval * time.Duration(max(r.members, fullRateNodes)) / fullRateNodes
 }
 
 // liveTime returns how long a node of the group counts as live after its last datagram.
-func (r *rounds) liveTime() time.Duration {
-	return max(min(liveFor*r.period(), longestLive), leastLiveFor*r.period())
+func (r *roundSchedule) liveTime() time.Duration {
+	return max(min(livePeriods*r.period(), maxLiveTime), minLivePeriods*r.period())
 }
 
-// begin reports whether a round is due, and if so records that it begins now.
-func (r *rounds) begin(now time.Duration) bool {
-	if now-r.last < r.period() {
+// startIfDue reports whether a round is due, and if so records that it begins now.
+func (r *roundSchedule) startIfDue(now time.Duration) bool {
+	if now-r.lastStart < r.period() {
 		return false
 	}
-	r.last = now
+	r.lastStart = now
 	return true
 }
 
-// audience is the set of nodes that must receive a change at once. Newly discovered nodes are
-// always sent it.
-type audience struct {
+// recipientFilter selects the nodes that must receive a change at once. Newly discovered nodes are
+// sent it in any case.
+type recipientFilter struct {
 	all         bool
 	dataCentres map[string]bool
 }
 
-func (a *audience) add(dataCentre string) {
+func (a *recipientFilter) addDataCentre(dataCentre string) {
 	if a.dataCentres == nil {
 		a.dataCentres = make(map[string]bool)
 	}
 	a.dataCentres[dataCentre] = true
 }
 
-func (a *audience) includes(dataCentre string) bool { return a.all || a.dataCentres[dataCentre] }
+func (a *recipientFilter) includes(dataCentre string) bool { return a.all || a.dataCentres[dataCentre] }
 
 // New returns a Gossip that knows no other node. Run starts it.
 func New(o Options) *Gossip {
-	return &Gossip{o: o, peers: make(map[string]*peer), changed: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
+	return &Gossip{opts: o, peers: make(map[string]*peer), roundRequested: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
 }
 
 // Add adds nodes by their IP addresses. Invalid addresses and that of this node are ignored.
@@ -203,12 +204,12 @@
 // addLocked returns the peer with the given address and adds it if it is new. It returns nil for an
 // invalid address and for that of this node. The caller holds g.mu.
 func (g *Gossip) addLocked(address string) *peer {
-	if address == g.o.IP || net.ParseIP(address) == nil {
+	if address == g.opts.IP || net.ParseIP(address) == nil {
 		return nil
 	}
 	p, ok := g.peers[address]
 	if !ok {
-		p = &peer{Peer: Peer{Address: address}, added: g.o.Now()}
+		p = &peer{Peer: Peer{Address: address}, addedAt: g.opts.Now()}
 		g.peers[address] = p
 	}
 	return p
@@ -217,22 +218,22 @@
 // Tell requests an immediate round to the nodes of this data centre and of the given ones, or to
 // all nodes if there are at most TellAllUpTo. It never blocks.
 func (g *Gossip) Tell(dataCentres ...string) {
-	g.audienceMu.Lock()
-	g.audience.all = g.audience.all || int(g.known.Load()) <= g.o.TellAllUpTo
-	g.audience.add(g.o.DataCentre)
+	g.pendingMu.Lock()
+	g.pending.all = g.pending.all || int(g.peerCount.Load()) <= g.opts.TellAllUpTo
+	g.pending.addDataCentre(g.opts.DataCentre)
 	for _, name := range dataCentres {
-		g.audience.add(name)
+		g.pending.addDataCentre(name)
 	}
-	g.audienceMu.Unlock()
-	g.wake()
+	g.pendingMu.Unlock()
+	g.requestRound()
 }
 
 // TellAll requests an immediate round to all nodes. It never blocks.
 func (g *Gossip) TellAll() {
-	g.audienceMu.Lock()
-	g.audience.all = true
-	g.audienceMu.Unlock()
-	g.wake()
+	g.pendingMu.Lock()
+	g.pending.all = true
+	g.pendingMu.Unlock()
+	g.requestRound()
 }
 
 // TellNow requests a round to all nodes without waiting for the usual gap between two rounds. It
@@ -245,9 +246,9 @@
 	g.TellAll()
 }
 
-func (g *Gossip) wake() {
+func (g *Gossip) requestRound() {
 	select {
-	case g.changed <- struct{}{}:
+	case g.roundRequested <- struct{}{}:
 	default:
 	}
 }
@@ -258,11 +259,11 @@
 func (g *Gossip) Live() []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.o.Now()
-	if g.view == nil || now >= g.viewUntil {
-		g.view, g.viewUntil = g.liveLocked(now)
+	now := g.opts.Now()
+	if g.liveCache == nil || now >= g.liveCacheUntil {
+		g.liveCache, g.liveCacheUntil = g.liveLocked(now)
 	}
-	return g.view
+	return g.liveCache
 }
 
 // FarLiveTime returns how long a node of another data centre counts as live after its last
@@ -278,10 +279,10 @@
 func (g *Gossip) liveLocked(now time.Duration) (live []Peer, until time.Duration) {
 	live, until = []Peer{}, now+g.near.liveTime()
 	for _, p := range g.peers {
-		ends := p.heard + g.groupLocked(p).liveTime()
-		if p.live && now < ends {
+		liveUntil := p.lastReceived + g.scheduleLocked(p).liveTime()
+		if p.live && now < liveUntil {
 			live = append(live, p.Peer)
-			until = min(until, ends)
+			until = min(until, liveUntil)
 		}
 	}
 	sort.Slice(live, func(i, j int) bool { return live[i].Address < live[j].Address })
@@ -291,7 +292,7 @@
 // Run exchanges datagrams until ctx is cancelled. It returns an error if it cannot listen on the
 // node's address.
 func (g *Gossip) Run(ctx context.Context) error {
-	conn, err := net.ListenPacket("udp4", net.JoinHostPort(g.o.IP, strconv.Itoa(g.o.Port)))
+	conn, err := net.ListenPacket("udp4", net.JoinHostPort(g.opts.IP, strconv.Itoa(g.opts.Port)))
 	if err != nil {
 		return eris.Wrap(err, "gossip")
 	}
@@ -309,38 +310,39 @@
 	}()
 	go g.receive(ctx, conn)
 	for {
-		g.round(conn)
-		if !g.wait(ctx) {
+		g.sendRound(conn)
+		if !g.waitForRound(ctx) {
 			return nil
 		}
 	}
 }
 
-// wait blocks until the next round is due or requested. It returns false if ctx is cancelled.
-func (g *Gossip) wait(ctx context.Context) bool {
-	due := time.NewTimer(g.untilRegular())
+// waitForRound blocks until the next round is due or requested. It returns false if ctx is
+// cancelled.
+func (g *Gossip) waitForRound(ctx context.Context) bool {
+	due := time.NewTimer(g.untilRegularRound())
 	defer due.Stop()
-	if !g.space(ctx) {
+	if !g.waitMinGap(ctx) {
 		return false
 	}
 	select {
 	case <-due.C:
-	case <-g.changed:
+	case <-g.roundRequested:
 	case <-ctx.Done():
 		return false
 	}
 	return true
 }
 
-// space enforces the minimum gap between two rounds. It returns false if ctx is cancelled.
-func (g *Gossip) space(ctx context.Context) bool {
-	spaced := time.NewTimer(shortestGap)
-	defer spaced.Stop()
-	if !retry.Sleep(ctx, urgentGap) {
+// waitMinGap enforces the minimum gap between two rounds. It returns false if ctx is cancelled.
+func (g *Gossip) waitMinGap(ctx context.Context) bool {
+	minGap := time.NewTimer(minRoundGap)
+	defer minGap.Stop()
+	if !retry.Sleep(ctx, minUrgentRoundGap) {
 		return false
 	}
 	select {
-	case <-spaced.C:
+	case <-minGap.C:
 	case <-g.urgent:
 	case <-ctx.Done():
 		return false
@@ -348,17 +350,17 @@
 	return true
 }
 
-// untilRegular returns the time until the next regular round is due.
-func (g *Gossip) untilRegular() time.Duration {
+// untilRegularRound returns the time until the next regular round is due.
+func (g *Gossip) untilRegularRound() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return min(g.near.last+g.near.period(), g.far.last+g.far.period()) - g.o.Now()
+	return min(g.near.lastStart+g.near.period(), g.far.lastStart+g.far.period()) - g.opts.Now()
 }
 
-// groupLocked returns the schedule of the group of p. A node that has not sent a state yet has no
-// known data centre and counts as far. The caller holds g.mu.
-func (g *Gossip) groupLocked(p *peer) *rounds {
-	if p.DataCentre == g.o.DataCentre {
+// scheduleLocked returns the schedule of the group of p. A node that has not sent a state yet has
+// no known data centre and counts as far. The caller holds g.mu.
+func (g *Gossip) scheduleLocked(p *peer) *roundSchedule {
+	if p.DataCentre == g.opts.DataCentre {
 		return &g.near
 	}
 	return &g.far
@@ -366,19 +368,19 @@
 
 // recipients are the addresses to send to in one round, by the content of the datagram.
 type recipients struct {
-	// brief nodes are sent the state without its addresses; whole ones are sent the full state and
-	// a few addresses of other nodes, and found ones (newly discovered) more of these. probed nodes
-	// are not live and are sent no addresses of others: a node that responds learns these from the
-	// full datagram that follows.
-	brief, whole, found, probed []string
-}
-
-// round sends the state of this node to every node that is due.
-func (g *Gossip) round(conn net.PacketConn) {
-	to := g.due()
-	g.send(conn, to.brief, func(s *exchangev1.NodeState) { shorten(s) })
-	g.send(conn, to.whole, func(s *exchangev1.NodeState) { s.Known = g.someLive(fewKnown) })
-	g.send(conn, to.found, func(s *exchangev1.NodeState) { s.Known = g.someLive(maxKnown) })
+	// brief nodes are sent the state without its addresses; full ones are sent the full state and a
+	// few addresses of other nodes. discovered nodes, which have just become live or restarted, are
+	// sent more of these addresses. probed nodes are not live and are sent no addresses of others:
+	// a node that responds learns these from the full datagram that follows.
+	brief, full, discovered, probed []string
+}
+
+// sendRound sends the state of this node to every node that is due.
+func (g *Gossip) sendRound(conn net.PacketConn) {
+	to := g.prepareRound()
+	g.send(conn, to.brief, func(s *exchangev1.NodeState) { removeAddresses(s) })
+	g.send(conn, to.full, func(s *exchangev1.NodeState) { s.Known = g.liveAddresses(maxKnownRegular) })
+	g.send(conn, to.discovered, func(s *exchangev1.NodeState) { s.Known = g.liveAddresses(maxKnownDiscovered) })
 	g.send(conn, to.probed, func(*exchangev1.NodeState) {})
 }
 
@@ -389,94 +391,94 @@
 	}
 	data := g.encode(shape)
 	for _, address := range targets {
-		to := &net.UDPAddr{IP: net.ParseIP(address), Port: g.o.Port}
+		to := &net.UDPAddr{IP: net.ParseIP(address), Port: g.opts.Port}
 		if _, err := conn.WriteTo(data, to); err != nil {
 			metrics.Count("gossip_send_failed")
 		}
 	}
 }
 
-// takeAudience returns the recipients of pending changes and clears them.
-func (g *Gossip) takeAudience() audience {
-	g.audienceMu.Lock()
-	defer g.audienceMu.Unlock()
-	a := g.audience
-	g.audience = audience{}
+// takePending returns the recipients of pending changes and clears them.
+func (g *Gossip) takePending() recipientFilter {
+	g.pendingMu.Lock()
+	defer g.pendingMu.Unlock()
+	a := g.pending
+	g.pending = recipientFilter{}
 	return a
 }
 
-// due returns the nodes to send to, and calls Lost for those that have become silent.
-func (g *Gossip) due() recipients {
-	to, lost := g.look(g.takeAudience())
+// prepareRound returns the nodes to send to, and calls Lost for those that have become silent.
+func (g *Gossip) prepareRound() recipients {
+	to, lost := g.selectRecipients(g.takePending())
 	for _, address := range lost {
-		g.o.Lost(address)
+		g.opts.Lost(address)
 	}
 	return to
 }
 
-// look selects the recipients of a round and removes nodes that have been silent for forgetAfter.
-// lost are the nodes that were live until now.
-func (g *Gossip) look(heard audience) (to recipients, lost []string) {
+// selectRecipients selects the recipients of a round and removes nodes that have been silent for
+// forgetAfter. lost are the nodes that were live until now.
+func (g *Gossip) selectRecipients(filter recipientFilter) (to recipients, lost []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.o.Now()
-	if g.near.begin(now) {
-		heard.add(g.o.DataCentre)
+	now := g.opts.Now()
+	if g.near.startIfDue(now) {
+		filter.addDataCentre(g.opts.DataCentre)
 	}
-	farToo := g.far.begin(now)
-	near := 0
+	farDue := g.far.startIfDue(now)
+	nearCount := 0
 	for address, p := range g.peers {
-		group := g.groupLocked(p)
-		if group == &g.near {
-			near++
+		schedule := g.scheduleLocked(p)
+		if schedule == &g.near {
+			nearCount++
 		}
-		quiet := now - max(p.heard, p.added)
-		if p.live && quiet >= group.liveTime() {
-			p.live, p.full = false, 0
-			g.o.Log.Info("node lost", zap.String("node", address), zap.Duration("quiet", quiet))
+		silence := now - max(p.lastReceived, p.addedAt)
+		if p.live && silence >= schedule.liveTime() {
+			p.live, p.lastFullSent = false, 0
+			g.opts.Log.Info("node lost", zap.String("node", address), zap.Duration("quiet", silence))
 			lost = append(lost, address)
-			g.view = nil
+			g.liveCache = nil
 		}
 		switch {
-		case quiet >= forgetAfter:
+		case silence >= forgetAfter:
 			delete(g.peers, address)
 		case p.live:
-			if heard.includes(p.DataCentre) || (farToo && group == &g.far) || p.full == 0 {
-				to.addLive(address, p, now, max(fullEvery, fullRounds*group.period()))
+			if filter.includes(p.DataCentre) || (farDue && schedule == &g.far) || p.lastFullSent == 0 {
+				to.addLive(address, p, now, max(fullStateInterval, fullStateMinRounds*schedule.period()))
 			}
-		case p.sent == 0 || now-p.sent >= probeEvery:
-			p.sent = now
+		case p.lastProbe == 0 || now-p.lastProbe >= probeInterval:
+			p.lastProbe = now
 			to.probed = append(to.probed, address)
 		}
 	}
-	g.near.members, g.far.members = near, len(g.peers)
-	g.known.Store(int32(len(g.peers)))
+	g.near.members, g.far.members = nearCount, len(g.peers)
+	g.peerCount.Store(int32(len(g.peers)))
 	return to, lost
 }
 
 // addLive adds a live node. It is sent a full datagram if it is newly discovered or if its last one
-// is at least fullAfter old.
-func (r *recipients) addLive(address string, p *peer, now, fullAfter time.Duration) {
+// is at least fullInterval old.
+func (r *recipients) addLive(address string, p *peer, now, fullInterval time.Duration) {
 	switch {
-	case p.full == 0:
-		r.found = append(r.found, address)
-	case now-p.full >= fullAfter:
-		r.whole = append(r.whole, address)
+	case p.lastFullSent == 0:
+		r.discovered = append(r.discovered, address)
+	case now-p.lastFullSent >= fullInterval:
+		r.full = append(r.full, address)
 	default:
 		r.brief = append(r.brief, address)
 		return
 	}
-	p.full = now
+	p.lastFullSent = now
 }
 
-// someLive returns at most the given number of addresses of live nodes. The iteration order of maps
-// is random, so that each call returns other ones.
-func (g *Gossip) someLive(most int) []string {
+// liveAddresses returns at most the given number of addresses of live nodes. The iteration order of
+// maps is random, so that each call returns other ones.
+func (g *Gossip) liveAddresses(limit int) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var known []string
 	for address, p := range g.peers {
-		if p.live && len(known) < most {
+		if p.live && len(known) < limit {
 			known = append(known, address)
 		}
 	}
@@ -485,14 +487,14 @@
 
 // encode returns the encoded state of this node with the next sequence number.
 func (g *Gossip) encode(shape func(*exchangev1.NodeState)) []byte {
-	state := g.o.State()
+	state := g.opts.State()
 	shape(state)
 	g.mu.Lock()
 	g.sequence++
 	state.Sequence = g.sequence
 	g.mu.Unlock()
 	data, err := proto.Marshal(state)
-	for err == nil && len(data) > maxDatagram && len(state.GetLoads()) > 0 {
+	for err == nil && len(data) > maxDatagramBytes && len(state.GetLoads()) > 0 {
 		// A node with work on very many endpoints sends the loads of the first ones only. Other
 		// nodes then slightly underestimate the load of the remaining endpoints.
 		state.Loads = state.GetLoads()[:len(state.GetLoads())/2]
@@ -505,8 +507,8 @@
 	return data
 }
 
-// shorten removes the fields that change with a new incarnation only.
-func shorten(s *exchangev1.NodeState) {
+// removeAddresses removes the fields that change with a new incarnation only.
+func removeAddresses(s *exchangev1.NodeState) {
 	s.Brief = true
 	s.CallerAddress, s.PeerAddress, s.DataCentre = "", "", ""
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -23,15 +23,15 @@
 	// stop stops the node and waits until its address is free again.
 	stop func()
 
-	mu    sync.Mutex
-	heard []*exchangev1.NodeState
-	lost  []string
-	ready bool
+	mu       sync.Mutex
+	received []*exchangev1.NodeState
+	lost     []string
+	ready    bool
 }
 
-// own returns an address derived from the process ID, so that two runs of the suite at the same
-// time do not listen on the same address.
-func own(n int) string { return fmt.Sprintf("127.%d.0.%d", 1+os.Getpid()%250, n) }
+// loopbackIP returns an address derived from the process ID, so that two runs of the suite at the
+// same time do not listen on the same address.
+func loopbackIP(n int) string { return fmt.Sprintf("127.%d.0.%d", 1+os.Getpid()%250, n) }
 
 // port lies below the range of ephemeral ports.
 const port = 23117
@@ -53,7 +53,7 @@
 		Heard: func(s *exchangev1.NodeState) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.heard = append(n.heard, s)
+			n.received = append(n.received, s)
 		},
 		Lost: func(address string) {
 			// The fleet also announces a change here: it has free capacity after a loss.
@@ -93,20 +93,20 @@
 	return append([]string(nil), n.lost...)
 }
 
-func (n *node) heardCount() int {
+func (n *node) receivedCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.heard)
+	return len(n.received)
 }
 
-func (n *node) heardSince(count int) []*exchangev1.NodeState {
+func (n *node) receivedSince(count int) []*exchangev1.NodeState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]*exchangev1.NodeState(nil), n.heard[count:]...)
+	return append([]*exchangev1.NodeState(nil), n.received[count:]...)
 }
 
-// elsewhere returns addresses at which no node responds.
-func elsewhere(count int) []string {
+// unreachableAddresses returns addresses at which no node responds.
+func unreachableAddresses(count int) []string {
 	var addresses []string
 	for i := range count {
 		addresses = append(addresses, fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, 1+i/200, 1+i%200))
@@ -117,7 +117,7 @@
 var _ = Describe("gossip between nodes", func() {
 	// A new node knows a single other node, as after a start with only one working seed.
 	It("discovers all nodes through one of them and propagates changes", func() {
-		a, b, c := start(own(11), 1), start(own(12), 1), start(own(13), 1)
+		a, b, c := start(loopbackIP(11), 1), start(loopbackIP(12), 1), start(loopbackIP(13), 1)
 		a.Add(b.ip)
 		c.Add(b.ip)
 		Eventually(a.live, 3*time.Second).Should(Equal([]string{b.ip, c.ip}))
@@ -132,7 +132,7 @@
 	// Guards against sending only loads to a newly discovered node: without the addresses it could
 	// not use them, and both nodes would choose the same engines for a second.
 	It("makes nodes known to each other within two rounds", func() {
-		a, b := start(own(41), 1), start(own(42), 1)
+		a, b := start(loopbackIP(41), 1), start(loopbackIP(42), 1)
 		time.Sleep(250 * time.Millisecond)
 		a.Add(b.ip)
 		Eventually(b.live, 600*time.Millisecond, 10*time.Millisecond).ShouldNot(BeEmpty())
@@ -143,7 +143,7 @@
 	// callers to it, forever. Lost announces the resulting change at once while it holds its own
 	// locks: a Gossip that waited for these would deadlock, and its node would soon serve no keys.
 	It("detects the loss of a silent node and its return", func() {
-		a, b := start(own(21), 1), start(own(22), 1)
+		a, b := start(loopbackIP(21), 1), start(loopbackIP(22), 1)
 		a.Add(b.ip)
 		Eventually(a.live, 2*time.Second).Should(Equal([]string{b.ip}))
 		b.stop()
@@ -156,49 +156,49 @@
 	// Guards against sending addresses in each datagram: with some sixty nodes they made up two
 	// fifths of all bytes between data centres. Only a newly discovered node needs them at once.
 	It("sends addresses once and loads in each round", func() {
-		a, b := start(own(51), 1), start(own(52), 1)
+		a, b := start(loopbackIP(51), 1), start(loopbackIP(52), 1)
 		a.Add(b.ip)
 		Eventually(a.live, 2*time.Second).ShouldNot(BeEmpty())
 		Eventually(b.live, 2*time.Second).ShouldNot(BeEmpty())
 		time.Sleep(time.Second)
-		from := b.heardCount()
+		from := b.receivedCount()
 		time.Sleep(2 * time.Second)
-		whole := 0
-		for _, s := range b.heardSince(from) {
+		full := 0
+		for _, s := range b.receivedSince(from) {
 			if !s.GetBrief() {
-				whole++
+				full++
 			}
 			Expect(s.GetLoads()).NotTo(BeEmpty())
 		}
-		Expect(b.heardCount() - from).To(BeNumerically(">", 5))
-		Expect(whole).To(BeNumerically("<=", 1))
+		Expect(b.receivedCount() - from).To(BeNumerically(">", 5))
+		Expect(full).To(BeNumerically("<=", 1))
 	})
 
 	// Guards against announcing each request to all nodes at once: the bytes sent would grow with
 	// the square of their number. Only nodes of the same data centre choose the engine first.
 	It("announces new work at once in its data centre and elsewhere with the next round", func() {
-		a, near, far := start(own(61), 1), start(own(62), 1), startIn("far", own(63), 1)
+		a, near, far := start(loopbackIP(61), 1), start(loopbackIP(62), 1), startIn("far", loopbackIP(63), 1)
 		a.Add(near.ip, far.ip)
 		Eventually(a.live, 2*time.Second).Should(HaveLen(2))
 		Eventually(far.live, 2*time.Second).Should(HaveLen(2))
-		nearBefore, farBefore := near.heardCount(), far.heardCount()
+		nearBefore, farBefore := near.receivedCount(), far.receivedCount()
 		for range 20 {
 			a.Tell("dc")
 			time.Sleep(15 * time.Millisecond)
 		}
-		heardFar := far.heardCount() - farBefore
-		Expect(near.heardCount() - nearBefore).To(BeNumerically(">", 2*heardFar))
-		Expect(far.heardCount()).To(BeNumerically(">", farBefore))
+		receivedFar := far.receivedCount() - farBefore
+		Expect(near.receivedCount() - nearBefore).To(BeNumerically(">", 2*receivedFar))
+		Expect(far.receivedCount()).To(BeNumerically(">", farBefore))
 	})
 
 	// Guards against sending callers to a dead node of the same data centre for many seconds:
 	// rounds to all nodes become rarer as nodes are added, and a nearby loss must not depend on
 	// these.
 	It("detects a nearby loss just as fast with hundreds of nodes elsewhere", func() {
-		a, b := start(own(71), 1), start(own(72), 1)
+		a, b := start(loopbackIP(71), 1), start(loopbackIP(72), 1)
 		a.Add(b.ip)
-		a.Add(elsewhere(200)...)
-		b.Add(elsewhere(200)...)
+		a.Add(unreachableAddresses(200)...)
+		b.Add(unreachableAddresses(200)...)
 		Eventually(a.live, 2*time.Second).Should(Equal([]string{b.ip}))
 		time.Sleep(time.Second)
 		b.stop()
@@ -208,7 +208,7 @@
 	// Guards against a node that restarts quickly and receives no addresses for seconds: the others
 	// still consider it live and leave out the addresses that it knew before.
 	It("sends the full state at once to a node that has restarted quickly", func() {
-		a, b := start(own(71), 1), start(own(72), 1)
+		a, b := start(loopbackIP(71), 1), start(loopbackIP(72), 1)
 		a.Add(b.ip)
 		Eventually(a.live, time.Second).Should(ConsistOf(b.ip))
 		Eventually(b.live, time.Second).Should(ConsistOf(a.ip))
@@ -223,10 +223,10 @@
 	// only. A seed that knows hundreds of nodes has seconds between its regular rounds; if it
 	// responded only then, the new nodes could not serve for as long.
 	It("responds to an unknown node at once", func() {
-		a := startIn("far", own(81), 1)
-		a.Add(elsewhere(300)...)
+		a := startIn("far", loopbackIP(81), 1)
+		a.Add(unreachableAddresses(300)...)
 		time.Sleep(500 * time.Millisecond)
-		b := start(own(82), 1)
+		b := start(loopbackIP(82), 1)
 		b.Add(a.ip)
 		Eventually(b.live, 400*time.Millisecond, 10*time.Millisecond).Should(Equal([]string{a.ip}))
 	})
@@ -234,15 +234,15 @@
 	// Guards against announcing new work only with the next regular round: a node that learns of it
 	// that late chooses the same engine in the meantime.
 	It("announces new work before the next regular round", func() {
-		a, b := start(own(31), 1), start(own(32), 1)
+		a, b := start(loopbackIP(31), 1), start(loopbackIP(32), 1)
 		a.Add(b.ip)
 		Eventually(a.live, 2*time.Second).ShouldNot(BeEmpty())
 		Eventually(b.live, 2*time.Second).ShouldNot(BeEmpty())
-		before := b.heardCount()
+		before := b.receivedCount()
 		for range 5 {
 			a.TellAll()
 			time.Sleep(15 * time.Millisecond)
 		}
-		Expect(b.heardCount() - before).To(BeNumerically(">=", 3))
+		Expect(b.receivedCount() - before).To(BeNumerically(">=", 3))
 	})
 })
--- a/gossip/receive.go
+++ b/gossip/receive.go
@@ -30,15 +30,15 @@
 			metrics.Count("gossip_malformed")
 			continue
 		}
-		if g.take(state) {
-			g.o.Heard(state)
+		if g.recordState(state) {
+			g.opts.Heard(state)
 		}
 	}
 }
 
-// take records a state. It returns false if the state is not newer than the last one of its node,
-// or is brief although the addresses of that incarnation are not known.
-func (g *Gossip) take(s *exchangev1.NodeState) bool {
+// recordState records a state. It returns false if the state is not newer than the last one of its
+// node, or is brief although the addresses of that incarnation are not known.
+func (g *Gossip) recordState(s *exchangev1.NodeState) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.addLocked(s.GetAddress())
@@ -53,29 +53,29 @@
 	if s.GetBrief() && s.GetIncarnation() != p.incarnation {
 		// The addresses arrive with the next full datagram. Probing the sender at once
 		// prompts it to send one.
-		p.live, p.sent, p.full = false, 0, 0
-		g.view = nil
-		g.wake()
+		p.live, p.lastProbe, p.lastFullSent = false, 0, 0
+		g.liveCache = nil
+		g.requestRound()
 		return false
 	}
 	before, wasLive := p.Peer, p.live
-	started := s.GetIncarnation() != p.incarnation
+	newIncarnation := s.GetIncarnation() != p.incarnation
 	defer func() {
 		if p.Peer != before || !wasLive {
-			g.view = nil
+			g.liveCache = nil
 		}
 	}()
 	p.incarnation, p.sequence = s.GetIncarnation(), s.GetSequence()
-	p.heard = g.o.Now()
+	p.lastReceived = g.opts.Now()
 	if !p.live || p.Ready != s.GetReady() || p.Leaving != s.GetLeaving() {
-		g.o.Log.Info("node heard", zap.String("node", s.GetAddress()), zap.Bool("ready", s.GetReady()),
+		g.opts.Log.Info("node heard", zap.String("node", s.GetAddress()), zap.Bool("ready", s.GetReady()),
 			zap.Bool("leaving", s.GetLeaving()), zap.Uint64("incarnation", s.GetIncarnation()))
 	}
-	if !p.live || started {
+	if !p.live || newIncarnation {
 		// A node that was not live may have missed the addresses. One that has just started
 		// knows the seeds only and waits for their response.
-		p.full = 0
-		g.wake()
+		p.lastFullSent = 0
+		g.requestRound()
 	}
 	p.live = true
 	p.Ready, p.Leaving, p.Store = s.GetReady(), s.GetLeaving(), s.GetStore()
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -18,7 +18,7 @@
 // attempt, and it replaces the record of another attempt only if that record is in the not_run
 // state.
 func (l *Ledger) Claim(ctx context.Context, key Key, bodySHA256 string, firstAttempt bool) ClaimResult {
-	a := &attempt{ledger: l, claim: Claim{Key: key, AttemptID: l.opts.NewAttemptID(), sole: firstAttempt}}
+	a := &claimAttempt{ledger: l, claim: Claim{Key: key, AttemptID: l.opts.NewAttemptID(), soleAttempt: firstAttempt}}
 	a.claim.record = Record{
 		AttemptID:  a.claim.AttemptID,
 		State:      StateStarted,
@@ -29,15 +29,15 @@
 	return a.run(ctx)
 }
 
-// attempt is the state of one call of Claim.
-type attempt struct {
+// claimAttempt is the state of one call of Claim.
+type claimAttempt struct {
 	ledger *Ledger
 	claim  Claim
-	// base is the version of the row that the claim replaces, 0 if there is no row.
-	base int64
-	// pending is set once a write without a confirming answer may have been applied or may still
-	// be.
-	pending bool
+	// baseVersion is the version of the row that the claim replaces, 0 if there is no row.
+	baseVersion int64
+	// unconfirmed is set once a write without a confirming answer may have been applied or may
+	// still be.
+	unconfirmed bool
 	// conflicted is set once a write failed because the row had another version. Unless the row is
 	// then read, it may belong to another attempt.
 	conflicted bool
@@ -50,17 +50,17 @@
 // behind and block the key. The row is therefore read, and the attempt ID in it shows which attempt
 // holds it. If the row is unchanged, the write is repeated with the same version: at most one of
 // the two writes can be applied, and both carry the same attempt ID.
-func (a *attempt) run(ctx context.Context) ClaimResult {
-	for range claimTries {
+func (a *claimAttempt) run(ctx context.Context) ClaimResult {
+	for range maxClaimTries {
 		version, err := a.write(ctx)
 		if err == nil {
-			return a.held(version)
+			return a.granted(version)
 		}
-		if errors.Is(err, platform.ErrUnavailable) && !a.pending {
+		if errors.Is(err, platform.ErrUnavailable) && !a.unconfirmed {
 			return a.unavailable()
 		}
 		if !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrUnavailable) {
-			a.pending = true
+			a.unconfirmed = true
 		}
 		if errors.Is(err, platform.ErrConflict) {
 			a.conflicted = true
@@ -73,33 +73,33 @@
 	return a.unavailable()
 }
 
-func (a *attempt) write(ctx context.Context) (int64, error) {
-	return a.ledger.put(ctx, a.claim.Key, a.base, a.claim.record)
+func (a *claimAttempt) write(ctx context.Context) (int64, error) {
+	return a.ledger.writeRecord(ctx, a.claim.Key, a.baseVersion, a.claim.record)
 }
 
 // readBack reads the row after an unconfirmed write. decided is false if the write should be
 // repeated.
-func (a *attempt) readBack(ctx context.Context) (result ClaimResult, decided bool) {
-	row, rec, err := a.ledger.readRow(ctx, a.claim.Key)
+func (a *claimAttempt) readBack(ctx context.Context) (result ClaimResult, decided bool) {
+	row, rec, err := a.ledger.readRecord(ctx, a.claim.Key)
 	if err != nil {
 		return a.unavailable(), true
 	}
 	if row.Version == 0 {
-		a.base = 0
+		a.baseVersion = 0
 		return ClaimResult{}, false
 	}
 	if rec.AttemptID == a.claim.AttemptID {
-		return a.held(row.Version), true
+		return a.granted(row.Version), true
 	}
-	a.claim.sole = false
+	a.claim.soleAttempt = false
 	if rec.State != StateNotRun {
-		return a.ledger.existing(ctx, rec, a.claim.record.BodySHA256), true
+		return a.ledger.answerFromRecord(ctx, rec, a.claim.record.BodySHA256), true
 	}
-	a.base = row.Version
+	a.baseVersion = row.Version
 	return ClaimResult{}, false
 }
 
-func (a *attempt) held(version int64) ClaimResult {
+func (a *claimAttempt) granted(version int64) ClaimResult {
 	a.claim.version = version
 	metrics.Count("ledger_claimed")
 	return ClaimResult{Claim: &a.claim}
@@ -107,12 +107,12 @@
 
 // unavailable refuses the claim because the platform could not record it. This attempt never sends
 // its work, so a claim that may still be applied is withdrawn in the background.
-func (a *attempt) unavailable() ClaimResult {
-	if a.pending {
+func (a *claimAttempt) unavailable() ClaimResult {
+	if a.unconfirmed {
 		metrics.Count("ledger_abandoned")
-		a.ledger.inBackground(a.withdraw)
+		a.ledger.retryInBackground(a.withdraw)
 	}
-	a.claim.sole = a.claim.sole && !a.conflicted
+	a.claim.soleAttempt = a.claim.soleAttempt && !a.conflicted
 	return ClaimResult{Refusal: crocusreel.Refuse(crocusreel.ReasonLedgerUnavailable, a.claim.notRunOutcome(),
 		outageRetryAfter, "the run could not be recorded")}
 }
@@ -120,18 +120,18 @@
 // withdraw ensures that the claim does not remain in the started state. It also overwrites a row
 // that the claim has not reached: a write that is still in flight then meets another version and is
 // never applied.
-func (a *attempt) withdraw(ctx context.Context) error {
-	row, rec, err := a.ledger.readRow(ctx, a.claim.Key)
+func (a *claimAttempt) withdraw(ctx context.Context) error {
+	row, rec, err := a.ledger.readRecord(ctx, a.claim.Key)
 	if err != nil {
 		return err
 	}
 	ours := rec.AttemptID == a.claim.AttemptID && rec.State == StateStarted
-	unreached := row.Version == a.base
+	unreached := row.Version == a.baseVersion
 	if !ours && !unreached {
 		return nil
 	}
 	a.claim.record.State = StateNotRun
-	_, err = a.ledger.put(ctx, a.claim.Key, row.Version, a.claim.record)
+	_, err = a.ledger.writeRecord(ctx, a.claim.Key, row.Version, a.claim.record)
 	return err
 }
 
@@ -140,14 +140,14 @@
 // frozen gateway and run its work after the gateway resumes, which would make not_run false for the
 // key.
 func (c *Claim) notRunOutcome() crocusreel.Outcome {
-	if c.sole {
+	if c.soleAttempt {
 		return crocusreel.OutcomeNotRun
 	}
 	return crocusreel.OutcomeUnknown
 }
 
-// existing returns the result of a claim whose key already has a record of another attempt.
-func (l *Ledger) existing(ctx context.Context, rec Record, bodySHA256 string) ClaimResult {
+// answerFromRecord returns the result of a claim whose key already has a record of another attempt.
+func (l *Ledger) answerFromRecord(ctx context.Context, rec Record, bodySHA256 string) ClaimResult {
 	outcome := crocusreel.OutcomeUnknown
 	if rec.State == StateDone {
 		outcome = crocusreel.OutcomeRan
@@ -183,16 +183,16 @@
 	return result, nil
 }
 
-// readRow reads the record of key, with at most readTries tries. The version of the row is 0 if
-// there is no record.
-func (l *Ledger) readRow(ctx context.Context, key Key) (platform.Row, Record, error) {
+// readRecord reads the record of key, with at most maxReadTries tries. The version of the row is 0
+// if there is no record.
+func (l *Ledger) readRecord(ctx context.Context, key Key) (platform.Row, Record, error) {
 	var row platform.Row
 	var err error
-	for try := range readTries {
-		if row, err = l.tables.Get(ctx, table, key.row()); err == nil {
+	for try := range maxReadTries {
+		if row, err = l.tables.Get(ctx, table, key.rowKey()); err == nil {
 			break
 		}
-		if !l.pause(ctx, try) {
+		if !l.backoff(ctx, try) {
 			break
 		}
 	}
@@ -207,14 +207,15 @@
 	return row, rec, nil
 }
 
-// put writes the record if the row still has the given version, and returns the new version.
-func (l *Ledger) put(ctx context.Context, key Key, version int64, rec Record) (int64, error) {
+// writeRecord writes the record if the row still has the given version, and returns the new
+// version.
+func (l *Ledger) writeRecord(ctx context.Context, key Key, version int64, rec Record) (int64, error) {
 	value, err := json.Marshal(rec)
 	if err != nil {
 		return 0, err
 	}
 	return l.tables.Commit(ctx, platform.Txn{
-		Conditions: []platform.Condition{{Table: table, Key: key.row(), Version: version}},
-		Writes:     []platform.Write{{Table: table, Key: key.row(), Value: value}},
+		Conditions: []platform.Condition{{Table: table, Key: key.rowKey(), Version: version}},
+		Writes:     []platform.Write{{Table: table, Key: key.rowKey(), Value: value}},
 	})
 }
--- a/ledger/claim_test.go
+++ b/ledger/claim_test.go
@@ -17,14 +17,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scripted is a platform whose next calls fail as listed; "" lets a call succeed.
-type scripted struct {
-	*world
+// scriptedPlatform is a platform whose next calls fail as listed; "" lets a call succeed.
+type scriptedPlatform struct {
+	*simulation
 	mu     sync.Mutex
 	faults []string
 }
 
-func (s *scripted) fault() string {
+func (s *scriptedPlatform) fault() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.faults) == 0 {
@@ -35,20 +35,20 @@
 	return f
 }
 
-func (s *scripted) Get(_ context.Context, _, key string) (platform.Row, error) {
+func (s *scriptedPlatform) Get(_ context.Context, _, key string) (platform.Row, error) {
 	if s.fault() != "" {
 		return platform.Row{}, platform.ErrUnavailable
 	}
-	s.world.mu.Lock()
-	defer s.world.mu.Unlock()
+	s.simulation.mu.Lock()
+	defer s.simulation.mu.Unlock()
 	return s.rows[key], nil
 }
 
-func (s *scripted) Scan(context.Context, string, string, string, int) ([]platform.Row, error) {
+func (s *scriptedPlatform) Scan(context.Context, string, string, string, int) ([]platform.Row, error) {
 	return nil, platform.ErrUnavailable
 }
 
-func (s *scripted) Commit(_ context.Context, txn platform.Txn) (int64, error) {
+func (s *scriptedPlatform) Commit(_ context.Context, txn platform.Txn) (int64, error) {
 	switch s.fault() {
 	case "down":
 		return 0, platform.ErrUnavailable
@@ -61,16 +61,16 @@
 	return s.apply(txn)
 }
 
-// bench is a Ledger on a scripted platform.
-type bench struct {
+// testLedger is a Ledger on a scripted platform.
+type testLedger struct {
 	*ledger.Ledger
-	platform *scripted
+	platform *scriptedPlatform
 	store    *objects
 }
 
-func newBench(t *testing.T, faults ...string) bench {
+func newTestLedger(t *testing.T, faults ...string) testLedger {
 	t.Helper()
-	p := &scripted{world: newWorld(), faults: faults}
+	p := &scriptedPlatform{simulation: newSimulation(), faults: faults}
 	o := &objects{}
 	ids := 0
 	l := ledger.New(p, o, ledger.Options{
@@ -78,7 +78,7 @@
 		NewAttemptID: func() string { ids++; return fmt.Sprint("attempt-", ids) },
 	})
 	t.Cleanup(func() { l.Close(context.Background()) })
-	return bench{Ledger: l, platform: p, store: o}
+	return testLedger{Ledger: l, platform: p, store: o}
 }
 
 var key = ledger.Key{Workspace: "desk", IdempotencyKey: "print-7"}
@@ -88,7 +88,7 @@
 func TestLostAnswerIsReadBack(t *testing.T) {
 	for _, faults := range [][]string{{"lost"}, {"dropped"}, {"lost", "down"}, {"dropped", "", "lost"}, {"dropped", "", "dropped"}} {
 		g := NewWithT(t)
-		b := newBench(t, faults...)
+		b := newTestLedger(t, faults...)
 		r := b.Claim(t.Context(), key, "h", true)
 		g.Expect(r.Refusal).To(BeNil(), "%v", faults)
 		g.Expect(r.Claim).NotTo(BeNil())
@@ -100,7 +100,7 @@
 
 // Guards against a false not_run while the platform is unavailable: the work of a caller that has
 // sent the key before may have run, so only a first attempt may receive not_run.
-func TestOutageIsAnsweredTruthfully(t *testing.T) {
+func TestOutcomeDuringOutage(t *testing.T) {
 	cases := []struct {
 		faults  []string
 		first   bool
@@ -113,7 +113,7 @@
 	}
 	for _, c := range cases {
 		g := NewWithT(t)
-		b := newBench(t, c.faults...)
+		b := newTestLedger(t, c.faults...)
 		r := b.Claim(t.Context(), key, "h", c.first)
 		g.Expect(r.Refusal).NotTo(BeNil(), "%+v", c)
 		g.Expect(r.Refusal.Reason).To(Equal(crocusreel.ReasonLedgerUnavailable))
@@ -124,10 +124,10 @@
 
 // Guards against a key that stays blocked forever: a claim is applied, but neither its answer nor
 // the read of the row gets through, and the gateway gives it up.
-func TestUnreadableClaimIsWithdrawn(t *testing.T) {
+func TestUnconfirmedClaimIsWithdrawn(t *testing.T) {
 	for _, first := range []string{"lost", "dropped"} {
 		g := NewWithT(t)
-		b := newBench(t, first, "down", "down", "down", "down", "down", "down", "down", "down")
+		b := newTestLedger(t, first, "down", "down", "down", "down", "down", "down", "down", "down")
 		g.Expect(b.Claim(t.Context(), key, "h", true).Refusal).NotTo(BeNil())
 		g.Eventually(func() *ledger.Claim { return b.Claim(t.Context(), key, "h", false).Claim }).
 			WithTimeout(10 * time.Second).ShouldNot(BeNil())
@@ -136,9 +136,9 @@
 
 // Guards against losing the result of a run because the platform is unavailable when it is to be
 // stored. Another attempt with the same key must receive it after the outage.
-func TestResultIsKeptAfterAnOutage(t *testing.T) {
+func TestResultIsStoredAfterOutage(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench(t, "", "down", "down", "lost", "down", "down", "down", "down")
+	b := newTestLedger(t, "", "down", "down", "lost", "down", "down", "down", "down")
 	r := b.Claim(t.Context(), key, "h", true)
 	body := []byte(strings.Repeat("x", 1000))
 	g.Expect(b.Done(t.Context(), r.Claim, ledger.Result{Status: 200, Body: body})).NotTo(Succeed())
@@ -152,7 +152,7 @@
 // arrives while the first one runs or after its gateway died.
 func TestRecordOfAnotherAttempt(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench(t)
+	b := newTestLedger(t)
 	held := b.Claim(t.Context(), key, "h", true).Claim
 	second := b.Claim(t.Context(), key, "h", true).Refusal
 	g.Expect(second.Reason).To(Equal(crocusreel.ReasonRunInProgress))
@@ -169,9 +169,9 @@
 // Guards against reporting not_run to a later attempt that the endpoint refused while the first one
 // is suspended in a frozen gateway: the caller would book again under a new key, and the first
 // attempt would then resume and book too.
-func TestLaterAttemptIsNeverToldNotRun(t *testing.T) {
+func TestLaterAttemptNeverReportsNotRun(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench(t)
+	b := newTestLedger(t)
 	second := b.Claim(t.Context(), key, "h", false).Claim
 	g.Expect(b.NotRun(t.Context(), second)).To(Equal(crocusreel.OutcomeUnknown))
 	g.Expect(b.Claim(t.Context(), key, "h", true).Claim).NotTo(BeNil())
@@ -181,7 +181,7 @@
 // the answer of the other.
 func TestKeysDoNotCollide(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench(t)
+	b := newTestLedger(t)
 	for _, k := range []ledger.Key{{Workspace: "a/b", IdempotencyKey: "c"}, {Workspace: "a", IdempotencyKey: "b/c"}, {Workspace: "a%2Fb", IdempotencyKey: "c"}} {
 		g.Expect(b.Claim(t.Context(), k, "h", true).Claim).NotTo(BeNil(), "%+v", k)
 	}
--- a/ledger/end.go
+++ b/ledger/end.go
@@ -12,9 +12,9 @@
 // ErrEnded is returned if the claim was already ended.
 var ErrEnded = eris.New("ledger: claim already ended")
 
-// errTaken means that the row no longer holds the claim. Only its holder may change a started
-// record, so this is a fault of the platform.
-var errTaken = eris.New("ledger: record of a held claim was changed by another writer")
+// errClaimOverwritten means that the row no longer holds the claim. Only its holder may change a
+// started record, so this is a fault of the platform.
+var errClaimOverwritten = eris.New("ledger: record of a held claim was changed by another writer")
 
 // Done records the result of the run and ends the claim. If the platform is unavailable it returns
 // an error and retries in the background; the answer to the caller does not depend on it.
@@ -23,9 +23,9 @@
 	rec.State = StateDone
 	rec.Result = &result
 	stored := len(result.Body) <= l.opts.InlineBytes
-	return l.end(ctx, c, func(ctx context.Context) error {
+	return l.endClaim(ctx, c, func(ctx context.Context) error {
 		if !stored {
-			name := table + "/" + c.Key.row() + "/" + c.AttemptID
+			name := table + "/" + c.Key.rowKey() + "/" + c.AttemptID
 			if err := l.objects.PutObject(ctx, name, result.Body); err != nil {
 				return err
 			}
@@ -44,7 +44,7 @@
 	rec := c.record
 	rec.State = StateNotRun
 	// An error is retried in the background; until then the record reads as unknown.
-	_ = l.end(ctx, c, func(ctx context.Context) error { return l.endRecord(ctx, c, rec) })
+	_ = l.endClaim(ctx, c, func(ctx context.Context) error { return l.endRecord(ctx, c, rec) })
 	return c.notRunOutcome()
 }
 
@@ -53,31 +53,31 @@
 	rec := c.record
 	rec.State = StateUnknown
 	// An error is retried in the background; a started record also reads as unknown.
-	_ = l.end(ctx, c, func(ctx context.Context) error { return l.endRecord(ctx, c, rec) })
+	_ = l.endClaim(ctx, c, func(ctx context.Context) error { return l.endRecord(ctx, c, rec) })
 }
 
-// end runs f, which ends the claim, and retries it in the background if it fails. Only the first
-// call for a claim has an effect; later ones return ErrEnded.
-func (l *Ledger) end(ctx context.Context, c *Claim, f func(context.Context) error) error {
+// endClaim runs f, which ends the claim, and retries it in the background if it fails. Only the
+// first call for a claim has an effect; later ones return ErrEnded.
+func (l *Ledger) endClaim(ctx context.Context, c *Claim, f func(context.Context) error) error {
 	if !c.ended.CompareAndSwap(false, true) {
 		return ErrEnded
 	}
 	err := f(ctx)
-	if err == nil || errors.Is(err, errTaken) {
+	if err == nil || errors.Is(err, errClaimOverwritten) {
 		return err
 	}
-	l.inBackground(f)
+	l.retryInBackground(f)
 	return eris.Wrap(err, "end claim, retried in the background")
 }
 
 // endRecord replaces the started record of a held claim. A lost answer is resolved by reading the
 // row: either it has the new state, or the write is repeated with the same version.
 func (l *Ledger) endRecord(ctx context.Context, c *Claim, rec Record) error {
-	_, err := l.put(ctx, c.Key, c.version, rec)
+	_, err := l.writeRecord(ctx, c.Key, c.version, rec)
 	if err == nil || errors.Is(err, platform.ErrUnavailable) {
 		return err
 	}
-	row, found, readErr := l.readRow(ctx, c.Key)
+	row, found, readErr := l.readRecord(ctx, c.Key)
 	if readErr != nil {
 		return readErr
 	}
@@ -91,6 +91,6 @@
 		// claimed the key since.
 		return nil
 	default:
-		return errTaken
+		return errClaimOverwritten
 	}
 }
--- a/ledger/fake_test.go
+++ b/ledger/fake_test.go
@@ -22,39 +22,39 @@
 	faultCount
 )
 
-// step is a call that is blocked until the driver decides its fault.
-type step struct {
+// blockedCall is a call that is blocked until the driver decides its fault.
+type blockedCall struct {
 	gateway int
 	// send marks a call of the endpoint; the others are calls of the platform.
 	send  bool
 	write bool
-	// go_ passes the fault to the blocked call. Closing it ends the goroutine of the call.
-	go_ chan fault
+	// resume passes the fault to the blocked call. Closing it ends the goroutine of the call.
+	resume chan fault
 }
 
-// world is an in-memory platform that also counts the runs at the endpoint. Each call blocks at a
-// step until the driver releases it.
-type world struct {
+// simulation is an in-memory platform that also records the runs at the endpoint. Each call blocks
+// until the driver releases it.
+type simulation struct {
 	version int64 // Version of the last transaction.
 	mu      sync.Mutex
 	rows    map[string]platform.Row
-	waiting []*step
+	blocked []*blockedCall
 	// delayed are the commits whose answers were lost and that are applied later.
 	delayed []platform.Txn
 	runs    []int // Attempts whose work ran, in order.
-	history []event
+	history []callerOutcome
 }
 
-func newWorld() *world { return &world{rows: map[string]platform.Row{}} }
+func newSimulation() *simulation { return &simulation{rows: map[string]platform.Row{}} }
 
-// stop blocks until the driver releases the call, and returns its fault. It never returns for a
+// block blocks until the driver releases the call, and returns its fault. It never returns for a
 // gateway that was killed.
-func (w *world) stop(gateway int, send, write bool) fault {
-	s := &step{gateway: gateway, send: send, write: write, go_: make(chan fault)}
+func (w *simulation) block(gateway int, send, write bool) fault {
+	s := &blockedCall{gateway: gateway, send: send, write: write, resume: make(chan fault)}
 	w.mu.Lock()
-	w.waiting = append(w.waiting, s)
+	w.blocked = append(w.blocked, s)
 	w.mu.Unlock()
-	f, ok := <-s.go_
+	f, ok := <-s.resume
 	if !ok {
 		runtime.Goexit()
 	}
@@ -62,7 +62,7 @@
 }
 
 // apply commits a transaction if its conditions hold, and returns the new version.
-func (w *world) apply(txn platform.Txn) (int64, error) {
+func (w *simulation) apply(txn platform.Txn) (int64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range txn.Conditions {
@@ -82,7 +82,7 @@
 
 // tables implements platform.Tables for one gateway.
 type tables struct {
-	*world
+	*simulation
 	gateway int
 }
 
@@ -90,7 +90,7 @@
 	if ctx.Err() != nil {
 		return platform.Row{}, platform.ErrUnavailable
 	}
-	if t.stop(t.gateway, false, false) != faultNone {
+	if t.block(t.gateway, false, false) != faultNone {
 		return platform.Row{}, platform.ErrUnavailable
 	}
 	t.mu.Lock()
@@ -106,7 +106,7 @@
 	if ctx.Err() != nil {
 		return 0, platform.ErrUnavailable
 	}
-	switch t.stop(t.gateway, false, true) {
+	switch t.block(t.gateway, false, true) {
 	case faultDown:
 		return 0, platform.ErrUnavailable
 	case faultAnswerLost:
--- a/ledger/interleaving_test.go
+++ b/ledger/interleaving_test.go
@@ -16,8 +16,8 @@
 
 const attempts = 3
 
-// event is the outcome that the caller of one attempt received.
-type event struct {
+// callerOutcome is the outcome that the caller of one attempt received.
+type callerOutcome struct {
 	attempt int
 	outcome crocusreel.Outcome
 	// done is set if the caller received a result.
@@ -41,11 +41,11 @@
 // interleave runs three attempts with one key under the drawn decisions. It returns a description
 // of the violated guarantee, or an empty string.
 func interleave(script []int) string {
-	w := newWorld()
-	d := &driver{world: w, script: script, live: map[int]bool{}}
+	w := newSimulation()
+	d := &driver{simulation: w, script: script, live: map[int]bool{}}
 	for n := range attempts {
 		d.start(n)
-		d.run(d.next() % 8)
+		d.run(d.nextChoice() % 8)
 	}
 	d.run(-1)
 	d.closeAll()
@@ -53,7 +53,7 @@
 }
 
 // check verifies the guarantees against what the callers and the endpoint saw.
-func (w *world) check() string {
+func (w *simulation) check() string {
 	if len(w.runs) > 1 {
 		return fmt.Sprintf("the work ran %d times, by attempts %v; callers received %+v", len(w.runs), w.runs, w.history)
 	}
@@ -72,15 +72,15 @@
 
 // driver decides which blocked call proceeds next and with which fault.
 type driver struct {
-	*world
+	*simulation
 	script  []int
 	live    map[int]bool
 	ledgers []*ledger.Ledger
 	dead    []int
 }
 
-// next returns the next number of the script, 0 after its end.
-func (d *driver) next() int {
+// nextChoice returns the next number of the script, 0 after its end.
+func (d *driver) nextChoice() int {
 	if len(d.script) == 0 {
 		return 0
 	}
@@ -92,7 +92,7 @@
 // start begins attempt n at a gateway of its own.
 func (d *driver) start(n int) {
 	ids := 0
-	l := ledger.New(tables{d.world, n}, &objects{}, ledger.Options{
+	l := ledger.New(tables{d.simulation, n}, &objects{}, ledger.Options{
 		Gateway: fmt.Sprint("gw", n),
 		Now:     time.Now,
 		Workers: 1,
@@ -112,9 +112,9 @@
 	result := l.Claim(ctx, ledger.Key{Workspace: "w", IdempotencyKey: "k"}, "hash", n == 0)
 	switch {
 	case result.Refusal != nil:
-		d.told(event{attempt: n, outcome: result.Refusal.Outcome})
+		d.recordOutcome(callerOutcome{attempt: n, outcome: result.Refusal.Outcome})
 	case result.Done != nil:
-		d.told(event{attempt: n, done: true})
+		d.recordOutcome(callerOutcome{attempt: n, done: true})
 	default:
 		d.send(ctx, l, result.Claim, n)
 	}
@@ -122,27 +122,27 @@
 
 // send lets the endpoint run the work, refuse it, or run it and lose the answer.
 func (d *driver) send(ctx context.Context, l *ledger.Ledger, c *ledger.Claim, n int) {
-	switch d.stop(n, true, false) {
+	switch d.block(n, true, false) {
 	case faultDown:
-		d.told(event{attempt: n, outcome: l.NotRun(ctx, c)})
+		d.recordOutcome(callerOutcome{attempt: n, outcome: l.NotRun(ctx, c)})
 	case faultAnswerLost, faultDelayed:
-		d.ran(n)
+		d.recordRun(n)
 		l.Unknown(ctx, c)
-		d.told(event{attempt: n, outcome: crocusreel.OutcomeUnknown})
+		d.recordOutcome(callerOutcome{attempt: n, outcome: crocusreel.OutcomeUnknown})
 	default:
-		d.ran(n)
+		d.recordRun(n)
 		_ = l.Done(ctx, c, ledger.Result{Status: 200})
-		d.told(event{attempt: n, done: true})
+		d.recordOutcome(callerOutcome{attempt: n, done: true})
 	}
 }
 
-func (d *driver) ran(n int) {
+func (d *driver) recordRun(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.runs = append(d.runs, n)
 }
 
-func (d *driver) told(e event) {
+func (d *driver) recordOutcome(e callerOutcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.history = append(d.history, e)
@@ -167,7 +167,7 @@
 // returns false if there is neither.
 func (d *driver) decide() bool {
 	d.mu.Lock()
-	choice := d.next()
+	choice := d.nextChoice()
 	if len(d.delayed) > 0 && choice%5 == 4 {
 		txn := d.delayed[0]
 		d.delayed = d.delayed[1:]
@@ -175,32 +175,32 @@
 		_, _ = d.apply(txn)
 		return true
 	}
-	if len(d.waiting) == 0 {
+	if len(d.blocked) == 0 {
 		d.mu.Unlock()
 		return false
 	}
 	// Calls that arrive at the same moment are queued in any order. Sorting them makes the
 	// effect of a script reproducible.
-	slices.SortStableFunc(d.waiting, func(a, b *step) int { return cmp.Compare(a.gateway, b.gateway) })
-	i := choice % len(d.waiting)
-	s := d.waiting[i]
-	d.waiting = slices.Delete(d.waiting, i, i+1)
+	slices.SortStableFunc(d.blocked, func(a, b *blockedCall) int { return cmp.Compare(a.gateway, b.gateway) })
+	i := choice % len(d.blocked)
+	s := d.blocked[i]
+	d.blocked = slices.Delete(d.blocked, i, i+1)
 	d.mu.Unlock()
 	d.release(s)
 	return true
 }
 
-// release ends the wait of one step. In one of sixteen cases its gateway dies there.
-func (d *driver) release(s *step) {
-	choice := d.next()
+// release unblocks a call. In one of sixteen cases its gateway dies there.
+func (d *driver) release(s *blockedCall) {
+	choice := d.nextChoice()
 	if choice%16 == 15 {
 		d.dead = append(d.dead, s.gateway)
 	}
 	if slices.Contains(d.dead, s.gateway) {
-		close(s.go_)
+		close(s.resume)
 		return
 	}
-	s.go_ <- fault(choice % int(faultCount))
+	s.resume <- fault(choice % int(faultCount))
 }
 
 // closeAll closes all ledgers and lets the background work of the gateways that are alive end.
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -22,13 +22,13 @@
 	defaultQueueLength = 1024
 	defaultInlineBytes = 16 << 10
 
-	// claimTries bounds the commits of one claim, and readTries the reads after each of them.
-	claimTries = 4
-	readTries  = 3
-	// endTries bounds the tries to end a claim in the background. With the default RetryBase and
+	// maxClaimTries bounds the commits of one claim, and maxReadTries the reads after each of them.
+	maxClaimTries = 4
+	maxReadTries  = 3
+	// maxEndTries bounds the tries to end a claim in the background. With the default RetryBase and
 	// maxBackoff they spread over up to about five minutes.
-	endTries   = 60
-	maxBackoff = 5 * time.Second
+	maxEndTries = 60
+	maxBackoff  = 5 * time.Second
 
 	// inProgressRetryAfter is the retry delay sent to a caller while an earlier attempt holds the
 	// key, and outageRetryAfter the one sent while the platform is unavailable.
@@ -43,8 +43,9 @@
 	IdempotencyKey string
 }
 
-// row returns the row key of the record. Both parts are escaped, so that no two keys share a row.
-func (k Key) row() string {
+// rowKey returns the key of the record's row. Both parts are escaped, so that no two keys share a
+// row.
+func (k Key) rowKey() string {
 	return url.PathEscape(k.Workspace) + "/" + url.PathEscape(k.IdempotencyKey)
 }
 
@@ -104,10 +105,10 @@
 	record Record
 	// version is that of the row that holds the claim.
 	version int64
-	// sole is set if the caller stated that this is its first attempt and no record of another
-	// attempt was found.
-	sole  bool
-	ended atomic.Bool
+	// soleAttempt is set if the caller stated that this is its first attempt and no record of
+	// another attempt was found.
+	soleAttempt bool
+	ended       atomic.Bool
 }
 
 // Options configure a Ledger. Gateway, Now and NewAttemptID are required.
@@ -136,7 +137,7 @@
 	tables  platform.Tables
 	objects platform.Objects
 	opts    Options
-	pool    *pool
+	pool    *workerPool
 }
 
 // New starts a Ledger. The caller must stop it with Close.
