--- a/entry/bodies.go
+++ b/entry/bodies.go
@@ -9,21 +9,21 @@
 // errBodyMemoryFull is returned when a body is read for which no memory is left.
 var errBodyMemoryFull = errors.New("too many large bodies at a time")
 
-// Bodies bounds the memory used by the request bodies of all callers together. Without the bound, a
-// few dozen callers that each send a body of the maximum size would use up the memory of a small
-// VM, and the kernel would kill the process together with all its requests.
-type Bodies struct {
+// BodyMemory bounds the memory used by the request bodies of all callers together. Without the
+// bound, a few dozen callers that each send a body of the maximum size would use up the memory of a
+// small VM, and the kernel would kill the process together with all its requests.
+type BodyMemory struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// NewBodies returns a bound of limit bytes.
-func NewBodies(limit int64) *Bodies { return &Bodies{limit: limit} }
+// NewBodyMemory returns a bound of limit bytes.
+func NewBodyMemory(limit int64) *BodyMemory { return &BodyMemory{limit: limit} }
 
 // meteredBody counts the bytes read from one request body against the common bound.
 type meteredBody struct {
 	io.Reader
-	budget    *Bodies
+	budget    *BodyMemory
 	bytesRead int64
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -22,23 +22,23 @@
 
 // Handler is the HTTP handler for callers.
 type Handler struct {
-	Config *knowledge.ConfigurationTracker
-	Relay  *relay.Relay
-	Gate   *Gate
-	Bodies *Bodies
+	Config     *knowledge.ConfigurationTracker
+	Relay      *relay.Relay
+	Gate       *Gate
+	BodyMemory *BodyMemory
 	// Freshness limits the age of the configuration that decisions are based on.
-	Freshness Freshness
+	Freshness FreshnessLimits
 	Log       *zap.Logger
 }
 
-// Freshness limits the age of the configuration that decisions are based on.
-type Freshness struct {
-	// Keys is the time since the configuration was last confirmed after which requests with a key
-	// are refused as not ready, since the key may have been revoked.
-	Keys time.Duration
-	// Denials is the time since the store last answered after which an unknown key or route is
+// FreshnessLimits limits the age of the configuration that decisions are based on.
+type FreshnessLimits struct {
+	// MaxKeyAge is the time since the configuration was last confirmed after which requests with a
+	// key are refused as not ready, since the key may have been revoked.
+	MaxKeyAge time.Duration
+	// MaxDenialAge is the time since the store last answered after which an unknown key or route is
 	// refused with a retryable reason instead of a final one, since it may have been added.
-	Denials time.Duration
+	MaxDenialAge time.Duration
 }
 
 // Delays after which refused callers may retry.
@@ -61,12 +61,12 @@
 		w.Header().Set("Connection", "close")
 	}
 	sink := &responseSink{w: w, rc: http.NewResponseController(w)}
-	if !h.Gate.Enter() {
+	if !h.Gate.StartRequest() {
 		h.reject(sink, r, refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetryAfter, "this node has stopped"))
 		return
 	}
-	defer h.Gate.Exit()
-	metered := &meteredBody{Reader: r.Body, budget: h.Bodies}
+	defer h.Gate.EndRequest()
+	metered := &meteredBody{Reader: r.Body, budget: h.BodyMemory}
 	defer metered.release()
 	r.Body = io.NopCloser(metered)
 	req, refusal := h.admit(w, r, received)
@@ -146,7 +146,7 @@
 	outdatedRefusal := refuseOutdated(ages)
 	route := s.Table.Match(r.Host, r.URL.Path)
 	if route == nil {
-		if ages.Answered > h.Freshness.Denials {
+		if ages.Answered > h.Freshness.MaxDenialAge {
 			return nil, nil, outdatedRefusal
 		}
 		return nil, nil, refuseNotRun(crocusreel.ReasonUnknownRoute, 0, "no route for this host and path")
@@ -154,12 +154,12 @@
 	if route.Public || !s.Table.NeedsKeys {
 		return route, nil, nil
 	}
-	if ages.Confirmed > h.Freshness.Keys {
+	if ages.Confirmed > h.Freshness.MaxKeyAge {
 		return nil, nil, outdatedRefusal
 	}
 	ws := s.Table.Keys[head.Key]
 	if ws == nil {
-		if ages.Answered > h.Freshness.Denials {
+		if ages.Answered > h.Freshness.MaxDenialAge {
 			return nil, nil, outdatedRefusal
 		}
 		return nil, nil, refuseNotRun(crocusreel.ReasonUnauthorized, 0, "unknown key")
@@ -173,7 +173,7 @@
 	if r.Workspace == nil {
 		return nil
 	}
-	if _, ages := h.Config.Current(); ages.Confirmed > h.Freshness.Keys {
+	if _, ages := h.Config.Current(); ages.Confirmed > h.Freshness.MaxKeyAge {
 		return refuseOutdated(ages)
 	}
 	return nil
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -52,13 +52,13 @@
 	endpoints.Update(fleet.Instance{ID: "i1", Service: "app", Address: app.Address(), DataCentre: "dc1", Slots: 6})
 	endpoints.Update(fleet.Instance{ID: "e1", Service: "pool", Address: engine.Address(), DataCentre: "dc1", Slots: 24})
 	h := &entry.Handler{
-		Config: s.config,
-		Gate:   s.gate,
-		Bodies: entry.NewBodies(1500),
-		Log:    zap.NewNop(),
-		Freshness: entry.Freshness{
-			Keys:    4600 * time.Millisecond,
-			Denials: 1800 * time.Millisecond,
+		Config:     s.config,
+		Gate:       s.gate,
+		BodyMemory: entry.NewBodyMemory(1500),
+		Log:        zap.NewNop(),
+		Freshness: entry.FreshnessLimits{
+			MaxKeyAge:    4600 * time.Millisecond,
+			MaxDenialAge: 1800 * time.Millisecond,
 		},
 		Relay: &relay.Relay{
 			Fleet: endpoints, Client: client, Protocol: platform.Wire{}, Mover: platform.NewEngines(client), Log: zap.NewNop(),
@@ -165,7 +165,7 @@
 		large := string(make([]byte, 900))
 		first := make(chan reply)
 		go func() { first <- s.sendAs("long", "/drafts/1", "key", large) }()
-		Eventually(s.gate.Inside).Should(Equal(1))
+		Eventually(s.gate.InFlight).Should(Equal(1))
 		time.Sleep(50 * time.Millisecond)
 		full := s.send("/calls/1", "key", large)
 		Expect(full.status).To(Equal(http.StatusServiceUnavailable))
@@ -241,10 +241,10 @@
 	It("starts no request once it is closed", func() {
 		s := newSite()
 		s.configure()
-		Expect(s.gate.Enter()).To(BeTrue())
-		Expect(s.gate.Close()).To(BeFalse())
-		s.gate.Exit()
-		Expect(s.gate.Close()).To(BeTrue())
+		Expect(s.gate.StartRequest()).To(BeTrue())
+		Expect(s.gate.CloseIfIdle()).To(BeFalse())
+		s.gate.EndRequest()
+		Expect(s.gate.CloseIfIdle()).To(BeTrue())
 		Expect(s.send("/calls/1", "key", "").status).To(Equal(http.StatusServiceUnavailable))
 		Expect(s.app.Runs()).To(BeEmpty())
 	})
@@ -277,6 +277,6 @@
 			_, _ = io.Copy(io.Discard, resp.Body)
 			_ = resp.Body.Close()
 		}
-		Eventually(s.gate.Inside, time.Second).Should(BeZero())
+		Eventually(s.gate.InFlight, time.Second).Should(BeZero())
 	})
 })
--- a/entry/gate.go
+++ b/entry/gate.go
@@ -21,9 +21,9 @@
 	return g
 }
 
-// Enter counts a request as in flight. It returns false if the gate is closed; otherwise Exit must
-// be called once when the request ends.
-func (g *Gate) Enter() bool {
+// StartRequest counts a request as in flight. It returns false if the gate is closed; otherwise
+// EndRequest must be called once when the request ends.
+func (g *Gate) StartRequest() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
@@ -33,25 +33,25 @@
 	return true
 }
 
-// Exit ends a request that Enter has counted.
-func (g *Gate) Exit() {
+// EndRequest ends a request that StartRequest has counted.
+func (g *Gate) EndRequest() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
 }
 
-// Close closes the gate if no request is in flight, and reports whether the gate is closed.
-// Checking Inside before stopping the process is not enough: a request could arrive in between and
-// would be cut off.
-func (g *Gate) Close() bool {
+// CloseIfIdle closes the gate if no request is in flight, and reports whether the gate is closed.
+// Checking InFlight before stopping the process is not enough: a request could arrive in between
+// and would be cut off.
+func (g *Gate) CloseIfIdle() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = g.closed || g.inFlight == 0
 	return g.closed
 }
 
-// Inside returns the number of requests in flight.
-func (g *Gate) Inside() int {
+// InFlight returns the number of requests in flight.
+func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -34,18 +34,18 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepTimeout)
 	defer cancel()
 	if refusal.Outcome != crocusreel.OutcomeNotRun {
-		g.ledger.Unknown(ctx, claim)
+		g.ledger.RecordUnknown(ctx, claim)
 		return refusal
 	}
 	final := *refusal
-	final.Outcome = g.ledger.NotRun(ctx, claim)
+	final.Outcome = g.ledger.RecordNotRun(ctx, claim)
 	return &final
 }
 
 func (g *Gateway) keepResult(claim *ledger.Claim, result ledger.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), keepTimeout)
 	defer cancel()
-	if err := g.ledger.Done(ctx, claim, result); err != nil {
+	if err := g.ledger.RecordDone(ctx, claim, result); err != nil {
 		metrics.Count("result_kept_late")
 		g.log.Warn("result not kept yet", zap.Error(err))
 	}
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -58,11 +58,11 @@
 	// long finds the others through the store.
 	probeInterval = time.Second
 	forgetAfter   = time.Minute
-	// TellAllUpTo is the usual number of nodes up to which new work is announced to all of them at
-	// once: if nodes of other data centres learn of it late, work is sent to other data centres
-	// more often and starts later. Beyond it, the bytes sent would grow with the square of the
-	// number of nodes.
-	TellAllUpTo = 128
+	// DefaultMaxAnnounceAllNodes is the usual number of nodes up to which new work is announced to
+	// all of them at once: if nodes of other data centres learn of it late, work is sent to other
+	// data centres more often and starts later. Beyond it, the bytes sent would grow with the
+	// square of the number of nodes.
+	DefaultMaxAnnounceAllNodes = 128
 	// maxDatagramBytes bounds a datagram in bytes, so that it fits into one packet of the network.
 	maxDatagramBytes = 1400
 	// maxKnownDiscovered bounds the addresses of other nodes in a datagram to a newly discovered
@@ -105,18 +105,19 @@
 	IP         string
 	Port       int
 	DataCentre string
-	// TellAllUpTo is the number of other nodes up to which Tell announces a change to all of them.
-	TellAllUpTo int
+	// MaxAnnounceAllNodes is the number of other nodes up to which Announce announces a change to
+	// all of them.
+	MaxAnnounceAllNodes int
 	// Now reads a monotonic clock.
 	Now func() time.Duration
 	// State returns the state of this node to send, without addresses of other nodes.
 	State func() *exchangev1.NodeState
-	// Heard is called with each state that is newer than the last one of its node, and Lost with
-	// the address of a node that is no longer live. Both are called without locks of the Gossip
-	// held.
-	Heard func(*exchangev1.NodeState)
-	Lost  func(address string)
-	Log   *zap.Logger
+	// OnState is called with each state that is newer than the last one of its node, and OnLost
+	// with the address of a node that is no longer live. Both are called without locks of the
+	// Gossip held.
+	OnState func(*exchangev1.NodeState)
+	OnLost  func(address string)
+	Log     *zap.Logger
 }
 
 // Gossip exchanges states with the other nodes. Its methods are safe for concurrent use.
@@ -131,11 +132,11 @@
 	roundRequested chan struct{}
 	// urgent ends the minRoundGap before a round early.
 	urgent chan struct{}
-	// pendingMu guards pending only. Callers of Tell hold locks of their own that Lost also
-	// takes: if Tell took mu instead, a callback that runs with mu held would deadlock with it.
+	// pendingMu guards pending only. callers of Announce hold locks of their own that OnLost also
+	// takes: if Announce took mu instead, a callback that runs with mu held would deadlock with it.
 	pendingMu sync.Mutex
 	pending   recipientFilter
-	// peerCount is the number of peers; Tell reads it without mu.
+	// peerCount is the number of peers; Announce reads it without mu.
 	peerCount atomic.Int32
 	// liveCache caches the result of Live until a live node changes, or until liveCacheUntil at the
 	// latest. It is nil if it has to be built.
@@ -215,11 +216,11 @@
 	return p
 }
 
-// Tell requests an immediate round to the nodes of this data centre and of the given ones, or to
-// all nodes if there are at most TellAllUpTo. It never blocks.
-func (g *Gossip) Tell(dataCentres ...string) {
+// Announce requests an immediate round to the nodes of this data centre and of the given ones, or
+// to all nodes if there are at most MaxAnnounceAllNodes. It never blocks.
+func (g *Gossip) Announce(dataCentres ...string) {
 	g.pendingMu.Lock()
-	g.pending.all = g.pending.all || int(g.peerCount.Load()) <= g.opts.TellAllUpTo
+	g.pending.all = g.pending.all || int(g.peerCount.Load()) <= g.opts.MaxAnnounceAllNodes
 	g.pending.addDataCentre(g.opts.DataCentre)
 	for _, name := range dataCentres {
 		g.pending.addDataCentre(name)
@@ -228,22 +229,22 @@
 	g.requestRound()
 }
 
-// TellAll requests an immediate round to all nodes. It never blocks.
-func (g *Gossip) TellAll() {
+// AnnounceAll requests an immediate round to all nodes. It never blocks.
+func (g *Gossip) AnnounceAll() {
 	g.pendingMu.Lock()
 	g.pending.all = true
 	g.pendingMu.Unlock()
 	g.requestRound()
 }
 
-// TellNow requests a round to all nodes without waiting for the usual gap between two rounds. It
-// never blocks.
-func (g *Gossip) TellNow() {
+// AnnounceAllUrgent requests a round to all nodes without waiting for the usual gap between two
+// rounds. It never blocks.
+func (g *Gossip) AnnounceAllUrgent() {
 	select {
 	case g.urgent <- struct{}{}:
 	default:
 	}
-	g.TellAll()
+	g.AnnounceAll()
 }
 
 func (g *Gossip) requestRound() {
@@ -407,11 +408,11 @@
 	return a
 }
 
-// prepareRound returns the nodes to send to, and calls Lost for those that have become silent.
+// prepareRound returns the nodes to send to, and calls OnLost for those that have become silent.
 func (g *Gossip) prepareRound() recipients {
 	to, lost := g.selectRecipients(g.takePending())
 	for _, address := range lost {
-		g.opts.Lost(address)
+		g.opts.OnLost(address)
 	}
 	return to
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -50,15 +50,15 @@
 				Loads: []*exchangev1.EndpointLoad{{Key: 7, Count: 1}},
 			}
 		},
-		Heard: func(s *exchangev1.NodeState) {
+		OnState: func(s *exchangev1.NodeState) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.received = append(n.received, s)
 		},
-		Lost: func(address string) {
+		OnLost: func(address string) {
 			// The fleet also announces a change here: it has free capacity after a loss.
-			n.TellAll()
-			n.Tell("dc")
+			n.AnnounceAll()
+			n.Announce("dc")
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.lost = append(n.lost, address)
@@ -140,7 +140,7 @@
 	})
 
 	// Guards against counting the work of a node that has stopped without notice, and sending
-	// callers to it, forever. Lost announces the resulting change at once while it holds its own
+	// callers to it, forever. OnLost announces the resulting change at once while it holds its own
 	// locks: a Gossip that waited for these would deadlock, and its node would soon serve no keys.
 	It("detects the loss of a silent node and its return", func() {
 		a, b := start(loopbackIP(21), 1), start(loopbackIP(22), 1)
@@ -183,7 +183,7 @@
 		Eventually(far.live, 2*time.Second).Should(HaveLen(2))
 		nearBefore, farBefore := near.receivedCount(), far.receivedCount()
 		for range 20 {
-			a.Tell("dc")
+			a.Announce("dc")
 			time.Sleep(15 * time.Millisecond)
 		}
 		receivedFar := far.receivedCount() - farBefore
@@ -240,7 +240,7 @@
 		Eventually(b.live, 2*time.Second).ShouldNot(BeEmpty())
 		before := b.receivedCount()
 		for range 5 {
-			a.TellAll()
+			a.AnnounceAll()
 			time.Sleep(15 * time.Millisecond)
 		}
 		Expect(b.receivedCount() - before).To(BeNumerically(">=", 3))
--- a/gossip/receive.go
+++ b/gossip/receive.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/internal/metrics"
 )
 
-// receive reads datagrams and passes new states to Heard until ctx is cancelled.
+// receive reads datagrams and passes new states to OnState until ctx is cancelled.
 func (g *Gossip) receive(ctx context.Context, conn net.PacketConn) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -31,7 +31,7 @@
 			continue
 		}
 		if g.recordState(state) {
-			g.opts.Heard(state)
+			g.opts.OnState(state)
 		}
 	}
 }
--- a/ledger/claim_test.go
+++ b/ledger/claim_test.go
@@ -92,7 +92,7 @@
 		r := b.Claim(t.Context(), key, "h", true)
 		g.Expect(r.Refusal).To(BeNil(), "%v", faults)
 		g.Expect(r.Claim).NotTo(BeNil())
-		g.Expect(b.Done(t.Context(), r.Claim, ledger.Result{Status: 201, Body: []byte("printed")})).To(Succeed())
+		g.Expect(b.RecordDone(t.Context(), r.Claim, ledger.Result{Status: 201, Body: []byte("printed")})).To(Succeed())
 		again := b.Claim(t.Context(), key, "h", false)
 		g.Expect(again.Done).To(HaveField("Body", []byte("printed")))
 	}
@@ -141,8 +141,8 @@
 	b := newTestLedger(t, "", "down", "down", "lost", "down", "down", "down", "down")
 	r := b.Claim(t.Context(), key, "h", true)
 	body := []byte(strings.Repeat("x", 1000))
-	g.Expect(b.Done(t.Context(), r.Claim, ledger.Result{Status: 200, Body: body})).NotTo(Succeed())
-	g.Expect(b.Done(t.Context(), r.Claim, ledger.Result{})).To(MatchError(ledger.ErrEnded))
+	g.Expect(b.RecordDone(t.Context(), r.Claim, ledger.Result{Status: 200, Body: body})).NotTo(Succeed())
+	g.Expect(b.RecordDone(t.Context(), r.Claim, ledger.Result{})).To(MatchError(ledger.ErrClaimEnded))
 	g.Eventually(func() *ledger.Result { return b.Claim(t.Context(), key, "h", false).Done }).
 		WithTimeout(10 * time.Second).Should(HaveField("Body", body))
 	g.Expect(b.store.data).To(HaveLen(1))
@@ -159,10 +159,10 @@
 	g.Expect(second.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 	g.Expect(b.Claim(t.Context(), key, "other", true).Refusal.Reason).To(Equal(crocusreel.ReasonKeyReused))
 
-	g.Expect(b.NotRun(t.Context(), held)).To(Equal(crocusreel.OutcomeNotRun))
+	g.Expect(b.RecordNotRun(t.Context(), held)).To(Equal(crocusreel.OutcomeNotRun))
 	anew := b.Claim(t.Context(), key, "h", false).Claim
 	g.Expect(anew).NotTo(BeNil())
-	b.Unknown(t.Context(), anew)
+	b.RecordUnknown(t.Context(), anew)
 	g.Expect(b.Claim(t.Context(), key, "h", false).Refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 }
 
@@ -173,7 +173,7 @@
 	g := NewWithT(t)
 	b := newTestLedger(t)
 	second := b.Claim(t.Context(), key, "h", false).Claim
-	g.Expect(b.NotRun(t.Context(), second)).To(Equal(crocusreel.OutcomeUnknown))
+	g.Expect(b.RecordNotRun(t.Context(), second)).To(Equal(crocusreel.OutcomeUnknown))
 	g.Expect(b.Claim(t.Context(), key, "h", true).Claim).NotTo(BeNil())
 }
 
--- a/ledger/end.go
+++ b/ledger/end.go
@@ -9,16 +9,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrEnded is returned if the claim was already ended.
-var ErrEnded = eris.New("ledger: claim already ended")
+// ErrClaimEnded is returned if the claim was already ended.
+var ErrClaimEnded = eris.New("ledger: claim already ended")
 
 // errClaimOverwritten means that the row no longer holds the claim. Only its holder may change a
 // started record, so this is a fault of the platform.
 var errClaimOverwritten = eris.New("ledger: record of a held claim was changed by another writer")
 
-// Done records the result of the run and ends the claim. If the platform is unavailable it returns
-// an error and retries in the background; the answer to the caller does not depend on it.
-func (l *Ledger) Done(ctx context.Context, c *Claim, result Result) error {
+// RecordDone records the result of the run and ends the claim. If the platform is unavailable it
+// returns an error and retries in the background; the answer to the caller does not depend on it.
+func (l *Ledger) RecordDone(ctx context.Context, c *Claim, result Result) error {
 	rec := c.record
 	rec.State = StateDone
 	rec.Result = &result
@@ -36,11 +36,11 @@
 	})
 }
 
-// NotRun records that the work certainly never started, and ends the claim. It returns the outcome
-// that is true for the caller's key: not_run for a first attempt, otherwise unknown. It must be
-// called only with proof: nothing was sent, or the endpoint itself reported that it did not start
-// the work.
-func (l *Ledger) NotRun(ctx context.Context, c *Claim) crocusreel.Outcome {
+// RecordNotRun records that the work certainly never started, and ends the claim. It returns the
+// outcome that is true for the caller's key: not_run for a first attempt, otherwise unknown. It
+// must be called only with proof: nothing was sent, or the endpoint itself reported that it did not
+// start the work.
+func (l *Ledger) RecordNotRun(ctx context.Context, c *Claim) crocusreel.Outcome {
 	rec := c.record
 	rec.State = StateNotRun
 	// An error is retried in the background; until then the record reads as unknown.
@@ -48,8 +48,8 @@
 	return c.notRunOutcome()
 }
 
-// Unknown records that the work may have run and that its result is lost, and ends the claim.
-func (l *Ledger) Unknown(ctx context.Context, c *Claim) {
+// RecordUnknown records that the work may have run and that its result is lost, and ends the claim.
+func (l *Ledger) RecordUnknown(ctx context.Context, c *Claim) {
 	rec := c.record
 	rec.State = StateUnknown
 	// An error is retried in the background; a started record also reads as unknown.
@@ -57,10 +57,10 @@
 }
 
 // endClaim runs f, which ends the claim, and retries it in the background if it fails. Only the
-// first call for a claim has an effect; later ones return ErrEnded.
+// first call for a claim has an effect; later ones return ErrClaimEnded.
 func (l *Ledger) endClaim(ctx context.Context, c *Claim, f func(context.Context) error) error {
 	if !c.ended.CompareAndSwap(false, true) {
-		return ErrEnded
+		return ErrClaimEnded
 	}
 	err := f(ctx)
 	if err == nil || errors.Is(err, errClaimOverwritten) {
--- a/ledger/interleaving_test.go
+++ b/ledger/interleaving_test.go
@@ -124,14 +124,14 @@
 func (d *driver) send(ctx context.Context, l *ledger.Ledger, c *ledger.Claim, n int) {
 	switch d.block(n, true, false) {
 	case faultDown:
-		d.recordOutcome(callerOutcome{attempt: n, outcome: l.NotRun(ctx, c)})
+		d.recordOutcome(callerOutcome{attempt: n, outcome: l.RecordNotRun(ctx, c)})
 	case faultAnswerLost, faultDelayed:
 		d.recordRun(n)
-		l.Unknown(ctx, c)
+		l.RecordUnknown(ctx, c)
 		d.recordOutcome(callerOutcome{attempt: n, outcome: crocusreel.OutcomeUnknown})
 	default:
 		d.recordRun(n)
-		_ = l.Done(ctx, c, ledger.Result{Status: 200})
+		_ = l.RecordDone(ctx, c, ledger.Result{Status: 200})
 		d.recordOutcome(callerOutcome{attempt: n, done: true})
 	}
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -96,8 +96,8 @@
 	Refusal *crocusreel.Refusal
 }
 
-// Claim is the right to send one piece of work. Exactly one of Done, NotRun and Unknown must be
-// called to end it.
+// Claim is the right to send one piece of work. Exactly one of RecordDone, RecordNotRun and
+// RecordUnknown must be called to end it.
 type Claim struct {
 	Key       Key
 	AttemptID string
--- a/node/health.go
+++ b/node/health.go
@@ -111,7 +111,7 @@
 	}
 	if n.fleet.MarkUnhealthy(in.Incarnation().Key()) {
 		n.log.Info("endpoint leaves by its health check", zap.String("endpoint", in.ID), zap.String("address", in.Address))
-		n.gossip.TellAll()
+		n.gossip.AnnounceAll()
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -115,15 +115,15 @@
 	n.engines = platform.NewEngines(n.client)
 	n.client.Opened = func() { metrics.Count("endpoint_connections") }
 	n.gossip = gossip.New(gossip.Options{
-		IP:          s.IP,
-		Port:        s.GossipPort,
-		DataCentre:  s.DataCentre,
-		TellAllUpTo: gossip.TellAllUpTo,
-		Now:         boottime.Now,
-		State:       n.state,
-		Heard:       n.applyPeerState,
-		Lost:        n.forgetPeer,
-		Log:         log,
+		IP:                  s.IP,
+		Port:                s.GossipPort,
+		DataCentre:          s.DataCentre,
+		MaxAnnounceAllNodes: gossip.DefaultMaxAnnounceAllNodes,
+		Now:                 boottime.Now,
+		State:               n.state,
+		OnState:             n.applyPeerState,
+		OnLost:              n.forgetPeer,
+		Log:                 log,
 	})
 	n.fleet.Name, n.fleet.Without = s.IP, without
 	n.evacuations.IsKnown = n.knowsDataCentre
@@ -153,21 +153,21 @@
 		Vacated: relay.NewVacatedRuns(boottime.Now),
 		Log:     log,
 	}
-	n.relay.Vacated.Broadcast = n.gossip.TellAll
-	n.relay.Strikes.Broadcast = n.gossip.TellNow
-	n.relay.Claims.Broadcast = n.gossip.TellNow
+	n.relay.Vacated.Broadcast = n.gossip.AnnounceAll
+	n.relay.Strikes.Broadcast = n.gossip.AnnounceAllUrgent
+	n.relay.Claims.Broadcast = n.gossip.AnnounceAllUrgent
 	n.starter = n.newStarter()
 	n.configFeed = &feed{
 		store: n.store, table: platform.TableOperator, wait: changesWait, log: log,
 		onListing: n.applyConfigurationListing, onChanges: n.applyConfigurationChanges,
 		peerVersion:   n.evacuations.Version,
-		backoffBounds: n.storeBackoffBounds, onLinkChange: n.gossip.TellAll,
+		backoffBounds: n.storeBackoffBounds, onLinkChange: n.gossip.AnnounceAll,
 	}
 	n.configFeed.enabled = func() bool { return n.shouldPollStore(n.configFeed) }
 	n.endpointFeed = &feed{
 		store: n.store, table: platform.TableEndpoints, wait: endpointsWait, log: log,
 		onListing: n.fromStore(n.applyEndpointListing), onChanges: n.fromStore(n.applyEndpointChanges),
-		peerVersion: n.endpointTable.knownVersion, backoffBounds: n.storeBackoffBounds, onLinkChange: n.gossip.TellAll, maxWait: n.endpointsMaxWait,
+		peerVersion: n.endpointTable.knownVersion, backoffBounds: n.storeBackoffBounds, onLinkChange: n.gossip.AnnounceAll, maxWait: n.endpointsMaxWait,
 		onFailure: n.uptime.RecordFailure,
 	}
 	n.endpointFeed.enabled = func() bool { return n.shouldPollStore(n.endpointFeed) }
@@ -176,13 +176,13 @@
 
 func (n *Node) callerHandler() http.Handler {
 	h := &entry.Handler{
-		Config: n.config,
-		Relay:  n.relay,
-		Gate:   n.gate,
-		Bodies: entry.NewBodies(int64(requestBodiesShare * float64(n.settings.MemoryMB) * (1 << 20))),
-		Freshness: entry.Freshness{
-			Keys:    n.keysLimit(),
-			Denials: denialAge,
+		Config:     n.config,
+		Relay:      n.relay,
+		Gate:       n.gate,
+		BodyMemory: entry.NewBodyMemory(int64(requestBodiesShare * float64(n.settings.MemoryMB) * (1 << 20))),
+		Freshness: entry.FreshnessLimits{
+			MaxKeyAge:    n.keysLimit(),
+			MaxDenialAge: denialAge,
 		},
 		Log: n.log,
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -68,10 +68,10 @@
 // dataCentre is empty.
 func (n *Node) announce(dataCentre string) {
 	if dataCentre == "" {
-		n.gossip.TellAll()
+		n.gossip.AnnounceAll()
 		return
 	}
-	n.gossip.Tell(dataCentre)
+	n.gossip.Announce(dataCentre)
 }
 
 // vacatedAnnouncePeriod is how long it is announced that a run has left its engine: the time of
--- a/node/serve.go
+++ b/node/serve.go
@@ -50,7 +50,7 @@
 // seconds away among hundreds of nodes.
 func (n *Node) announceReadiness() {
 	if now := n.ready(); n.announcedReady.Swap(now) != now {
-		n.gossip.TellAll()
+		n.gossip.AnnounceAll()
 	}
 }
 
@@ -234,10 +234,10 @@
 	stopsAt := time.Now().Add(n.settings.ShutdownGrace - shutdownMargin)
 	n.gate.Leave(stopsAt)
 	n.announceReadiness()
-	n.log.Info("node leaving", zap.String("signal", s.String()), zap.Int("requests", n.gate.Inside()))
+	n.log.Info("node leaving", zap.String("signal", s.String()), zap.Int("requests", n.gate.InFlight()))
 	pause(ctx, min(leaveAcceptPeriod, time.Until(stopsAt)))
-	for time.Now().Before(stopsAt) && !n.gate.Close() {
+	for time.Now().Before(stopsAt) && !n.gate.CloseIfIdle() {
 		pause(ctx, leaveCheckInterval)
 	}
-	n.log.Info("node stopped", zap.Int("requests", n.gate.Inside()))
+	n.log.Info("node stopped", zap.Int("requests", n.gate.InFlight()))
 }
