--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -84,6 +84,7 @@
 	Store exchangev1.StoreLink
 }
 
+// peer is a known node and the progress of the exchange with it.
 type peer struct {
 	Peer
 	// incarnation and sequence identify the newest state that was received.
@@ -105,8 +106,8 @@
 	IP         string
 	Port       int
 	DataCentre string
-	// MaxAnnounceAllNodes is the number of other nodes up to which Announce announces a change to
-	// all of them.
+	// MaxAnnounceAllNodes is the number of other nodes up to which Announce sends a change to all
+	// of them at once.
 	MaxAnnounceAllNodes int
 	// Now reads a monotonic clock.
 	Now func() time.Duration
@@ -132,7 +133,7 @@
 	roundRequested chan struct{}
 	// urgent ends the minRoundGap before a round early.
 	urgent chan struct{}
-	// pendingMu guards pending only. callers of Announce hold locks of their own that OnLost also
+	// pendingMu guards pending only. Callers of Announce hold locks of their own that OnLost also
 	// takes: if Announce took mu instead, a callback that runs with mu held would deadlock with it.
 	pendingMu sync.Mutex
 	pending   recipientFilter
