--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -24,8 +24,8 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// site is an entry.Handler with one service for plain calls and one engine behind it.
-type site struct {
+// fixture is an entry.Handler with one service for plain calls and one engine behind it.
+type fixture struct {
 	now    time.Duration
 	config *knowledge.ConfigurationTracker
 	gate   *entry.Gate
@@ -36,9 +36,9 @@
 	usage, hint string
 }
 
-func newSite() *site {
+func newFixture() *fixture {
 	GinkgoHelper()
-	s := &site{now: time.Hour, gate: entry.NewGate(), usage: "100,2000"}
+	s := &fixture{now: time.Hour, gate: entry.NewGate(), usage: "100,2000"}
 	s.config = knowledge.NewConfigurationTracker(func() time.Duration { return s.now })
 	client := h1.NewClient()
 	endpoints := fleet.New("dc1", boottime.Now)
@@ -75,7 +75,7 @@
 }
 
 // configure applies a configuration that was confirmed just now.
-func (s *site) configure() {
+func (s *fixture) configure() {
 	s.config.Apply(routing.NewTable(&routing.Configuration{
 		Version: 1,
 		Routes: []routing.Route{
@@ -100,12 +100,12 @@
 	err    error
 }
 
-func (s *site) send(path, key, body string) reply {
+func (s *fixture) send(path, key, body string) reply {
 	GinkgoHelper()
-	return s.sendAs("request-1", path, key, body)
+	return s.sendWithID("request-1", path, key, body)
 }
 
-func (s *site) sendAs(id, path, key, body string) reply {
+func (s *fixture) sendWithID(id, path, key, body string) reply {
 	GinkgoHelper()
 	req, err := http.NewRequest(http.MethodPost, s.url+path, bytes.NewBufferString(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -130,7 +130,7 @@
 
 var _ = Describe("the entry for callers", func() {
 	It("serves a caller with a known key and hides the key from the endpoint", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		r := s.send("/calls/1?x=1", "key", "body")
 		Expect(r.status).To(Equal(http.StatusOK))
@@ -143,9 +143,9 @@
 
 	DescribeTable("refuses invalid requests with the matching status and does not run them",
 		func(id, path, key, body string, status int) {
-			s := newSite()
+			s := newFixture()
 			s.configure()
-			r := s.sendAs(id, path, key, body)
+			r := s.sendWithID(id, path, key, body)
 			Expect(r.status).To(Equal(status))
 			Expect(r.body).To(ContainSubstring(`"outcome":"not_run"`))
 			Expect(s.app.Runs()).To(BeEmpty())
@@ -160,11 +160,11 @@
 	// Guards against running out of memory when callers send many large bodies at once. Bodies over
 	// the bound are refused with a retry delay, and the memory is returned when a request ends.
 	It("bounds the memory of all request bodies together", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		large := string(make([]byte, 900))
 		first := make(chan reply)
-		go func() { first <- s.sendAs("long", "/drafts/1", "key", large) }()
+		go func() { first <- s.sendWithID("long", "/drafts/1", "key", large) }()
 		Eventually(s.gate.InFlight).Should(Equal(1))
 		time.Sleep(50 * time.Millisecond)
 		full := s.send("/calls/1", "key", large)
@@ -179,7 +179,7 @@
 	// Guards against answering 404 or 401 on a node that has just started and has no configuration
 	// yet: callers would give up for good.
 	It("asks callers to retry while it has no configuration", func() {
-		s := newSite()
+		s := newFixture()
 		r := s.send("/calls/1", "key", "")
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.header.Get("Retry-After")).To(Equal("0.2"))
@@ -189,7 +189,7 @@
 	// or its machine was suspended. Past the limit the node must not serve any key, but must not
 	// report one as unknown either.
 	It("serves no key that was not confirmed recently and does not reject it as unknown", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		s.now += 4500 * time.Millisecond
 		Expect(s.send("/calls/1", "key", "").status).To(Equal(http.StatusOK))
@@ -204,7 +204,7 @@
 	// Guards against final refusals for a route that was added after the store last answered this
 	// node: its callers must retry instead of giving up.
 	It("does not reject a route as unknown while the store does not answer", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		s.now += 1900 * time.Millisecond
 		Expect(s.send("/none/1", "key", "").status).To(Equal(http.StatusServiceUnavailable))
@@ -214,7 +214,7 @@
 	// Guards against cutting streams when a node stops: one that cannot end in time is refused at
 	// once, so that its caller uses another node. Calls are still served.
 	It("refuses long streams while it is leaving and serves calls", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		s.gate.Leave(time.Now().Add(3 * time.Second))
 		draft := s.send("/drafts/1", "key", "")
@@ -228,7 +228,7 @@
 	// twenty seconds instead of two. Only the maximum length allowed shows whether it can end in
 	// time.
 	It("ignores the caller's length estimate while it is leaving", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		s.hint = "40"
 		s.gate.Leave(time.Now().Add(3 * time.Second))
@@ -239,7 +239,7 @@
 
 	// Guards against starting a request that arrives on an open connection while the process exits.
 	It("starts no request once it is closed", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		Expect(s.gate.StartRequest()).To(BeTrue())
 		Expect(s.gate.CloseIfIdle()).To(BeFalse())
@@ -250,7 +250,7 @@
 	})
 
 	It("forwards a stream unchanged", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		r := s.send("/drafts/1", "key", "")
 		Expect(r.err).NotTo(HaveOccurred())
@@ -262,7 +262,7 @@
 	// Guards against requests that stay in flight after the caller disconnects in the middle of the
 	// stream.
 	It("ends requests whose callers have disconnected", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -180,14 +180,14 @@
 	dataCentres map[string]bool
 }
 
-func (a *recipientFilter) addDataCentre(dataCentre string) {
-	if a.dataCentres == nil {
-		a.dataCentres = make(map[string]bool)
+func (f *recipientFilter) addDataCentre(dataCentre string) {
+	if f.dataCentres == nil {
+		f.dataCentres = make(map[string]bool)
 	}
-	a.dataCentres[dataCentre] = true
+	f.dataCentres[dataCentre] = true
 }
 
-func (a *recipientFilter) includes(dataCentre string) bool { return a.all || a.dataCentres[dataCentre] }
+func (f *recipientFilter) includes(dataCentre string) bool { return f.all || f.dataCentres[dataCentre] }
 
 // New returns a Gossip that knows no other node. Run starts it.
 func New(o Options) *Gossip {
@@ -404,9 +404,9 @@
 func (g *Gossip) takePending() recipientFilter {
 	g.pendingMu.Lock()
 	defer g.pendingMu.Unlock()
-	a := g.pending
+	filter := g.pending
 	g.pending = recipientFilter{}
-	return a
+	return filter
 }
 
 // prepareRound returns the nodes to send to, and calls OnLost for those that have become silent.
--- a/ledger/fake_test.go
+++ b/ledger/fake_test.go
@@ -49,11 +49,11 @@
 
 // block blocks until the driver releases the call, and returns its fault. It never returns for a
 // gateway that was killed.
-func (w *simulation) block(gateway int, send, write bool) fault {
+func (sim *simulation) block(gateway int, send, write bool) fault {
 	s := &blockedCall{gateway: gateway, send: send, write: write, resume: make(chan fault)}
-	w.mu.Lock()
-	w.blocked = append(w.blocked, s)
-	w.mu.Unlock()
+	sim.mu.Lock()
+	sim.blocked = append(sim.blocked, s)
+	sim.mu.Unlock()
 	f, ok := <-s.resume
 	if !ok {
 		runtime.Goexit()
@@ -62,22 +62,22 @@
 }
 
 // apply commits a transaction if its conditions hold, and returns the new version.
-func (w *simulation) apply(txn platform.Txn) (int64, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) apply(txn platform.Txn) (int64, error) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	for _, c := range txn.Conditions {
-		if w.rows[c.Key].Version != c.Version {
+		if sim.rows[c.Key].Version != c.Version {
 			return 0, platform.ErrConflict
 		}
 	}
-	w.version++
+	sim.version++
 	for _, x := range txn.Writes {
-		row := w.rows[x.Key]
+		row := sim.rows[x.Key]
 		row.Table, row.Key, row.Value = x.Table, x.Key, x.Value
-		row.Version = w.version
-		w.rows[x.Key] = row
+		row.Version = sim.version
+		sim.rows[x.Key] = row
 	}
-	return w.version, nil
+	return sim.version, nil
 }
 
 // tables implements platform.Tables for one gateway.
--- a/ledger/interleaving_test.go
+++ b/ledger/interleaving_test.go
@@ -41,29 +41,29 @@
 // interleave runs three attempts with one key under the drawn decisions. It returns a description
 // of the violated guarantee, or an empty string.
 func interleave(script []int) string {
-	w := newSimulation()
-	d := &driver{simulation: w, script: script, live: map[int]bool{}}
+	sim := newSimulation()
+	d := &driver{simulation: sim, script: script, live: map[int]bool{}}
 	for n := range attempts {
 		d.start(n)
 		d.run(d.nextChoice() % 8)
 	}
 	d.run(-1)
 	d.closeAll()
-	return w.check()
+	return sim.check()
 }
 
 // check verifies the guarantees against what the callers and the endpoint saw.
-func (w *simulation) check() string {
-	if len(w.runs) > 1 {
-		return fmt.Sprintf("the work ran %d times, by attempts %v; callers received %+v", len(w.runs), w.runs, w.history)
+func (sim *simulation) check() string {
+	if len(sim.runs) > 1 {
+		return fmt.Sprintf("the work ran %d times, by attempts %v; callers received %+v", len(sim.runs), sim.runs, sim.history)
 	}
-	for _, e := range w.history {
-		for _, run := range w.runs {
+	for _, e := range sim.history {
+		for _, run := range sim.runs {
 			if e.outcome == crocusreel.OutcomeNotRun && run <= e.attempt {
 				return fmt.Sprintf("attempt %d received not_run, but attempt %d ran", e.attempt, run)
 			}
 		}
-		if e.done && len(w.runs) == 0 {
+		if e.done && len(sim.runs) == 0 {
 			return fmt.Sprintf("attempt %d received a result, but nothing ran", e.attempt)
 		}
 	}
