--- a/entry/bodies.go
+++ b/entry/bodies.go
@@ -6,36 +6,36 @@
 	"sync/atomic"
 )
 
-// errBodiesFull ends the reading of a body for which there is no memory.
-var errBodiesFull = errors.New("too many large bodies at a time")
+// errBodyMemoryFull is returned when a body is read for which no memory is left.
+var errBodyMemoryFull = errors.New("too many large bodies at a time")
 
-// Bodies bounds the memory that callers' bodies take together. A few dozen callers that
-// each send the largest body allowed would otherwise take all memory of a small VM, and
-// the kernel would end the process with everybody's requests.
-type Bodies struct {
+// BodyMemory bounds the memory used by the request bodies of all callers together. Without the
+// bound, a few dozen callers that each send a body of the maximum size would use up the memory of a
+// small VM, and the kernel would kill the process together with all its requests.
+type BodyMemory struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// NewBodies returns a bound of so many bytes.
-func NewBodies(limit int64) *Bodies { return &Bodies{limit: limit} }
+// NewBodyMemory returns a bound of limit bytes.
+func NewBodyMemory(limit int64) *BodyMemory { return &BodyMemory{limit: limit} }
 
-// body counts what is read of one body.
-type body struct {
+// meteredBody counts the bytes read from one request body against the common bound.
+type meteredBody struct {
 	io.Reader
-	bodies *Bodies
-	taken  int64
+	budget    *BodyMemory
+	bytesRead int64
 }
 
-// Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+// Read implements io.Reader. It returns errBodyMemoryFull if the bound is exceeded.
+func (b *meteredBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
-	b.taken += int64(n)
-	if b.bodies.used.Add(int64(n)) > b.bodies.limit {
-		return n, errBodiesFull
+	b.bytesRead += int64(n)
+	if b.budget.used.Add(int64(n)) > b.budget.limit {
+		return n, errBodyMemoryFull
 	}
 	return n, err
 }
 
-// release gives the memory back once the request has ended.
-func (b *body) release() { b.bodies.used.Add(-b.taken) }
+// release returns the memory of the body. It must be called once, at the end of the request.
+func (b *meteredBody) release() { b.budget.used.Add(-b.bytesRead) }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry serves callers of the platform: it checks their requests against the
-// configuration, hands them to the relay and writes the answers.
+// Package entry serves the HTTP requests of callers: it checks them against the configuration,
+// passes them to the relay and writes the answers.
 package entry
 
 import (
@@ -20,83 +20,84 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Handler serves callers' requests.
+// Handler is the HTTP handler for callers.
 type Handler struct {
-	Config *knowledge.ConfigurationTracker
-	Relay  *relay.Relay
-	Gate   *Gate
-	Bodies *Bodies
-	// Freshness says how old knowledge may be.
-	Freshness Freshness
+	Config     *knowledge.ConfigurationTracker
+	Relay      *relay.Relay
+	Gate       *Gate
+	BodyMemory *BodyMemory
+	// Freshness limits the age of the configuration that decisions are based on.
+	Freshness FreshnessLimits
 	Log       *zap.Logger
 }
 
-// Freshness bounds the age of knowledge that decisions are made on.
-type Freshness struct {
-	// Keys is the age of certain knowledge from which requests with a key are refused:
-	// the key may have been taken away.
-	Keys time.Duration
-	// Denials is the time since the store's last answer from which an unknown key or
-	// route is refused with "come back" in place of "not allowed": it may have been
-	// added.
-	Denials time.Duration
+// FreshnessLimits limits the age of the configuration that decisions are based on.
+type FreshnessLimits struct {
+	// MaxKeyAge is the time since the configuration was last confirmed after which requests with a
+	// key are refused as not ready, since the key may have been revoked.
+	MaxKeyAge time.Duration
+	// MaxDenialAge is the time since the store last answered after which an unknown key or route is
+	// refused with a retryable reason instead of a final one, since it may have been added.
+	MaxDenialAge time.Duration
 }
 
-// Times after which refused callers may come back.
+// Delays after which refused callers may retry.
 const (
-	// notReadyRetry is for a node that has just started or was cut off: others serve.
-	notReadyRetry = 200 * time.Millisecond
-	// leavingRetry is for a node that is about to stop.
-	leavingRetry = 50 * time.Millisecond
+	// notReadyRetryAfter applies to a node that has just started or was disconnected: other nodes
+	// serve.
+	notReadyRetryAfter = 200 * time.Millisecond
+	// leavingRetryAfter applies to a node that is about to stop.
+	leavingRetryAfter = 50 * time.Millisecond
 )
 
-// fallbackBody bounds bodies when the configuration does not.
-const fallbackBody = 4 << 20
+// defaultMaxBodyBytes bounds request bodies, in bytes, if the configuration does not.
+const defaultMaxBodyBytes = 4 << 20
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. While the node is leaving, it closes each connection after the
+// answer, so that callers reconnect to another node.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	received := time.Now()
 	if h.Gate.Leaving() {
 		w.Header().Set("Connection", "close")
 	}
-	sink := &sink{w: w, rc: http.NewResponseController(w)}
-	if !h.Gate.Enter() {
-		h.turnAway(sink, r, refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetry, "this node has stopped"))
+	sink := &responseSink{w: w, rc: http.NewResponseController(w)}
+	if !h.Gate.StartRequest() {
+		h.reject(sink, r, refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetryAfter, "this node has stopped"))
 		return
 	}
-	defer h.Gate.Exit()
-	content := &body{Reader: r.Body, bodies: h.Bodies}
-	defer content.release()
-	r.Body = io.NopCloser(content)
+	defer h.Gate.EndRequest()
+	metered := &meteredBody{Reader: r.Body, budget: h.BodyMemory}
+	defer metered.release()
+	r.Body = io.NopCloser(metered)
 	req, refusal := h.admit(w, r, received)
 	if refusal != nil {
-		h.turnAway(sink, r, refusal)
+		h.reject(sink, r, refusal)
 		return
 	}
-	verdict := h.Relay.Serve(r.Context(), req, sink)
-	if verdict.Refusal != nil && !verdict.Broken {
-		verdict.Status = statusOf(verdict.Refusal)
-		h.refuse(sink, verdict.Refusal)
+	result := h.Relay.Serve(r.Context(), req, sink)
+	if result.Refusal != nil && !result.Broken {
+		result.Status = statusOf(result.Refusal)
+		h.writeRefusal(sink, result.Refusal)
 	}
-	h.logEnd(r, req, verdict)
-	observe(req, &verdict)
-	if verdict.Broken {
-		// The caller must see that the answer is not whole.
+	h.logOutcome(r, req, result)
+	observeLatency(req, &result)
+	if result.Broken {
+		// Aborts the connection, so that the caller sees that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// turnAway refuses a request that was not taken on.
-func (h *Handler) turnAway(s *sink, r *http.Request, refusal *crocusreel.Refusal) {
-	h.refuse(s, refusal)
-	h.logEnd(r, nil, relay.Result{Refusal: refusal, Status: statusOf(refusal)})
+// reject refuses a request that was not admitted, and logs it.
+func (h *Handler) reject(s *responseSink, r *http.Request, refusal *crocusreel.Refusal) {
+	h.writeRefusal(s, refusal)
+	h.logOutcome(r, nil, relay.Result{Refusal: refusal, Status: statusOf(refusal)})
 }
 
-// admit checks a request; it returns a refusal for one that cannot be served.
+// admit checks a request and reads its body. It returns a refusal if the request cannot be served.
 func (h *Handler) admit(w http.ResponseWriter, r *http.Request, received time.Time) (*relay.Request, *crocusreel.Refusal) {
 	snapshot, ages := h.Config.Current()
 	if snapshot.Table == nil {
-		return nil, refuseNotRun(crocusreel.ReasonNotReady, notReadyRetry, "no configuration yet")
+		return nil, refuseNotRun(crocusreel.ReasonNotReady, notReadyRetryAfter, "no configuration yet")
 	}
 	head, err := platform.ParseCallerHeader(r)
 	if err != nil {
@@ -108,9 +109,9 @@
 	}
 	service := snapshot.Table.Choose(route, head.AttemptID)
 	if service == nil {
-		return nil, refuseNotRun(crocusreel.ReasonNoEndpoint, notReadyRetry, "route %s has no service", route.Name)
+		return nil, refuseNotRun(crocusreel.ReasonNoEndpoint, notReadyRetryAfter, "route %s has no service", route.Name)
 	}
-	if refusal := h.leavingSoon(route, head.Size); refusal != nil {
+	if refusal := h.refuseLateStream(route, head.Size); refusal != nil {
 		return nil, refusal
 	}
 	body, refusal := readBody(w, r, snapshot.Table.Limits.MaxBodyBytes)
@@ -133,77 +134,83 @@
 		Workspace:     ws,
 		ConfigVersion: snapshot.Table.Version,
 		Received:      received,
-		Deadline:      received.Add(timeAllowed(route, head.Timeout)),
+		Deadline:      received.Add(requestTimeout(route, head.Timeout)),
 		Size:          head.Size,
 		Fingerprint:   relay.NewFingerprint(workspace, r.RequestURI, body),
 	}, nil
 }
 
-// authorize finds the route and the workspace of a request.
+// authorize returns the route and the workspace of a request, or a refusal. The workspace is nil if
+// no key is needed.
 func (h *Handler) authorize(s *knowledge.Snapshot, ages knowledge.Ages, r *http.Request, head *platform.CallerHeader) (*routing.Route, *routing.Workspace, *crocusreel.Refusal) {
-	outdated := outdated(ages)
+	outdatedRefusal := refuseOutdated(ages)
 	route := s.Table.Match(r.Host, r.URL.Path)
 	if route == nil {
-		if ages.Answered > h.Freshness.Denials {
-			return nil, nil, outdated
+		if ages.Answered > h.Freshness.MaxDenialAge {
+			return nil, nil, outdatedRefusal
 		}
 		return nil, nil, refuseNotRun(crocusreel.ReasonUnknownRoute, 0, "no route for this host and path")
 	}
 	if route.Public || !s.Table.NeedsKeys {
 		return route, nil, nil
 	}
-	if ages.Confirmed > h.Freshness.Keys {
-		return nil, nil, outdated
+	if ages.Confirmed > h.Freshness.MaxKeyAge {
+		return nil, nil, outdatedRefusal
 	}
 	ws := s.Table.Keys[head.Key]
 	if ws == nil {
-		if ages.Answered > h.Freshness.Denials {
-			return nil, nil, outdated
+		if ages.Answered > h.Freshness.MaxDenialAge {
+			return nil, nil, outdatedRefusal
 		}
 		return nil, nil, refuseNotRun(crocusreel.ReasonUnauthorized, 0, "unknown key")
 	}
 	return route, ws, nil
 }
 
-// Recheck refuses a request that waited if the knowledge under which it was admitted
-// has become too old meanwhile, as on a machine that was suspended.
+// Recheck refuses a request that has waited if the configuration under which it was admitted has
+// become too old in the meantime, for example because the machine was suspended.
 func (h *Handler) Recheck(r *relay.Request) *crocusreel.Refusal {
 	if r.Workspace == nil {
 		return nil
 	}
-	if _, ages := h.Config.Current(); ages.Confirmed > h.Freshness.Keys {
-		return outdated(ages)
+	if _, ages := h.Config.Current(); ages.Confirmed > h.Freshness.MaxKeyAge {
+		return refuseOutdated(ages)
 	}
 	return nil
 }
 
-func outdated(ages knowledge.Ages) *crocusreel.Refusal {
-	return refuseNotRun(crocusreel.ReasonNotReady, notReadyRetry, "the configuration was last confirmed %s ago, the store answered %s ago",
+// refuseOutdated returns the refusal for a configuration that is too old to decide on.
+func refuseOutdated(ages knowledge.Ages) *crocusreel.Refusal {
+	return refuseNotRun(crocusreel.ReasonNotReady, notReadyRetryAfter, "the configuration was last confirmed %s ago, the store answered %s ago",
 		ages.Confirmed.Round(time.Millisecond), ages.Answered.Round(time.Millisecond))
 }
 
-// leavingSoon refuses streams that cannot end before this node stops.
-func (h *Handler) leavingSoon(route *routing.Route, size relay.Size) *crocusreel.Refusal {
+// refuseLateStream refuses a stream that may not end before this node stops. It assumes the longest
+// answer that the request allows.
+func (h *Handler) refuseLateStream(route *routing.Route, size relay.Size) *crocusreel.Refusal {
 	if !h.Gate.Leaving() || route.Kind != routing.Streaming {
 		return nil
 	}
 	if relay.MaxGenerationTime(size) < h.Gate.Remaining() {
 		return nil
 	}
-	return refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetry, "this node is leaving; use another address")
+	return refuseNotRun(crocusreel.ReasonShuttingDown, leavingRetryAfter, "this node is leaving; use another address")
 }
 
-// timeAllowed is the shorter of the caller's patience and the route's timeout.
-func timeAllowed(route *routing.Route, patience time.Duration) time.Duration {
-	if patience <= 0 || (route.Timeout > 0 && route.Timeout < patience) {
+// requestTimeout returns the shorter of the caller's and the route's timeout. A callerTimeout of 0
+// means that the caller sets none, and a route timeout of 0 that the route sets none.
+func requestTimeout(route *routing.Route, callerTimeout time.Duration) time.Duration {
+	if callerTimeout <= 0 || (route.Timeout > 0 && route.Timeout < callerTimeout) {
 		return route.Timeout
 	}
-	return patience
+	return callerTimeout
 }
 
+// readBody reads the request body, up to limit bytes, or defaultMaxBodyBytes if limit is not
+// positive.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *crocusreel.Refusal) {
 	if limit <= 0 {
-		limit = fallbackBody
+		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
 		return nil, refuseNotRun(crocusreel.ReasonTooLarge, 0, "the body is over %d bytes", limit)
@@ -213,8 +220,8 @@
 	switch {
 	case errors.As(err, &tooLarge):
 		return nil, refuseNotRun(crocusreel.ReasonTooLarge, 0, "the body is over %d bytes", limit)
-	case errors.Is(err, errBodiesFull):
-		return nil, refuseNotRun(crocusreel.ReasonQueueFull, notReadyRetry, "%v", err)
+	case errors.Is(err, errBodyMemoryFull):
+		return nil, refuseNotRun(crocusreel.ReasonQueueFull, notReadyRetryAfter, "%v", err)
 	case err != nil:
 		return nil, refuseNotRun(crocusreel.ReasonBadRequest, 0, "the body ended early")
 	}
@@ -225,8 +232,8 @@
 	return crocusreel.Refuse(reason, crocusreel.OutcomeNotRun, retryAfter, format, args...)
 }
 
-// statusOf returns the status of a refusal. Only work that has not run may be answered
-// with 503 or 429, by which callers are promised that it never will.
+// statusOf returns the HTTP status of a refusal. Only work that has not run may be answered with
+// 503 or 429, since these promise callers that it never will.
 func statusOf(r *crocusreel.Refusal) int {
 	switch r.Reason {
 	case crocusreel.ReasonBadRequest:
@@ -247,7 +254,8 @@
 	return http.StatusBadGateway
 }
 
-func (h *Handler) refuse(s *sink, refusal *crocusreel.Refusal) {
+// writeRefusal writes a refusal as the answer.
+func (h *Handler) writeRefusal(s *responseSink, refusal *crocusreel.Refusal) {
 	metrics.Refused(refusal.Reason)
 	header := s.w.Header()
 	header.Set("Content-Type", "application/json")
@@ -260,9 +268,9 @@
 	}
 }
 
-// logEnd writes the line of a request. Its fields lead from the request's ID to the
-// endpoint and the cause.
-func (h *Handler) logEnd(r *http.Request, req *relay.Request, v relay.Result) {
+// logOutcome logs the outcome of a request. The fields allow an operator to get from the request ID
+// to the endpoint and the cause. req is nil if the request was not admitted.
+func (h *Handler) logOutcome(r *http.Request, req *relay.Request, v relay.Result) {
 	fields := []zap.Field{
 		zap.String("path", r.URL.Path),
 		zap.Int("status", v.Status),
@@ -272,8 +280,8 @@
 			zap.String("outcome", string(v.Refusal.Outcome)), zap.String("message", v.Refusal.Message))
 	}
 	if req == nil {
-		known, ages := h.Config.Current()
-		h.Log.Info("request refused", append(fields, zap.String("request", platform.AttemptID(r)), zap.Int64("config_row", known.RowVersion),
+		snapshot, ages := h.Config.Current()
+		h.Log.Info("request refused", append(fields, zap.String("request", platform.AttemptID(r)), zap.Int64("config_row", snapshot.RowVersion),
 			zap.Duration("config_age", ages.Confirmed))...)
 		return
 	}
@@ -298,7 +306,8 @@
 	h.Log.Info("request ended", fields...)
 }
 
-func observe(req *relay.Request, v *relay.Result) {
+// observeLatency records the latencies of a request.
+func observeLatency(req *relay.Request, v *relay.Result) {
 	kind := "call"
 	if req.Route.Kind == routing.Streaming {
 		kind = "stream"
@@ -309,25 +318,25 @@
 	metrics.Observe(kind+"_whole_ms", time.Since(req.Received))
 }
 
-// writeTimeout bounds one write to a caller: one that does not read would otherwise
-// keep its answer, and its place at an endpoint, for ever.
+// writeTimeout bounds one write to a caller. A caller that does not read would otherwise hold its
+// answer, and its slot at an endpoint, forever.
 const writeTimeout = 5 * time.Second
 
-// sink writes an answer to a caller.
-type sink struct {
+// responseSink is a relay.Sink that writes the answer to a caller.
+type responseSink struct {
 	w     http.ResponseWriter
 	rc    *http.ResponseController
 	begun bool
 }
 
 // Begin implements relay.Sink.
-func (s *sink) Begin(status int, header http.Header) error {
+func (s *responseSink) Begin(status int, header http.Header) error {
 	target := s.w.Header()
 	for name, values := range header {
 		target[name] = values
 	}
 	if header.Get("Content-Type") == "" {
-		// Without this the server would guess a type that the endpoint did not send.
+		// A nil value keeps net/http from guessing a type that the endpoint did not send.
 		target["Content-Type"] = nil
 	}
 	if header.Get("Date") == "" {
@@ -339,7 +348,7 @@
 }
 
 // Write implements relay.Sink.
-func (s *sink) Write(part []byte) error {
+func (s *responseSink) Write(part []byte) error {
 	if err := s.rc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
@@ -350,4 +359,4 @@
 }
 
 // Begun implements relay.Sink.
-func (s *sink) Begun() bool { return s.begun }
+func (s *responseSink) Begun() bool { return s.begun }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -24,20 +24,21 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// site is an entry with one plain service and one engine behind it.
-type site struct {
+// fixture is an entry.Handler with one service for plain calls and one engine behind it.
+type fixture struct {
 	now    time.Duration
 	config *knowledge.ConfigurationTracker
 	gate   *entry.Gate
 	app    *worker.Worker
 	url    string
-	// usage and hint are the sizes that callers state.
+	// usage and hint are the header values in which callers state token counts and the expected
+	// length.
 	usage, hint string
 }
 
-func newSite() *site {
+func newFixture() *fixture {
 	GinkgoHelper()
-	s := &site{now: time.Hour, gate: entry.NewGate(), usage: "100,2000"}
+	s := &fixture{now: time.Hour, gate: entry.NewGate(), usage: "100,2000"}
 	s.config = knowledge.NewConfigurationTracker(func() time.Duration { return s.now })
 	client := h1.NewClient()
 	endpoints := fleet.New("dc1", boottime.Now)
@@ -51,13 +52,13 @@
 	endpoints.Update(fleet.Instance{ID: "i1", Service: "app", Address: app.Address(), DataCentre: "dc1", Slots: 6})
 	endpoints.Update(fleet.Instance{ID: "e1", Service: "pool", Address: engine.Address(), DataCentre: "dc1", Slots: 24})
 	h := &entry.Handler{
-		Config: s.config,
-		Gate:   s.gate,
-		Bodies: entry.NewBodies(1500),
-		Log:    zap.NewNop(),
-		Freshness: entry.Freshness{
-			Keys:    4600 * time.Millisecond,
-			Denials: 1800 * time.Millisecond,
+		Config:     s.config,
+		Gate:       s.gate,
+		BodyMemory: entry.NewBodyMemory(1500),
+		Log:        zap.NewNop(),
+		Freshness: entry.FreshnessLimits{
+			MaxKeyAge:    4600 * time.Millisecond,
+			MaxDenialAge: 1800 * time.Millisecond,
 		},
 		Relay: &relay.Relay{
 			Fleet: endpoints, Client: client, Protocol: platform.Protocol{}, Mover: platform.NewEngineClient(client), Log: zap.NewNop(),
@@ -73,8 +74,8 @@
 	return s
 }
 
-// configure puts a configuration in force that was confirmed just now.
-func (s *site) configure() {
+// configure applies a configuration that was confirmed just now.
+func (s *fixture) configure() {
 	s.config.Apply(routing.NewTable(&routing.Configuration{
 		Version: 1,
 		Routes: []routing.Route{
@@ -99,12 +100,12 @@
 	err    error
 }
 
-func (s *site) send(path, key, body string) reply {
+func (s *fixture) send(path, key, body string) reply {
 	GinkgoHelper()
-	return s.sendAs("request-1", path, key, body)
+	return s.sendWithID("request-1", path, key, body)
 }
 
-func (s *site) sendAs(id, path, key, body string) reply {
+func (s *fixture) sendWithID(id, path, key, body string) reply {
 	GinkgoHelper()
 	req, err := http.NewRequest(http.MethodPost, s.url+path, bytes.NewBufferString(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -129,7 +130,7 @@
 
 var _ = Describe("the entry for callers", func() {
 	It("serves a caller with a known key and hides the key from the endpoint", func() {
-		s := newSite()
+		s := newFixture()
 		s.configure()
 		r := s.send("/calls/1?x=1", "key", "body")
 		Expect(r.status).To(Equal(http.StatusOK))
@@ -140,11 +141,11 @@
 		Expect(run.Header).NotTo(HaveKey("Authorization"))
 	})
 
-	DescribeTable("refuses what is wrong with a status of its own, unrun",
+	DescribeTable("refuses invalid requests with the matching status and does not run them",
 		func(id, path, key, body string, status int) {
-			s := newSite()
+			s := newFixture()
 			s.configure()
-			r := s.sendAs(id, path, key, body)
+			r := s.sendWithID(id, path, key, body)
 			Expect(r.status).To(Equal(status))
 			Expect(r.body).To(ContainSubstring(`"outcome":"not_run"`))
 			Expect(s.app.Runs()).To(BeEmpty())
@@ -156,15 +157,15 @@
 		Entry("body over the limit", "r", "/calls/1", "key", string(make([]byte, 1001)), http.StatusRequestEntityTooLarge),
 	)
 
-	// Callers send many large bodies at once. Those for which there is no memory are asked
-	// to come back; what is read is given back when a request ends.
-	It("bounds the memory of all bodies together", func() {
-		s := newSite()
+	// Guards against running out of memory when callers send many large bodies at once. Bodies over
+	// the bound are refused with a retry delay, and the memory is returned when a request ends.
+	It("bounds the memory of all request bodies together", func() {
+		s := newFixture()
 		s.configure()
 		large := string(make([]byte, 900))
 		first := make(chan reply)
-		go func() { first <- s.sendAs("long", "/drafts/1", "key", large) }()
-		Eventually(s.gate.Inside).Should(Equal(1))
+		go func() { first <- s.sendWithID("long", "/drafts/1", "key", large) }()
+		Eventually(s.gate.InFlight).Should(Equal(1))
 		time.Sleep(50 * time.Millisecond)
 		full := s.send("/calls/1", "key", large)
 		Expect(full.status).To(Equal(http.StatusServiceUnavailable))
@@ -175,20 +176,20 @@
 		}
 	})
 
-	// A node that has just started knows no configuration. 404 or 401 would make callers
-	// give up for good.
-	It("asks callers to come back while it knows no configuration", func() {
-		s := newSite()
+	// Guards against answering 404 or 401 on a node that has just started and has no configuration
+	// yet: callers would give up for good.
+	It("asks callers to retry while it has no configuration", func() {
+		s := newFixture()
 		r := s.send("/calls/1", "key", "")
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.header.Get("Retry-After")).To(Equal("0.2"))
 	})
 
-	// A node is cut off from the store, or its machine was suspended, and a key is taken
-	// away meanwhile. Past the limit the node must not serve any key; it does not know
-	// that one is wrong, so it may not say so either.
-	It("serves no key that was not confirmed lately, and does not call it unknown", func() {
-		s := newSite()
+	// Guards against serving a key that was revoked while the node was disconnected from the store
+	// or its machine was suspended. Past the limit the node must not serve any key, but must not
+	// report one as unknown either.
+	It("serves no key that was not confirmed recently and does not reject it as unknown", func() {
+		s := newFixture()
 		s.configure()
 		s.now += 4500 * time.Millisecond
 		Expect(s.send("/calls/1", "key", "").status).To(Equal(http.StatusOK))
@@ -200,20 +201,20 @@
 		Expect(s.app.Runs()).To(HaveLen(2))
 	})
 
-	// A route was added, and this node has not heard from the store since. Callers of the
-	// new route come back in place of giving up.
-	It("does not deny a route while the store is silent", func() {
-		s := newSite()
+	// Guards against final refusals for a route that was added after the store last answered this
+	// node: its callers must retry instead of giving up.
+	It("does not reject a route as unknown while the store does not answer", func() {
+		s := newFixture()
 		s.configure()
 		s.now += 1900 * time.Millisecond
 		Expect(s.send("/none/1", "key", "").status).To(Equal(http.StatusServiceUnavailable))
 		Expect(s.send("/calls/1", "key", "").status).To(Equal(http.StatusOK))
 	})
 
-	// A node is told to stop. A stream that cannot end in time would be cut; its caller
-	// is sent elsewhere at once. Calls go on to be served, and callers told to leave.
-	It("refuses long streams while it is leaving, and serves calls", func() {
-		s := newSite()
+	// Guards against cutting streams when a node stops: one that cannot end in time is refused at
+	// once, so that its caller uses another node. Calls are still served.
+	It("refuses long streams while it is leaving and serves calls", func() {
+		s := newFixture()
 		s.configure()
 		s.gate.Leave(time.Now().Add(3 * time.Second))
 		draft := s.send("/drafts/1", "key", "")
@@ -223,11 +224,11 @@
 		Expect(call.status).To(Equal(http.StatusOK))
 	})
 
-	// Callers' estimates are often far too low: a draft that was expected to take two
-	// seconds takes twenty, and is cut when the node stops. Only the longest answer that
-	// is allowed says whether it can end in time.
-	It("does not trust a caller's estimate while it is leaving", func() {
-		s := newSite()
+	// Guards against cutting a stream that takes far longer than its caller estimated, such as
+	// twenty seconds instead of two. Only the maximum length allowed shows whether it can end in
+	// time.
+	It("ignores the caller's length estimate while it is leaving", func() {
+		s := newFixture()
 		s.configure()
 		s.hint = "40"
 		s.gate.Leave(time.Now().Add(3 * time.Second))
@@ -236,21 +237,20 @@
 		Expect(s.send("/drafts/1", "key", "").status).To(Equal(http.StatusOK))
 	})
 
-	// A process ends between two requests of one connection. A request that comes in that
-	// moment must not be begun.
-	It("begins nothing once it is closed", func() {
-		s := newSite()
+	// Guards against starting a request that arrives on an open connection while the process exits.
+	It("starts no request once it is closed", func() {
+		s := newFixture()
 		s.configure()
-		Expect(s.gate.Enter()).To(BeTrue())
-		Expect(s.gate.Close()).To(BeFalse())
-		s.gate.Exit()
-		Expect(s.gate.Close()).To(BeTrue())
+		Expect(s.gate.StartRequest()).To(BeTrue())
+		Expect(s.gate.CloseIfIdle()).To(BeFalse())
+		s.gate.EndRequest()
+		Expect(s.gate.CloseIfIdle()).To(BeTrue())
 		Expect(s.send("/calls/1", "key", "").status).To(Equal(http.StatusServiceUnavailable))
 		Expect(s.app.Runs()).To(BeEmpty())
 	})
 
-	It("forwards a stream as it comes and unchanged", func() {
-		s := newSite()
+	It("forwards a stream unchanged", func() {
+		s := newFixture()
 		s.configure()
 		r := s.send("/drafts/1", "key", "")
 		Expect(r.err).NotTo(HaveOccurred())
@@ -259,9 +259,10 @@
 		Expect(r.header.Get("Crocusreel-Response-Seal")).To(Equal(worker.Seal("e1", "request-1")))
 	})
 
-	// A caller leaves in the middle of its stream.
-	It("ends requests whose callers are gone", func() {
-		s := newSite()
+	// Guards against requests that stay in flight after the caller disconnects in the middle of the
+	// stream.
+	It("ends requests whose callers have disconnected", func() {
+		s := newFixture()
 		s.configure()
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
@@ -276,6 +277,6 @@
 			_, _ = io.Copy(io.Discard, resp.Body)
 			_ = resp.Body.Close()
 		}
-		Eventually(s.gate.Inside, time.Second).Should(BeZero())
+		Eventually(s.gate.InFlight, time.Second).Should(BeZero())
 	})
 })
--- a/entry/gate.go
+++ b/entry/gate.go
@@ -5,57 +5,59 @@
 	"time"
 )
 
-// Gate knows the requests under way and whether the node is leaving.
+// Gate counts the requests in flight and records whether the node is leaving. Its methods are safe
+// for concurrent use.
 type Gate struct {
-	mu      sync.Mutex
-	inside  int
-	leaving bool
-	closed  bool
-	stopsAt time.Time
+	mu       sync.Mutex
+	inFlight int
+	leaving  bool
+	closed   bool
+	stopsAt  time.Time
 }
 
-// NewGate returns an open gate.
+// NewGate returns a Gate that admits requests.
 func NewGate() *Gate {
 	g := &Gate{}
 	return g
 }
 
-// Enter counts a request; it returns false if the gate is closed. Each entry is ended by
-// one Exit.
-func (g *Gate) Enter() bool {
+// StartRequest counts a request as in flight. It returns false if the gate is closed; otherwise
+// EndRequest must be called once when the request ends.
+func (g *Gate) StartRequest() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
 		return false
 	}
-	g.inside++
+	g.inFlight++
 	return true
 }
 
-// Exit ends a request.
-func (g *Gate) Exit() {
+// EndRequest ends a request that StartRequest has counted.
+func (g *Gate) EndRequest() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.inside--
+	g.inFlight--
 }
 
-// Close closes the gate if nothing is inside, and tells whether it did. A process that
-// ended on a look at Inside alone would cut off a request that came in between.
-func (g *Gate) Close() bool {
+// CloseIfIdle closes the gate if no request is in flight, and reports whether the gate is closed.
+// Checking InFlight before stopping the process is not enough: a request could arrive in between
+// and would be cut off.
+func (g *Gate) CloseIfIdle() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closed = g.closed || g.inside == 0
+	g.closed = g.closed || g.inFlight == 0
 	return g.closed
 }
 
-// Inside returns the number of requests under way.
-func (g *Gate) Inside() int {
+// InFlight returns the number of requests in flight.
+func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.inside
+	return g.inFlight
 }
 
-// Leave marks the node as leaving; it will stop at the given time.
+// Leave marks the node as leaving; it will stop at stopsAt.
 func (g *Gate) Leave(stopsAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,14 +65,14 @@
 	g.stopsAt = stopsAt
 }
 
-// Leaving tells whether the node is about to stop.
+// Leaving reports whether the node is about to stop.
 func (g *Gate) Leaving() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.leaving
 }
 
-// Remaining is the time until a leaving node stops.
+// Remaining returns the time until a leaving node stops.
 func (g *Gate) Remaining() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -16,24 +16,24 @@
 	"github.com/crocusreel/crocusreel/internal/boottime"
 )
 
-// node is one node on a loopback address of its own.
+// node is a Gossip on a loopback address of its own.
 type node struct {
 	*gossip.Gossip
 	ip string
-	// stop ends the node and waits until its address is free again.
+	// stop stops the node and waits until its address is free again.
 	stop func()
 
-	mu    sync.Mutex
-	heard []*exchangev1.NodeState
-	lost  []string
-	ready bool
+	mu       sync.Mutex
+	received []*exchangev1.NodeState
+	lost     []string
+	ready    bool
 }
 
-// own returns an address of this process: two runs of the suite at the same time would not get
-// each other's, and one of them would fail to listen.
-func own(n int) string { return fmt.Sprintf("127.%d.0.%d", 1+os.Getpid()%250, n) }
+// loopbackIP returns an address derived from the process ID, so that two runs of the suite at the
+// same time do not listen on the same address.
+func loopbackIP(n int) string { return fmt.Sprintf("127.%d.0.%d", 1+os.Getpid()%250, n) }
 
-// port is one that is below the ports of outgoing connections.
+// port lies below the range of ephemeral ports.
 const port = 23117
 
 func start(ip string, incarnation uint64) *node { return startIn("dc", ip, incarnation) }
@@ -50,15 +50,15 @@
 				Loads: []*exchangev1.EndpointLoad{{Key: 7, Count: 1}},
 			}
 		},
-		Heard: func(s *exchangev1.NodeState) {
+		OnState: func(s *exchangev1.NodeState) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.heard = append(n.heard, s)
+			n.received = append(n.received, s)
 		},
-		Lost: func(address string) {
-			// As the fleet does, which then has room to tell of.
-			n.TellAll()
-			n.Tell("dc")
+		OnLost: func(address string) {
+			// The fleet also announces a change here: it has free capacity after a loss.
+			n.AnnounceAll()
+			n.Announce("dc")
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.lost = append(n.lost, address)
@@ -93,20 +93,20 @@
 	return append([]string(nil), n.lost...)
 }
 
-func (n *node) heardCount() int {
+func (n *node) receivedCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.heard)
+	return len(n.received)
 }
 
-func (n *node) heardSince(count int) []*exchangev1.NodeState {
+func (n *node) receivedSince(count int) []*exchangev1.NodeState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]*exchangev1.NodeState(nil), n.heard[count:]...)
+	return append([]*exchangev1.NodeState(nil), n.received[count:]...)
 }
 
-// elsewhere returns addresses of nodes that are not heard of.
-func elsewhere(count int) []string {
+// unreachableAddresses returns addresses at which no node responds.
+func unreachableAddresses(count int) []string {
 	var addresses []string
 	for i := range count {
 		addresses = append(addresses, fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, 1+i/200, 1+i%200))
@@ -114,10 +114,10 @@
 	return addresses
 }
 
-var _ = Describe("nodes that gossip", func() {
-	// A new node knows one other node only, as after a start with one good seed.
-	It("learn of all through one, and tell what has changed", func() {
-		a, b, c := start(own(11), 1), start(own(12), 1), start(own(13), 1)
+var _ = Describe("gossip between nodes", func() {
+	// A new node knows a single other node, as after a start with only one working seed.
+	It("discovers all nodes through one of them and propagates changes", func() {
+		a, b, c := start(loopbackIP(11), 1), start(loopbackIP(12), 1), start(loopbackIP(13), 1)
 		a.Add(b.ip)
 		c.Add(b.ip)
 		Eventually(a.live, 3*time.Second).Should(Equal([]string{b.ip, c.ip}))
@@ -129,22 +129,21 @@
 		Expect(a.Live()[0].PeerAddress).To(Equal(b.ip + ":2"))
 	})
 
-	// A node that was just found is told addresses at once. Told of loads only, the other
-	// could do nothing with it, and for a second they would choose the same engines.
-	It("know each other within two rounds", func() {
-		a, b := start(own(41), 1), start(own(42), 1)
+	// Guards against sending only loads to a newly discovered node: without the addresses it could
+	// not use them, and both nodes would choose the same engines for a second.
+	It("makes nodes known to each other within two rounds", func() {
+		a, b := start(loopbackIP(41), 1), start(loopbackIP(42), 1)
 		time.Sleep(250 * time.Millisecond)
 		a.Add(b.ip)
 		Eventually(b.live, 600*time.Millisecond, 10*time.Millisecond).ShouldNot(BeEmpty())
 		Eventually(a.live, 600*time.Millisecond, 10*time.Millisecond).ShouldNot(BeEmpty())
 	})
 
-	// A node falls silent without a word. The work that it told of must not be counted
-	// for ever, and callers must not be sent there. Who hears of the loss tells of what
-	// changes by it at once, under locks of its own: a gossip that waited for those would
-	// stand still for ever, and its node would soon serve no keys.
-	It("lose one that is silent, and find it again", func() {
-		a, b := start(own(21), 1), start(own(22), 1)
+	// Guards against counting the work of a node that has stopped without notice, and sending
+	// callers to it, forever. OnLost announces the resulting change at once while it holds its own
+	// locks: a Gossip that waited for these would deadlock, and its node would soon serve no keys.
+	It("detects the loss of a silent node and its return", func() {
+		a, b := start(loopbackIP(21), 1), start(loopbackIP(22), 1)
 		a.Add(b.ip)
 		Eventually(a.live, 2*time.Second).Should(Equal([]string{b.ip}))
 		b.stop()
@@ -154,64 +153,62 @@
 		Eventually(a.live, 3*time.Second).Should(Equal([]string{again.ip}))
 	})
 
-	// With some sixty nodes, addresses were two fifths of all bytes between data centres.
-	// They are told to a node that was just found, and then hardly ever.
-	It("tell addresses once, and loads in each round", func() {
-		a, b := start(own(51), 1), start(own(52), 1)
+	// Guards against sending addresses in each datagram: with some sixty nodes they made up two
+	// fifths of all bytes between data centres. Only a newly discovered node needs them at once.
+	It("sends addresses once and loads in each round", func() {
+		a, b := start(loopbackIP(51), 1), start(loopbackIP(52), 1)
 		a.Add(b.ip)
 		Eventually(a.live, 2*time.Second).ShouldNot(BeEmpty())
 		Eventually(b.live, 2*time.Second).ShouldNot(BeEmpty())
 		time.Sleep(time.Second)
-		from := b.heardCount()
+		from := b.receivedCount()
 		time.Sleep(2 * time.Second)
-		whole := 0
-		for _, s := range b.heardSince(from) {
+		full := 0
+		for _, s := range b.receivedSince(from) {
 			if !s.GetBrief() {
-				whole++
+				full++
 			}
 			Expect(s.GetLoads()).NotTo(BeEmpty())
 		}
-		Expect(b.heardCount() - from).To(BeNumerically(">", 5))
-		Expect(whole).To(BeNumerically("<=", 1))
+		Expect(b.receivedCount() - from).To(BeNumerically(">", 5))
+		Expect(full).To(BeNumerically("<=", 1))
 	})
 
-	// New work on an engine is told at once to the nodes that choose it first, those of its
-	// data centre. To tell all nodes of each request costs bytes that grow with the square
-	// of their number.
-	It("tell of new work where it matters, and elsewhere with the next round", func() {
-		a, near, far := start(own(61), 1), start(own(62), 1), startIn("far", own(63), 1)
+	// Guards against announcing each request to all nodes at once: the bytes sent would grow with
+	// the square of their number. Only nodes of the same data centre choose the engine first.
+	It("announces new work at once in its data centre and elsewhere with the next round", func() {
+		a, near, far := start(loopbackIP(61), 1), start(loopbackIP(62), 1), startIn("far", loopbackIP(63), 1)
 		a.Add(near.ip, far.ip)
 		Eventually(a.live, 2*time.Second).Should(HaveLen(2))
 		Eventually(far.live, 2*time.Second).Should(HaveLen(2))
-		nearBefore, farBefore := near.heardCount(), far.heardCount()
+		nearBefore, farBefore := near.receivedCount(), far.receivedCount()
 		for range 20 {
-			a.Tell("dc")
+			a.Announce("dc")
 			time.Sleep(15 * time.Millisecond)
 		}
-		heardFar := far.heardCount() - farBefore
-		Expect(near.heardCount() - nearBefore).To(BeNumerically(">", 2*heardFar))
-		Expect(far.heardCount()).To(BeNumerically(">", farBefore))
+		receivedFar := far.receivedCount() - farBefore
+		Expect(near.receivedCount() - nearBefore).To(BeNumerically(">", 2*receivedFar))
+		Expect(far.receivedCount()).To(BeNumerically(">", farBefore))
 	})
 
-	// A node dies that others of its data centre send callers to, and there are hundreds of
-	// nodes elsewhere. Each round to all of them takes longer the more they are; were a loss
-	// nearby to show after some of these rounds only, callers would be sent to the dead node
-	// for many seconds.
-	It("lose one nearby as soon with hundreds of others elsewhere", func() {
-		a, b := start(own(71), 1), start(own(72), 1)
+	// Guards against sending callers to a dead node of the same data centre for many seconds:
+	// rounds to all nodes become rarer as nodes are added, and a nearby loss must not depend on
+	// these.
+	It("detects a nearby loss just as fast with hundreds of nodes elsewhere", func() {
+		a, b := start(loopbackIP(71), 1), start(loopbackIP(72), 1)
 		a.Add(b.ip)
-		a.Add(elsewhere(200)...)
-		b.Add(elsewhere(200)...)
+		a.Add(unreachableAddresses(200)...)
+		b.Add(unreachableAddresses(200)...)
 		Eventually(a.live, 2*time.Second).Should(Equal([]string{b.ip}))
 		time.Sleep(time.Second)
 		b.stop()
 		Eventually(a.lostNodes, 1500*time.Millisecond).Should(Equal([]string{b.ip}))
 	})
 
-	// Guards against a node that restarts within a moment and hears of nobody for seconds: the
-	// others take it for live and go on leaving out the addresses that it knew before.
-	It("tell one that has restarted within a moment everything at once", func() {
-		a, b := start(own(71), 1), start(own(72), 1)
+	// Guards against a node that restarts quickly and receives no addresses for seconds: the others
+	// still consider it live and leave out the addresses that it knew before.
+	It("sends the full state at once to a node that has restarted quickly", func() {
+		a, b := start(loopbackIP(71), 1), start(loopbackIP(72), 1)
 		a.Add(b.ip)
 		Eventually(a.live, time.Second).Should(ConsistOf(b.ip))
 		Eventually(b.live, time.Second).Should(ConsistOf(a.ip))
@@ -222,30 +219,30 @@
 		Eventually(again.live, 500*time.Millisecond, 5*time.Millisecond).Should(ConsistOf(b.ip))
 	})
 
-	// All nodes start at once, and each knows the seeds only. A seed that answers with its
-	// next round, which comes seconds later once it knows hundreds of nodes, keeps them from
-	// serving for as long.
-	It("answer one that they have not heard of at once", func() {
-		a := startIn("far", own(81), 1)
-		a.Add(elsewhere(300)...)
+	// Guards against a slow start of the whole system: all nodes start at once and know the seeds
+	// only. A seed that knows hundreds of nodes has seconds between its regular rounds; if it
+	// responded only then, the new nodes could not serve for as long.
+	It("responds to an unknown node at once", func() {
+		a := startIn("far", loopbackIP(81), 1)
+		a.Add(unreachableAddresses(300)...)
 		time.Sleep(500 * time.Millisecond)
-		b := start(own(82), 1)
+		b := start(loopbackIP(82), 1)
 		b.Add(a.ip)
 		Eventually(b.live, 400*time.Millisecond, 10*time.Millisecond).Should(Equal([]string{a.ip}))
 	})
 
-	// New work is told at once: a node that learns of it a round later chooses the same
-	// engine meanwhile.
-	It("tell of new work before the next round", func() {
-		a, b := start(own(31), 1), start(own(32), 1)
+	// Guards against announcing new work only with the next regular round: a node that learns of it
+	// that late chooses the same engine in the meantime.
+	It("announces new work before the next regular round", func() {
+		a, b := start(loopbackIP(31), 1), start(loopbackIP(32), 1)
 		a.Add(b.ip)
 		Eventually(a.live, 2*time.Second).ShouldNot(BeEmpty())
 		Eventually(b.live, 2*time.Second).ShouldNot(BeEmpty())
-		before := b.heardCount()
+		before := b.receivedCount()
 		for range 5 {
-			a.TellAll()
+			a.AnnounceAll()
 			time.Sleep(15 * time.Millisecond)
 		}
-		Expect(b.heardCount() - before).To(BeNumerically(">=", 3))
+		Expect(b.receivedCount() - before).To(BeNumerically(">=", 3))
 	})
 })
--- a/ledger/fake_test.go
+++ b/ledger/fake_test.go
@@ -8,7 +8,7 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// fault is what happens to one call of the platform.
+// fault is what happens to one call of the platform or the endpoint.
 type fault int
 
 const (
@@ -22,63 +22,67 @@
 	faultCount
 )
 
-// step is one call that waits for the driver's decision.
-type step struct {
+// blockedCall is a call that is blocked until the driver decides its fault.
+type blockedCall struct {
 	gateway int
 	// send marks a call of the endpoint; the others are calls of the platform.
 	send  bool
 	write bool
-	go_   chan fault
+	// resume passes the fault to the blocked call. Closing it ends the goroutine of the call.
+	resume chan fault
 }
 
-// world is a platform in memory together with the endpoint's count of runs. Each
-// call stops at a step until the driver lets it go on.
-type world struct {
-	version int64 // of the last transaction
+// simulation is an in-memory platform that also records the runs at the endpoint. Each call blocks
+// until the driver releases it.
+type simulation struct {
+	version int64 // Version of the last transaction.
 	mu      sync.Mutex
 	rows    map[string]platform.Row
-	waiting []*step
+	blocked []*blockedCall
+	// delayed are the commits whose answers were lost and that are applied later.
 	delayed []platform.Txn
-	runs    []int // gateways whose work ran, in order
-	history []event
+	runs    []int // Attempts whose work ran, in order.
+	history []callerOutcome
 }
 
-func newWorld() *world { return &world{rows: map[string]platform.Row{}} }
+func newSimulation() *simulation { return &simulation{rows: map[string]platform.Row{}} }
 
-// stop waits for the driver. A step of a gateway that was killed never returns.
-func (w *world) stop(gateway int, send, write bool) fault {
-	s := &step{gateway: gateway, send: send, write: write, go_: make(chan fault)}
-	w.mu.Lock()
-	w.waiting = append(w.waiting, s)
-	w.mu.Unlock()
-	f, ok := <-s.go_
+// block blocks until the driver releases the call, and returns its fault. It never returns for a
+// gateway that was killed.
+func (sim *simulation) block(gateway int, send, write bool) fault {
+	s := &blockedCall{gateway: gateway, send: send, write: write, resume: make(chan fault)}
+	sim.mu.Lock()
+	sim.blocked = append(sim.blocked, s)
+	sim.mu.Unlock()
+	f, ok := <-s.resume
 	if !ok {
 		runtime.Goexit()
 	}
 	return f
 }
 
-func (w *world) apply(txn platform.Txn) (int64, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// apply commits a transaction if its conditions hold, and returns the new version.
+func (sim *simulation) apply(txn platform.Txn) (int64, error) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	for _, c := range txn.Conditions {
-		if w.rows[c.Key].Version != c.Version {
+		if sim.rows[c.Key].Version != c.Version {
 			return 0, platform.ErrConflict
 		}
 	}
-	w.version++
+	sim.version++
 	for _, x := range txn.Writes {
-		row := w.rows[x.Key]
+		row := sim.rows[x.Key]
 		row.Table, row.Key, row.Value = x.Table, x.Key, x.Value
-		row.Version = w.version
-		w.rows[x.Key] = row
+		row.Version = sim.version
+		sim.rows[x.Key] = row
 	}
-	return w.version, nil
+	return sim.version, nil
 }
 
-// tables is the platform as one gateway sees it.
+// tables implements platform.Tables for one gateway.
 type tables struct {
-	*world
+	*simulation
 	gateway int
 }
 
@@ -86,7 +90,7 @@
 	if ctx.Err() != nil {
 		return platform.Row{}, platform.ErrUnavailable
 	}
-	if t.stop(t.gateway, false, false) != faultNone {
+	if t.block(t.gateway, false, false) != faultNone {
 		return platform.Row{}, platform.ErrUnavailable
 	}
 	t.mu.Lock()
@@ -102,7 +106,7 @@
 	if ctx.Err() != nil {
 		return 0, platform.ErrUnavailable
 	}
-	switch t.stop(t.gateway, false, true) {
+	switch t.block(t.gateway, false, true) {
 	case faultDown:
 		return 0, platform.ErrUnavailable
 	case faultAnswerLost:
@@ -118,7 +122,7 @@
 	}
 }
 
-// objects is an object store that never fails.
+// objects is an in-memory object store that never fails.
 type objects struct {
 	mu   sync.Mutex
 	data map[string][]byte
