--- a/internal/standin/admin/faults.go
+++ b/internal/standin/admin/faults.go
@@ -1,5 +1,6 @@
-// Package admin holds what tests and experiments use to steer the stand-ins and to
-// see what reached them: fault settings, run records and a small client.
+// Package admin defines the administration API of the stand-ins, which simulate engines, plain
+// services and the platform. Tests and experiments use it to inject faults and to inspect the
+// requests that reached a stand-in.
 package admin
 
 import (
@@ -9,7 +10,8 @@
 	"github.com/crocusreel/crocusreel/endpoint"
 )
 
-// Paths of the administration API that every stand-in serves beside its own.
+// Paths of the administration API. Each stand-in serves those that apply to it, next to its own
+// API.
 const (
 	PathFaults       = "/admin/faults"
 	PathRuns         = "/admin/runs"
@@ -19,73 +21,75 @@
 	PathReservations = "/admin/reservations"
 )
 
-// CrashMarker in an engine's prompt ends its process after a few tokens; in the path,
-// query or body of a call to a plain service it ends that process once the call has
-// taken effect and before its answer.
+// CrashMarker makes a stand-in exit with StatusDied. In a prompt, the engine exits after the
+// first few tokens. In the path, query or body of a call, the plain service exits after the
+// call's effect and before its response.
 const CrashMarker = "[[crash]]"
 
-// StatusDied is the exit status of a stand-in that was told to die.
+// StatusDied is the exit status of a stand-in that ends because of a fault or CrashMarker.
 const StatusDied = 3
 
-// EngineFaults are the faults of an engine. Fractions are probabilities from 0 to 1
-// for each event; times are wall-clock milliseconds.
+// EngineFaults are the faults to inject into an engine. Fractions are probabilities from 0 to 1,
+// drawn for each event; times are wall-clock milliseconds.
 type EngineFaults struct {
 	Notices
-	// CrossedFrames is the fraction of frames before which a frame of another
-	// request and generation is sent.
+	// CrossedFrames is the fraction of frames that are preceded by a frame with the IDs of
+	// another request and generation.
 	CrossedFrames float64 `json:"crossed_frames,omitempty"`
 	// DuplicateFrames is the fraction of frames that are sent twice.
 	DuplicateFrames float64 `json:"duplicate_frames,omitempty"`
-	// LateFrames is the fraction of frames after which an older frame is sent again.
+	// LateFrames is the fraction of frames that are followed by a repeated earlier frame.
 	LateFrames float64 `json:"late_frames,omitempty"`
-	// MissingFrames is the fraction of frames that are left out.
+	// MissingFrames is the fraction of frames that are not sent.
 	MissingFrames float64 `json:"missing_frames,omitempty"`
-	// TruncatedFrames is the fraction of frames that are cut in the middle; the
-	// connection ends there. The generation goes on.
+	// TruncatedFrames is the fraction of frames of which only the first half is sent before
+	// the connection is closed. The generation continues.
 	TruncatedFrames float64 `json:"truncated_frames,omitempty"`
-	// LoseAnswers is the fraction of accepted generations whose connection ends
-	// before the first byte of the answer. The generation goes on.
+	// LoseAnswers is the fraction of accepted generations whose connection is closed before
+	// the first byte of the response. The generation continues.
 	LoseAnswers float64 `json:"lose_answers,omitempty"`
-	// LoseNext does the same to this many of the next accepted generations.
+	// LoseNext drops the responses of this many of the next accepted generations in the same
+	// way.
 	LoseNext int `json:"lose_next,omitempty"`
 	// Refuse refuses all new generations with outcome not_run.
 	Refuse bool `json:"refuse,omitempty"`
-	// Stalled stops decoding; streams stay open and keep-alive bytes go on.
+	// Stalled stops decoding. Streams stay open and still send keep-alive bytes.
 	Stalled bool `json:"stalled,omitempty"`
-	// Mute decodes on but sends no byte on any stream.
+	// Mute stops all writes to streams, keep-alive bytes included, while decoding continues.
 	Mute bool `json:"mute,omitempty"`
-	// SlowFactor multiplies the time of each step; 0 means 1.
+	// SlowFactor multiplies the duration of each step; 0 means 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// ReclaimInMS announces in load reports that the engine leaves, and stops the
-	// process with status 0 after that time. Once set it is not taken back.
+	// ReclaimInMS announces in load reports that the engine is leaving, and ends the process
+	// with status 0 after this time. It cannot be changed or reset once set.
 	ReclaimInMS int `json:"reclaim_in_ms,omitempty"`
-	// Die stops the process at once, with status 3.
+	// Die ends the process at once with StatusDied.
 	Die bool `json:"die,omitempty"`
-	// DieAfterTokens stops the process with status 3 after this many more tokens.
+	// DieAfterTokens ends the process with StatusDied after this many more tokens.
 	DieAfterTokens int `json:"die_after_tokens,omitempty"`
-	// ReportsFrozen stops the renewal of load reports.
+	// ReportsFrozen stops the update of load reports.
 	ReportsFrozen bool `json:"reports_frozen,omitempty"`
-	// CacheEventGaps is the fraction of cache events that are lost.
+	// CacheEventGaps is the fraction of cache events that are dropped, which leaves gaps in their
+	// sequence numbers.
 	CacheEventGaps float64 `json:"cache_event_gaps,omitempty"`
-	// FailLoads lets orders to load end without the model loaded.
+	// FailLoads makes load orders finish without loading the model.
 	FailLoads bool `json:"fail_loads,omitempty"`
-	// LoseOrderAnswers is the fraction of orders that are carried out but whose
-	// answer is lost.
+	// LoseOrderAnswers is the fraction of orders that are executed but whose response is
+	// dropped.
 	LoseOrderAnswers float64 `json:"lose_order_answers,omitempty"`
 }
 
-// Notices are what a stand-in says of itself in all its answers.
+// Notices are the notices about itself that a stand-in sends in response headers.
 type Notices struct {
-	// RequestLimit is the number of requests a second that it takes from all gateways; 0 for
-	// none said.
+	// RequestLimit is the announced limit in requests per second over all gateways; 0 announces
+	// none.
 	RequestLimit float64 `json:"request_limit,omitempty"`
-	// Leaving says that it is about to stop.
+	// Leaving announces that the stand-in is about to stop.
 	Leaving bool `json:"leaving,omitempty"`
-	// PauseSeconds is the pause that its refusals ask for; 0 for none.
+	// PauseSeconds is the Retry-After of refusals in seconds; 0 sends none.
 	PauseSeconds float64 `json:"pause_seconds,omitempty"`
 }
 
-// Set puts the headers on an answer.
+// Set sets the notice headers of a response.
 func (s Notices) Set(h http.Header) {
 	if s.Leaving {
 		h.Set(endpoint.HeaderLeaving, "1")
@@ -95,54 +99,54 @@
 	}
 }
 
-// SetPause puts the pause on a refusal.
+// SetPause sets the Retry-After header of a refusal.
 func (s Notices) SetPause(h http.Header) {
 	if s.PauseSeconds > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(s.PauseSeconds, 'g', -1, 64))
 	}
 }
 
-// ServiceFaults are the faults of a plain service.
+// ServiceFaults are the faults to inject into a plain service.
 type ServiceFaults struct {
 	Notices
 	// Refuse refuses all calls with outcome not_run.
 	Refuse bool `json:"refuse,omitempty"`
-	// LoseAnswers is the fraction of calls that run but whose answer is lost.
+	// LoseAnswers is the fraction of calls that run but whose response is dropped.
 	LoseAnswers float64 `json:"lose_answers,omitempty"`
-	// LoseNext does the same to this many of the next calls.
+	// LoseNext drops the responses of this many of the next calls in the same way.
 	LoseNext int `json:"lose_next,omitempty"`
-	// SlowMS is added before the call runs.
+	// SlowMS is a delay before the call runs.
 	SlowMS int `json:"slow_ms,omitempty"`
-	// SlowAnswerMS is added after the call ran and before its answer.
+	// SlowAnswerMS is a delay between the run of the call and its response.
 	SlowAnswerMS int `json:"slow_answer_ms,omitempty"`
-	// Die stops the process at once, with status 3.
+	// Die ends the process at once with StatusDied.
 	Die bool `json:"die,omitempty"`
 }
 
-// PlatformFaults are the faults of the platform.
+// PlatformFaults are the faults to inject into the platform. They do not affect the
+// administration API.
 type PlatformFaults struct {
-	// Down answers every call with 503: nothing is applied.
+	// Down answers every call with 503 without applying it.
 	Down bool `json:"down,omitempty"`
-	// Unreachable ends every connection without an answer; nothing is applied, but
-	// a client cannot know.
+	// Unreachable closes the connection of every call without a response. Nothing is applied,
+	// but the client cannot know that. The health check answers 503.
 	Unreachable bool `json:"unreachable,omitempty"`
-	// WritesDown answers every call that changes something with 503; reads go on.
+	// WritesDown answers every write and weight reservation with 503; reads still work.
 	WritesDown bool `json:"writes_down,omitempty"`
-	// SlowMS is added before each call is applied.
+	// SlowMS is a delay before each call is applied.
 	SlowMS int `json:"slow_ms,omitempty"`
-	// SlowAnswerMS is added after each call was applied and before its answer.
+	// SlowAnswerMS is a delay between the application of each call and its response.
 	SlowAnswerMS int `json:"slow_answer_ms,omitempty"`
-	// LoseAnswers is the fraction of commits that are applied but whose answer is
-	// lost.
+	// LoseAnswers is the fraction of commits that are applied but whose response is dropped.
 	LoseAnswers float64 `json:"lose_answers,omitempty"`
-	// LoseNext does the same to this many of the next commits.
+	// LoseNext drops the responses of this many of the next applied commits in the same way.
 	LoseNext int `json:"lose_next,omitempty"`
-	// LoseRequests is the fraction of commits that are lost on their way: nothing
-	// is applied and the connection ends without an answer.
+	// LoseRequests is the fraction of commits that are lost before they are applied; the
+	// connection is closed without a response.
 	LoseRequests float64 `json:"lose_requests,omitempty"`
-	// DropHistory forgets the changes up to now: those who follow them must read whole
-	// tables again.
+	// DropHistory discards the change history up to now, once for each call that sets it:
+	// watchers must read whole tables again.
 	DropHistory bool `json:"drop_history,omitempty"`
-	// WeightsDown refuses reservations of the weight store only.
+	// WeightsDown answers weight reservations with 503.
 	WeightsDown bool `json:"weights_down,omitempty"`
 }
--- a/internal/standin/admin/records.go
+++ b/internal/standin/admin/records.go
@@ -7,10 +7,10 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// PromptHeadBytes is the length of the part of a prompt that a Run keeps.
+// PromptHeadBytes is the maximum number of leading prompt bytes that a Run records.
 const PromptHeadBytes = 64
 
-// Run is one piece of work that an endpoint started.
+// Run records one generation or call that an endpoint started.
 type Run struct {
 	RequestID      string `json:"request_id"`
 	GenerationID   string `json:"generation_id,omitempty"`
@@ -19,21 +19,21 @@
 	Method         string `json:"method,omitempty"`
 	Path           string `json:"path"`
 	Model          string `json:"model,omitempty"`
-	// PromptHead is the beginning of a generation's prompt, by which a test finds the
-	// runs of work that is sent without a key.
+	// PromptHead is the first part of a generation's prompt. Tests use it to find the runs of
+	// requests without an idempotency key.
 	PromptHead string    `json:"prompt_head,omitempty"`
 	StartedAt  time.Time `json:"started_at"`
 	Ended      bool      `json:"ended"`
 	EndedAt    time.Time `json:"ended_at"`
-	// FinishReason is an engine's: stop, length or cancelled.
+	// FinishReason is set by engines only: stop, length or cancelled.
 	FinishReason string `json:"finish_reason,omitempty"`
 	Tokens       int    `json:"tokens"`
 	Preemptions  int    `json:"preemptions,omitempty"`
-	// Incarnation of the process that started the run.
+	// Incarnation identifies the process that started the run.
 	Incarnation string `json:"incarnation"`
 }
 
-// OrderRecord is one order that an engine got.
+// OrderRecord records one order that an engine received.
 type OrderRecord struct {
 	Order endpoint.Order `json:"order"`
 	At    time.Time      `json:"at"`
@@ -42,29 +42,29 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Operation is one call to the platform's tables, for checks of linearizability.
+// Operation records one call to the platform's tables, for linearizability checks.
 type Operation struct {
 	// Kind is "get", "scan" or "commit".
 	Kind string `json:"kind"`
-	// InvokedNS and ReturnedNS are monotonic nanoseconds since the stand-in started.
+	// InvokedNS and ReturnedNS are monotonic times in nanoseconds since the stand-in started.
 	InvokedNS  int64 `json:"invoked_ns"`
 	ReturnedNS int64 `json:"returned_ns"`
 	// Txn is set for a commit.
 	Txn *platform.Txn `json:"txn,omitempty"`
-	// Applied tells whether a commit's conditions held.
+	// Applied reports whether the conditions of a commit held.
 	Applied bool `json:"applied,omitempty"`
-	// AnswerLost tells that the client got no answer to an applied commit.
+	// AnswerLost reports that the response to an applied commit was dropped.
 	AnswerLost bool `json:"answer_lost,omitempty"`
-	// Rows are what was read, or the rows as a commit left them.
+	// Rows are the rows read, or the written rows after a commit.
 	Rows []platform.Row `json:"rows,omitempty"`
 }
 
-// Reservation is one load granted by the weight store.
+// Reservation records one load granted by the weight store.
 type Reservation struct {
 	Model   string    `json:"model"`
 	Version string    `json:"version"`
 	At      time.Time `json:"at"`
-	// StartAt is when the load may begin.
+	// StartAt is the earliest time at which the load may begin.
 	StartAt time.Time `json:"start_at"`
 	Bytes   int64     `json:"bytes"`
 }
--- a/internal/standin/admin/runlog.go
+++ b/internal/standin/admin/runlog.go
@@ -10,8 +10,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// RunLog lists the runs of an endpoint. With a journal file the list outlives the
-// process: a test that kills an endpoint still sees what it had started.
+// RunLog records the runs of an endpoint. With a journal file the starts of runs survive a
+// restart, so that a test that kills an endpoint still sees what it had started; updates are
+// kept in memory only. It is safe for concurrent use.
 type RunLog struct {
 	mu          sync.Mutex
 	runs        []Run
@@ -19,8 +20,8 @@
 	incarnation string
 }
 
-// OpenRunLog reads the journal at path, if there is one, and appends to it. An
-// empty path keeps the list in memory only.
+// OpenRunLog loads the journal at path, which it creates if missing, and appends new runs to
+// it. Lines that are not valid JSON are skipped. An empty path keeps the runs in memory only.
 func OpenRunLog(path, incarnation string) (*RunLog, error) {
 	l := &RunLog{incarnation: incarnation}
 	if path == "" {
@@ -28,7 +29,7 @@
 	}
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
-		return nil, eris.Wrap(err, "open journal")
+		return nil, eris.Wrap(err, "open run journal")
 	}
 	l.journal = f
 	lines := bufio.NewScanner(f)
@@ -38,10 +39,11 @@
 			l.runs = append(l.runs, r)
 		}
 	}
-	return l, eris.Wrap(lines.Err(), "read journal")
+	return l, eris.Wrap(lines.Err(), "read run journal")
 }
 
-// Start records a run before it begins and returns its index.
+// Start records a run before it begins and returns its index for Update. It sets the run's
+// incarnation and start time.
 func (l *RunLog) Start(r Run) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,14 +62,15 @@
 	return len(l.runs) - 1, nil
 }
 
-// Update changes the run with an index.
+// Update applies change to the run at index while it holds the lock. The index must come from
+// Start.
 func (l *RunLog) Update(index int, change func(*Run)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.runs[index])
 }
 
-// List returns all runs in the order of their start.
+// List returns a copy of all runs in start order.
 func (l *RunLog) List() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/engine/drive.go
+++ b/internal/standin/engine/drive.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// pollInterval is how often a stalled engine looks whether it may go on, and
-	// how often load reports and deadlines are renewed.
+	// pollInterval is the interval at which a stalled engine checks whether it may continue,
+	// load reports are renewed, and retention and reclaim deadlines are checked.
 	pollInterval = 20 * time.Millisecond
-	// maxBehind is how far the steps may fall behind real time, on a busy machine,
-	// before the rest is given up instead of being caught up in a burst.
+	// maxBehind is the maximum delay of the steps behind real time, which occurs on a busy
+	// machine. Beyond it the schedule restarts from now, which avoids a burst of steps.
 	maxBehind = 200 * time.Millisecond
 )
 
-// Run drives the engine until ctx ends.
+// Run executes steps in scaled time until ctx is cancelled.
 func (e *Engine) Run(ctx context.Context) error {
 	go e.keepHouse(ctx)
 	due := time.Now()
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// step runs one step of the model; false means that there is nothing to do.
+// step runs one step of the model. It returns false if the engine is idle or stalled.
 func (e *Engine) step() (model.Step, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// apply publishes the results of a step once its time is over.
+// apply publishes the results of a step, after its duration has passed.
 func (e *Engine) apply(step model.Step) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,8 +128,8 @@
 	return string(model.FinishStop)
 }
 
-// keepHouse renews load reports, forgets old generations, and stops a reclaimed
-// engine.
+// keepHouse renews load reports, removes expired generations and stops the engine at its reclaim
+// deadline, until ctx is cancelled.
 func (e *Engine) keepHouse(ctx context.Context) {
 	for sleep(ctx, pollInterval) {
 		e.mu.Lock()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -13,8 +13,8 @@
 	"github.com/crocusreel/crocusreel/internal/standin/engine/model"
 )
 
-// Engine is a running stand-in. One mutex guards everything; the model's steps are
-// short, and the wait between them is outside of it.
+// Engine is a stand-in for an inference engine. One mutex guards all mutable state; it is held for
+// the short computation of a step, but not while the duration of the step passes.
 type Engine struct {
 	options     Options
 	incarnation string
@@ -34,10 +34,10 @@
 	loaded      loaded
 }
 
-// repeatKey names the work of one idempotency key.
+// repeatKey identifies a generation by its idempotency key within a workspace.
 type repeatKey struct{ workspace, key string }
 
-// New returns an engine; Run drives it.
+// New returns an engine. It makes no progress until Run is called.
 func New(o Options) (*Engine, error) {
 	o = o.withDefaults()
 	incarnation := uuid.NewString()
@@ -60,7 +60,7 @@
 	return e, nil
 }
 
-// refusal is a typed error answer with its HTTP status.
+// refusal is an error response with its HTTP status.
 type refusal struct {
 	status int
 	body   endpoint.ErrorBody
@@ -74,8 +74,8 @@
 	return refuse(503, endpoint.KindRefused, crocusreel.OutcomeNotRun, message)
 }
 
-// start accepts a generation or says why not. lost tells that the answer to an
-// accepted one shall be lost.
+// start accepts a generation or returns a refusal. lost reports that the response to an accepted
+// generation must be dropped.
 func (e *Engine) start(req endpoint.GenerateRequest) (g *generation, lost bool, no *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,8 +104,9 @@
 	return g, e.loseAnswer(), nil
 }
 
-// admissible checks whether a generation may start. A repeated generation ID is
-// one answer that is asked for twice; starting it again would mix two runs.
+// admissible checks whether a generation may start. A generation ID that is already known is
+// refused, because a second run under the same ID would mix the frames of two runs. The caller
+// holds the mutex.
 func (e *Engine) admissible(req endpoint.GenerateRequest) *refusal {
 	if req.RequestID == "" || req.GenerationID == "" {
 		return refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, "request_id and generation_id are required")
@@ -154,8 +155,8 @@
 	}
 }
 
-// loseAnswer decides whether the answer to an accepted generation is lost. The
-// caller holds the mutex.
+// loseAnswer decides whether the response to an accepted generation is dropped. The caller holds
+// the mutex.
 func (e *Engine) loseAnswer() bool {
 	if e.faults.LoseNext > 0 {
 		e.faults.LoseNext--
@@ -164,17 +165,17 @@
 	return e.chance(e.faults.LoseAnswers)
 }
 
-// chance reports true with the given probability. The caller holds the mutex.
+// chance returns true with probability p. The caller holds the mutex.
 func (e *Engine) chance(p float64) bool { return p > 0 && e.random.Float64() < p }
 
-// find returns a generation that runs or is kept.
+// find returns the generation that is running or still retained, or nil.
 func (e *Engine) find(id string) *generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.generations[id]
 }
 
-// lookup answers what is known of an idempotency key.
+// lookup returns the status of the run with an idempotency key.
 func (e *Engine) lookup(key repeatKey) endpoint.RunStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -15,14 +15,14 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// patience bounds every wait for something that is certain to come.
+// patience is the timeout of waits for events that must occur.
 const patience = 20 * time.Second
 
-// running is an engine behind its wire format.
+// running is an engine under test with clients of its HTTP APIs.
 type running struct {
 	client endpoint.Engine
 	admin  *admin.Client
-	// exit is the status with which the process would have ended; -1 if it runs.
+	// exit is the exit status that the engine requested; -1 if none.
 	exit atomic.Int64
 }
 
@@ -56,7 +56,7 @@
 	return stream
 }
 
-// ended waits for the end of the only run and returns it.
+// ended waits until the only run has ended and returns it.
 func (r *running) ended() admin.Run {
 	var runs []admin.Run
 	Eventually(func() bool {
@@ -76,7 +76,8 @@
 var _ = Describe("the stand-in engine", func() {
 	ctx := context.Background()
 
-	// A gateway dies in mid-answer and another one goes on from the next token.
+	// Guards the handover of a stream: one gateway dies in mid-stream and another one resumes at
+	// the next token.
 	It("resumes a generation after its stream broke", func() {
 		r := run(Options{DetachGrace: patience})
 		stream := r.generate("g1", "x [[len=100]]")
@@ -91,7 +92,7 @@
 		}
 	})
 
-	It("cancels a generation that nobody reads after the grace time", func() {
+	It("cancels a generation without streams after the grace time", func() {
 		r := run(Options{DetachGrace: 50 * time.Millisecond})
 		stream := r.generate("g1", "x [[len=100000]]")
 		next(stream)
@@ -99,7 +100,7 @@
 		Expect(r.ended().FinishReason).To(Equal("cancelled"))
 	})
 
-	It("cancels with only_detached only what nobody reads", func() {
+	It("cancels with only_detached only a generation without streams", func() {
 		r := run(Options{})
 		stream := r.generate("g1", "x [[len=100000]]")
 		Expect(r.client.Cancel(ctx, "g1", true)).To(Succeed())
@@ -108,7 +109,7 @@
 		Expect(r.ended().FinishReason).To(Equal("cancelled"))
 	})
 
-	It("carries out orders with old numbers if it does not check them", func() {
+	It("executes orders with stale fencing numbers if it does not check them", func() {
 		r := run(Options{})
 		Expect(r.client.Order(ctx, endpoint.Order{Fence: 9, Verb: "load", Model: "n", Version: "2"})).To(Succeed())
 		Expect(r.client.Order(ctx, endpoint.Order{Fence: 3, Verb: "unload", Model: "m"})).To(Succeed())
@@ -119,7 +120,7 @@
 		Expect(r.admin.Orders(ctx)).To(HaveLen(2))
 	})
 
-	It("refuses orders with old numbers if it checks them, and records both", func() {
+	It("refuses orders with stale fencing numbers if it checks them, and records all orders", func() {
 		r := run(Options{ChecksFence: true})
 		Expect(r.client.Order(ctx, endpoint.Order{Fence: 9, Verb: "role", Role: "decode"})).To(Succeed())
 		Expect(r.client.Order(ctx, endpoint.Order{Fence: 3, Verb: "unload", Model: "m"})).NotTo(Succeed())
@@ -129,7 +130,7 @@
 		Expect(orders[1].Applied).To(BeFalse())
 	})
 
-	It("ends a load without the model if loads fail", func() {
+	It("finishes a failed load without adding the model", func() {
 		r := run(Options{})
 		Expect(r.admin.SetFaults(ctx, admin.EngineFaults{FailLoads: true})).To(Succeed())
 		Expect(r.client.Order(ctx, endpoint.Order{Verb: "load", Model: "n"})).To(Succeed())
@@ -137,22 +138,22 @@
 			Should(And(HaveField("Loading", false), HaveField("Models", HaveLen(1))))
 	})
 
-	// The machine under an engine is reclaimed with a second's notice: answers that
-	// run longer than that break off.
-	It("announces that it is reclaimed and then ends", func() {
+	// A VM is reclaimed at short notice: the engine must announce it without the report lag and
+	// exit with status 0 at the deadline.
+	It("announces its reclaim and then exits", func() {
 		r := run(Options{ReportLag: time.Hour})
 		Expect(r.admin.SetFaults(ctx, admin.EngineFaults{ReclaimInMS: 300})).To(Succeed())
 		Expect(r.client.Load(ctx)).To(HaveField("Leaving", true))
 		Eventually(r.exit.Load, patience).Should(BeEquivalentTo(0))
 	})
 
-	It("ends a few tokens into a request with the crash marker", func() {
+	It("exits after a few tokens of a request with the crash marker", func() {
 		r := run(Options{})
 		r.generate("g1", "x [[crash]] [[len=50]]")
 		Eventually(r.exit.Load, patience).Should(BeEquivalentTo(admin.StatusDied))
 	})
 
-	It("reports load with a lag", func() {
+	It("delays load reports by the report lag", func() {
 		r := run(Options{ReportLag: time.Hour})
 		stream := r.generate("g1", "x [[len=100000]]")
 		next(stream)
@@ -173,9 +174,9 @@
 		Expect(known).To(ContainElement(events[0].Prefix))
 	})
 
-	// One direction of a link fails: the engine takes work and decodes, but no byte
-	// of it arrives.
-	It("decodes on while it is mute", func() {
+	// Simulates the failure of one direction of a link: the engine receives requests and decodes,
+	// but none of its bytes arrive.
+	It("continues to decode while it is mute", func() {
 		r := run(Options{KeepAlive: 20 * time.Millisecond, DetachGrace: patience})
 		stream := r.generate("g1", "x [[len=50]]")
 		Expect(r.admin.SetFaults(ctx, admin.EngineFaults{Mute: true})).To(Succeed())
@@ -184,7 +185,7 @@
 		Expect(next(stream).Index).To(Equal(0))
 	})
 
-	It("keeps the run list over a restart in its journal", func() {
+	It("restores the run list from its journal after a restart", func() {
 		journal := filepath.Join(GinkgoT().TempDir(), "journal")
 		r := run(Options{Journal: journal})
 		r.generate("g1", "x [[len=1]]")
@@ -196,7 +197,7 @@
 		Expect(after[0].Incarnation).To(Equal(before.Incarnation))
 	})
 
-	It("gives a request the same length at each engine with its seed", func() {
+	It("draws the same length for a request on every engine with the same seed", func() {
 		o := Options{Seed: 5}.withDefaults()
 		Expect(answerLength(o, "r1", "x")).To(Equal(answerLength(o, "r1", "y")))
 		Expect(answerLength(o, "r1", "x [[len=17]]")).To(Equal(17))
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -8,20 +8,20 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Finish reasons beside the model's.
+// Finish reasons that the engine reports in addition to model.FinishStop.
 const (
 	finishLength    = "length"
 	finishCancelled = "cancelled"
 )
 
-// generation is one run. Its fields are guarded by the engine's mutex. Tokens are
-// not stored: their text follows from the generation's ID and the index.
+// generation is the state of one generation. Its fields are guarded by the engine's mutex. Tokens
+// are not stored, because their text is derived from the generation ID and the index.
 type generation struct {
 	request      endpoint.GenerateRequest
 	runIndex     int
 	promptTokens int
-	// target is the number of tokens after which it ends; cut tells that a bound
-	// and not the answer's own end set it.
+	// target is the number of tokens to generate. cut reports that the token limit, and not
+	// the drawn length, determines it.
 	target      int
 	cut         bool
 	crashes     bool
@@ -32,18 +32,19 @@
 	endedAt     time.Time
 	streams     int
 	detach      *time.Timer
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced when the generation changes.
 	changed chan struct{}
 }
 
-// textPrefix is the number of bytes of the generation ID in each token's text.
+// textPrefix is the number of leading bytes of the generation ID in the text of a token.
 const textPrefix = 8
 
 func tokenText(generationID string, index int) string {
 	return fmt.Sprintf("%s.%d ", generationID[:min(textPrefix, len(generationID))], index)
 }
 
-// frame builds the frame with an index: a token, or the end at the answer's length.
+// frame returns the frame at index: a token, or the final frame if index is the number of tokens
+// produced. The caller holds the engine's mutex.
 func (g *generation) frame(index int) endpoint.Frame {
 	f := endpoint.Frame{
 		RequestID:    g.request.RequestID,
@@ -61,13 +62,14 @@
 	return f
 }
 
-// notify wakes the streams of a generation.
+// notify wakes the streams of a generation. The caller holds the engine's mutex.
 func (g *generation) notify() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// end marks a generation as ended. The caller holds the engine's mutex.
+// end marks a generation as ended and updates its run record. The caller holds the engine's
+// mutex.
 func (e *Engine) end(g *generation, finish string) {
 	if g.done {
 		return
@@ -91,7 +93,7 @@
 	e.end(g, finishCancelled)
 }
 
-// attach counts a stream in.
+// attach adds a stream to a generation and stops the timer that would cancel it.
 func (e *Engine) attach(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,8 +104,8 @@
 	}
 }
 
-// detachStream counts a stream out. A generation that nobody reads goes on for the
-// grace time, so that it can be resumed, and is then cancelled.
+// detachStream removes a stream from a generation. A generation without streams continues for
+// DetachGrace, so that it can be resumed, and is then cancelled.
 func (e *Engine) detachStream(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -13,7 +13,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Handler serves the engines' wire format and the administration API.
+// Handler returns the handler of the engines' HTTP API and the administration API.
 func (e *Engine) Handler() http.Handler {
 	r := echo.New()
 	r.Use(e.say)
@@ -33,7 +33,7 @@
 	return r
 }
 
-// say puts what the stand-in says of itself on each answer.
+// say is middleware that sets the notice headers of each response.
 func (e *Engine) say(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		e.currentFaults().Set(c.Response().Header())
@@ -73,14 +73,14 @@
 	return e.stream(c, g, max(0, req.Next))
 }
 
-// unknownGeneration leaves the outcome open: the generation may have run in an
-// earlier incarnation, or ended and been forgotten.
+// unknownGeneration returns the refusal for an unknown generation ID. Its outcome is unknown: the
+// generation may have run in an earlier incarnation, or ended and been removed.
 func unknownGeneration() *refusal {
 	return refuse(404, endpoint.KindUnknownGeneration, crocusreel.OutcomeUnknown, "no such generation")
 }
 
-// stream answers with the frames of a generation. A fault that ends the connection
-// leaves the answer without its end marker.
+// stream writes the frames of a generation, starting with frame next. If a fault ends the
+// connection, the response is aborted without the final chunk.
 func (e *Engine) stream(c echo.Context, g *generation, next int) error {
 	w := c.Response()
 	w.Header().Set(echo.HeaderContentType, "application/x-ndjson")
@@ -166,7 +166,7 @@
 	return c.JSON(http.StatusOK, f)
 }
 
-// listRuns lists the runs, with the tokens of those that go on.
+// listRuns returns all runs, with the current token counts of those in progress.
 func (e *Engine) listRuns() []admin.Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/model/cache.go
+++ b/internal/standin/engine/model/cache.go
@@ -2,8 +2,7 @@
 
 import "container/list"
 
-// prefixCache is a bounded set of prompt prefixes; the least recently used leaves
-// first.
+// prefixCache is a bounded set of prompt prefixes with LRU eviction.
 type prefixCache struct {
 	limit   int
 	order   *list.List // of uint64, most recently used first
@@ -15,7 +14,8 @@
 	return &prefixCache{limit: limit, order: list.New(), entries: make(map[uint64]*list.Element)}
 }
 
-// lookup returns how many leading blocks of a prompt are cached and marks them used.
+// lookup returns the number of leading blocks of a prompt that are cached and marks them as
+// recently used.
 func (c *prefixCache) lookup(prefixes []uint64) int {
 	hits := 0
 	for _, p := range prefixes {
@@ -29,8 +29,8 @@
 	return hits
 }
 
-// store adds prefixes. The longest is stored first, so that the shortest, which
-// more prompts share, is the last to leave.
+// store adds as many leading prefixes as the cache can hold. It adds the longest first: the
+// shortest, which more prompts share, is then the most recently used and evicted last.
 func (c *prefixCache) store(prefixes []uint64) {
 	for i := min(len(prefixes), c.limit) - 1; i >= 0; i-- {
 		c.add(prefixes[i])
--- a/internal/standin/engine/model/load_test.go
+++ b/internal/standin/engine/model/load_test.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// stallGap is the time between two tokens of an answer above which the rest
-	// counts as stall.
+	// stallGap is the longest time between two tokens of an answer that is not a stall; any
+	// time beyond it counts as stall time.
 	stallGap = 250 * time.Millisecond
 	answers  = 2000
 	seed     = 1
 )
 
-// figures are what callers saw of a run in model time.
+// figures are the statistics of a run as callers see it, in model time.
 type figures struct {
-	preemptions  float64 // for each 1,000 answers
-	stall        time.Duration
+	preemptions  float64       // per 1,000 answers
+	stall        time.Duration // mean per answer
 	p50, p99     time.Duration // time between tokens
-	first99      time.Duration // time to first token
+	first99      time.Duration // time to first token, 99th percentile
 	tokensPerSec float64
 }
 
@@ -36,7 +36,7 @@
 	seq model.Sequence
 }
 
-// trace draws Poisson arrivals with lognormal prompts and lengths.
+// trace draws Poisson arrivals with lognormal prompt and output lengths.
 func trace(perSecond float64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 0))
 	draw := func(median, sigma float64) int { return 1 + int(median*math.Exp(sigma*random.NormFloat64())) }
@@ -51,7 +51,7 @@
 	return list
 }
 
-// replay runs a trace in model time.
+// replay runs a trace in model time until the engine is idle.
 func replay(p model.Params, list []arrival) figures {
 	e := model.New(p)
 	var now time.Duration
@@ -93,8 +93,9 @@
 	}
 }
 
-// The figures of docs/decisions/0003-engine-model.md come from this test with -v.
-// They are in model time and the same in each run.
+// Guards against a model in which higher load does not cost preemptions, stalls and slower
+// tokens. With -v it logs the table of docs/decisions/0003-engine-model.md, which is in model
+// time and therefore the same in each run.
 func TestMemoryRunsOutUnderLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, capacity := range []int{8000, 30000} {
--- a/internal/standin/engine/model/model.go
+++ b/internal/standin/engine/model/model.go
@@ -1,6 +1,6 @@
-// Package model is a step model of an inference engine with continuous batching:
-// no I/O, no clock, no goroutine. Each step advances the running sequences by one
-// token and tells how long the step takes.
+// Package model is a discrete-step model of an inference engine with continuous batching. It
+// uses no I/O, clock or goroutine. Each step advances the decoding sequences by one token and
+// returns how long the step takes.
 package model
 
 import (
@@ -10,33 +10,35 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrTooLarge means that a sequence's prompt does not fit into the KV memory.
+// ErrTooLarge means that the prompt of a sequence and its first token do not fit into the KV
+// memory.
 var ErrTooLarge = eris.New("prompt larger than the KV memory")
 
-// ErrDuplicate means that a sequence with the same ID is running or waiting.
+// ErrDuplicate means that a sequence with the same ID is already running or waiting.
 var ErrDuplicate = eris.New("sequence ID in use")
 
-// Params sets the size and the speed of an engine.
+// Params sets the capacity and the speed of an engine.
 type Params struct {
 	// BlockTokens is the number of tokens in a block of KV memory.
 	BlockTokens int
 	// KVBlocks is the number of blocks of KV memory.
 	KVBlocks int
-	// CacheBlocks bounds the prefix cache, in blocks; it is memory of its own.
+	// CacheBlocks is the capacity of the prefix cache in blocks, which are not part of KVBlocks.
 	CacheBlocks int
-	// MaxBatch bounds the running sequences.
+	// MaxBatch is the maximum number of running sequences.
 	MaxBatch int
-	// PrefillTokens bounds the prompt tokens that are computed in one step.
+	// PrefillTokens is the maximum number of context tokens that are computed in one step.
 	PrefillTokens int
-	// A step takes Base + PerSequence for each running sequence + PerKVToken for
-	// each token of context in use + PerPrefillToken for each prompt token computed.
+	// The duration of a step is Base + PerSequence for each running sequence + PerKVToken for
+	// each computed token of their contexts + PerPrefillToken for each token prefilled in the
+	// step.
 	Base            time.Duration
 	PerSequence     time.Duration
 	PerKVToken      time.Duration
 	PerPrefillToken time.Duration
 }
 
-// DefaultParams resembles an engine with a model of 7 to 13 billion parameters.
+// DefaultParams approximates an engine that serves a model of 7 to 13 billion parameters.
 func DefaultParams() Params {
 	return Params{
 		BlockTokens:     16,
@@ -51,20 +53,21 @@
 	}
 }
 
-// Sequence is one generation as the engine is given it.
+// Sequence is a generation to run.
 type Sequence struct {
 	ID string
 	// Prompt is the length of the prompt in tokens.
 	Prompt int
-	// Prefixes are the hashes of the prompt's leading runs of whole blocks.
+	// Prefixes are hashes of the prompt's prefixes of one, two and more whole blocks, shortest
+	// first.
 	Prefixes []uint64
-	// Length is the number of tokens that the answer will have.
+	// Length is the number of tokens to generate; at least 1 is generated.
 	Length int
-	// Priority: the lowest is preempted first and admitted last.
+	// Priority orders admission, highest first, and preemption, lowest first.
 	Priority int
 }
 
-// sequence is a Sequence with its progress.
+// sequence is the state of a running or waiting Sequence.
 type sequence struct {
 	Sequence
 	arrival     int64
@@ -74,10 +77,10 @@
 	preemptions int
 }
 
-// context is the number of tokens whose KV the next token needs.
+// context returns the number of tokens whose KV the next token needs.
 func (s *sequence) context() int { return s.Prompt + s.produced }
 
-// Engine is the state of an engine. It is not safe for concurrent use.
+// Engine is a modelled engine. It is not safe for concurrent use.
 type Engine struct {
 	params      Params
 	cache       *prefixCache
@@ -99,7 +102,7 @@
 	}
 }
 
-// Add queues a sequence.
+// Add queues a sequence. It fails with ErrTooLarge or ErrDuplicate.
 func (e *Engine) Add(s Sequence) error {
 	if e.blocksFor(s.Prompt+1) > e.params.KVBlocks {
 		return ErrTooLarge
@@ -115,7 +118,7 @@
 	return nil
 }
 
-// Cancel removes a sequence and reports whether it was there.
+// Cancel removes a running or waiting sequence and reports whether it existed.
 func (e *Engine) Cancel(id string) bool {
 	s, ok := e.byID[id]
 	if !ok {
@@ -125,19 +128,19 @@
 	return true
 }
 
-// Idle reports whether there is nothing to do.
+// Idle reports whether no sequence is running or waiting.
 func (e *Engine) Idle() bool { return len(e.byID) == 0 }
 
-// Usage is a snapshot of an engine's load.
+// Usage is a snapshot of the load of an engine.
 type Usage struct {
 	// KVCapacity and KVUsed are in tokens; KVUsed counts whole blocks.
 	KVCapacity, KVUsed int
 	Running, Waiting   int
-	// Preemptions counts since the start.
+	// Preemptions is the number of preemptions since the start.
 	Preemptions int64
 }
 
-// Usage returns the load now.
+// Usage returns the current load.
 func (e *Engine) Usage() Usage {
 	return Usage{
 		KVCapacity:  e.params.KVBlocks * e.params.BlockTokens,
@@ -152,7 +155,7 @@
 	return (tokens + e.params.BlockTokens - 1) / e.params.BlockTokens
 }
 
-// remove forgets a sequence and frees its blocks.
+// remove deletes a sequence and frees its blocks.
 func (e *Engine) remove(s *sequence) {
 	e.release(s)
 	delete(e.byID, s.ID)
@@ -160,7 +163,7 @@
 	e.waiting = without(e.waiting, s)
 }
 
-// release frees the blocks of a sequence.
+// release frees the blocks of a sequence and discards its computed context.
 func (e *Engine) release(s *sequence) {
 	e.freeBlocks += s.blocks
 	s.blocks = 0
--- a/internal/standin/engine/model/model_test.go
+++ b/internal/standin/engine/model/model_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/engine/model"
 )
 
-// small is an engine with room for blocks blocks of 16 tokens.
+// small returns an engine with the given number of KV blocks of 16 tokens and a prefix cache of 4.
 func small(blocks int) *model.Engine {
 	p := model.DefaultParams()
 	p.KVBlocks = blocks
@@ -19,7 +19,7 @@
 	return model.New(p)
 }
 
-// result is what came of a run to the end.
+// result collects the output of all steps of a run.
 type result struct {
 	tokens    map[string]int
 	preempted []string
@@ -27,23 +27,23 @@
 	maxCached int
 }
 
-// finish runs an engine until it is idle and checks each step.
+// finish runs an engine until it is idle and checks the invariants of each step.
 func finish(t rapid.TB, e *model.Engine) result {
 	r := result{tokens: map[string]int{}, stored: map[uint64]bool{}}
 	for steps := 0; !e.Idle(); steps++ {
 		if steps > 100_000 {
-			t.Fatalf("engine does not come to an end: %+v", e.Usage())
+			t.Fatalf("engine not idle after 100000 steps, usage %+v", e.Usage())
 		}
 		step := e.Step()
 		if step.Duration <= 0 {
-			t.Fatalf("step without duration")
+			t.Fatalf("step has no positive duration")
 		}
 		if u := e.Usage(); u.KVUsed > u.KVCapacity || u.KVUsed < 0 {
-			t.Fatalf("KV use %d of %d", u.KVUsed, u.KVCapacity)
+			t.Fatalf("KVUsed is %d tokens, want 0 to %d", u.KVUsed, u.KVCapacity)
 		}
 		for _, token := range step.Tokens {
 			if token.Index != r.tokens[token.ID] {
-				t.Fatalf("token %d of %s where %d was due", token.Index, token.ID, r.tokens[token.ID])
+				t.Fatalf("got token %d of sequence %s, want token %d", token.Index, token.ID, r.tokens[token.ID])
 			}
 			r.tokens[token.ID]++
 		}
@@ -105,8 +105,8 @@
 	})
 })
 
-// Any mix of sequences comes to its end with each token once and in order, the KV
-// memory is never over its capacity, and the cache keeps to its bound.
+// Guards against lost, repeated or reordered tokens, KV use above capacity, leaked KV blocks and
+// a prefix cache above its limit, for random mixes of sequences.
 func TestAnyLoadComesToItsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := small(rapid.IntRange(4, 40).Draw(t, "blocks"))
@@ -121,21 +121,21 @@
 				Prefixes: rapid.SliceOfN(rapid.Uint64Range(1, 20), 0, 6).Draw(t, "prefixes"),
 			}
 			if err := e.Add(s); err != nil {
-				t.Fatalf("add: %v", err)
+				t.Fatalf("add sequence: %v", err)
 			}
 			want[s.ID] = s.Length
 		}
 		r := finish(t, e)
 		for id, n := range want {
 			if r.tokens[id] != n {
-				t.Fatalf("%s has %d of %d tokens", id, r.tokens[id], n)
+				t.Fatalf("sequence %s produced %d tokens, want %d", id, r.tokens[id], n)
 			}
 		}
 		if r.maxCached > 4 {
-			t.Fatalf("%d prefixes in a cache of 4", r.maxCached)
+			t.Fatalf("cache held %d prefixes, want at most 4", r.maxCached)
 		}
 		if u := e.Usage(); u.KVUsed != 0 {
-			t.Fatalf("%d tokens of KV still in use", u.KVUsed)
+			t.Fatalf("KVUsed is %d tokens on an idle engine, want 0", u.KVUsed)
 		}
 	})
 }
--- a/internal/standin/engine/model/step.go
+++ b/internal/standin/engine/model/step.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Token is one token of an answer.
+// Token is one generated token; Index is its position in the output, from 0.
 type Token struct {
 	ID    string
 	Index int
 }
 
-// Finish is why a sequence ended.
+// Finish is the reason why a sequence ended.
 type Finish string
 
 const (
-	// FinishStop means that the answer is whole.
+	// FinishStop means that all tokens of the sequence were generated.
 	FinishStop Finish = "stop"
-	// FinishLength means that the answer no longer fits into the KV memory.
+	// FinishLength means that the sequence no longer fits into the KV memory.
 	FinishLength Finish = "length"
 )
 
@@ -28,13 +28,13 @@
 	Finish Finish
 }
 
-// CacheChange is a prefix that entered or left the prefix cache.
+// CacheChange is a prefix that was added to the prefix cache (Stored) or evicted from it.
 type CacheChange struct {
 	Prefix uint64
 	Stored bool
 }
 
-// Step is the result of one step, in effect after Duration.
+// Step is the result of one step. Its tokens exist once Duration has passed.
 type Step struct {
 	Duration  time.Duration
 	Tokens    []Token
@@ -43,8 +43,8 @@
 	Cache     []CacheChange
 }
 
-// Step runs one step: it admits waiting sequences, finds a block for each token to
-// come and preempts where there is none, computes prompts, and decodes.
+// Step runs one step: it admits waiting sequences, allocates a KV block where the next token of a
+// sequence needs one (preempting sequences if none is free), prefills, and decodes.
 func (e *Engine) Step() Step {
 	var out Step
 	e.admit()
@@ -59,14 +59,14 @@
 	return out
 }
 
-// compare orders by priority, highest first, then by arrival.
+// compare orders by priority, highest first, and then by arrival, earliest first.
 func compare(a, b *sequence) int {
 	return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.arrival, b.arrival))
 }
 
-// admit moves waiting sequences into the batch while their context fits. The first
-// that does not fit blocks those behind it, so that a long prompt is not passed by
-// short ones for ever.
+// admit moves waiting sequences into the batch while their context fits into the free memory. The
+// first one that does not fit blocks those behind it, so that short prompts cannot starve a long
+// one.
 func (e *Engine) admit() {
 	slices.SortFunc(e.waiting, compare)
 	for len(e.waiting) > 0 && len(e.running) < e.params.MaxBatch {
@@ -83,8 +83,9 @@
 	}
 }
 
-// growAll gives each sequence room for its next token. If the memory is full, the
-// last in order is preempted, until the token fits or its own sequence is gone.
+// growAll allocates the blocks that running sequences need for their next token. While no block
+// is free, it preempts the last sequence in order, which may be the one that needs the block. A
+// sequence that is alone and still does not fit ends with FinishLength.
 func (e *Engine) growAll(out *Step) {
 	for i := 0; i < len(e.running); i++ {
 		s := e.running[i]
@@ -107,8 +108,8 @@
 	}
 }
 
-// preempt frees a sequence's memory and queues it again; all of its context must be
-// computed anew.
+// preempt frees the memory of a sequence and queues it again. Its whole context must be computed
+// again, except for cached prefixes.
 func (e *Engine) preempt(s *sequence, out *Step) {
 	e.release(s)
 	s.preemptions++
@@ -118,8 +119,8 @@
 	out.Preempted = append(out.Preempted, s.ID)
 }
 
-// prefill computes missing context within the step's bound. It returns the
-// sequences that can decode in this step and the number of tokens computed.
+// prefill computes missing context, up to PrefillTokens in total. It returns the sequences that
+// can decode in this step and the number of tokens computed.
 func (e *Engine) prefill(out *Step) (decoding []*sequence, tokens int) {
 	for _, s := range e.running {
 		if missing := s.context() - s.computed; missing > 0 {
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -1,5 +1,5 @@
-// Package engine is the stand-in for an inference engine: the step model driven in
-// scaled time behind the engines' wire format, with faults on demand.
+// Package engine implements a stand-in for an inference engine, for tests and experiments. It runs
+// the step model in scaled time behind the engines' HTTP API and injects faults on demand.
 package engine
 
 import (
@@ -9,47 +9,49 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// Options of an engine. Only the time of decoding steps is scaled; every other
-// duration is wall-clock time.
+// Options configure an engine. Only the duration of steps is scaled; all other durations are
+// wall-clock time.
 type Options struct {
 	Name string
-	// Models are loaded at the start, each NAME or NAME@VERSION.
+	// Models are the initially loaded models, each NAME or NAME@VERSION; the default version
+	// is 1.
 	Models []string
-	// Role is the role at the start. Default "mixed".
+	// Role is the initial role. Default "mixed".
 	Role string
-	// Params of the step model; zero takes model.DefaultParams.
+	// Params are the parameters of the step model. Default model.DefaultParams.
 	Params model.Params
-	// TimeScale divides the time of each step. Default 1.
+	// TimeScale divides the duration of each step. Default 1.
 	TimeScale float64
-	// MaxWaiting bounds the waiting generations; more are refused. Default 1024.
+	// MaxWaiting is the maximum number of waiting generations; more are refused. Default 1024.
 	MaxWaiting int
-	// MaxTokens bounds an answer for which the caller set no bound. Default 8192.
+	// MaxTokens limits the output of requests that set no limit. Default 8192.
 	MaxTokens int
-	// LengthMedian and LengthSigma set the lognormal length of answers, in tokens.
-	// Defaults 180 and 0.9.
+	// LengthMedian (in tokens) and LengthSigma are the parameters of the lognormal output
+	// length. Defaults 180 and 0.9.
 	LengthMedian, LengthSigma float64
-	// ReportLag is the age of load reports, CacheLag that of cache events.
+	// ReportLag is the age at which load reports become visible, CacheLag that of cache events.
 	ReportLag, CacheLag time.Duration
-	// DetachGrace is how long a generation without a stream goes on. Default 5 s.
+	// DetachGrace is how long a generation without streams continues before it is cancelled.
+	// Default 5 s.
 	DetachGrace time.Duration
-	// Keep is how long an ended generation can be resumed. Default 30 s.
+	// Keep is how long an ended generation can still be resumed. Default 30 s.
 	Keep time.Duration
-	// KeepAlive is the interval of keep-alive bytes on a silent stream. Default 1 s.
+	// KeepAlive is the interval of keep-alive bytes on streams. Default 1 s.
 	KeepAlive time.Duration
-	// ChecksFence refuses orders with a lower fencing number than one seen.
+	// ChecksFence refuses orders whose fencing number is lower than the highest one seen.
 	ChecksFence bool
-	// DropsRepeats refuses a generation whose idempotency key was used before, and
-	// answers lookups by key.
+	// DropsRepeats refuses generations whose idempotency key was used before, and enables
+	// lookups by key.
 	DropsRepeats bool
-	// LoadTime is how long it takes to load weights, beside the weight store's wait.
+	// LoadTime is the time to load weights, in addition to the wait for the weight store.
 	LoadTime time.Duration
-	// Weights is the weight store; nil for none.
+	// Weights is the weight store. If nil, loads do not wait for a reservation.
 	Weights platform.Weights
-	// Journal is a file for the run list; empty keeps it in memory only.
+	// Journal is the file in which runs are recorded; if empty they are kept in memory only.
 	Journal string
-	// Seed of lengths and random faults.
+	// Seed seeds the output lengths and the random faults.
 	Seed uint64
-	// Exit ends the process; nil is allowed in tests that need no such fault.
+	// Exit ends the process. Nil does nothing, for tests without faults that end the process.
 	Exit func(status int)
 }
 
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,7 +10,8 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// loaded is what an engine has loaded, and the orders that it got.
+// loaded is the state that orders change: models, role and fence, with a record of all orders. It
+// is guarded by the engine's mutex.
 type loaded struct {
 	models  []endpoint.LoadedModel
 	role    string
@@ -62,7 +63,7 @@
 	}
 }
 
-// order carries out an order. Loads go on in the background; State shows them.
+// order executes and records an order. Loads continue in the background, and state reports them.
 func (e *Engine) order(o endpoint.Order) *refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,7 +105,8 @@
 	return nil
 }
 
-// unload takes out an adapter, or the whole model if the order names none.
+// unload removes an adapter, or the whole model if the order names none. The caller holds the
+// mutex.
 func (e *Engine) unload(o endpoint.Order) {
 	if m := e.loaded.find(o.Model); m != nil && o.Adapter != "" {
 		m.Adapters = slices.DeleteFunc(m.Adapters, func(a string) bool { return a == o.Adapter })
@@ -115,8 +117,8 @@
 	})
 }
 
-// load waits for the weight store and the load time, then puts the model in. A
-// weight store that fails leaves the engine as it was.
+// load waits for its weight reservation and the load time, then adds the model. If the
+// reservation fails, the loaded models do not change.
 func (e *Engine) load(o endpoint.Order) {
 	wait, err := e.reserveWeights(o)
 	if err == nil {
--- a/internal/standin/engine/reports.go
+++ b/internal/standin/engine/reports.go
@@ -7,7 +7,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/engine/model"
 )
 
-// report is the load now. The caller holds the mutex.
+// report returns the current load. The caller holds the mutex.
 func (e *Engine) report() endpoint.LoadReport {
 	u := e.model.Usage()
 	ids := make([]string, 0, u.Running+u.Waiting)
@@ -28,8 +28,8 @@
 	}
 }
 
-// laggedReport is the report that clients see. The notice that the engine leaves
-// comes without lag: it is the platform's and not a measurement.
+// laggedReport returns the load report that clients see, delayed by ReportLag. The leaving notice
+// is not delayed, because it comes from the platform and is not a measurement.
 func (e *Engine) laggedReport() endpoint.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -42,7 +42,7 @@
 	return r
 }
 
-// reports keeps load reports until newer ones are old enough to be seen.
+// reports holds load reports until newer ones are old enough to be visible.
 type reports struct {
 	entries []reportEntry
 }
@@ -59,10 +59,12 @@
 	}
 }
 
-// maxReports bounds the reports kept; with pollInterval this allows a lag of 40 s.
+// maxReports is the maximum number of reports kept. At one report per pollInterval it allows a
+// lag of 40 s.
 const maxReports = 2000
 
-// at returns the newest report that is not newer than t, or else the oldest.
+// at returns the newest report that is not newer than t, or the oldest one if all are newer. It
+// discards the reports before the returned one.
 func (r *reports) at(t time.Time) endpoint.LoadReport {
 	for len(r.entries) > 1 && !r.entries[1].at.After(t) {
 		r.entries = r.entries[1:]
@@ -70,7 +72,7 @@
 	return r.entries[0].report
 }
 
-// cacheEvents keeps the latest cache events.
+// cacheEvents holds the latest cache events.
 type cacheEvents struct {
 	seq     uint64
 	entries []cacheEntry
@@ -82,13 +84,14 @@
 }
 
 const (
-	// maxCacheEvents bounds the events kept; who asks later than that sees a gap.
+	// maxCacheEvents is the maximum number of events kept; a slower client sees a gap.
 	maxCacheEvents = 4096
-	// maxCacheAnswer bounds the events of one answer.
+	// maxCacheAnswer is the maximum number of events in one response.
 	maxCacheAnswer = 1024
 )
 
-// add numbers an event; a lost one leaves a gap in the numbers.
+// add assigns the next sequence number to an event and stores it. A lost event is not stored and
+// leaves a gap in the numbers.
 func (c *cacheEvents) add(now time.Time, change model.CacheChange, lost bool) {
 	c.seq++
 	if lost {
@@ -101,7 +104,8 @@
 	}
 }
 
-// after returns the events numbered above since that happened before t.
+// after returns up to maxCacheAnswer events with a sequence number above since that occurred
+// before t.
 func (c *cacheEvents) after(since uint64, t time.Time) []endpoint.CacheEvent {
 	events := []endpoint.CacheEvent{}
 	for _, entry := range c.entries {
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -13,7 +13,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// errAborted means that a fault ends the connection without an end of the answer.
+// errAborted means that a fault closes the connection in the middle of the response.
 var errAborted = errors.New("connection aborted")
 
 // stream writes a generation's frames to one client.
@@ -24,8 +24,8 @@
 	flusher http.Flusher
 }
 
-// serve writes frames from the index next on, until the end of the generation or
-// of the client.
+// serve writes frames from index next on, until the generation ends, ctx is cancelled or a write
+// fails.
 func (s *stream) serve(ctx context.Context, next int) error {
 	keepAlive := time.NewTicker(s.engine.options.KeepAlive)
 	defer keepAlive.Stop()
@@ -52,8 +52,9 @@
 	}
 }
 
-// due returns the frames from next on that exist now. While streams are muted there
-// are none, and the next look is at the next keep-alive.
+// due returns the available frames from next on and a channel that is closed at the next change.
+// While streams are muted it returns no frames and a nil channel, so that the caller checks again
+// at the next keep-alive.
 func (s *stream) due(next int) ([]endpoint.Frame, <-chan struct{}) {
 	e, g := s.engine, s.gen
 	e.mu.Lock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// write sends a frame with the faults drawn for it.
+// write sends a frame, subject to the faults drawn for it.
 func (s *stream) write(f endpoint.Frame) error {
 	faults := s.engine.drawFrameFaults()
 	if faults.crossed {
@@ -130,7 +131,7 @@
 	return s.gen.frame(index)
 }
 
-// crossed makes a frame of another request that has the same index.
+// crossed returns a frame with the same index but the IDs of another request and generation.
 func crossed(f endpoint.Frame) endpoint.Frame {
 	f.RequestID = uuid.NewString()
 	f.GenerationID = uuid.NewString()
@@ -138,7 +139,7 @@
 	return f
 }
 
-// truncate sends the first half of a frame and ends the connection.
+// truncate sends the first half of a frame and returns errAborted to close the connection.
 func (s *stream) truncate(f endpoint.Frame) error {
 	line, err := json.Marshal(f)
 	if err != nil {
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -7,10 +7,11 @@
 	"github.com/crocusreel/crocusreel/endpoint"
 )
 
-// weightsTimeout bounds one call to the weight store.
+// weightsTimeout is the timeout of a call to the weight store.
 const weightsTimeout = 5 * time.Second
 
-// reserveWeights asks the weight store when a load may begin.
+// reserveWeights reserves a load at the weight store and returns the time to wait before it may
+// begin; 0 without a weight store.
 func (e *Engine) reserveWeights(o endpoint.Order) (time.Duration, error) {
 	if e.options.Weights == nil {
 		return 0, nil
--- a/internal/standin/platform/calls.go
+++ b/internal/standin/platform/calls.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// maxPage bounds the rows of one page.
+	// maxPage is the maximum number of rows of a page.
 	maxPage = 500
-	// maxWait bounds the wait for changes.
+	// maxWait is the maximum time that a call waits for changes.
 	maxWait = 30 * time.Second
-	// maxObject bounds an object, in bytes.
+	// maxObject is the maximum size of an object in bytes.
 	maxObject = 32 << 20
 )
 
-// list answers a read of one page of a table. A read of a single key is recorded as a
-// get.
+// list serves one page of a table. A read of a single key is recorded as a get; reads of the VM
+// table are not recorded.
 func (s *Server) list(c echo.Context) error {
 	op := admin.Operation{Kind: "scan", InvokedNS: s.now()}
 	table, from, to := c.QueryParam(platform.ParamTable), c.QueryParam(platform.ParamFrom), c.QueryParam(platform.ParamTo)
@@ -54,7 +54,7 @@
 	return s.answer(c, body(rows, more, version))
 }
 
-// vmRows puts the list of VMs into rows.
+// vmRows converts a list of VMs to rows of the VM table.
 func vmRows(vms []platform.VM) ([]platform.Row, error) {
 	rows := make([]platform.Row, 0, len(vms))
 	for _, vm := range vms {
@@ -75,7 +75,8 @@
 	return b
 }
 
-// changes answers with the changes of a table as soon as there are any.
+// changes serves the changes of a table after a version. It waits until there are any, at most for
+// the requested time, and answers 410 if the history no longer reaches back to the version.
 func (s *Server) changes(c echo.Context) error {
 	since, err := strconv.ParseInt(c.QueryParam(platform.ParamSince), 10, 64)
 	if err != nil {
@@ -131,7 +132,7 @@
 	return s.answer(c, body(nil, false, version))
 }
 
-// loseAnswer decides whether the answer to an applied commit is lost.
+// loseAnswer decides whether the response to an applied commit is dropped.
 func (s *Server) loseAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/platform/limits.go
+++ b/internal/standin/platform/limits.go
@@ -8,10 +8,10 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// limiter is a token bucket that holds a tenth of a second's worth.
+// limiter is a token bucket that holds the tokens of 0.1 s, but at least one.
 type limiter struct {
 	mu     sync.Mutex
-	rate   float64 // tokens a second; 0 means no limit
+	rate   float64 // tokens per second; 0 means no limit
 	tokens float64
 	last   time.Time
 }
@@ -20,7 +20,7 @@
 
 func burst(rate float64) float64 { return max(1, rate/10) }
 
-// allow takes a token if there is one.
+// allow takes a token and reports whether there was one.
 func (l *limiter) allow(now time.Time) bool {
 	if l.rate <= 0 {
 		return true
@@ -38,7 +38,7 @@
 	return true
 }
 
-// weightStore grants loads one after the other at its rate.
+// weightStore schedules loads one after the other at its transfer rate.
 type weightStore struct {
 	mu         sync.Mutex
 	bytesPerS  float64
@@ -67,7 +67,7 @@
 	return append([]admin.Reservation{}, w.granted...)
 }
 
-// laggingVMs shows each list only after the lag.
+// laggingVMs holds lists of VMs that become visible after the lag.
 type laggingVMs struct {
 	mu       sync.Mutex
 	lag      time.Duration
@@ -85,8 +85,8 @@
 	l.versions = append(l.versions, vmVersion{at: now, vms: vms})
 }
 
-// get returns the newest list that is older than the lag. The very first list shows
-// at once, so that a rig need not wait at its start.
+// get returns the newest list that is at least as old as the lag. The first list is visible at
+// once, so that test clusters need not wait for the lag at startup.
 func (l *laggingVMs) get(now time.Time) []platform.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -12,26 +12,26 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// Options of the stand-in.
+// Options configure the stand-in.
 type Options struct {
-	// WriteRate and ReadRate bound calls a second; 0 means no limit.
+	// WriteRate and ReadRate limit the calls per second; 0 means no limit.
 	WriteRate, ReadRate float64
 	// Latency is added to each call.
 	Latency time.Duration
-	// VMLag is the age at which a new list of VMs shows.
+	// VMLag is the delay before a new list of VMs becomes visible; the first has none.
 	VMLag time.Duration
-	// WeightBytesPerS is the rate of the weight store; ModelBytes the size of each
-	// load. Defaults: 2e9 and 1e9.
+	// WeightBytesPerS is the transfer rate of the weight store in bytes per second, ModelBytes
+	// the size of each load in bytes. Defaults 2e9 and 1e9.
 	WeightBytesPerS float64
 	ModelBytes      int64
-	// Seed of the random faults.
+	// Seed seeds the random faults.
 	Seed uint64
 }
 
-// maxHistory bounds the operations that are kept.
+// maxHistory is the maximum number of recorded operations; later ones are not recorded.
 const maxHistory = 500_000
 
-// Server is the stand-in.
+// Server is a stand-in for the platform.
 type Server struct {
 	options Options
 	store   *store
@@ -47,7 +47,7 @@
 	history []admin.Operation
 }
 
-// New returns a stand-in without rows.
+// New returns a stand-in with empty tables.
 func New(o Options) *Server {
 	if o.WeightBytesPerS <= 0 {
 		o.WeightBytesPerS = 2e9
@@ -67,7 +67,7 @@
 	}
 }
 
-// Handler serves the platform's API and the administration API.
+// Handler returns the handler of the platform's API and the administration API.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.GET(platform.PathRows, s.guard(s.reads, s.list))
@@ -85,8 +85,8 @@
 	return e
 }
 
-// guard applies outage, delay and rate limit before a call, and the late answer
-// after it.
+// guard applies outages, the rate limit and the delay before a call. The handlers delay the
+// response themselves.
 func (s *Server) guard(limit *limiter, next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		f := s.currentFaults()
@@ -106,8 +106,8 @@
 	}
 }
 
-// pause waits and reports whether the client is still there: a call whose client
-// has gone before it was applied is not applied.
+// pause waits for d and returns false if the client disconnects first. A call whose client
+// disconnects before the call is applied is not applied.
 func pause(c echo.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -120,7 +120,7 @@
 	}
 }
 
-// abort ends the connection without an answer.
+// abort closes the connection without a response.
 func abort() { panic(http.ErrAbortHandler) }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -131,7 +131,7 @@
 	return s.faults
 }
 
-// chance reports true with the given probability.
+// chance returns true with probability p.
 func (s *Server) chance(p float64) bool {
 	if p <= 0 {
 		return false
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,5 +1,5 @@
-// Package platform is the stand-in for the platform: its metadata store and the weight
-// store, in the memory of one process.
+// Package platform implements a stand-in for the platform, for tests and experiments: the metadata
+// store, the list of VMs and the weight store, all in memory.
 package platform
 
 import (
@@ -12,16 +12,16 @@
 
 type rowID struct{ table, key string }
 
-// store holds tables and objects. Each transaction has a number; a row carries that of
-// the transaction that wrote it.
+// store holds tables and objects. Each transaction has a version, and a row carries the version
+// of the transaction that wrote it.
 type store struct {
 	mu      sync.Mutex
 	version int64
 	rows    map[rowID]platform.Row
-	// changes are all writes and removals since the version floor, oldest first.
+	// changes are all writes and deletions after version floor, oldest first.
 	changes []platform.Row
 	floor   int64
-	// news is closed at the next change.
+	// news is closed and replaced at each commit.
 	news    chan struct{}
 	objects map[string][]byte
 }
@@ -34,8 +34,8 @@
 	}
 }
 
-// list returns the rows of a table with from <= key < to, at most limit; an empty to
-// has no bound.
+// list returns the first limit rows of a table with from <= key < to, in key order, and whether
+// there are more. An empty to sets no upper bound. version is that of the latest transaction.
 func (s *store) list(table, from, to string, limit int) (rows []platform.Row, more bool, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,8 +49,9 @@
 	return rows[:min(limit, len(rows))], more, s.version
 }
 
-// since returns the changes of a table after the version, or a channel that is closed
-// at the next change. With gone, the history no longer reaches back that far.
+// since returns the changes of a table after a version, a channel that is closed at the next
+// commit, and the version of the latest transaction. gone reports that the history no longer
+// reaches back to the version.
 func (s *store) since(table string, version int64) (rows []platform.Row, news <-chan struct{}, newest int64, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,15 +66,15 @@
 	return rows, s.news, s.version, false
 }
 
-// dropHistory forgets all changes so far.
+// dropHistory discards all changes so far.
 func (s *store) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes, s.floor = nil, s.version
 }
 
-// commit applies the transaction if its conditions hold, and returns the rows as
-// they are after it.
+// commit applies the transaction if all its conditions hold, and returns the written rows and the
+// version of the latest transaction.
 func (s *store) commit(txn platform.Txn) (rows []platform.Row, version int64, applied bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -1,5 +1,5 @@
-// Package service is the stand-in for a plain service. GET answers; every other
-// method has an effect, which the run list shows.
+// Package service implements a stand-in for a plain service, for tests and experiments. GET has no
+// effect; a call with any other method has an effect and is recorded in the run list.
 package service
 
 import (
@@ -18,45 +18,46 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Options of the stand-in.
+// Options configure the stand-in.
 type Options struct {
 	Name string
 	// Latency is added to each call.
 	Latency time.Duration
-	// DropsRepeats answers a repeated idempotency key from memory, without effect.
+	// DropsRepeats answers calls with a repeated idempotency key with the first call's answer,
+	// without a second effect.
 	DropsRepeats bool
-	// Journal is a file for the run list; empty keeps it in memory only.
+	// Journal is the file in which runs are recorded; if empty they are kept in memory only.
 	Journal string
-	// Seed of the random faults.
+	// Seed seeds the random faults.
 	Seed uint64
-	// Exit ends the process; nil is allowed in tests.
+	// Exit ends the process. Nil does nothing, for tests.
 	Exit func(status int)
 }
 
-// Answer is the body of each answer.
+// Answer is the body of each successful response.
 type Answer struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	Query   string `json:"query,omitempty"`
 	Body    string `json:"body,omitempty"`
-	// Effect is the ID of the effect; empty for GET.
+	// Effect is the unique ID of the call's effect; empty for GET.
 	Effect string `json:"effect,omitempty"`
 }
 
-// maxBody bounds a request body, in bytes.
+// maxBody is the maximum size of a request body in bytes; longer bodies are truncated.
 const maxBody = 16 << 20
 
-// repeatKey names one idempotent call.
+// repeatKey identifies a call by its idempotency key within a workspace.
 type repeatKey struct{ workspace, key string }
 
-// call is the one run of a repeatKey; done is closed once answer is set.
+// call is the only run of a repeatKey. done is closed after answer is set.
 type call struct {
 	done   chan struct{}
 	answer Answer
 }
 
-// Server is the stand-in.
+// Server is a stand-in for a plain service.
 type Server struct {
 	options Options
 	runs    *admin.RunLog
@@ -67,7 +68,7 @@
 	calls  map[repeatKey]*call
 }
 
-// New returns a stand-in.
+// New returns a stand-in. It fails if the journal cannot be opened or read.
 func New(o Options) (*Server, error) {
 	runs, err := admin.OpenRunLog(o.Journal, uuid.NewString())
 	if err != nil {
@@ -81,7 +82,7 @@
 	}, nil
 }
 
-// Handler serves the service's API and the administration API.
+// Handler returns the handler of the service's API and the administration API.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.Use(s.say)
@@ -93,7 +94,7 @@
 	return e
 }
 
-// say puts what the stand-in says of itself on each answer.
+// say is middleware that sets the notice headers of each response.
 func (s *Server) say(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		s.currentFaults().Set(c.Response().Header())
@@ -126,7 +127,8 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// perform runs the call, or waits for the run of an earlier one with the same key.
+// perform runs the call. If repeats are dropped and a call with the same key has already started,
+// it waits for that call's answer instead.
 func (s *Server) perform(r *http.Request, body string) (Answer, error) {
 	key := repeatKey{r.Header.Get(endpoint.HeaderWorkspace), r.Header.Get(endpoint.HeaderIdempotencyKey)}
 	if r.Method == http.MethodGet || !s.options.DropsRepeats || key.key == "" {
@@ -171,7 +173,7 @@
 	return answer, nil
 }
 
-// crash ends the process if the call carries the crash marker.
+// crash ends the process if the path, query or body of the call contains the crash marker.
 func (s *Server) crash(a Answer) {
 	if strings.Contains(a.Path+"?"+a.Query+"?"+a.Body, admin.CrashMarker) {
 		s.exit()
--- a/internal/standin/worker/notices.go
+++ b/internal/standin/worker/notices.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Announce puts a header on all answers from now on, as the worker's limit; an empty value takes it away.
+// Announce sets a notice header, such as the worker's request limit, of all further responses. An
+// empty value removes the header.
 func (w *Worker) Announce(name, value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -20,14 +21,15 @@
 	}
 }
 
-// Pause makes the worker refuse all requests and ask for a pause of so many seconds; empty ends it.
+// Pause makes the worker refuse all requests with a Retry-After of the given seconds. An empty value
+// ends the refusals.
 func (w *Worker) Pause(seconds string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pause = seconds
 }
 
-// refusing sets the pause that a refusal asks for; it returns false if requests are not refused.
+// refusing reports whether all requests are refused, and sets the Retry-After header if so.
 func (w *Worker) refusing(h http.Header) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,23 +39,25 @@
 	return w.pause != ""
 }
 
-// noticeHeaders returns the headers of all answers.
+// noticeHeaders returns a copy of the notice headers of all responses.
 func (w *Worker) noticeHeaders() map[string]string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.says)
 }
 
-// Arrival is a request that came, and what its answer says of the worker.
+// Arrival is a received request with the notices that the worker sends at that time.
 type Arrival struct {
 	ID string
 	At time.Time
-	// Says are the headers of its answer, Pause the Retry-After of its refusal.
+	// Says are the notice headers of the response, and Pause the Retry-After of the refusal,
+	// empty if the request is not refused for a pause.
 	Says  map[string]string
 	Pause string
 }
 
-// Arrivals returns the requests that came, in order, refused ones included.
+// Arrivals returns the received requests in order, including refused ones, but not those that
+// expect another instance.
 func (w *Worker) Arrivals() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,8 +70,8 @@
 	w.arrivals = append(w.arrivals, Arrival{ID: id, At: time.Now(), Says: maps.Clone(w.says), Pause: w.pause})
 }
 
-// withNotices sets the headers of all answers; those of answers that are written by hand are
-// set by head.
+// withNotices is middleware that sets the notice headers of all responses. Responses on hijacked
+// connections get theirs from head.
 func (w *Worker) withNotices(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		for name, value := range w.noticeHeaders() {
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker is the stand-in for the platform's endpoints: model engines and plain
-// services that speak the platform's protocol, with the faults that it allows. It runs
-// within the test's own process.
+// Package worker implements in-process stand-ins for the platform's endpoints, for tests: model
+// engines and plain services that speak the platform's protocol and inject the faults that it
+// allows.
 package worker
 
 import (
@@ -15,48 +15,51 @@
 	"time"
 )
 
-// Fault is what a worker does wrong with one request.
+// Fault is a fault that a worker injects into one request.
 type Fault int
 
-// Faults. Those marked "has run" count the request as run.
+// Faults. With all of them except Shed, the request runs and is recorded in Runs.
 const (
-	// None answers as it should.
+	// None injects no fault.
 	None Fault = iota
-	// Shed refuses: the request has not run.
+	// Shed refuses the request, which does not run.
 	Shed
-	// Fail answers 500: has run.
+	// Fail answers 500.
 	Fail
-	// LoseAnswer closes the connection without an answer: has run.
+	// LoseAnswer closes the connection without a response.
 	LoseAnswer
-	// Truncate closes the connection in the middle of the answer: has run.
+	// Truncate closes the connection in the middle of the response.
 	Truncate
-	// Foreign sends an answer to another request before its own: has run.
+	// Foreign sends a response to another request before its own.
 	Foreign
-	// Extra sends a second answer after its own: has run.
+	// Extra sends a second response after its own.
 	Extra
-	// Unframed sends an answer without a length, which ends with the connection: has run.
+	// Unframed sends a response without Content-Length or chunked encoding, which ends when the
+	// connection closes.
 	Unframed
-	// UnframedReset resets such a connection in the middle: has run.
+	// UnframedReset resets the connection in the middle of a response without a length.
 	UnframedReset
-	// Hang takes the request and answers nothing: has run.
+	// Hang accepts the request and sends nothing for a minute.
 	Hang
-	// SkipEvent leaves out an event of a stream: has run.
+	// SkipEvent omits the middle event of a stream.
 	SkipEvent
-	// Crash closes the listener and all connections: has run.
+	// Crash closes the listener and all connections; of streams after half of the events.
 	Crash
 )
 
-// Run is one request that a worker began to work on.
+// Run is a request that a worker started to execute.
 type Run struct {
 	ID     string
 	Header http.Header
 	Target string
 	Body   []byte
-	// Resumed is set for a run that goes on from its memory.
+	// Resumed reports that the run continues from a copy of its KV memory.
 	Resumed bool
 }
 
-// Memory is what several engines share: the memory of runs that was moved.
+// Memory holds the copies and backups of the KV memory of runs, shared by engines between which
+// runs move. It maps the handle of a copy to the number of its last event. It is safe for
+// concurrent use.
 type Memory struct {
 	mu      sync.Mutex
 	handles map[string]int64
@@ -65,38 +68,38 @@
 // NewMemory returns an empty Memory.
 func NewMemory() *Memory { return &Memory{handles: make(map[string]int64)} }
 
-// Options of a worker.
+// Options configure a worker.
 type Options struct {
 	// ID is the instance ID.
 	ID string
-	// Address is the IP:port to listen at; empty for a free one.
+	// Address is the IP:port to listen on; empty for a free port on 127.0.0.1.
 	Address string
-	// Events is the length of streams and Gap the time between two events; 0 events
-	// makes a plain service.
+	// Events is the number of events of a stream, and Gap the time before each event. With 0
+	// events the worker is a plain service.
 	Events int
 	Gap    time.Duration
-	// Memory is shared by engines between which runs move.
+	// Memory is shared by engines between which runs move. Engines need one.
 	Memory *Memory
-	// MoveTime is the time that a copy takes.
+	// MoveTime is the time to copy the memory of a run.
 	MoveTime time.Duration
-	// Dying makes the worker die once it has made a copy; nil for a worker that lives on.
+	// Dying makes the worker crash after it has made a copy; nil for no crash.
 	Dying *Dying
-	// LostMoveAnswers is the number of copies whose answer is lost: they are made, and the
-	// connection is closed.
+	// LostMoveAnswers is the number of move orders, from the first on, whose copy is made but
+	// whose connection is then closed without a response.
 	LostMoveAnswers int
-	// FaultOf chooses the fault for a request; nil for none.
+	// FaultOf returns the fault to inject into a request; nil injects none.
 	FaultOf func(r *Run) Fault
 }
 
-// Dying is how a worker dies that has just made a copy: its streams are cut, and the copy's
-// answer goes out, each so long after the copy was made.
+// Dying describes how a worker crashes after it has made a copy. CutAfter and AnswerAfter are the
+// delays from the copy to the cut of the worker's streams and to the response of the move order.
 type Dying struct {
 	CutAfter, AnswerAfter time.Duration
-	// AnswerLost leaves the answer out.
+	// AnswerLost closes the connection of the move order without a response.
 	AnswerLost bool
 }
 
-// Worker is a running stand-in.
+// Worker is a running stand-in for an endpoint.
 type Worker struct {
 	options  Options
 	listener net.Listener
@@ -105,21 +108,22 @@
 	mu      sync.Mutex
 	runs    []Run
 	streams map[string]*stream
-	closed  []string // requests whose connection was closed by the caller
+	closed  []string // IDs of streams whose connection the caller closed
 	leaving bool
-	// says are headers of all answers.
+	// says are the notice headers of all responses.
 	says map[string]string
-	// pause is the Retry-After of the refusal of all requests; empty for none.
+	// pause is the Retry-After in seconds with which all requests are refused; empty if they are
+	// not refused.
 	pause string
-	// arrivals are the requests that came, refused ones included.
+	// arrivals are the received requests, including refused ones.
 	arrivals []Arrival
-	// conns are those of streams, which the server no longer knows.
+	// conns are the hijacked connections of streams, which the server does not close.
 	conns []net.Conn
-	// targets are those of the orders to copy.
+	// targets are the target engines of move orders.
 	targets []string
-	// answering is held for reading between the making of a copy and the end of its answer.
-	// Stop waits for it: the name of a copy whose answer is lost is known to nobody, and no
-	// node can go on from it. Dying is for engines that die in between.
+	// answering is held for reading from the creation of a copy to the end of the response. Stop
+	// takes the write lock to wait for the response: without it nobody knows the handle of the
+	// copy, and no node can resume from it. Dying simulates a crash in between.
 	answering sync.RWMutex
 }
 
@@ -129,7 +133,7 @@
 	once sync.Once
 }
 
-// Start returns a worker that serves.
+// Start starts a worker and returns it. The caller must call Stop.
 func Start(o Options) (*Worker, error) {
 	if o.Address == "" {
 		o.Address = "127.0.0.1:0"
@@ -150,14 +154,14 @@
 	return w, nil
 }
 
-// Address returns the IP:port.
+// Address returns the IP:port on which the worker listens.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// Stop ends the worker and its connections.
+// Stop closes the listener and all connections, after pending responses to move orders.
 //
-// The listener is closed here as well: a server that is closed before its goroutine has
-// begun to serve closes it only later, and a connection made meanwhile is reset after the
-// request was sent, while tests count on a refusal.
+// It closes the listener itself, because a server that is closed before its goroutine calls Serve
+// closes the listener only later. A connection made in between would be reset after the request
+// was sent, while tests expect connection refused.
 func (w *Worker) Stop() {
 	_ = w.listener.Close()
 	w.answering.Lock()
@@ -174,7 +178,8 @@
 	}
 }
 
-// die cuts the streams and ends the worker once the answer to the order under way is out.
+// die closes the listener, schedules the cut of the streams and the stop of the worker, and returns
+// when the response to the current move order is due.
 func (w *Worker) die(d Dying) {
 	_ = w.listener.Close()
 	time.AfterFunc(d.CutAfter, w.cutStreams)
@@ -182,31 +187,31 @@
 	time.Sleep(d.AnswerAfter)
 }
 
-// dyingFor is the time after its last answer in which a dying worker's process ends.
+// dyingFor is the time between the last response of a crashing worker and its stop.
 const dyingFor = 50 * time.Millisecond
 
-// Runs returns the requests that the worker began to work on.
+// Runs returns the requests that the worker started to execute, in start order.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Run(nil), w.runs...)
 }
 
-// Targets returns the targets of the orders to copy a run, in the order in which they came.
+// Targets returns the targets of the received move orders, in order of arrival.
 func (w *Worker) Targets() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.targets...)
 }
 
-// Closed returns the IDs of streams that the caller left before their end.
+// Closed returns the IDs of streams whose connection the caller closed before their end.
 func (w *Worker) Closed() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.closed...)
 }
 
-// Leave makes the worker say at its health check that it leaves.
+// Leave makes the health check fail with 503, which announces that the worker is leaving.
 func (w *Worker) Leave() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -222,7 +227,7 @@
 	}
 }
 
-// Seal is the signature of an answer.
+// Seal returns the signature of the response of an instance to a request.
 func Seal(instance, id string) string { return "seal." + instance + "." + id }
 
 func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
@@ -276,7 +281,8 @@
 		status, http.StatusText(status), run.ID, Seal(w.options.ID, run.ID), framing)
 }
 
-// answer writes a plain answer; the connection ends after it.
+// answer writes the response of a plain call, subject to the fault. The caller closes the
+// connection.
 func (w *Worker) answer(conn net.Conn, run Run, fault Fault) {
 	body := "answer to " + run.ID
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -312,8 +318,8 @@
 	}
 }
 
-// firstEvent returns the number of the first event of a run; ok is false if there is no
-// copy of the run's memory from which it is to go on.
+// firstEvent returns the number of the first event of a run. ok is false if the request names a
+// copy of the run's memory to resume from that does not exist.
 func (w *Worker) firstEvent(r *http.Request) (first int64, ok bool) {
 	from := r.Header.Get("Kv-From")
 	if from == "" {
@@ -323,7 +329,8 @@
 	return last + 1, ok
 }
 
-// stream writes events until the end, or until the run is moved away.
+// stream writes events from first on until the last event, until the run is moved to another engine
+// or until the caller closes the connection.
 func (w *Worker) stream(conn net.Conn, first int64, run Run, fault Fault) {
 	backedUp := run.Header.Get("Crocusreel-Kv-Backup") != ""
 	s := &stream{made: first - 1, stop: make(chan struct{})}
@@ -385,8 +392,9 @@
 	_, _ = io.WriteString(conn, last)
 }
 
-// use takes the memory that a Kv-From header names; the run goes on behind the given
-// event.
+// use removes the copy that a Kv-From header names and returns the number of the last event, which
+// the run continues after. It returns false if there is no such copy or the event ID is not a
+// number.
 func (m *Memory) use(from, lastEvent string) (int64, bool) {
 	_, handle, _ := strings.Cut(from, "/")
 	last, err := strconv.ParseInt(lastEvent, 10, 64)
@@ -437,7 +445,7 @@
 	w.answerMove(rw, handle, made)
 }
 
-// answerMove sends the whole answer before it returns.
+// answerMove writes and flushes the whole response before it returns.
 func (w *Worker) answerMove(rw http.ResponseWriter, handle string, made int64) {
 	data, _ := json.Marshal(map[string]any{"cache_handle": handle, "created": made})
 	rw.Header().Set("Content-Length", strconv.Itoa(len(data)))
@@ -445,14 +453,14 @@
 	_ = http.NewResponseController(rw).Flush()
 }
 
-// back makes or renews the backup of a run, which is named by the run.
+// back creates or renews the backup of a run, whose handle is the run's ID.
 func (m *Memory) back(run string, made int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.handles[run] = made
 }
 
-// keep makes or renews the copy of a run.
+// keep creates or renews the copy of a run and returns its handle.
 func (m *Memory) keep(run string, made int64) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -472,7 +480,7 @@
 	delete(m.handles, handle)
 }
 
-// Copies returns the number of copies that are neither used nor freed.
+// Copies returns the number of copies and backups that are neither used nor freed.
 func (m *Memory) Copies() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
