--- a/internal/standin/engine/drive.go
+++ b/internal/standin/engine/drive.go
@@ -12,14 +12,14 @@
 	// pollInterval is the interval at which a stalled engine checks whether it may continue,
 	// load reports are renewed, and retention and reclaim deadlines are checked.
 	pollInterval = 20 * time.Millisecond
-	// maxBehind is the maximum delay of the steps behind real time, which occurs on a busy
+	// maxStepLag is the maximum delay of the steps behind real time, which occurs on a busy
 	// machine. Beyond it the schedule restarts from now, which avoids a burst of steps.
-	maxBehind = 200 * time.Millisecond
+	maxStepLag = 200 * time.Millisecond
 )
 
 // Run executes steps in scaled time until ctx is cancelled.
 func (e *Engine) Run(ctx context.Context) error {
-	go e.keepHouse(ctx)
+	go e.runMaintenance(ctx)
 	due := time.Now()
 	for ctx.Err() == nil {
 		step, ok := e.step()
@@ -29,7 +29,7 @@
 			continue
 		}
 		due = due.Add(e.scaled(step.Duration))
-		if behind := time.Since(due); behind > maxBehind {
+		if lag := time.Since(due); lag > maxStepLag {
 			due = time.Now()
 		}
 		if !sleep(ctx, time.Until(due)) {
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, t := range step.Tokens {
-		e.token(t)
+		e.applyToken(t)
 	}
 	for _, ended := range step.Ended {
 		if g := e.generations[ended.ID]; g != nil {
@@ -103,41 +103,41 @@
 	}
 }
 
-func (e *Engine) token(t model.Token) {
+func (e *Engine) applyToken(t model.Token) {
 	g := e.generations[t.ID]
 	if g == nil || g.done {
 		return
 	}
 	g.produced = t.Index + 1
 	g.notify()
-	if g.crashes && g.produced >= min(crashAfter, g.target) {
+	if g.crashMarked && g.produced >= min(crashAfterTokens, g.targetTokens) {
 		e.options.Exit(admin.StatusDied)
 	}
-	if e.dieAfter > 0 {
-		e.dieAfter--
-		if e.dieAfter == 0 {
+	if e.dieAfterTokens > 0 {
+		e.dieAfterTokens--
+		if e.dieAfterTokens == 0 {
 			e.options.Exit(admin.StatusDied)
 		}
 	}
 }
 
 func (g *generation) finishReason(f model.Finish) string {
-	if f == model.FinishLength || g.cut {
+	if f == model.FinishLength || g.limited {
 		return finishLength
 	}
 	return string(model.FinishStop)
 }
 
-// keepHouse renews load reports, removes expired generations and stops the engine at its reclaim
-// deadline, until ctx is cancelled.
-func (e *Engine) keepHouse(ctx context.Context) {
+// runMaintenance renews load reports, removes expired generations and stops the engine at its
+// reclaim deadline, until ctx is cancelled.
+func (e *Engine) runMaintenance(ctx context.Context) {
 	for sleep(ctx, pollInterval) {
 		e.mu.Lock()
 		now := time.Now()
 		if !e.faults.ReportsFrozen {
 			e.reports.add(now, e.report())
 		}
-		e.forget(now)
+		e.removeExpired(now)
 		reclaimed := !e.leavingAt.IsZero() && now.After(e.leavingAt)
 		e.mu.Unlock()
 		if reclaimed {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (e *Engine) forget(now time.Time) {
+func (e *Engine) removeExpired(now time.Time) {
 	for id, g := range e.generations {
 		if g.done && g.streams == 0 && now.Sub(g.endedAt) > e.options.Keep {
 			delete(e.generations, id)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -21,21 +21,21 @@
 	runs        *admin.RunLog
 	wake        chan struct{}
 
-	mu          sync.Mutex
-	model       *model.Engine
-	generations map[string]*generation
-	byKey       map[repeatKey]*generation
-	faults      admin.EngineFaults
-	random      *rand.Rand
-	dieAfter    int
-	leavingAt   time.Time
-	reports     reports
-	cacheEvents cacheEvents
-	loaded      loaded
+	mu             sync.Mutex
+	model          *model.Engine
+	generations    map[string]*generation
+	byKey          map[idempotencyKey]*generation
+	faults         admin.EngineFaults
+	random         *rand.Rand
+	dieAfterTokens int
+	leavingAt      time.Time
+	reports        reports
+	cacheEvents    cacheEvents
+	modelState     modelState
 }
 
-// repeatKey identifies a generation by its idempotency key within a workspace.
-type repeatKey struct{ workspace, key string }
+// idempotencyKey identifies a generation by its idempotency key within a workspace.
+type idempotencyKey struct{ workspace, key string }
 
 // New returns an engine. It makes no progress until Run is called.
 func New(o Options) (*Engine, error) {
@@ -52,9 +52,9 @@
 		wake:        make(chan struct{}, 1),
 		model:       model.New(o.Params),
 		generations: make(map[string]*generation),
-		byKey:       make(map[repeatKey]*generation),
+		byKey:       make(map[idempotencyKey]*generation),
 		random:      rand.New(rand.NewPCG(o.Seed, 1)),
-		loaded:      newLoaded(o.Models, o.Role),
+		modelState:  newModelState(o.Models, o.Role),
 	}
 	e.reports.add(time.Now(), e.report())
 	return e, nil
@@ -70,21 +70,21 @@
 	return &refusal{status, endpoint.ErrorBody{Kind: kind, Outcome: outcome, Message: message}}
 }
 
-func refuseNew(message string) *refusal {
+func refuseUnavailable(message string) *refusal {
 	return refuse(503, endpoint.KindRefused, crocusreel.OutcomeNotRun, message)
 }
 
 // start accepts a generation or returns a refusal. lost reports that the response to an accepted
 // generation must be dropped.
-func (e *Engine) start(req endpoint.GenerateRequest) (g *generation, lost bool, no *refusal) {
+func (e *Engine) start(req endpoint.GenerateRequest) (g *generation, lost bool, refused *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if no := e.admissible(req); no != nil {
-		return nil, false, no
+	if refused := e.checkAdmission(req); refused != nil {
+		return nil, false, refused
 	}
 	g = e.newGeneration(req)
 	if err := e.model.Add(g.sequence()); err != nil {
-		return nil, false, refuseNew(err.Error())
+		return nil, false, refuseUnavailable(err.Error())
 	}
 	index, err := e.runs.Start(admin.Run{
 		RequestID: req.RequestID, GenerationID: req.GenerationID, IdempotencyKey: req.IdempotencyKey,
@@ -93,54 +93,54 @@
 	})
 	if err != nil {
 		e.model.Cancel(req.GenerationID)
-		return nil, false, refuseNew(err.Error())
+		return nil, false, refuseUnavailable(err.Error())
 	}
 	g.runIndex = index
 	e.generations[req.GenerationID] = g
 	if req.IdempotencyKey != "" {
-		e.byKey[repeatKey{req.Workspace, req.IdempotencyKey}] = g
+		e.byKey[idempotencyKey{req.Workspace, req.IdempotencyKey}] = g
 	}
 	e.wakeUp()
 	return g, e.loseAnswer(), nil
 }
 
-// admissible checks whether a generation may start. A generation ID that is already known is
+// checkAdmission checks whether a generation may start. A generation ID that is already known is
 // refused, because a second run under the same ID would mix the frames of two runs. The caller
 // holds the mutex.
-func (e *Engine) admissible(req endpoint.GenerateRequest) *refusal {
+func (e *Engine) checkAdmission(req endpoint.GenerateRequest) *refusal {
 	if req.RequestID == "" || req.GenerationID == "" {
 		return refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, "request_id and generation_id are required")
 	}
 	if _, ok := e.generations[req.GenerationID]; ok {
 		return refuse(409, endpoint.KindRepeat, crocusreel.OutcomeRan, "generation exists")
 	}
-	if _, ok := e.byKey[repeatKey{req.Workspace, req.IdempotencyKey}]; ok && e.options.DropsRepeats {
+	if _, ok := e.byKey[idempotencyKey{req.Workspace, req.IdempotencyKey}]; ok && e.options.DropsRepeats {
 		return refuse(409, endpoint.KindRepeat, crocusreel.OutcomeRan, "idempotency key was used")
 	}
 	if e.faults.Refuse {
-		return refuseNew("refusing")
+		return refuseUnavailable("refusing")
 	}
-	if !e.loaded.serves(req.Model, req.Adapter) {
-		return refuseNew("model not loaded")
+	if !e.modelState.serves(req.Model, req.Adapter) {
+		return refuseUnavailable("model not loaded")
 	}
 	if e.model.Usage().Waiting >= e.options.MaxWaiting {
-		return refuseNew("too many waiting")
+		return refuseUnavailable("too many waiting")
 	}
 	return nil
 }
 
 func (e *Engine) newGeneration(req endpoint.GenerateRequest) *generation {
-	bound := req.MaxTokens
-	if bound <= 0 {
-		bound = e.options.MaxTokens
+	limit := req.MaxTokens
+	if limit <= 0 {
+		limit = e.options.MaxTokens
 	}
-	length := answerLength(e.options, req.RequestID, req.Prompt)
+	length := outputLength(e.options, req.RequestID, req.Prompt)
 	return &generation{
 		request:      req,
 		promptTokens: endpoint.PromptTokens(req.Prompt),
-		target:       min(length, bound),
-		cut:          length > bound,
-		crashes:      crashes(req.Prompt),
+		targetTokens: min(length, limit),
+		limited:      length > limit,
+		crashMarked:  hasCrashMarker(req.Prompt),
 		changed:      make(chan struct{}),
 	}
 }
@@ -150,7 +150,7 @@
 		ID:       g.request.GenerationID,
 		Prompt:   g.promptTokens,
 		Prefixes: endpoint.PrefixHashes(g.request.Model, g.request.Prompt),
-		Length:   g.target,
+		Length:   g.targetTokens,
 		Priority: g.request.Priority,
 	}
 }
@@ -176,7 +176,7 @@
 }
 
 // lookup returns the status of the run with an idempotency key.
-func (e *Engine) lookup(key repeatKey) endpoint.RunStatus {
+func (e *Engine) lookup(key idempotencyKey) endpoint.RunStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	status := endpoint.RunStatus{State: endpoint.RunNone, Incarnation: e.incarnation}
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -20,27 +20,27 @@
 	request      endpoint.GenerateRequest
 	runIndex     int
 	promptTokens int
-	// target is the number of tokens to generate. cut reports that the token limit, and not
-	// the drawn length, determines it.
-	target      int
-	cut         bool
-	crashes     bool
-	produced    int
-	preemptions int
-	done        bool
-	finish      string
-	endedAt     time.Time
-	streams     int
-	detach      *time.Timer
+	// targetTokens is the number of tokens to generate. limited reports that the token limit,
+	// and not the drawn length, determines it.
+	targetTokens int
+	limited      bool
+	crashMarked  bool
+	produced     int
+	preemptions  int
+	done         bool
+	finish       string
+	endedAt      time.Time
+	streams      int
+	detachTimer  *time.Timer
 	// changed is closed and replaced when the generation changes.
 	changed chan struct{}
 }
 
-// textPrefix is the number of leading bytes of the generation ID in the text of a token.
-const textPrefix = 8
+// textPrefixBytes is the number of leading bytes of the generation ID in the text of a token.
+const textPrefixBytes = 8
 
 func tokenText(generationID string, index int) string {
-	return fmt.Sprintf("%s.%d ", generationID[:min(textPrefix, len(generationID))], index)
+	return fmt.Sprintf("%s.%d ", generationID[:min(textPrefixBytes, len(generationID))], index)
 }
 
 // frame returns the frame at index: a token, or the final frame if index is the number of tokens
@@ -93,14 +93,14 @@
 	e.end(g, finishCancelled)
 }
 
-// attach adds a stream to a generation and stops the timer that would cancel it.
-func (e *Engine) attach(g *generation) {
+// attachStream adds a stream to a generation and stops the timer that would cancel it.
+func (e *Engine) attachStream(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g.streams++
-	if g.detach != nil {
-		g.detach.Stop()
-		g.detach = nil
+	if g.detachTimer != nil {
+		g.detachTimer.Stop()
+		g.detachTimer = nil
 	}
 }
 
@@ -113,7 +113,7 @@
 	if g.streams > 0 || g.done {
 		return
 	}
-	g.detach = time.AfterFunc(e.options.DetachGrace, func() {
+	g.detachTimer = time.AfterFunc(e.options.DetachGrace, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if g.streams == 0 {
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -16,7 +16,7 @@
 // Handler returns the handler of the engines' HTTP API and the administration API.
 func (e *Engine) Handler() http.Handler {
 	r := echo.New()
-	r.Use(e.say)
+	r.Use(e.setNoticeHeaders)
 	r.POST(endpoint.PathGenerate, e.handleGenerate)
 	r.POST(endpoint.PathGenerations+":id/resume", e.handleResume)
 	r.POST(endpoint.PathGenerations+":id/cancel", e.handleCancel)
@@ -33,8 +33,8 @@
 	return r
 }
 
-// say is middleware that sets the notice headers of each response.
-func (e *Engine) say(next echo.HandlerFunc) echo.HandlerFunc {
+// setNoticeHeaders is middleware that sets the notice headers of each response.
+func (e *Engine) setNoticeHeaders(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		e.currentFaults().Set(c.Response().Header())
 		return next(c)
@@ -44,14 +44,14 @@
 func (e *Engine) handleGenerate(c echo.Context) error {
 	var req endpoint.GenerateRequest
 	if err := c.Bind(&req); err != nil {
-		return answerRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, err.Error()))
+		return sendRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, err.Error()))
 	}
-	g, lost, no := e.start(req)
-	if no != nil {
+	g, lost, refused := e.start(req)
+	if refused != nil {
 		e.currentFaults().SetPause(c.Response().Header())
-		return answerRefusal(c, no)
+		return sendRefusal(c, refused)
 	}
-	e.attach(g)
+	e.attachStream(g)
 	defer e.detachStream(g)
 	if lost {
 		panic(http.ErrAbortHandler)
@@ -62,20 +62,20 @@
 func (e *Engine) handleResume(c echo.Context) error {
 	var req endpoint.ResumeRequest
 	if err := c.Bind(&req); err != nil {
-		return answerRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeUnknown, err.Error()))
+		return sendRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeUnknown, err.Error()))
 	}
 	g := e.find(c.Param("id"))
 	if g == nil {
-		return answerRefusal(c, unknownGeneration())
+		return sendRefusal(c, refuseUnknownGeneration())
 	}
-	e.attach(g)
+	e.attachStream(g)
 	defer e.detachStream(g)
 	return e.stream(c, g, max(0, req.Next))
 }
 
-// unknownGeneration returns the refusal for an unknown generation ID. Its outcome is unknown: the
-// generation may have run in an earlier incarnation, or ended and been removed.
-func unknownGeneration() *refusal {
+// refuseUnknownGeneration returns the refusal for an unknown generation ID. Its outcome is unknown:
+// the generation may have run in an earlier incarnation, or ended and been removed.
+func refuseUnknownGeneration() *refusal {
 	return refuse(404, endpoint.KindUnknownGeneration, crocusreel.OutcomeUnknown, "no such generation")
 }
 
@@ -98,13 +98,13 @@
 func (e *Engine) handleCancel(c echo.Context) error {
 	var req endpoint.CancelRequest
 	if err := c.Bind(&req); err != nil {
-		return answerRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeUnknown, err.Error()))
+		return sendRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeUnknown, err.Error()))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g := e.generations[c.Param("id")]
 	if g == nil {
-		return answerRefusal(c, unknownGeneration())
+		return sendRefusal(c, refuseUnknownGeneration())
 	}
 	if !req.OnlyDetached || g.streams == 0 {
 		e.cancel(g)
@@ -115,7 +115,7 @@
 func (e *Engine) handleCacheEvents(c echo.Context) error {
 	since, err := strconv.ParseUint(c.QueryParam("since"), 10, 64)
 	if err != nil {
-		return answerRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, "since is not a number"))
+		return sendRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, "since is not a number"))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -126,10 +126,10 @@
 func (e *Engine) handleOrder(c echo.Context) error {
 	var o endpoint.Order
 	if err := c.Bind(&o); err != nil {
-		return answerRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, err.Error()))
+		return sendRefusal(c, refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, err.Error()))
 	}
-	if no := e.order(o); no != nil {
-		return answerRefusal(c, no)
+	if refused := e.applyOrder(o); refused != nil {
+		return sendRefusal(c, refused)
 	}
 	e.mu.Lock()
 	lost := e.chance(e.faults.LoseOrderAnswers)
@@ -142,9 +142,9 @@
 
 func (e *Engine) handleLookup(c echo.Context) error {
 	if !e.options.DropsRepeats {
-		return answerRefusal(c, refuse(404, endpoint.KindRefused, crocusreel.OutcomeUnknown, "engine keeps no keys"))
+		return sendRefusal(c, refuse(404, endpoint.KindRefused, crocusreel.OutcomeUnknown, "engine keeps no keys"))
 	}
-	key := repeatKey{c.QueryParam("workspace"), c.QueryParam("idempotency_key")}
+	key := idempotencyKey{c.QueryParam("workspace"), c.QueryParam("idempotency_key")}
 	return c.JSON(http.StatusOK, e.lookup(key))
 }
 
@@ -155,7 +155,7 @@
 	}
 	e.mu.Lock()
 	e.faults = f
-	e.dieAfter = f.DieAfterTokens
+	e.dieAfterTokens = f.DieAfterTokens
 	if f.ReclaimInMS > 0 && e.leavingAt.IsZero() {
 		e.leavingAt = time.Now().Add(time.Duration(f.ReclaimInMS) * time.Millisecond)
 	}
@@ -181,7 +181,7 @@
 func (e *Engine) listOrders() []admin.OrderRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]admin.OrderRecord{}, e.loaded.orders...)
+	return append([]admin.OrderRecord{}, e.modelState.orders...)
 }
 
-func answerRefusal(c echo.Context, no *refusal) error { return c.JSON(no.status, no.body) }
+func sendRefusal(c echo.Context, refused *refusal) error { return c.JSON(refused.status, refused.body) }
--- a/internal/standin/engine/length.go
+++ b/internal/standin/engine/length.go
@@ -11,19 +11,19 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// crashAfter is the number of tokens after which the engine exits for a prompt with the crash
+// crashAfterTokens is the number of tokens after which the engine exits for a prompt with the crash
 // marker; a shorter output ends it after its last token.
-const crashAfter = 3
+const crashAfterTokens = 3
 
 var lengthMarker = regexp.MustCompile(`\[\[len=(\d{1,9})\]\]`)
 
-func crashes(prompt string) bool { return strings.Contains(prompt, admin.CrashMarker) }
+func hasCrashMarker(prompt string) bool { return strings.Contains(prompt, admin.CrashMarker) }
 
-// answerLength returns the output length of a request in tokens before any limit applies. A
+// outputLength returns the output length of a request in tokens before any limit applies. A
 // marker [[len=N]] in the prompt sets it. Otherwise it is drawn from a lognormal distribution
 // with a generator seeded by the engine's seed and the request ID, so that a request has the same
 // length on every engine with the same seed.
-func answerLength(o Options, requestID, prompt string) int {
+func outputLength(o Options, requestID, prompt string) int {
 	if m := lengthMarker.FindStringSubmatch(prompt); m != nil {
 		n, _ := strconv.Atoi(m[1])
 		return max(1, n)
--- a/internal/standin/engine/model/load_test.go
+++ b/internal/standin/engine/model/load_test.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// stallGap is the longest time between two tokens of an answer that is not a stall; any
+	// stallThreshold is the longest time between two tokens of an answer that is not a stall; any
 	// time beyond it counts as stall time.
-	stallGap = 250 * time.Millisecond
-	answers  = 2000
-	seed     = 1
+	stallThreshold = 250 * time.Millisecond
+	answerCount    = 2000
+	seed           = 1
 )
 
-// figures are the statistics of a run as callers see it, in model time.
-type figures struct {
-	preemptions  float64       // per 1,000 answers
-	stall        time.Duration // mean per answer
-	p50, p99     time.Duration // time between tokens
-	first99      time.Duration // time to first token, 99th percentile
-	tokensPerSec float64
+// statistics are the statistics of a run as callers see it, in model time.
+type statistics struct {
+	preemptions   float64       // per 1,000 answers
+	stall         time.Duration // mean per answer
+	p50, p99      time.Duration // time between tokens
+	firstTokenP99 time.Duration // time to first token, 99th percentile
+	tokensPerSec  float64
 }
 
 // arrival is one request of a trace.
@@ -41,7 +41,7 @@
 	random := rand.New(rand.NewPCG(seed, 0))
 	draw := func(median, sigma float64) int { return 1 + int(median*math.Exp(sigma*random.NormFloat64())) }
 	var at time.Duration
-	list := make([]arrival, answers)
+	list := make([]arrival, answerCount)
 	for i := range list {
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		list[i] = arrival{at, model.Sequence{
@@ -52,7 +52,7 @@
 }
 
 // replay runs a trace in model time until the engine is idle.
-func replay(p model.Params, list []arrival) figures {
+func replay(p model.Params, list []arrival) statistics {
 	e := model.New(p)
 	var now time.Duration
 	var gaps, firsts []time.Duration
@@ -78,18 +78,18 @@
 				continue
 			}
 			gaps = append(gaps, gap)
-			stall += max(0, gap-stallGap)
+			stall += max(0, gap-stallThreshold)
 		}
 	}
 	slices.Sort(gaps)
 	slices.Sort(firsts)
-	return figures{
-		preemptions:  float64(e.Usage().Preemptions) * 1000 / answers,
-		stall:        stall / answers,
-		p50:          gaps[len(gaps)/2],
-		p99:          gaps[len(gaps)*99/100],
-		first99:      firsts[len(firsts)*99/100],
-		tokensPerSec: float64(tokens) / now.Seconds(),
+	return statistics{
+		preemptions:   float64(e.Usage().Preemptions) * 1000 / answerCount,
+		stall:         stall / answerCount,
+		p50:           gaps[len(gaps)/2],
+		p99:           gaps[len(gaps)*99/100],
+		firstTokenP99: firsts[len(firsts)*99/100],
+		tokensPerSec:  float64(tokens) / now.Seconds(),
 	}
 }
 
@@ -104,14 +104,14 @@
 		saturated := replay(p, trace(1000))
 		mean := 0.0
 		for _, a := range trace(1) {
-			mean += float64(a.seq.Length) / answers
+			mean += float64(a.seq.Length) / answerCount
 		}
-		var rows []figures
+		var rows []statistics
 		for _, load := range []float64{0.5, 0.8, 0.95, 1.2} {
 			f := replay(p, trace(load*saturated.tokensPerSec/mean))
 			rows = append(rows, f)
 			t.Logf("| %d | %.2f | %.1f | %d | %d | %d | %d | %.0f |", capacity, load, f.preemptions,
-				f.stall.Milliseconds(), f.p50.Milliseconds(), f.p99.Milliseconds(), f.first99.Milliseconds(), f.tokensPerSec)
+				f.stall.Milliseconds(), f.p50.Milliseconds(), f.p99.Milliseconds(), f.firstTokenP99.Milliseconds(), f.tokensPerSec)
 		}
 		light, heavy := rows[0], rows[len(rows)-1]
 		g.Expect(heavy.preemptions).To(gomega.BeNumerically(">", 10*light.preemptions))
--- a/internal/standin/engine/model/model_test.go
+++ b/internal/standin/engine/model/model_test.go
@@ -11,8 +11,9 @@
 	"github.com/crocusreel/crocusreel/internal/standin/engine/model"
 )
 
-// small returns an engine with the given number of KV blocks of 16 tokens and a prefix cache of 4.
-func small(blocks int) *model.Engine {
+// newSmallEngine returns an engine with the given number of KV blocks of 16 tokens and a prefix
+// cache of 4 blocks.
+func newSmallEngine(blocks int) *model.Engine {
 	p := model.DefaultParams()
 	p.KVBlocks = blocks
 	p.CacheBlocks = 4
@@ -27,8 +28,8 @@
 	maxCached int
 }
 
-// finish runs an engine until it is idle and checks the invariants of each step.
-func finish(t rapid.TB, e *model.Engine) result {
+// runUntilIdle runs an engine until it is idle and checks the invariants of each step.
+func runUntilIdle(t rapid.TB, e *model.Engine) result {
 	r := result{tokens: map[string]int{}, stored: map[uint64]bool{}}
 	for steps := 0; !e.Idle(); steps++ {
 		if steps > 100_000 {
@@ -61,31 +62,31 @@
 
 var _ = Describe("the step model", func() {
 	It("preempts the lowest priority when the memory runs out in mid-decode", func() {
-		e := small(4)
+		e := newSmallEngine(4)
 		Expect(e.Add(model.Sequence{ID: "low", Prompt: 15, Length: 40, Priority: 0})).To(Succeed())
 		Expect(e.Add(model.Sequence{ID: "high", Prompt: 15, Length: 40, Priority: 1})).To(Succeed())
-		r := finish(GinkgoT(), e)
+		r := runUntilIdle(GinkgoT(), e)
 		Expect(r.preempted).To(ContainElement("low"))
 		Expect(r.preempted).NotTo(ContainElement("high"))
 		Expect(r.tokens).To(Equal(map[string]int{"low": 40, "high": 40}))
 	})
 
 	It("preempts the latest arrival among equals", func() {
-		e := small(4)
+		e := newSmallEngine(4)
 		Expect(e.Add(model.Sequence{ID: "first", Prompt: 15, Length: 40})).To(Succeed())
 		Expect(e.Add(model.Sequence{ID: "second", Prompt: 15, Length: 40})).To(Succeed())
-		Expect(finish(GinkgoT(), e).preempted).To(HaveEach("second"))
+		Expect(runUntilIdle(GinkgoT(), e).preempted).To(HaveEach("second"))
 	})
 
 	It("ends an answer that outgrows the whole memory", func() {
-		e := small(2)
+		e := newSmallEngine(2)
 		Expect(e.Add(model.Sequence{ID: "a", Prompt: 10, Length: 1000})).To(Succeed())
-		Expect(finish(GinkgoT(), e).tokens["a"]).To(BeNumerically("<=", 32))
+		Expect(runUntilIdle(GinkgoT(), e).tokens["a"]).To(BeNumerically("<=", 32))
 		Expect(e.Add(model.Sequence{ID: "b", Prompt: 32, Length: 1})).To(MatchError(model.ErrTooLarge))
 	})
 
 	It("computes a cached prefix faster", func() {
-		e := small(64)
+		e := newSmallEngine(64)
 		seq := model.Sequence{ID: "a", Prompt: 64, Prefixes: []uint64{1, 2, 3, 4}, Length: 1}
 		Expect(e.Add(seq)).To(Succeed())
 		cold := e.Step().Duration
@@ -95,7 +96,7 @@
 	})
 
 	It("takes longer steps for larger batches", func() {
-		e := small(64)
+		e := newSmallEngine(64)
 		Expect(e.Add(model.Sequence{ID: "a", Prompt: 16, Length: 50})).To(Succeed())
 		e.Step()
 		alone := e.Step().Duration
@@ -109,7 +110,7 @@
 // a prefix cache above its limit, for random mixes of sequences.
 func TestAnyLoadComesToItsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := small(rapid.IntRange(4, 40).Draw(t, "blocks"))
+		e := newSmallEngine(rapid.IntRange(4, 40).Draw(t, "blocks"))
 		capacity := e.Usage().KVCapacity
 		want := map[string]int{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "sequences") {
@@ -125,7 +126,7 @@
 			}
 			want[s.ID] = s.Length
 		}
-		r := finish(t, e)
+		r := runUntilIdle(t, e)
 		for id, n := range want {
 			if r.tokens[id] != n {
 				t.Fatalf("sequence %s produced %d tokens, want %d", id, r.tokens[id], n)
--- a/internal/standin/engine/model/step.go
+++ b/internal/standin/engine/model/step.go
@@ -49,7 +49,7 @@
 	var out Step
 	e.admit()
 	slices.SortFunc(e.running, compare)
-	e.growAll(&out)
+	e.allocateBlocks(&out)
 	decoding, prefilled := e.prefill(&out)
 	out.Duration = e.duration(prefilled)
 	for _, s := range decoding {
@@ -83,10 +83,10 @@
 	}
 }
 
-// growAll allocates the blocks that running sequences need for their next token. While no block
-// is free, it preempts the last sequence in order, which may be the one that needs the block. A
-// sequence that is alone and still does not fit ends with FinishLength.
-func (e *Engine) growAll(out *Step) {
+// allocateBlocks allocates the blocks that running sequences need for their next token. While no
+// block is free, it preempts the last sequence in order, which may be the one that needs the
+// block. A sequence that is alone and still does not fit ends with FinishLength.
+func (e *Engine) allocateBlocks(out *Step) {
 	for i := 0; i < len(e.running); i++ {
 		s := e.running[i]
 		for e.blocksFor(s.context()+1) > s.blocks {
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -61,7 +61,7 @@
 	defaultLengthMedian = 180
 	defaultLengthSigma  = 0.9
 	defaultDetachGrace  = 5 * time.Second
-	defaultKeep         = 30 * time.Second
+	defaultRetention    = 30 * time.Second
 	defaultKeepAlive    = time.Second
 	defaultRole         = "mixed"
 	defaultVersion      = "1"
@@ -82,7 +82,7 @@
 	orDefault(&o.LengthMedian, defaultLengthMedian)
 	orDefault(&o.LengthSigma, defaultLengthSigma)
 	orDefault(&o.DetachGrace, defaultDetachGrace)
-	orDefault(&o.Keep, defaultKeep)
+	orDefault(&o.Keep, defaultRetention)
 	orDefault(&o.KeepAlive, defaultKeepAlive)
 	orDefault(&o.Role, defaultRole)
 	if o.Exit == nil {
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,9 +10,9 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// loaded is the state that orders change: models, role and fence, with a record of all orders. It
+// modelState is the state that orders change: models, role and fence, with a record of all orders. It
 // is guarded by the engine's mutex.
-type loaded struct {
+type modelState struct {
 	models  []endpoint.LoadedModel
 	role    string
 	fence   uint64
@@ -20,8 +20,8 @@
 	orders  []admin.OrderRecord
 }
 
-func newLoaded(models []string, role string) loaded {
-	l := loaded{role: role}
+func newModelState(models []string, role string) modelState {
+	l := modelState{role: role}
 	for _, m := range models {
 		name, version, ok := strings.Cut(m, "@")
 		if !ok {
@@ -32,7 +32,7 @@
 	return l
 }
 
-func (l *loaded) find(model string) *endpoint.LoadedModel {
+func (l *modelState) find(model string) *endpoint.LoadedModel {
 	for i := range l.models {
 		if l.models[i].Model == model {
 			return &l.models[i]
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func (l *loaded) serves(model, adapter string) bool {
+func (l *modelState) serves(model, adapter string) bool {
 	m := l.find(model)
 	return m != nil && (adapter == "" || slices.Contains(m.Adapters, adapter))
 }
@@ -49,56 +49,57 @@
 func (e *Engine) state() endpoint.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	models := make([]endpoint.LoadedModel, len(e.loaded.models))
-	for i, m := range e.loaded.models {
+	models := make([]endpoint.LoadedModel, len(e.modelState.models))
+	for i, m := range e.modelState.models {
 		m.Adapters = slices.Clone(m.Adapters)
 		models[i] = m
 	}
 	return endpoint.State{
 		Incarnation: e.incarnation,
 		Models:      models,
-		Role:        e.loaded.role,
-		Fence:       e.loaded.fence,
-		Loading:     e.loaded.loading > 0,
+		Role:        e.modelState.role,
+		Fence:       e.modelState.fence,
+		Loading:     e.modelState.loading > 0,
 	}
 }
 
-// order executes and records an order. Loads continue in the background, and state reports them.
-func (e *Engine) order(o endpoint.Order) *refusal {
+// applyOrder executes and records an order. Loads continue in the background, and state reports
+// them.
+func (e *Engine) applyOrder(o endpoint.Order) *refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	no := e.checkFence(o.Fence)
-	if no == nil {
-		no = e.execute(o)
+	refused := e.checkFence(o.Fence)
+	if refused == nil {
+		refused = e.execute(o)
 	}
-	record := admin.OrderRecord{Order: o, At: time.Now(), Applied: no == nil}
-	if no != nil {
-		record.Error = no.body.Message
+	record := admin.OrderRecord{Order: o, At: time.Now(), Applied: refused == nil}
+	if refused != nil {
+		record.Error = refused.body.Message
 	}
-	e.loaded.orders = append(e.loaded.orders, record)
-	return no
+	e.modelState.orders = append(e.modelState.orders, record)
+	return refused
 }
 
 func (e *Engine) checkFence(fence uint64) *refusal {
 	if !e.options.ChecksFence {
 		return nil
 	}
-	if fence < e.loaded.fence {
+	if fence < e.modelState.fence {
 		return refuse(409, endpoint.KindStaleFence, crocusreel.OutcomeNotRun, "fencing number too low")
 	}
-	e.loaded.fence = fence
+	e.modelState.fence = fence
 	return nil
 }
 
 func (e *Engine) execute(o endpoint.Order) *refusal {
 	switch o.Verb {
 	case "load":
-		e.loaded.loading++
+		e.modelState.loading++
 		go e.load(o)
 	case "unload":
 		e.unload(o)
 	case "role":
-		e.loaded.role = o.Role
+		e.modelState.role = o.Role
 	default:
 		return refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, "unknown verb")
 	}
@@ -108,11 +109,11 @@
 // unload removes an adapter, or the whole model if the order names none. The caller holds the
 // mutex.
 func (e *Engine) unload(o endpoint.Order) {
-	if m := e.loaded.find(o.Model); m != nil && o.Adapter != "" {
+	if m := e.modelState.find(o.Model); m != nil && o.Adapter != "" {
 		m.Adapters = slices.DeleteFunc(m.Adapters, func(a string) bool { return a == o.Adapter })
 		return
 	}
-	e.loaded.models = slices.DeleteFunc(e.loaded.models, func(m endpoint.LoadedModel) bool {
+	e.modelState.models = slices.DeleteFunc(e.modelState.models, func(m endpoint.LoadedModel) bool {
 		return m.Model == o.Model && (o.Version == "" || m.Version == o.Version)
 	})
 }
@@ -126,14 +127,14 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.loaded.loading--
+	e.modelState.loading--
 	if err != nil || e.faults.FailLoads {
 		return
 	}
-	m := e.loaded.find(o.Model)
+	m := e.modelState.find(o.Model)
 	if m == nil {
-		e.loaded.models = append(e.loaded.models, endpoint.LoadedModel{Model: o.Model, Version: defaultVersion})
-		m = e.loaded.find(o.Model)
+		e.modelState.models = append(e.modelState.models, endpoint.LoadedModel{Model: o.Model, Version: defaultVersion})
+		m = e.modelState.find(o.Model)
 	}
 	if o.Version != "" {
 		m.Version = o.Version
--- a/internal/standin/engine/reports.go
+++ b/internal/standin/engine/reports.go
@@ -86,8 +86,8 @@
 const (
 	// maxCacheEvents is the maximum number of events kept; a slower client sees a gap.
 	maxCacheEvents = 4096
-	// maxCacheAnswer is the maximum number of events in one response.
-	maxCacheAnswer = 1024
+	// maxCacheEventsPerResponse is the maximum number of events in one response.
+	maxCacheEventsPerResponse = 1024
 )
 
 // add assigns the next sequence number to an event and stores it. A lost event is not stored and
@@ -104,12 +104,12 @@
 	}
 }
 
-// after returns up to maxCacheAnswer events with a sequence number above since that occurred
-// before t.
+// after returns up to maxCacheEventsPerResponse events with a sequence number above since that
+// occurred before t.
 func (c *cacheEvents) after(since uint64, t time.Time) []endpoint.CacheEvent {
 	events := []endpoint.CacheEvent{}
 	for _, entry := range c.entries {
-		if entry.event.Seq > since && entry.at.Before(t) && len(events) < maxCacheAnswer {
+		if entry.event.Seq > since && entry.at.Before(t) && len(events) < maxCacheEventsPerResponse {
 			events = append(events, entry.event)
 		}
 	}
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -30,7 +30,7 @@
 	keepAlive := time.NewTicker(s.engine.options.KeepAlive)
 	defer keepAlive.Stop()
 	for {
-		frames, changed := s.due(next)
+		frames, changed := s.pendingFrames(next)
 		for _, f := range frames {
 			if err := s.write(f); err != nil {
 				return err
@@ -52,10 +52,10 @@
 	}
 }
 
-// due returns the available frames from next on and a channel that is closed at the next change.
-// While streams are muted it returns no frames and a nil channel, so that the caller checks again
-// at the next keep-alive.
-func (s *stream) due(next int) ([]endpoint.Frame, <-chan struct{}) {
+// pendingFrames returns the available frames from next on and a channel that is closed at the next
+// change. While streams are muted it returns no frames and a nil channel, so that the caller checks
+// again at the next keep-alive.
+func (s *stream) pendingFrames(next int) ([]endpoint.Frame, <-chan struct{}) {
 	e, g := s.engine, s.gen
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,7 +101,7 @@
 func (s *stream) write(f endpoint.Frame) error {
 	faults := s.engine.drawFrameFaults()
 	if faults.crossed {
-		if err := s.sendFrame(crossed(f)); err != nil {
+		if err := s.sendFrame(crossedFrame(f)); err != nil {
 			return err
 		}
 	}
@@ -120,19 +120,19 @@
 		}
 	}
 	if faults.late && f.Index > 0 && !f.Done {
-		return s.sendFrame(s.older(f.Index / 2))
+		return s.sendFrame(s.earlierFrame(f.Index / 2))
 	}
 	return nil
 }
 
-func (s *stream) older(index int) endpoint.Frame {
+func (s *stream) earlierFrame(index int) endpoint.Frame {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	return s.gen.frame(index)
 }
 
-// crossed returns a frame with the same index but the IDs of another request and generation.
-func crossed(f endpoint.Frame) endpoint.Frame {
+// crossedFrame returns a frame with the same index but the IDs of another request and generation.
+func crossedFrame(f endpoint.Frame) endpoint.Frame {
 	f.RequestID = uuid.NewString()
 	f.GenerationID = uuid.NewString()
 	f.Text = tokenText(f.GenerationID, f.Index)
--- a/internal/standin/platform/calls.go
+++ b/internal/standin/platform/calls.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// maxPage is the maximum number of rows of a page.
-	maxPage = 500
+	// maxPageRows is the maximum number of rows of a page.
+	maxPageRows = 500
 	// maxWait is the maximum time that a call waits for changes.
 	maxWait = 30 * time.Second
-	// maxObject is the maximum size of an object in bytes.
-	maxObject = 32 << 20
+	// maxObjectBytes is the maximum size of an object in bytes.
+	maxObjectBytes = 32 << 20
 )
 
 // list serves one page of a table. A read of a single key is recorded as a get; reads of the VM
@@ -27,20 +27,20 @@
 func (s *Server) list(c echo.Context) error {
 	op := admin.Operation{Kind: "scan", InvokedNS: s.now()}
 	table, from, to := c.QueryParam(platform.ParamTable), c.QueryParam(platform.ParamFrom), c.QueryParam(platform.ParamTo)
-	limit := maxPage
+	limit := maxPageRows
 	if text := c.QueryParam(platform.ParamLimit); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 {
 			return c.String(http.StatusBadRequest, "the limit must be at least 1")
 		}
-		limit = min(n, maxPage)
+		limit = min(n, maxPageRows)
 	}
 	if table == platform.TableVMs {
 		rows, err := vmRows(s.vms.get(time.Now()))
 		if err != nil {
 			return err
 		}
-		return s.answer(c, body(rows, false, 0))
+		return s.respond(c, body(rows, false, 0))
 	}
 	rows, more, version := s.store.list(table, from, to, limit)
 	op.Rows = rows
@@ -51,7 +51,7 @@
 		}
 	}
 	s.record(op)
-	return s.answer(c, body(rows, more, version))
+	return s.respond(c, body(rows, more, version))
 }
 
 // vmRows converts a list of VMs to rows of the VM table.
@@ -86,20 +86,20 @@
 	if err != nil || wait < 0 {
 		return c.String(http.StatusBadRequest, "the wait is no time in milliseconds")
 	}
-	over := time.NewTimer(min(milliseconds(wait), maxWait))
-	defer over.Stop()
+	timeout := time.NewTimer(min(milliseconds(wait), maxWait))
+	defer timeout.Stop()
 	for {
-		rows, news, version, gone := s.store.since(c.QueryParam(platform.ParamTable), since)
-		if gone {
+		rows, changed, version, compacted := s.store.changesSince(c.QueryParam(platform.ParamTable), since)
+		if compacted {
 			return c.NoContent(http.StatusGone)
 		}
 		if len(rows) > 0 {
-			return s.answer(c, body(rows, false, version))
+			return s.respond(c, body(rows, false, version))
 		}
 		select {
-		case <-news:
-		case <-over.C:
-			return s.answer(c, body(nil, false, version))
+		case <-changed:
+		case <-timeout.C:
+			return s.respond(c, body(nil, false, version))
 		case <-c.Request().Context().Done():
 			abort()
 		}
@@ -129,7 +129,7 @@
 	if !op.Applied {
 		return c.JSON(http.StatusPreconditionFailed, body(nil, false, version))
 	}
-	return s.answer(c, body(nil, false, version))
+	return s.respond(c, body(nil, false, version))
 }
 
 // loseAnswer decides whether the response to an applied commit is dropped.
@@ -144,15 +144,15 @@
 }
 
 func (s *Server) putObject(c echo.Context) error {
-	data, err := io.ReadAll(io.LimitReader(c.Request().Body, maxObject+1))
+	data, err := io.ReadAll(io.LimitReader(c.Request().Body, maxObjectBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(data) > maxObject {
+	if len(data) > maxObjectBytes {
 		return c.NoContent(http.StatusRequestEntityTooLarge)
 	}
 	s.store.putObject(c.Param("name"), data)
-	return s.answer(c, struct{}{})
+	return s.respond(c, struct{}{})
 }
 
 func (s *Server) getObject(c echo.Context) error {
@@ -160,7 +160,7 @@
 	if !ok {
 		return c.NoContent(http.StatusNotFound)
 	}
-	s.lateAnswer(c)
+	s.delayResponse(c)
 	return c.Blob(http.StatusOK, echo.MIMEOctetStream, data)
 }
 
@@ -173,16 +173,16 @@
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
 	wait := s.weights.reserve(time.Now(), req)
-	return s.answer(c, platform.ReserveBody{WaitMS: wait.Milliseconds()})
+	return s.respond(c, platform.ReserveBody{WaitMS: wait.Milliseconds()})
 }
 
-func (s *Server) answer(c echo.Context, body any) error {
-	s.lateAnswer(c)
+func (s *Server) respond(c echo.Context, body any) error {
+	s.delayResponse(c)
 	return c.JSON(http.StatusOK, body)
 }
 
-func (s *Server) lateAnswer(c echo.Context) {
-	if !pause(c, milliseconds(s.currentFaults().SlowAnswerMS)) {
+func (s *Server) delayResponse(c echo.Context) {
+	if !sleepWhileConnected(c, milliseconds(s.currentFaults().SlowAnswerMS)) {
 		abort()
 	}
 }
--- a/internal/standin/platform/limits.go
+++ b/internal/standin/platform/limits.go
@@ -40,21 +40,21 @@
 
 // weightStore schedules loads one after the other at its transfer rate.
 type weightStore struct {
-	mu         sync.Mutex
-	bytesPerS  float64
-	modelBytes int64
-	free       time.Time
-	granted    []admin.Reservation
+	mu             sync.Mutex
+	bytesPerSecond float64
+	modelBytes     int64
+	freeAt         time.Time
+	granted        []admin.Reservation
 }
 
 func (w *weightStore) reserve(now time.Time, req platform.ReserveRequest) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	start := now
-	if w.free.After(now) {
-		start = w.free
+	if w.freeAt.After(now) {
+		start = w.freeAt
 	}
-	w.free = start.Add(time.Duration(float64(w.modelBytes) / w.bytesPerS * float64(time.Second)))
+	w.freeAt = start.Add(time.Duration(float64(w.modelBytes) / w.bytesPerSecond * float64(time.Second)))
 	w.granted = append(w.granted, admin.Reservation{
 		Model: req.Model, Version: req.Version, At: now, StartAt: start, Bytes: w.modelBytes,
 	})
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -28,8 +28,8 @@
 	Seed uint64
 }
 
-// maxHistory is the maximum number of recorded operations; later ones are not recorded.
-const maxHistory = 500_000
+// maxHistoryOperations is the maximum number of recorded operations; later ones are not recorded.
+const maxHistoryOperations = 500_000
 
 // Server is a stand-in for the platform.
 type Server struct {
@@ -60,7 +60,7 @@
 		store:   newStore(),
 		writes:  newLimiter(o.WriteRate),
 		reads:   newLimiter(o.ReadRate),
-		weights: &weightStore{bytesPerS: o.WeightBytesPerS, modelBytes: o.ModelBytes},
+		weights: &weightStore{bytesPerSecond: o.WeightBytesPerS, modelBytes: o.ModelBytes},
 		vms:     &laggingVMs{lag: o.VMLag},
 		start:   time.Now(),
 		random:  rand.New(rand.NewPCG(o.Seed, 0)),
@@ -70,12 +70,12 @@
 // Handler returns the handler of the platform's API and the administration API.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
-	e.GET(platform.PathRows, s.guard(s.reads, s.list))
-	e.GET(platform.PathChanges, s.guard(s.reads, s.changes))
-	e.POST(platform.PathTransaction, s.guard(s.writes, s.commit))
-	e.PUT(platform.PathPutObject+":name", s.guard(s.writes, s.putObject))
-	e.GET(platform.PathGetObject+":name", s.guard(s.reads, s.getObject))
-	e.POST(platform.PathReserve, s.guard(s.writes, s.reserve))
+	e.GET(platform.PathRows, s.withFaults(s.reads, s.list))
+	e.GET(platform.PathChanges, s.withFaults(s.reads, s.changes))
+	e.POST(platform.PathTransaction, s.withFaults(s.writes, s.commit))
+	e.PUT(platform.PathPutObject+":name", s.withFaults(s.writes, s.putObject))
+	e.GET(platform.PathGetObject+":name", s.withFaults(s.reads, s.getObject))
+	e.POST(platform.PathReserve, s.withFaults(s.writes, s.reserve))
 	e.GET("/healthz", s.health)
 	e.POST(admin.PathFaults, s.setFaults)
 	e.GET(admin.PathFaults, func(c echo.Context) error { return c.JSON(http.StatusOK, s.currentFaults()) })
@@ -85,9 +85,9 @@
 	return e
 }
 
-// guard applies outages, the rate limit and the delay before a call. The handlers delay the
+// withFaults applies outages, the rate limit and the delay before a call. The handlers delay the
 // response themselves.
-func (s *Server) guard(limit *limiter, next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Server) withFaults(limit *limiter, next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		f := s.currentFaults()
 		if f.Unreachable {
@@ -99,16 +99,16 @@
 		if !limit.allow(time.Now()) {
 			return c.NoContent(http.StatusTooManyRequests)
 		}
-		if !pause(c, s.options.Latency+milliseconds(f.SlowMS)) {
+		if !sleepWhileConnected(c, s.options.Latency+milliseconds(f.SlowMS)) {
 			abort()
 		}
 		return next(c)
 	}
 }
 
-// pause waits for d and returns false if the client disconnects first. A call whose client
-// disconnects before the call is applied is not applied.
-func pause(c echo.Context, d time.Duration) bool {
+// sleepWhileConnected waits for d and returns false if the client disconnects first. A call whose
+// client disconnects before the call is applied is not applied.
+func sleepWhileConnected(c echo.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -181,7 +181,7 @@
 	op.ReturnedNS = s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.history) < maxHistory {
+	if len(s.history) < maxHistoryOperations {
 		s.history = append(s.history, op)
 	}
 }
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -18,18 +18,18 @@
 	mu      sync.Mutex
 	version int64
 	rows    map[rowID]platform.Row
-	// changes are all writes and deletions after version floor, oldest first.
-	changes []platform.Row
-	floor   int64
-	// news is closed and replaced at each commit.
-	news    chan struct{}
+	// changes are all writes and deletions after compactedVersion, oldest first.
+	changes          []platform.Row
+	compactedVersion int64
+	// changed is closed and replaced at each commit.
+	changed chan struct{}
 	objects map[string][]byte
 }
 
 func newStore() *store {
 	return &store{
 		rows:    make(map[rowID]platform.Row),
-		news:    make(chan struct{}),
+		changed: make(chan struct{}),
 		objects: make(map[string][]byte),
 	}
 }
@@ -49,13 +49,13 @@
 	return rows[:min(limit, len(rows))], more, s.version
 }
 
-// since returns the changes of a table after a version, a channel that is closed at the next
-// commit, and the version of the latest transaction. gone reports that the history no longer
+// changesSince returns the changes of a table after a version, a channel that is closed at the next
+// commit, and the version of the latest transaction. compacted reports that the history no longer
 // reaches back to the version.
-func (s *store) since(table string, version int64) (rows []platform.Row, news <-chan struct{}, newest int64, gone bool) {
+func (s *store) changesSince(table string, version int64) (rows []platform.Row, changed <-chan struct{}, latest int64, compacted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if version < s.floor {
+	if version < s.compactedVersion {
 		return nil, nil, s.version, true
 	}
 	for _, row := range s.changes {
@@ -63,14 +63,14 @@
 			rows = append(rows, row)
 		}
 	}
-	return rows, s.news, s.version, false
+	return rows, s.changed, s.version, false
 }
 
 // dropHistory discards all changes so far.
 func (s *store) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changes, s.floor = nil, s.version
+	s.changes, s.compactedVersion = nil, s.version
 }
 
 // commit applies the transaction if all its conditions hold, and returns the written rows and the
@@ -88,8 +88,8 @@
 		rows = append(rows, s.write(w))
 	}
 	s.changes = append(s.changes, rows...)
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return rows, s.version, true
 }
 
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -45,13 +45,13 @@
 	Effect string `json:"effect,omitempty"`
 }
 
-// maxBody is the maximum size of a request body in bytes; longer bodies are truncated.
-const maxBody = 16 << 20
+// maxBodyBytes is the maximum size of a request body in bytes; longer bodies are truncated.
+const maxBodyBytes = 16 << 20
 
-// repeatKey identifies a call by its idempotency key within a workspace.
-type repeatKey struct{ workspace, key string }
+// idempotencyKey identifies a call by its idempotency key within a workspace.
+type idempotencyKey struct{ workspace, key string }
 
-// call is the only run of a repeatKey. done is closed after answer is set.
+// call is the only run of an idempotencyKey. done is closed after answer is set.
 type call struct {
 	done   chan struct{}
 	answer Answer
@@ -65,7 +65,7 @@
 	mu     sync.Mutex
 	faults admin.ServiceFaults
 	random *rand.Rand
-	calls  map[repeatKey]*call
+	calls  map[idempotencyKey]*call
 }
 
 // New returns a stand-in. It fails if the journal cannot be opened or read.
@@ -78,14 +78,14 @@
 		options: o,
 		runs:    runs,
 		random:  rand.New(rand.NewPCG(o.Seed, 0)),
-		calls:   make(map[repeatKey]*call),
+		calls:   make(map[idempotencyKey]*call),
 	}, nil
 }
 
 // Handler returns the handler of the service's API and the administration API.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
-	e.Use(s.say)
+	e.Use(s.setNoticeHeaders)
 	e.GET(endpoint.PathHealth, s.health)
 	e.POST(admin.PathFaults, s.setFaults)
 	e.GET(admin.PathFaults, func(c echo.Context) error { return c.JSON(http.StatusOK, s.currentFaults()) })
@@ -94,8 +94,8 @@
 	return e
 }
 
-// say is middleware that sets the notice headers of each response.
-func (s *Server) say(next echo.HandlerFunc) echo.HandlerFunc {
+// setNoticeHeaders is middleware that sets the notice headers of each response.
+func (s *Server) setNoticeHeaders(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		s.currentFaults().Set(c.Response().Header())
 		return next(c)
@@ -109,7 +109,7 @@
 		f.SetPause(c.Response().Header())
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
-	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
@@ -130,25 +130,25 @@
 // perform runs the call. If repeats are dropped and a call with the same key has already started,
 // it waits for that call's answer instead.
 func (s *Server) perform(r *http.Request, body string) (Answer, error) {
-	key := repeatKey{r.Header.Get(endpoint.HeaderWorkspace), r.Header.Get(endpoint.HeaderIdempotencyKey)}
+	key := idempotencyKey{r.Header.Get(endpoint.HeaderWorkspace), r.Header.Get(endpoint.HeaderIdempotencyKey)}
 	if r.Method == http.MethodGet || !s.options.DropsRepeats || key.key == "" {
 		return s.run(r, body)
 	}
 	s.mu.Lock()
-	earlier, repeat := s.calls[key]
+	first, repeat := s.calls[key]
 	if !repeat {
-		earlier = &call{done: make(chan struct{})}
-		s.calls[key] = earlier
+		first = &call{done: make(chan struct{})}
+		s.calls[key] = first
 	}
 	s.mu.Unlock()
 	if repeat {
-		<-earlier.done
-		return earlier.answer, nil
+		<-first.done
+		return first.answer, nil
 	}
-	defer close(earlier.done)
+	defer close(first.done)
 	var err error
-	earlier.answer, err = s.run(r, body)
-	return earlier.answer, err
+	first.answer, err = s.run(r, body)
+	return first.answer, err
 }
 
 func (s *Server) run(r *http.Request, body string) (Answer, error) {
--- a/internal/standin/worker/notices.go
+++ b/internal/standin/worker/notices.go
@@ -12,12 +12,12 @@
 func (w *Worker) Announce(name, value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.says == nil {
-		w.says = make(map[string]string)
+	if w.notices == nil {
+		w.notices = make(map[string]string)
 	}
-	w.says[name] = value
+	w.notices[name] = value
 	if value == "" {
-		delete(w.says, name)
+		delete(w.notices, name)
 	}
 }
 
@@ -29,8 +29,9 @@
 	w.pause = seconds
 }
 
-// refusing reports whether all requests are refused, and sets the Retry-After header if so.
-func (w *Worker) refusing(h http.Header) bool {
+// setRetryAfterIfPaused reports whether all requests are refused, and sets the Retry-After header
+// if so.
+func (w *Worker) setRetryAfterIfPaused(h http.Header) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.pause != "" {
@@ -43,7 +44,7 @@
 func (w *Worker) noticeHeaders() map[string]string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.says)
+	return maps.Clone(w.notices)
 }
 
 // Arrival is a received request with the notices that the worker sends at that time.
@@ -64,14 +65,14 @@
 	return slices.Clone(w.arrivals)
 }
 
-func (w *Worker) arrived(id string) {
+func (w *Worker) recordArrival(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.arrivals = append(w.arrivals, Arrival{ID: id, At: time.Now(), Says: maps.Clone(w.says), Pause: w.pause})
+	w.arrivals = append(w.arrivals, Arrival{ID: id, At: time.Now(), Says: maps.Clone(w.notices), Pause: w.pause})
 }
 
 // withNotices is middleware that sets the notice headers of all responses. Responses on hijacked
-// connections get theirs from head.
+// connections get theirs from responseHead.
 func (w *Worker) withNotices(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		for name, value := range w.noticeHeaders() {
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -110,8 +110,8 @@
 	streams map[string]*stream
 	closed  []string // IDs of streams whose connection the caller closed
 	leaving bool
-	// says are the notice headers of all responses.
-	says map[string]string
+	// notices are the notice headers of all responses.
+	notices map[string]string
 	// pause is the Retry-After in seconds with which all requests are refused; empty if they are
 	// not refused.
 	pause string
@@ -119,8 +119,8 @@
 	arrivals []Arrival
 	// conns are the hijacked connections of streams, which the server does not close.
 	conns []net.Conn
-	// targets are the target engines of move orders.
-	targets []string
+	// moveTargets are the target engines of move orders.
+	moveTargets []string
 	// answering is held for reading from the creation of a copy to the end of the response. Stop
 	// takes the write lock to wait for the response: without it nobody knows the handle of the
 	// copy, and no node can resume from it. Dying simulates a crash in between.
@@ -128,9 +128,9 @@
 }
 
 type stream struct {
-	made int64
-	stop chan struct{}
-	once sync.Once
+	lastEvent int64
+	stop      chan struct{}
+	once      sync.Once
 }
 
 // Start starts a worker and returns it. The caller must call Stop.
@@ -178,17 +178,17 @@
 	}
 }
 
-// die closes the listener, schedules the cut of the streams and the stop of the worker, and returns
-// when the response to the current move order is due.
-func (w *Worker) die(d Dying) {
+// crashAfterCopy closes the listener, schedules the cut of the streams and the stop of the worker,
+// and returns when the response to the current move order is due.
+func (w *Worker) crashAfterCopy(d Dying) {
 	_ = w.listener.Close()
 	time.AfterFunc(d.CutAfter, w.cutStreams)
-	time.AfterFunc(d.AnswerAfter+dyingFor, w.Stop)
+	time.AfterFunc(d.AnswerAfter+exitDelay, w.Stop)
 	time.Sleep(d.AnswerAfter)
 }
 
-// dyingFor is the time between the last response of a crashing worker and its stop.
-const dyingFor = 50 * time.Millisecond
+// exitDelay is the time between the last response of a crashing worker and its stop.
+const exitDelay = 50 * time.Millisecond
 
 // Runs returns the requests that the worker started to execute, in start order.
 func (w *Worker) Runs() []Run {
@@ -201,7 +201,7 @@
 func (w *Worker) Targets() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.targets...)
+	return append([]string(nil), w.moveTargets...)
 }
 
 // Closed returns the IDs of streams whose connection the caller closed before their end.
@@ -240,14 +240,14 @@
 	if err != nil {
 		return
 	}
-	w.arrived(r.Header.Get("Crocusreel-Attempt-Id"))
+	w.recordArrival(r.Header.Get("Crocusreel-Attempt-Id"))
 	run := Run{ID: r.Header.Get("Crocusreel-Attempt-Id"), Header: r.Header.Clone(), Target: r.RequestURI, Body: body}
 	run.Resumed = r.Header.Get("Kv-From") != ""
 	fault := None
 	if w.options.FaultOf != nil {
 		fault = w.options.FaultOf(&run)
 	}
-	if w.refusing(rw.Header()) || fault == Shed {
+	if w.setRetryAfterIfPaused(rw.Header()) || fault == Shed {
 		rw.Header().Set("Crocusreel-Not-Executed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -273,7 +273,7 @@
 	w.answer(conn, run, fault)
 }
 
-func (w *Worker) head(run Run, status int, framing string) string {
+func (w *Worker) responseHead(run Run, status int, framing string) string {
 	for name, value := range w.noticeHeaders() {
 		framing += name + ": " + value + "\r\n"
 	}
@@ -286,23 +286,23 @@
 func (w *Worker) answer(conn net.Conn, run Run, fault Fault) {
 	body := "answer to " + run.ID
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
-	text := w.head(run, http.StatusOK, length) + body
+	text := w.responseHead(run, http.StatusOK, length) + body
 	switch fault {
 	case Fail:
-		text = w.head(run, http.StatusInternalServerError, length) + body
+		text = w.responseHead(run, http.StatusInternalServerError, length) + body
 	case LoseAnswer:
 		return
 	case Truncate:
 		text = text[:len(text)-3]
 	case Foreign:
-		foreign := w.head(Run{ID: "foreign"}, http.StatusOK, "Content-Length: 3\r\n") + "bad"
+		foreign := w.responseHead(Run{ID: "foreign"}, http.StatusOK, "Content-Length: 3\r\n") + "bad"
 		text = strings.Replace(foreign, "Connection: close\r\n", "", 1) + text
 	case Extra:
-		text += w.head(run, http.StatusOK, "Content-Length: 3\r\n") + "bad"
+		text += w.responseHead(run, http.StatusOK, "Content-Length: 3\r\n") + "bad"
 	case Unframed:
-		text = w.head(run, http.StatusOK, "") + body
+		text = w.responseHead(run, http.StatusOK, "") + body
 	case UnframedReset:
-		text = w.head(run, http.StatusOK, "") + body[:4]
+		text = w.responseHead(run, http.StatusOK, "") + body[:4]
 	case Hang:
 		time.Sleep(time.Minute)
 	case Crash:
@@ -325,7 +325,7 @@
 	if from == "" {
 		return 1, true
 	}
-	last, ok := w.options.Memory.use(from, r.Header.Get("Last-Event-Id"))
+	last, ok := w.options.Memory.takeCopy(from, r.Header.Get("Last-Event-Id"))
 	return last + 1, ok
 }
 
@@ -333,7 +333,7 @@
 // or until the caller closes the connection.
 func (w *Worker) stream(conn net.Conn, first int64, run Run, fault Fault) {
 	backedUp := run.Header.Get("Crocusreel-Kv-Backup") != ""
-	s := &stream{made: first - 1, stop: make(chan struct{})}
+	s := &stream{lastEvent: first - 1, stop: make(chan struct{})}
 	w.mu.Lock()
 	w.streams[run.ID] = s
 	w.mu.Unlock()
@@ -341,26 +341,26 @@
 		time.Sleep(time.Minute)
 		return
 	}
-	framing, chunk, last := "Transfer-Encoding: chunked\r\n", "%x\r\n%s\r\n", "0\r\n\r\n"
+	framing, chunk, lastChunk := "Transfer-Encoding: chunked\r\n", "%x\r\n%s\r\n", "0\r\n\r\n"
 	if fault == Unframed {
-		framing, chunk, last = "", "%[2]s", ""
+		framing, chunk, lastChunk = "", "%[2]s", ""
 	}
-	if _, err := io.WriteString(conn, w.head(run, http.StatusOK, framing)); err != nil {
+	if _, err := io.WriteString(conn, w.responseHead(run, http.StatusOK, framing)); err != nil {
 		return
 	}
 	w.mu.Lock()
 	w.conns = append(w.conns, conn)
 	w.mu.Unlock()
-	gone := make(chan struct{})
+	closedByCaller := make(chan struct{})
 	go func() {
 		_, _ = conn.Read(make([]byte, 1))
-		close(gone)
+		close(closedByCaller)
 	}()
 	for id := first; id <= int64(w.options.Events); id++ {
 		select {
 		case <-s.stop:
 			return
-		case <-gone:
+		case <-closedByCaller:
 			w.mu.Lock()
 			w.closed = append(w.closed, run.ID)
 			w.mu.Unlock()
@@ -382,20 +382,19 @@
 			return
 		}
 		w.mu.Lock()
-		s.made = id
+		s.lastEvent = id
 		w.mu.Unlock()
 		if backedUp {
-			w.options.Memory.back(run.ID, id)
+			w.options.Memory.saveBackup(run.ID, id)
 		}
 	}
-	w.options.Memory.drop(run.ID)
-	_, _ = io.WriteString(conn, last)
+	w.options.Memory.remove(run.ID)
+	_, _ = io.WriteString(conn, lastChunk)
 }
 
-// use removes the copy that a Kv-From header names and returns the number of the last event, which
-// the run continues after. It returns false if there is no such copy or the event ID is not a
-// number.
-func (m *Memory) use(from, lastEvent string) (int64, bool) {
+// takeCopy removes the copy that a Kv-From header names and returns the number of the event after
+// which the run continues. It returns false if there is no such copy or lastEvent is not a number.
+func (m *Memory) takeCopy(from, lastEvent string) (int64, bool) {
 	_, handle, _ := strings.Cut(from, "/")
 	last, err := strconv.ParseInt(lastEvent, 10, 64)
 	m.mu.Lock()
@@ -424,9 +423,9 @@
 		rw.WriteHeader(http.StatusNotFound)
 		return
 	}
-	made := s.made
-	w.targets = append(w.targets, body.To)
-	answerLost := len(w.targets) <= w.options.LostMoveAnswers
+	lastEvent := s.lastEvent
+	w.moveTargets = append(w.moveTargets, body.To)
+	answerLost := len(w.moveTargets) <= w.options.LostMoveAnswers
 	if body.Final {
 		s.once.Do(func() { close(s.stop) })
 	}
@@ -434,47 +433,47 @@
 	time.Sleep(w.options.MoveTime)
 	w.answering.RLock()
 	defer w.answering.RUnlock()
-	handle := w.options.Memory.keep(body.ID, made)
+	handle := w.options.Memory.saveCopy(body.ID, lastEvent)
 	if d := w.options.Dying; d != nil {
-		w.die(*d)
+		w.crashAfterCopy(*d)
 		answerLost = answerLost || d.AnswerLost
 	}
 	if answerLost {
 		panic(http.ErrAbortHandler)
 	}
-	w.answerMove(rw, handle, made)
+	w.answerMove(rw, handle, lastEvent)
 }
 
 // answerMove writes and flushes the whole response before it returns.
-func (w *Worker) answerMove(rw http.ResponseWriter, handle string, made int64) {
-	data, _ := json.Marshal(map[string]any{"cache_handle": handle, "created": made})
+func (w *Worker) answerMove(rw http.ResponseWriter, handle string, lastEvent int64) {
+	data, _ := json.Marshal(map[string]any{"cache_handle": handle, "created": lastEvent})
 	rw.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	_, _ = rw.Write(data)
 	_ = http.NewResponseController(rw).Flush()
 }
 
-// back creates or renews the backup of a run, whose handle is the run's ID.
-func (m *Memory) back(run string, made int64) {
+// saveBackup creates or renews the backup of a run, whose handle is the run's ID.
+func (m *Memory) saveBackup(run string, lastEvent int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.handles[run] = made
+	m.handles[run] = lastEvent
 }
 
-// keep creates or renews the copy of a run and returns its handle.
-func (m *Memory) keep(run string, made int64) string {
+// saveCopy creates or renews the copy of a run and returns its handle.
+func (m *Memory) saveCopy(run string, lastEvent int64) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	handle := "copy-of-" + run
-	m.handles[handle] = made
+	m.handles[handle] = lastEvent
 	return handle
 }
 
 func (w *Worker) free(rw http.ResponseWriter, r *http.Request) {
-	w.options.Memory.drop(r.PathValue("handle"))
+	w.options.Memory.remove(r.PathValue("handle"))
 	rw.WriteHeader(http.StatusOK)
 }
 
-func (m *Memory) drop(handle string) {
+func (m *Memory) remove(handle string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.handles, handle)
@@ -492,7 +491,7 @@
 	defer w.mu.Unlock()
 	runs := [][]any{}
 	for id, s := range w.streams {
-		runs = append(runs, []any{id, 1000 + s.made, s.made, 5})
+		runs = append(runs, []any{id, 1000 + s.lastEvent, s.lastEvent, 5})
 	}
 	_ = json.NewEncoder(rw).Encode(map[string]any{"runs": runs})
 }
