--- a/cmd/crocusreel-standin/commands.go
+++ b/cmd/crocusreel-standin/commands.go
@@ -49,7 +49,7 @@
 // Run runs the plain service.
 func (c *serviceCommand) Run() error {
 	s, err := service.New(service.Options{
-		Name: c.Name, Latency: milliseconds(c.LatencyMS), DropsRepeats: c.DropsRepeats,
+		Name: c.Name, Latency: milliseconds(c.LatencyMS), Deduplicate: c.DropsRepeats,
 		Journal: c.Journal, Seed: c.Seed, Exit: os.Exit,
 	})
 	if err != nil {
@@ -103,9 +103,9 @@
 		MaxWaiting: c.MaxWaiting, MaxTokens: c.MaxTokens,
 		LengthMedian: c.LengthMedian, LengthSigma: c.LengthSigma,
 		ReportLag: milliseconds(c.ReportLagMS), CacheLag: milliseconds(c.CacheLagMS),
-		DetachGrace: milliseconds(c.DetachGraceMS), Keep: milliseconds(c.KeepMS),
+		DetachGrace: milliseconds(c.DetachGraceMS), Retention: milliseconds(c.KeepMS),
 		KeepAlive: milliseconds(c.KeepAliveMS), LoadTime: milliseconds(c.LoadMS),
-		ChecksFence: c.ChecksFence, DropsRepeats: c.DropsRepeats,
+		ChecksFence: c.ChecksFence, Deduplicate: c.DropsRepeats,
 		Journal: c.Journal, Seed: c.Seed, Exit: os.Exit,
 	}
 	if c.Platform != "" {
--- a/endpoint/engine_test.go
+++ b/endpoint/engine_test.go
@@ -203,7 +203,7 @@
 	})
 
 	It("maps unknown generations, stale fences and repeats", func() {
-		client, _ := startEngine(engine.Options{ChecksFence: true, DropsRepeats: true})
+		client, _ := startEngine(engine.Options{ChecksFence: true, Deduplicate: true})
 		_, err := client.Resume(ctx, "none", 0)
 		Expect(err).To(failure(crocusreel.OutcomeUnknown, endpoint.KindUnknownGeneration))
 		Expect(client.Order(ctx, endpoint.Order{Fence: 2, Verb: "role", Role: "decode"})).To(Succeed())
--- a/endpoint/service_test.go
+++ b/endpoint/service_test.go
@@ -87,7 +87,7 @@
 	// A caller sends a booking again while the first still runs. A service that drops
 	// repeats books once and answers both alike.
 	It("sees one effect for a repeated key where the service drops repeats", func() {
-		client, list := startService(service.Options{DropsRepeats: true})
+		client, list := startService(service.Options{Deduplicate: true})
 		first, err := client.Do(ctx, booking("k"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(client.Do(ctx, booking("k"))).To(Equal(first))
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -45,7 +45,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(app.Stop)
 	s.app = app
-	engine, err := worker.Start(worker.Options{ID: "e1", Events: 40, Gap: 10 * time.Millisecond, Memory: worker.NewMemory()})
+	engine, err := worker.Start(worker.Options{ID: "e1", Events: 40, EventInterval: 10 * time.Millisecond, KVStore: worker.NewKVStore()})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(engine.Stop)
 	endpoints.Update(fleet.Instance{ID: "i1", Service: "app", Address: app.Address(), DataCentre: "dc1", Slots: 6})
--- a/internal/standin/admin/faults.go
+++ b/internal/standin/admin/faults.go
@@ -21,13 +21,13 @@
 	PathReservations = "/admin/reservations"
 )
 
-// CrashMarker makes a stand-in exit with StatusDied. In a prompt, the engine exits after the
+// CrashMarker makes a stand-in exit with ExitStatusDied. In a prompt, the engine exits after the
 // first few tokens. In the path, query or body of a call, the plain service exits after the
 // call's effect and before its response.
 const CrashMarker = "[[crash]]"
 
-// StatusDied is the exit status of a stand-in that ends because of a fault or CrashMarker.
-const StatusDied = 3
+// ExitStatusDied is the exit status of a stand-in that ends because of a fault or CrashMarker.
+const ExitStatusDied = 3
 
 // EngineFaults are the faults to inject into an engine. Fractions are probabilities from 0 to 1,
 // drawn for each event; times are wall-clock milliseconds.
@@ -62,9 +62,9 @@
 	// ReclaimInMS announces in load reports that the engine is leaving, and ends the process
 	// with status 0 after this time. It cannot be changed or reset once set.
 	ReclaimInMS int `json:"reclaim_in_ms,omitempty"`
-	// Die ends the process at once with StatusDied.
+	// Die ends the process at once with ExitStatusDied.
 	Die bool `json:"die,omitempty"`
-	// DieAfterTokens ends the process with StatusDied after this many more tokens.
+	// DieAfterTokens ends the process with ExitStatusDied after this many more tokens.
 	DieAfterTokens int `json:"die_after_tokens,omitempty"`
 	// ReportsFrozen stops the update of load reports.
 	ReportsFrozen bool `json:"reports_frozen,omitempty"`
@@ -89,8 +89,8 @@
 	PauseSeconds float64 `json:"pause_seconds,omitempty"`
 }
 
-// Set sets the notice headers of a response.
-func (s Notices) Set(h http.Header) {
+// SetHeaders sets the notice headers of a response.
+func (s Notices) SetHeaders(h http.Header) {
 	if s.Leaving {
 		h.Set(endpoint.HeaderLeaving, "1")
 	}
@@ -99,8 +99,8 @@
 	}
 }
 
-// SetPause sets the Retry-After header of a refusal.
-func (s Notices) SetPause(h http.Header) {
+// SetRetryAfter sets the Retry-After header of a refusal.
+func (s Notices) SetRetryAfter(h http.Header) {
 	if s.PauseSeconds > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(s.PauseSeconds, 'g', -1, 64))
 	}
@@ -119,7 +119,7 @@
 	SlowMS int `json:"slow_ms,omitempty"`
 	// SlowAnswerMS is a delay between the run of the call and its response.
 	SlowAnswerMS int `json:"slow_answer_ms,omitempty"`
-	// Die ends the process at once with StatusDied.
+	// Die ends the process at once with ExitStatusDied.
 	Die bool `json:"die,omitempty"`
 }
 
--- a/internal/standin/engine/drive.go
+++ b/internal/standin/engine/drive.go
@@ -111,12 +111,12 @@
 	g.produced = t.Index + 1
 	g.notify()
 	if g.crashMarked && g.produced >= min(crashAfterTokens, g.targetTokens) {
-		e.options.Exit(admin.StatusDied)
+		e.options.Exit(admin.ExitStatusDied)
 	}
 	if e.dieAfterTokens > 0 {
 		e.dieAfterTokens--
 		if e.dieAfterTokens == 0 {
-			e.options.Exit(admin.StatusDied)
+			e.options.Exit(admin.ExitStatusDied)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 
 func (e *Engine) removeExpired(now time.Time) {
 	for id, g := range e.generations {
-		if g.done && g.streams == 0 && now.Sub(g.endedAt) > e.options.Keep {
+		if g.done && g.streams == 0 && now.Sub(g.endedAt) > e.options.Retention {
 			delete(e.generations, id)
 		}
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -114,7 +114,7 @@
 	if _, ok := e.generations[req.GenerationID]; ok {
 		return refuse(409, endpoint.KindRepeat, crocusreel.OutcomeRan, "generation exists")
 	}
-	if _, ok := e.byKey[idempotencyKey{req.Workspace, req.IdempotencyKey}]; ok && e.options.DropsRepeats {
+	if _, ok := e.byKey[idempotencyKey{req.Workspace, req.IdempotencyKey}]; ok && e.options.Deduplicate {
 		return refuse(409, endpoint.KindRepeat, crocusreel.OutcomeRan, "idempotency key was used")
 	}
 	if e.faults.Refuse {
@@ -147,11 +147,11 @@
 
 func (g *generation) sequence() model.Sequence {
 	return model.Sequence{
-		ID:       g.request.GenerationID,
-		Prompt:   g.promptTokens,
-		Prefixes: endpoint.PrefixHashes(g.request.Model, g.request.Prompt),
-		Length:   g.targetTokens,
-		Priority: g.request.Priority,
+		ID:           g.request.GenerationID,
+		PromptTokens: g.promptTokens,
+		Prefixes:     endpoint.PrefixHashes(g.request.Model, g.request.Prompt),
+		OutputTokens: g.targetTokens,
+		Priority:     g.request.Priority,
 	}
 }
 
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -150,7 +150,7 @@
 	It("exits after a few tokens of a request with the crash marker", func() {
 		r := startEngine(Options{})
 		r.generate("g1", "x [[crash]] [[len=50]]")
-		Eventually(r.exitStatus.Load, eventTimeout).Should(BeEquivalentTo(admin.StatusDied))
+		Eventually(r.exitStatus.Load, eventTimeout).Should(BeEquivalentTo(admin.ExitStatusDied))
 	})
 
 	It("delays load reports by the report lag", func() {
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -36,7 +36,7 @@
 // setNoticeHeaders is middleware that sets the notice headers of each response.
 func (e *Engine) setNoticeHeaders(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		e.currentFaults().Set(c.Response().Header())
+		e.currentFaults().SetHeaders(c.Response().Header())
 		return next(c)
 	}
 }
@@ -48,7 +48,7 @@
 	}
 	g, lost, refused := e.start(req)
 	if refused != nil {
-		e.currentFaults().SetPause(c.Response().Header())
+		e.currentFaults().SetRetryAfter(c.Response().Header())
 		return sendRefusal(c, refused)
 	}
 	e.attachStream(g)
@@ -141,7 +141,7 @@
 }
 
 func (e *Engine) handleLookup(c echo.Context) error {
-	if !e.options.DropsRepeats {
+	if !e.options.Deduplicate {
 		return sendRefusal(c, refuse(404, endpoint.KindRefused, crocusreel.OutcomeUnknown, "engine keeps no keys"))
 	}
 	key := idempotencyKey{c.QueryParam("workspace"), c.QueryParam("idempotency_key")}
@@ -161,7 +161,7 @@
 	}
 	e.mu.Unlock()
 	if f.Die {
-		e.options.Exit(admin.StatusDied)
+		e.options.Exit(admin.ExitStatusDied)
 	}
 	return c.JSON(http.StatusOK, f)
 }
--- a/internal/standin/engine/model/load_test.go
+++ b/internal/standin/engine/model/load_test.go
@@ -45,7 +45,7 @@
 	for i := range list {
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		list[i] = arrival{at, model.Sequence{
-			ID: fmt.Sprint(i), Prompt: min(draw(150, 0.7), 4000), Length: min(draw(180, 0.9), 4000),
+			ID: fmt.Sprint(i), PromptTokens: min(draw(150, 0.7), 4000), OutputTokens: min(draw(180, 0.9), 4000),
 		}}
 	}
 	return list
@@ -104,7 +104,7 @@
 		saturated := replay(p, trace(1000))
 		mean := 0.0
 		for _, a := range trace(1) {
-			mean += float64(a.seq.Length) / answerCount
+			mean += float64(a.seq.OutputTokens) / answerCount
 		}
 		var rows []statistics
 		for _, load := range []float64{0.5, 0.8, 0.95, 1.2} {
--- a/internal/standin/engine/model/model.go
+++ b/internal/standin/engine/model/model.go
@@ -56,13 +56,13 @@
 // Sequence is a generation to run.
 type Sequence struct {
 	ID string
-	// Prompt is the length of the prompt in tokens.
-	Prompt int
+	// PromptTokens is the length of the prompt in tokens.
+	PromptTokens int
 	// Prefixes are hashes of the prompt's prefixes of one, two and more whole blocks, shortest
 	// first.
 	Prefixes []uint64
-	// Length is the number of tokens to generate; at least 1 is generated.
-	Length int
+	// OutputTokens is the number of tokens to generate; at least 1 is generated.
+	OutputTokens int
 	// Priority orders admission, highest first, and preemption, lowest first.
 	Priority int
 }
@@ -78,7 +78,7 @@
 }
 
 // context returns the number of tokens whose KV the next token needs.
-func (s *sequence) context() int { return s.Prompt + s.produced }
+func (s *sequence) context() int { return s.PromptTokens + s.produced }
 
 // Engine is a modelled engine. It is not safe for concurrent use.
 type Engine struct {
@@ -104,13 +104,13 @@
 
 // Add queues a sequence. It fails with ErrTooLarge or ErrDuplicate.
 func (e *Engine) Add(s Sequence) error {
-	if e.blocksFor(s.Prompt+1) > e.params.KVBlocks {
+	if e.blocksFor(s.PromptTokens+1) > e.params.KVBlocks {
 		return ErrTooLarge
 	}
 	if _, ok := e.byID[s.ID]; ok {
 		return ErrDuplicate
 	}
-	s.Length = max(1, s.Length)
+	s.OutputTokens = max(1, s.OutputTokens)
 	e.arrivals++
 	seq := &sequence{Sequence: s, arrival: e.arrivals}
 	e.byID[s.ID] = seq
--- a/internal/standin/engine/model/model_test.go
+++ b/internal/standin/engine/model/model_test.go
@@ -63,8 +63,8 @@
 var _ = Describe("the step model", func() {
 	It("preempts the lowest priority when the memory runs out in mid-decode", func() {
 		e := newSmallEngine(4)
-		Expect(e.Add(model.Sequence{ID: "low", Prompt: 15, Length: 40, Priority: 0})).To(Succeed())
-		Expect(e.Add(model.Sequence{ID: "high", Prompt: 15, Length: 40, Priority: 1})).To(Succeed())
+		Expect(e.Add(model.Sequence{ID: "low", PromptTokens: 15, OutputTokens: 40, Priority: 0})).To(Succeed())
+		Expect(e.Add(model.Sequence{ID: "high", PromptTokens: 15, OutputTokens: 40, Priority: 1})).To(Succeed())
 		r := runUntilIdle(GinkgoT(), e)
 		Expect(r.preempted).To(ContainElement("low"))
 		Expect(r.preempted).NotTo(ContainElement("high"))
@@ -73,21 +73,21 @@
 
 	It("preempts the latest arrival among equals", func() {
 		e := newSmallEngine(4)
-		Expect(e.Add(model.Sequence{ID: "first", Prompt: 15, Length: 40})).To(Succeed())
-		Expect(e.Add(model.Sequence{ID: "second", Prompt: 15, Length: 40})).To(Succeed())
+		Expect(e.Add(model.Sequence{ID: "first", PromptTokens: 15, OutputTokens: 40})).To(Succeed())
+		Expect(e.Add(model.Sequence{ID: "second", PromptTokens: 15, OutputTokens: 40})).To(Succeed())
 		Expect(runUntilIdle(GinkgoT(), e).preempted).To(HaveEach("second"))
 	})
 
 	It("ends an answer that outgrows the whole memory", func() {
 		e := newSmallEngine(2)
-		Expect(e.Add(model.Sequence{ID: "a", Prompt: 10, Length: 1000})).To(Succeed())
+		Expect(e.Add(model.Sequence{ID: "a", PromptTokens: 10, OutputTokens: 1000})).To(Succeed())
 		Expect(runUntilIdle(GinkgoT(), e).tokens["a"]).To(BeNumerically("<=", 32))
-		Expect(e.Add(model.Sequence{ID: "b", Prompt: 32, Length: 1})).To(MatchError(model.ErrTooLarge))
+		Expect(e.Add(model.Sequence{ID: "b", PromptTokens: 32, OutputTokens: 1})).To(MatchError(model.ErrTooLarge))
 	})
 
 	It("computes a cached prefix faster", func() {
 		e := newSmallEngine(64)
-		seq := model.Sequence{ID: "a", Prompt: 64, Prefixes: []uint64{1, 2, 3, 4}, Length: 1}
+		seq := model.Sequence{ID: "a", PromptTokens: 64, Prefixes: []uint64{1, 2, 3, 4}, OutputTokens: 1}
 		Expect(e.Add(seq)).To(Succeed())
 		cold := e.Step().Duration
 		seq.ID = "b"
@@ -97,10 +97,10 @@
 
 	It("takes longer steps for larger batches", func() {
 		e := newSmallEngine(64)
-		Expect(e.Add(model.Sequence{ID: "a", Prompt: 16, Length: 50})).To(Succeed())
+		Expect(e.Add(model.Sequence{ID: "a", PromptTokens: 16, OutputTokens: 50})).To(Succeed())
 		e.Step()
 		alone := e.Step().Duration
-		Expect(e.Add(model.Sequence{ID: "b", Prompt: 16, Length: 50})).To(Succeed())
+		Expect(e.Add(model.Sequence{ID: "b", PromptTokens: 16, OutputTokens: 50})).To(Succeed())
 		e.Step()
 		Expect(e.Step().Duration).To(BeNumerically(">", alone))
 	})
@@ -115,16 +115,16 @@
 		want := map[string]int{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "sequences") {
 			s := model.Sequence{
-				ID:       fmt.Sprint("s", i),
-				Prompt:   rapid.IntRange(1, capacity/2-1).Draw(t, "prompt"),
-				Length:   rapid.IntRange(1, capacity/2).Draw(t, "length"),
-				Priority: rapid.IntRange(-2, 2).Draw(t, "priority"),
-				Prefixes: rapid.SliceOfN(rapid.Uint64Range(1, 20), 0, 6).Draw(t, "prefixes"),
+				ID:           fmt.Sprint("s", i),
+				PromptTokens: rapid.IntRange(1, capacity/2-1).Draw(t, "prompt"),
+				OutputTokens: rapid.IntRange(1, capacity/2).Draw(t, "length"),
+				Priority:     rapid.IntRange(-2, 2).Draw(t, "priority"),
+				Prefixes:     rapid.SliceOfN(rapid.Uint64Range(1, 20), 0, 6).Draw(t, "prefixes"),
 			}
 			if err := e.Add(s); err != nil {
 				t.Fatalf("add sequence: %v", err)
 			}
-			want[s.ID] = s.Length
+			want[s.ID] = s.OutputTokens
 		}
 		r := runUntilIdle(t, e)
 		for id, n := range want {
--- a/internal/standin/engine/model/step.go
+++ b/internal/standin/engine/model/step.go
@@ -153,7 +153,7 @@
 	out.Tokens = append(out.Tokens, Token{ID: s.ID, Index: s.produced})
 	s.produced++
 	s.computed++
-	if s.produced >= s.Length {
+	if s.produced >= s.OutputTokens {
 		e.end(s, FinishStop, out)
 	}
 }
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -34,15 +34,15 @@
 	// DetachGrace is how long a generation without streams continues before it is cancelled.
 	// Default 5 s.
 	DetachGrace time.Duration
-	// Keep is how long an ended generation can still be resumed. Default 30 s.
-	Keep time.Duration
+	// Retention is how long an ended generation can still be resumed. Default 30 s.
+	Retention time.Duration
 	// KeepAlive is the interval of keep-alive bytes on streams. Default 1 s.
 	KeepAlive time.Duration
 	// ChecksFence refuses orders whose fencing number is lower than the highest one seen.
 	ChecksFence bool
-	// DropsRepeats refuses generations whose idempotency key was used before, and enables
+	// Deduplicate refuses generations whose idempotency key was used before, and enables
 	// lookups by key.
-	DropsRepeats bool
+	Deduplicate bool
 	// LoadTime is the time to load weights, in addition to the wait for the weight store.
 	LoadTime time.Duration
 	// Weights is the weight store. If nil, loads do not wait for a reservation.
@@ -82,7 +82,7 @@
 	orDefault(&o.LengthMedian, defaultLengthMedian)
 	orDefault(&o.LengthSigma, defaultLengthSigma)
 	orDefault(&o.DetachGrace, defaultDetachGrace)
-	orDefault(&o.Keep, defaultRetention)
+	orDefault(&o.Retention, defaultRetention)
 	orDefault(&o.KeepAlive, defaultKeepAlive)
 	orDefault(&o.Role, defaultRole)
 	if o.Exit == nil {
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -23,9 +23,9 @@
 	Name string
 	// Latency is added to each call.
 	Latency time.Duration
-	// DropsRepeats answers calls with a repeated idempotency key with the first call's answer,
+	// Deduplicate answers calls with a repeated idempotency key with the first call's answer,
 	// without a second effect.
-	DropsRepeats bool
+	Deduplicate bool
 	// Journal is the file in which runs are recorded; if empty they are kept in memory only.
 	Journal string
 	// Seed seeds the random faults.
@@ -97,7 +97,7 @@
 // setNoticeHeaders is middleware that sets the notice headers of each response.
 func (s *Server) setNoticeHeaders(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		s.currentFaults().Set(c.Response().Header())
+		s.currentFaults().SetHeaders(c.Response().Header())
 		return next(c)
 	}
 }
@@ -106,7 +106,7 @@
 	f := s.currentFaults()
 	if f.Refuse {
 		c.Response().Header().Set(endpoint.HeaderOutcome, string(crocusreel.OutcomeNotRun))
-		f.SetPause(c.Response().Header())
+		f.SetRetryAfter(c.Response().Header())
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBodyBytes))
@@ -131,7 +131,7 @@
 // it waits for that call's answer instead.
 func (s *Server) perform(r *http.Request, body string) (Answer, error) {
 	key := idempotencyKey{r.Header.Get(endpoint.HeaderWorkspace), r.Header.Get(endpoint.HeaderIdempotencyKey)}
-	if r.Method == http.MethodGet || !s.options.DropsRepeats || key.key == "" {
+	if r.Method == http.MethodGet || !s.options.Deduplicate || key.key == "" {
 		return s.run(r, body)
 	}
 	s.mu.Lock()
@@ -182,7 +182,7 @@
 
 func (s *Server) exit() {
 	if s.options.Exit != nil {
-		s.options.Exit(admin.StatusDied)
+		s.options.Exit(admin.ExitStatusDied)
 	}
 }
 
--- a/internal/standin/worker/notices.go
+++ b/internal/standin/worker/notices.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Announce sets a notice header, such as the worker's request limit, of all further responses. An
+// SetNotice sets a notice header, such as the worker's request limit, of all further responses. An
 // empty value removes the header.
-func (w *Worker) Announce(name, value string) {
+func (w *Worker) SetNotice(name, value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.notices == nil {
@@ -51,10 +51,10 @@
 type Arrival struct {
 	ID string
 	At time.Time
-	// Says are the notice headers of the response, and Pause the Retry-After of the refusal,
+	// Notices are the notice headers of the response, and Pause the Retry-After of the refusal,
 	// empty if the request is not refused for a pause.
-	Says  map[string]string
-	Pause string
+	Notices map[string]string
+	Pause   string
 }
 
 // Arrivals returns the received requests in order, including refused ones, but not those that
@@ -68,7 +68,7 @@
 func (w *Worker) recordArrival(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.arrivals = append(w.arrivals, Arrival{ID: id, At: time.Now(), Says: maps.Clone(w.notices), Pause: w.pause})
+	w.arrivals = append(w.arrivals, Arrival{ID: id, At: time.Now(), Notices: maps.Clone(w.notices), Pause: w.pause})
 }
 
 // withNotices is middleware that sets the notice headers of all responses. Responses on hijacked
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -30,10 +30,10 @@
 	LoseAnswer
 	// Truncate closes the connection in the middle of the response.
 	Truncate
-	// Foreign sends a response to another request before its own.
-	Foreign
-	// Extra sends a second response after its own.
-	Extra
+	// ForeignAnswer sends a response to another request before its own.
+	ForeignAnswer
+	// ExtraAnswer sends a second response after its own.
+	ExtraAnswer
 	// Unframed sends a response without Content-Length or chunked encoding, which ends when the
 	// connection closes.
 	Unframed
@@ -57,16 +57,16 @@
 	Resumed bool
 }
 
-// Memory holds the copies and backups of the KV memory of runs, shared by engines between which
+// KVStore holds the copies and backups of the KV memory of runs, shared by engines between which
 // runs move. It maps the handle of a copy to the number of its last event. It is safe for
 // concurrent use.
-type Memory struct {
+type KVStore struct {
 	mu      sync.Mutex
 	handles map[string]int64
 }
 
-// NewMemory returns an empty Memory.
-func NewMemory() *Memory { return &Memory{handles: make(map[string]int64)} }
+// NewKVStore returns an empty KVStore.
+func NewKVStore() *KVStore { return &KVStore{handles: make(map[string]int64)} }
 
 // Options configure a worker.
 type Options struct {
@@ -74,16 +74,16 @@
 	ID string
 	// Address is the IP:port to listen on; empty for a free port on 127.0.0.1.
 	Address string
-	// Events is the number of events of a stream, and Gap the time before each event. With 0
-	// events the worker is a plain service.
-	Events int
-	Gap    time.Duration
-	// Memory is shared by engines between which runs move. Engines need one.
-	Memory *Memory
+	// Events is the number of events of a stream, and EventInterval the time before each
+	// event. With 0 events the worker is a plain service.
+	Events        int
+	EventInterval time.Duration
+	// KVStore is shared by engines between which runs move. Engines need one.
+	KVStore *KVStore
 	// MoveTime is the time to copy the memory of a run.
 	MoveTime time.Duration
-	// Dying makes the worker crash after it has made a copy; nil for no crash.
-	Dying *Dying
+	// CrashAfterCopy makes the worker crash after it has made a copy; nil for no crash.
+	CrashAfterCopy *CopyCrash
 	// LostMoveAnswers is the number of move orders, from the first on, whose copy is made but
 	// whose connection is then closed without a response.
 	LostMoveAnswers int
@@ -91,9 +91,10 @@
 	FaultOf func(r *Run) Fault
 }
 
-// Dying describes how a worker crashes after it has made a copy. CutAfter and AnswerAfter are the
-// delays from the copy to the cut of the worker's streams and to the response of the move order.
-type Dying struct {
+// CopyCrash describes how a worker crashes after it has made a copy. CutAfter and AnswerAfter are
+// the delays from the copy to the cut of the worker's streams and to the response of the move
+// order.
+type CopyCrash struct {
 	CutAfter, AnswerAfter time.Duration
 	// AnswerLost closes the connection of the move order without a response.
 	AnswerLost bool
@@ -105,11 +106,11 @@
 	listener net.Listener
 	server   *http.Server
 
-	mu      sync.Mutex
-	runs    []Run
-	streams map[string]*stream
-	closed  []string // IDs of streams whose connection the caller closed
-	leaving bool
+	mu             sync.Mutex
+	runs           []Run
+	streams        map[string]*stream
+	closedByCaller []string // IDs of streams whose connection the caller closed
+	leaving        bool
 	// notices are the notice headers of all responses.
 	notices map[string]string
 	// pause is the Retry-After in seconds with which all requests are refused; empty if they are
@@ -123,7 +124,8 @@
 	moveTargets []string
 	// answering is held for reading from the creation of a copy to the end of the response. Stop
 	// takes the write lock to wait for the response: without it nobody knows the handle of the
-	// copy, and no node can resume from it. Dying simulates a crash in between.
+	// copy, and no node can resume from it. CrashAfterCopy simulates a crash in
+	// between.
 	answering sync.RWMutex
 }
 
@@ -180,7 +182,7 @@
 
 // crashAfterCopy closes the listener, schedules the cut of the streams and the stop of the worker,
 // and returns when the response to the current move order is due.
-func (w *Worker) crashAfterCopy(d Dying) {
+func (w *Worker) crashAfterCopy(d CopyCrash) {
 	_ = w.listener.Close()
 	time.AfterFunc(d.CutAfter, w.cutStreams)
 	time.AfterFunc(d.AnswerAfter+exitDelay, w.Stop)
@@ -197,22 +199,22 @@
 	return append([]Run(nil), w.runs...)
 }
 
-// Targets returns the targets of the received move orders, in order of arrival.
-func (w *Worker) Targets() []string {
+// MoveTargets returns the targets of the received move orders, in order of arrival.
+func (w *Worker) MoveTargets() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.moveTargets...)
 }
 
-// Closed returns the IDs of streams whose connection the caller closed before their end.
-func (w *Worker) Closed() []string {
+// ClosedByCaller returns the IDs of streams whose connection the caller closed before their end.
+func (w *Worker) ClosedByCaller() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.closed...)
+	return append([]string(nil), w.closedByCaller...)
 }
 
-// Leave makes the health check fail with 503, which announces that the worker is leaving.
-func (w *Worker) Leave() {
+// SetLeaving makes the health check fail with 503, which announces that the worker is leaving.
+func (w *Worker) SetLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = true
@@ -294,10 +296,10 @@
 		return
 	case Truncate:
 		text = text[:len(text)-3]
-	case Foreign:
+	case ForeignAnswer:
 		foreign := w.responseHead(Run{ID: "foreign"}, http.StatusOK, "Content-Length: 3\r\n") + "bad"
 		text = strings.Replace(foreign, "Connection: close\r\n", "", 1) + text
-	case Extra:
+	case ExtraAnswer:
 		text += w.responseHead(run, http.StatusOK, "Content-Length: 3\r\n") + "bad"
 	case Unframed:
 		text = w.responseHead(run, http.StatusOK, "") + body
@@ -325,7 +327,7 @@
 	if from == "" {
 		return 1, true
 	}
-	last, ok := w.options.Memory.takeCopy(from, r.Header.Get("Last-Event-Id"))
+	last, ok := w.options.KVStore.takeCopy(from, r.Header.Get("Last-Event-Id"))
 	return last + 1, ok
 }
 
@@ -362,10 +364,10 @@
 			return
 		case <-closedByCaller:
 			w.mu.Lock()
-			w.closed = append(w.closed, run.ID)
+			w.closedByCaller = append(w.closedByCaller, run.ID)
 			w.mu.Unlock()
 			return
-		case <-time.After(w.options.Gap):
+		case <-time.After(w.options.EventInterval):
 		}
 		event := fmt.Sprintf("id: %d\ndata: token %d of %s\n\n", id, id, run.ID)
 		switch {
@@ -385,16 +387,16 @@
 		s.lastEvent = id
 		w.mu.Unlock()
 		if backedUp {
-			w.options.Memory.saveBackup(run.ID, id)
+			w.options.KVStore.saveBackup(run.ID, id)
 		}
 	}
-	w.options.Memory.remove(run.ID)
+	w.options.KVStore.remove(run.ID)
 	_, _ = io.WriteString(conn, lastChunk)
 }
 
 // takeCopy removes the copy that a Kv-From header names and returns the number of the event after
 // which the run continues. It returns false if there is no such copy or lastEvent is not a number.
-func (m *Memory) takeCopy(from, lastEvent string) (int64, bool) {
+func (m *KVStore) takeCopy(from, lastEvent string) (int64, bool) {
 	_, handle, _ := strings.Cut(from, "/")
 	last, err := strconv.ParseInt(lastEvent, 10, 64)
 	m.mu.Lock()
@@ -433,8 +435,8 @@
 	time.Sleep(w.options.MoveTime)
 	w.answering.RLock()
 	defer w.answering.RUnlock()
-	handle := w.options.Memory.saveCopy(body.ID, lastEvent)
-	if d := w.options.Dying; d != nil {
+	handle := w.options.KVStore.saveCopy(body.ID, lastEvent)
+	if d := w.options.CrashAfterCopy; d != nil {
 		w.crashAfterCopy(*d)
 		answerLost = answerLost || d.AnswerLost
 	}
@@ -453,14 +455,14 @@
 }
 
 // saveBackup creates or renews the backup of a run, whose handle is the run's ID.
-func (m *Memory) saveBackup(run string, lastEvent int64) {
+func (m *KVStore) saveBackup(run string, lastEvent int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.handles[run] = lastEvent
 }
 
 // saveCopy creates or renews the copy of a run and returns its handle.
-func (m *Memory) saveCopy(run string, lastEvent int64) string {
+func (m *KVStore) saveCopy(run string, lastEvent int64) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	handle := "copy-of-" + run
@@ -469,18 +471,18 @@
 }
 
 func (w *Worker) free(rw http.ResponseWriter, r *http.Request) {
-	w.options.Memory.remove(r.PathValue("handle"))
+	w.options.KVStore.remove(r.PathValue("handle"))
 	rw.WriteHeader(http.StatusOK)
 }
 
-func (m *Memory) remove(handle string) {
+func (m *KVStore) remove(handle string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.handles, handle)
 }
 
 // Copies returns the number of copies and backups that are neither used nor freed.
-func (m *Memory) Copies() int {
+func (m *KVStore) Copies() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.handles)
--- a/relay/latenews_test.go
+++ b/relay/latenews_test.go
@@ -33,7 +33,7 @@
 func startLeaving(o worker.Options) *leavingStream {
 	GinkgoHelper()
 	s := &leavingStream{testRelay: newTestRelay(), answer: &recordingSink{}, done: make(chan relay.Result, 1)}
-	o.ID, o.Events, o.Gap, o.Memory = "first", longStreamEvents, 5*time.Millisecond, s.memory
+	o.ID, o.Events, o.EventInterval, o.KVStore = "first", longStreamEvents, 5*time.Millisecond, s.memory
 	s.first = s.start("pool", o)
 	s.req = s.request(routing.Streaming)
 	var ctx context.Context
@@ -52,8 +52,8 @@
 	// for copies only at the cut gives the stream up; its log has a broken "request ended" right
 	// before "memory copied".
 	DescribeTable("goes on from the copy whichever comes first, the cut or the answer",
-		func(dying worker.Dying) {
-			s := startLeaving(worker.Options{Dying: &dying})
+		func(dying worker.CopyCrash) {
+			s := startLeaving(worker.Options{CrashAfterCopy: &dying})
 			var v relay.Result
 			Eventually(s.done, 3*time.Second).Should(Receive(&v))
 			Expect(v.Broken).To(BeFalse())
@@ -63,17 +63,17 @@
 			Expect(s.second.Runs()[0].Resumed).To(BeTrue())
 			Eventually(s.Fleet.OwnLoads, 3*time.Second).Should(BeEmpty())
 		},
-		Entry("the answer first", worker.Dying{CutAfter: 40 * time.Millisecond, AnswerAfter: 5 * time.Millisecond}),
-		Entry("the cut first", worker.Dying{CutAfter: 5 * time.Millisecond, AnswerAfter: 40 * time.Millisecond}),
-		Entry("both at once", worker.Dying{CutAfter: 10 * time.Millisecond, AnswerAfter: 10 * time.Millisecond}),
-		Entry("the cut long before", worker.Dying{CutAfter: time.Millisecond, AnswerAfter: 400 * time.Millisecond}),
+		Entry("the answer first", worker.CopyCrash{CutAfter: 40 * time.Millisecond, AnswerAfter: 5 * time.Millisecond}),
+		Entry("the cut first", worker.CopyCrash{CutAfter: 5 * time.Millisecond, AnswerAfter: 40 * time.Millisecond}),
+		Entry("both at once", worker.CopyCrash{CutAfter: 10 * time.Millisecond, AnswerAfter: 10 * time.Millisecond}),
+		Entry("the cut long before", worker.CopyCrash{CutAfter: time.Millisecond, AnswerAfter: 400 * time.Millisecond}),
 	)
 
 	// The engine dies before it sends the answer. Nobody knows the copy's handle, and the caller
 	// must learn at once that the stream is not complete.
 	It("is given up as soon as the answer is known to be lost", func() {
 		s := startLeaving(worker.Options{
-			Dying: &worker.Dying{CutAfter: time.Millisecond, AnswerAfter: 40 * time.Millisecond, AnswerLost: true},
+			CrashAfterCopy: &worker.CopyCrash{CutAfter: time.Millisecond, AnswerAfter: 40 * time.Millisecond, AnswerLost: true},
 		})
 		Eventually(s.done, 500*time.Millisecond).Should(Receive(HaveField("Broken", true)))
 		Expect(s.second.Runs()).To(BeEmpty())
@@ -82,7 +82,7 @@
 	// The caller leaves while the stream waits for the answer. The copy must be freed and its
 	// placement released.
 	It("leaves no copy behind when its caller does not wait", func() {
-		s := startLeaving(worker.Options{Dying: &worker.Dying{CutAfter: time.Millisecond, AnswerAfter: 400 * time.Millisecond}})
+		s := startLeaving(worker.Options{CrashAfterCopy: &worker.CopyCrash{CutAfter: time.Millisecond, AnswerAfter: 400 * time.Millisecond}})
 		time.Sleep(100 * time.Millisecond)
 		s.cancel()
 		Eventually(s.done, 200*time.Millisecond).Should(Receive(HaveField("Broken", true)))
@@ -100,9 +100,9 @@
 	It("asks the same target again", func() {
 		s := startLeaving(worker.Options{LostMoveAnswers: 1})
 		s.engine("third", longStreamEvents, nil)
-		Eventually(s.first.Targets, 100*time.Millisecond, time.Millisecond).Should(HaveLen(2))
+		Eventually(s.first.MoveTargets, 100*time.Millisecond, time.Millisecond).Should(HaveLen(2))
 		time.Sleep(answerLatency)
-		Expect(s.first.Targets()).To(HaveEach(s.first.Targets()[0]))
+		Expect(s.first.MoveTargets()).To(HaveEach(s.first.MoveTargets()[0]))
 		s.first.Stop()
 		Eventually(s.done, 3*time.Second).Should(Receive(HaveField("Broken", false)))
 		Expect(s.answer.text()).To(Equal(events(s.req.ID, 1, longStreamEvents)))
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -26,7 +26,7 @@
 // testRelay is a relay with stand-in workers behind it.
 type testRelay struct {
 	*relay.Relay
-	memory *worker.Memory
+	memory *worker.KVStore
 	ids    int
 	// backups is set where engines keep backups of long answers.
 	backups bool
@@ -34,7 +34,7 @@
 
 func newTestRelay() *testRelay {
 	client := h1.NewClient()
-	r := &testRelay{memory: worker.NewMemory()}
+	r := &testRelay{memory: worker.NewKVStore()}
 	r.Relay = &relay.Relay{
 		Fleet:    fleet.New("dc1", boottime.Now),
 		Client:   client,
@@ -59,7 +59,7 @@
 
 // engine adds an engine whose streams have the given number of events, 5 ms apart.
 func (r *testRelay) engine(id string, events int, faultOf func(*worker.Run) worker.Fault) *worker.Worker {
-	return r.start("pool", worker.Options{ID: id, Events: events, Gap: 5 * time.Millisecond, Memory: r.memory, FaultOf: faultOf})
+	return r.start("pool", worker.Options{ID: id, Events: events, EventInterval: 5 * time.Millisecond, KVStore: r.memory, FaultOf: faultOf})
 }
 
 // runsAt counts the runs that the workers started.
@@ -277,7 +277,7 @@
 	// answer follows one. A caller must not get the answer to somebody else's request.
 	It("skips answers that belong to another request", func() {
 		r := newTestRelay()
-		r.service("i1", worker.Foreign)
+		r.service("i1", worker.ForeignAnswer)
 		for range 5 {
 			req := r.request(routing.NonIdempotent)
 			v, a := r.serve(req)
@@ -288,7 +288,7 @@
 
 	It("drops what follows an answer", func() {
 		r := newTestRelay()
-		r.service("i1", worker.Extra)
+		r.service("i1", worker.ExtraAnswer)
 		for range 5 {
 			req := r.request(routing.NonIdempotent)
 			_, a := r.serve(req)
@@ -456,7 +456,7 @@
 		func(callerLeaves bool) {
 			r := newTestRelay()
 			r.start("pool", worker.Options{
-				ID: "first", Events: 30, Gap: 5 * time.Millisecond, Memory: r.memory, MoveTime: 300 * time.Millisecond,
+				ID: "first", Events: 30, EventInterval: 5 * time.Millisecond, KVStore: r.memory, MoveTime: 300 * time.Millisecond,
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
@@ -521,7 +521,7 @@
 		go func() { done <- r.Serve(ctx, req, a) }()
 		Eventually(a.text).Should(ContainSubstring("id: 5\n"))
 		cancel()
-		Eventually(e.Closed, 500*time.Millisecond).Should(ConsistOf(req.ID))
+		Eventually(e.ClosedByCaller, 500*time.Millisecond).Should(ConsistOf(req.ID))
 		Eventually(done).Should(Receive())
 	})
 
--- a/tests/node/deadly_test.go
+++ b/tests/node/deadly_test.go
@@ -28,7 +28,7 @@
 	for i := range engines {
 		id := fmt.Sprintf("e%d", i)
 		w, err := worker.Start(worker.Options{
-			ID: id, Events: 20, Memory: s.memory, FaultOf: func(*worker.Run) worker.Fault { return worker.Crash },
+			ID: id, Events: 20, KVStore: s.memory, FaultOf: func(*worker.Run) worker.Fault { return worker.Crash },
 		})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(w.Stop)
--- a/tests/node/evacuation_test.go
+++ b/tests/node/evacuation_test.go
@@ -38,7 +38,7 @@
 // engineIn starts an engine in a data centre.
 func (s *site) engineIn(id, dataCentre string, events int) *worker.Worker {
 	GinkgoHelper()
-	w, err := worker.Start(worker.Options{ID: id, Events: events, Gap: 10 * time.Millisecond, Memory: s.memory})
+	w, err := worker.Start(worker.Options{ID: id, Events: events, EventInterval: 10 * time.Millisecond, KVStore: s.memory})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(w.Stop)
 	s.registerIn(id, "pool", w.Address(), dataCentre)
--- a/tests/node/node_test.go
+++ b/tests/node/node_test.go
@@ -132,7 +132,7 @@
 		if len(second.Runs()) == 1 {
 			source, target = second, first
 		}
-		source.Leave()
+		source.SetLeaving()
 		Eventually(s.memory.Copies, 2*time.Second).Should(Equal(1))
 		source.Stop()
 		Eventually(target.Runs, 2*time.Second).Should(HaveLen(1))
--- a/tests/node/notices_soak_test.go
+++ b/tests/node/notices_soak_test.go
@@ -85,7 +85,7 @@
 			}
 			for _, w := range s.workers {
 				w.Pause("")
-				w.Announce("Server-Limit", "")
+				w.SetNotice("Server-Limit", "")
 			}
 			// A limit ends with the next answer; pauses of 3 s are over by then.
 			time.Sleep(3 * time.Second)
@@ -138,7 +138,7 @@
 	w := s.workers[id]
 	switch s.random.IntN(4) {
 	case 0:
-		w.Announce("Server-Leaving", "1")
+		w.SetNotice("Server-Leaving", "1")
 	case 1:
 		w.Pause([]string{"1", "2.5", ""}[s.random.IntN(3)])
 	default:
@@ -148,7 +148,7 @@
 			return
 		}
 		s.named[id], s.limit[id] = time.Now(), 0.5+float64(s.random.IntN(40))/10
-		w.Announce("Server-Limit", strconv.FormatFloat(s.limit[id], 'g', -1, 64))
+		w.SetNotice("Server-Limit", strconv.FormatFloat(s.limit[id], 'g', -1, 64))
 	}
 }
 
@@ -220,7 +220,7 @@
 
 func (s *noticeSoak) checkLeaving(id string, w *worker.Worker) {
 	GinkgoHelper()
-	told := s.passedOn(w, func(a worker.Arrival) bool { return a.Says["Server-Leaving"] != "" })
+	told := s.passedOn(w, func(a worker.Arrival) bool { return a.Notices["Server-Leaving"] != "" })
 	for _, a := range w.Arrivals() {
 		r := s.requests[a.ID]
 		t, known := told[r.node]
@@ -257,7 +257,7 @@
 	if !names {
 		return
 	}
-	told := s.passedOn(w, func(a worker.Arrival) bool { return a.Says["Server-Limit"] != "" })
+	told := s.passedOn(w, func(a worker.Arrival) bool { return a.Notices["Server-Limit"] != "" })
 	var counted []time.Time
 	for _, a := range w.Arrivals() {
 		r := s.requests[a.ID]
--- a/tests/node/notices_test.go
+++ b/tests/node/notices_test.go
@@ -85,7 +85,7 @@
 
 var _ = Describe("an endpoint that names a limit", func() {
 	const perSecond = 3.0
-	limited := func(w *worker.Worker) { w.Announce("Server-Limit", fmt.Sprint(perSecond)) }
+	limited := func(w *worker.Worker) { w.SetNotice("Server-Limit", fmt.Sprint(perSecond)) }
 
 	// Guards against first sendings beyond what the endpoint takes from all nodes together.
 	DescribeTable("gets no more from all nodes together", func(path string) {
@@ -162,7 +162,7 @@
 		s.start(3)
 		limited(i2)
 		s.press("/calls/", 2, 20*time.Millisecond, time.Second)
-		i2.Announce("Server-Limit", "")
+		i2.SetNotice("Server-Limit", "")
 		s.press("/calls/", 2, 20*time.Millisecond, 3*time.Second)
 		before := len(i2.Arrivals())
 		replies := s.press("/calls/", 2, 20*time.Millisecond, 2*time.Second)
@@ -191,7 +191,7 @@
 		s.app("i1")
 		i2 := s.app("i2")
 		s.start(3)
-		i2.Announce("Server-Leaving", "1")
+		i2.SetNotice("Server-Leaving", "1")
 		told(s, s.nodes[0], i2, "/calls/x")
 		Expect(s.reaches(i2)()).To(BeZero())
 		s.register("i2", "app", i2.Address(), "ready")
@@ -203,7 +203,7 @@
 		time.Sleep(newsBound)
 		Expect(s.reaches(i2)()).To(BeZero())
 		// The next start under its ID.
-		i2.Announce("Server-Leaving", "")
+		i2.SetNotice("Server-Leaving", "")
 		s.registerBorn("i2", "app", i2.Address(), "ready", time.Now().UnixMilli())
 		Eventually(s.reaches(i2)).Should(BeNumerically(">", 0))
 	})
@@ -214,7 +214,7 @@
 		e1 := s.engine("e1", 300)
 		e2 := s.engine("e2", 300)
 		s.start(1)
-		e1.Announce("Server-Leaving", "1")
+		e1.SetNotice("Server-Leaving", "1")
 		answers := make(chan reply, 50)
 		sent := 0
 		Eventually(func() int {
@@ -242,7 +242,7 @@
 			Expect(got.body).To(ContainSubstring("id: 300\n"))
 		}
 		Expect(e1.Arrivals()).To(HaveLen(before))
-		Expect(e1.Targets()).To(ContainElement(s.addresses["e2"]))
+		Expect(e1.MoveTargets()).To(ContainElement(s.addresses["e2"]))
 		Expect(e2.Runs()).NotTo(BeEmpty())
 	})
 })
@@ -313,7 +313,7 @@
 	// Guards against new streams for an engine that asked for a pause.
 	It("gets no new streams meanwhile", func() {
 		s := newSite()
-		w, err := worker.Start(worker.Options{ID: "e1", Events: 5, Memory: s.memory, FaultOf: failing(2)})
+		w, err := worker.Start(worker.Options{ID: "e1", Events: 5, KVStore: s.memory, FaultOf: failing(2)})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(w.Stop)
 		s.register("e1", "pool", w.Address(), "ready")
--- a/tests/node/site_test.go
+++ b/tests/node/site_test.go
@@ -58,7 +58,7 @@
 type site struct {
 	store  *platform.Store
 	faults *admin.Client
-	memory *worker.Memory
+	memory *worker.KVStore
 	nodes  []*member
 	keys   []string
 	config int
@@ -90,7 +90,7 @@
 	GinkgoHelper()
 	server := httptest.NewServer(standin.New(standin.Options{Latency: 2 * time.Millisecond}).Handler())
 	DeferCleanup(server.Close)
-	s := &site{memory: worker.NewMemory(), keys: []string{"key"}, dir: GinkgoT().TempDir(), addresses: make(map[string]string)}
+	s := &site{memory: worker.NewKVStore(), keys: []string{"key"}, dir: GinkgoT().TempDir(), addresses: make(map[string]string)}
 	s.addr = strings.TrimPrefix(server.URL, "http://")
 	s.store = platform.NewStore(s.addr, time.Second)
 	s.faults = admin.NewClient(s.addr)
@@ -202,7 +202,7 @@
 
 func (s *site) engine(id string, events int) *worker.Worker {
 	GinkgoHelper()
-	w, err := worker.Start(worker.Options{ID: id, Events: events, Gap: 10 * time.Millisecond, Memory: s.memory})
+	w, err := worker.Start(worker.Options{ID: id, Events: events, EventInterval: 10 * time.Millisecond, KVStore: s.memory})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(w.Stop)
 	s.addresses[id] = s.front(id, w.Address())
--- a/tests/node/withdrawal_test.go
+++ b/tests/node/withdrawal_test.go
@@ -118,7 +118,7 @@
 // withdraw takes the endpoint's entry back at its moment and counts its runs when the bound is over.
 func (s *outageSite) withdraw(w *withdrawal, bound time.Duration) {
 	time.Sleep(time.Until(s.returned.Add(w.at)))
-	w.worker.Leave()
+	w.worker.SetLeaving()
 	s.remove(w.id)
 	time.Sleep(bound)
 	w.allowed = len(w.worker.Runs())
@@ -215,7 +215,7 @@
 			s.storeLink(i).Cut()
 		}
 		time.Sleep(1500 * time.Millisecond)
-		leaver.Leave()
+		leaver.SetLeaving()
 		for _, n := range s.nodes {
 			Eventually(s.knows(n, "", "health check"), time.Second).Should(BeTrue())
 		}
