--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -31,7 +31,7 @@
 	leavingAt      time.Time
 	reports        reports
 	cacheEvents    cacheEvents
-	modelState     modelState
+	orderState     orderState
 }
 
 // idempotencyKey identifies a generation by its idempotency key within a workspace.
@@ -54,7 +54,7 @@
 		generations: make(map[string]*generation),
 		byKey:       make(map[idempotencyKey]*generation),
 		random:      rand.New(rand.NewPCG(o.Seed, 1)),
-		modelState:  newModelState(o.Models, o.Role),
+		orderState:  newOrderState(o.Models, o.Role),
 	}
 	e.reports.add(time.Now(), e.report())
 	return e, nil
@@ -120,7 +120,7 @@
 	if e.faults.Refuse {
 		return refuseUnavailable("refusing")
 	}
-	if !e.modelState.serves(req.Model, req.Adapter) {
+	if !e.orderState.serves(req.Model, req.Adapter) {
 		return refuseUnavailable("model not loaded")
 	}
 	if e.model.Usage().Waiting >= e.options.MaxWaiting {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -138,8 +138,8 @@
 			Should(And(HaveField("Loading", false), HaveField("Models", HaveLen(1))))
 	})
 
-	// A VM is reclaimed at short notice: the engine must announce it without the report lag and
-	// exit with status 0 at the deadline.
+	// A VM is reclaimed at short notice, which cuts off longer answers: the engine must announce it
+	// without the report lag and exit with status 0 at the deadline.
 	It("announces its reclaim and then exits", func() {
 		r := startEngine(Options{ReportLag: time.Hour})
 		Expect(r.admin.SetFaults(ctx, admin.EngineFaults{ReclaimInMS: 300})).To(Succeed())
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -181,7 +181,7 @@
 func (e *Engine) listOrders() []admin.OrderRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]admin.OrderRecord{}, e.modelState.orders...)
+	return append([]admin.OrderRecord{}, e.orderState.orders...)
 }
 
 func sendRefusal(c echo.Context, refused *refusal) error { return c.JSON(refused.status, refused.body) }
--- a/internal/standin/engine/length.go
+++ b/internal/standin/engine/length.go
@@ -11,8 +11,8 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// crashAfterTokens is the number of tokens after which the engine exits for a prompt with the crash
-// marker; a shorter output ends it after its last token.
+// crashAfterTokens is the number of tokens after which the engine exits because of CrashMarker in
+// the prompt. If the output is shorter, it exits at the last token.
 const crashAfterTokens = 3
 
 var lengthMarker = regexp.MustCompile(`\[\[len=(\d{1,9})\]\]`)
--- a/internal/standin/engine/model/load_test.go
+++ b/internal/standin/engine/model/load_test.go
@@ -21,7 +21,7 @@
 	seed           = 1
 )
 
-// statistics are the statistics of a run as callers see it, in model time.
+// statistics summarizes a run as callers see it, in model time.
 type statistics struct {
 	preemptions   float64       // per 1,000 answers
 	stall         time.Duration // mean per answer
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,9 +10,9 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// modelState is the state that orders change: models, role and fence, with a record of all orders. It
-// is guarded by the engine's mutex.
-type modelState struct {
+// orderState is the state that orders change: models, role and fence, with a record of all orders.
+// It is guarded by the engine's mutex.
+type orderState struct {
 	models  []endpoint.LoadedModel
 	role    string
 	fence   uint64
@@ -20,8 +20,8 @@
 	orders  []admin.OrderRecord
 }
 
-func newModelState(models []string, role string) modelState {
-	l := modelState{role: role}
+func newOrderState(models []string, role string) orderState {
+	l := orderState{role: role}
 	for _, m := range models {
 		name, version, ok := strings.Cut(m, "@")
 		if !ok {
@@ -32,7 +32,7 @@
 	return l
 }
 
-func (l *modelState) find(model string) *endpoint.LoadedModel {
+func (l *orderState) find(model string) *endpoint.LoadedModel {
 	for i := range l.models {
 		if l.models[i].Model == model {
 			return &l.models[i]
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func (l *modelState) serves(model, adapter string) bool {
+func (l *orderState) serves(model, adapter string) bool {
 	m := l.find(model)
 	return m != nil && (adapter == "" || slices.Contains(m.Adapters, adapter))
 }
@@ -49,17 +49,17 @@
 func (e *Engine) state() endpoint.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	models := make([]endpoint.LoadedModel, len(e.modelState.models))
-	for i, m := range e.modelState.models {
+	models := make([]endpoint.LoadedModel, len(e.orderState.models))
+	for i, m := range e.orderState.models {
 		m.Adapters = slices.Clone(m.Adapters)
 		models[i] = m
 	}
 	return endpoint.State{
 		Incarnation: e.incarnation,
 		Models:      models,
-		Role:        e.modelState.role,
-		Fence:       e.modelState.fence,
-		Loading:     e.modelState.loading > 0,
+		Role:        e.orderState.role,
+		Fence:       e.orderState.fence,
+		Loading:     e.orderState.loading > 0,
 	}
 }
 
@@ -76,7 +76,7 @@
 	if refused != nil {
 		record.Error = refused.body.Message
 	}
-	e.modelState.orders = append(e.modelState.orders, record)
+	e.orderState.orders = append(e.orderState.orders, record)
 	return refused
 }
 
@@ -84,22 +84,22 @@
 	if !e.options.ChecksFence {
 		return nil
 	}
-	if fence < e.modelState.fence {
+	if fence < e.orderState.fence {
 		return refuse(409, endpoint.KindStaleFence, crocusreel.OutcomeNotRun, "fencing number too low")
 	}
-	e.modelState.fence = fence
+	e.orderState.fence = fence
 	return nil
 }
 
 func (e *Engine) execute(o endpoint.Order) *refusal {
 	switch o.Verb {
 	case "load":
-		e.modelState.loading++
+		e.orderState.loading++
 		go e.load(o)
 	case "unload":
 		e.unload(o)
 	case "role":
-		e.modelState.role = o.Role
+		e.orderState.role = o.Role
 	default:
 		return refuse(400, endpoint.KindRefused, crocusreel.OutcomeNotRun, "unknown verb")
 	}
@@ -109,11 +109,11 @@
 // unload removes an adapter, or the whole model if the order names none. The caller holds the
 // mutex.
 func (e *Engine) unload(o endpoint.Order) {
-	if m := e.modelState.find(o.Model); m != nil && o.Adapter != "" {
+	if m := e.orderState.find(o.Model); m != nil && o.Adapter != "" {
 		m.Adapters = slices.DeleteFunc(m.Adapters, func(a string) bool { return a == o.Adapter })
 		return
 	}
-	e.modelState.models = slices.DeleteFunc(e.modelState.models, func(m endpoint.LoadedModel) bool {
+	e.orderState.models = slices.DeleteFunc(e.orderState.models, func(m endpoint.LoadedModel) bool {
 		return m.Model == o.Model && (o.Version == "" || m.Version == o.Version)
 	})
 }
@@ -127,14 +127,14 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.modelState.loading--
+	e.orderState.loading--
 	if err != nil || e.faults.FailLoads {
 		return
 	}
-	m := e.modelState.find(o.Model)
+	m := e.orderState.find(o.Model)
 	if m == nil {
-		e.modelState.models = append(e.modelState.models, endpoint.LoadedModel{Model: o.Model, Version: defaultVersion})
-		m = e.modelState.find(o.Model)
+		e.orderState.models = append(e.orderState.models, endpoint.LoadedModel{Model: o.Model, Version: defaultVersion})
+		m = e.orderState.find(o.Model)
 	}
 	if o.Version != "" {
 		m.Version = o.Version
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -43,7 +43,7 @@
 	Hang
 	// SkipEvent omits the middle event of a stream.
 	SkipEvent
-	// Crash closes the listener and all connections; of streams after half of the events.
+	// Crash stops the worker as Stop does; for a stream, after half of its events.
 	Crash
 )
 
@@ -124,8 +124,7 @@
 	moveTargets []string
 	// answering is held for reading from the creation of a copy to the end of the response. Stop
 	// takes the write lock to wait for the response: without it nobody knows the handle of the
-	// copy, and no node can resume from it. CrashAfterCopy simulates a crash in
-	// between.
+	// copy, and no node can resume from it. CrashAfterCopy simulates a crash in between.
 	answering sync.RWMutex
 }
 
@@ -159,7 +158,7 @@
 // Address returns the IP:port on which the worker listens.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// Stop closes the listener and all connections, after pending responses to move orders.
+// Stop closes the listener and, after pending responses to move orders, the connections.
 //
 // It closes the listener itself, because a server that is closed before its goroutine calls Serve
 // closes the listener only later. A connection made in between would be reset after the request
