--- a/endpoint/service_test.go
+++ b/endpoint/service_test.go
@@ -87,7 +87,7 @@
 	// A caller repeats a booking while the first one may still be running. A service that drops
 	// repeated calls books once and answers both in the same way.
 	It("runs a call with a repeated key once if the service drops repeated calls", func() {
-		client, list := startService(service.Options{DropsRepeats: true})
+		client, list := startService(service.Options{Deduplicate: true})
 		first, err := client.Do(ctx, booking("k"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(client.Do(ctx, booking("k"))).To(Equal(first))
--- a/internal/standin/engine/drive.go
+++ b/internal/standin/engine/drive.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// pollInterval is how often a stalled engine looks whether it may go on, and
-	// how often load reports and deadlines are renewed.
+	// pollInterval is the interval at which a stalled engine checks whether it may continue,
+	// load reports are renewed, and retention and reclaim deadlines are checked.
 	pollInterval = 20 * time.Millisecond
-	// maxBehind is how far the steps may fall behind real time, on a busy machine,
-	// before the rest is given up instead of being caught up in a burst.
-	maxBehind = 200 * time.Millisecond
+	// maxStepLag is the maximum delay of the steps behind real time, which occurs on a busy
+	// machine. Beyond it the schedule restarts from now, which avoids a burst of steps.
+	maxStepLag = 200 * time.Millisecond
 )
 
-// Run drives the engine until ctx ends.
+// Run executes steps in scaled time until ctx is cancelled.
 func (e *Engine) Run(ctx context.Context) error {
-	go e.keepHouse(ctx)
+	go e.runMaintenance(ctx)
 	due := time.Now()
 	for ctx.Err() == nil {
 		step, ok := e.step()
@@ -29,7 +29,7 @@
 			continue
 		}
 		due = due.Add(e.scaled(step.Duration))
-		if behind := time.Since(due); behind > maxBehind {
+		if lag := time.Since(due); lag > maxStepLag {
 			due = time.Now()
 		}
 		if !sleep(ctx, time.Until(due)) {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// step runs one step of the model; false means that there is nothing to do.
+// step runs one step of the model. It returns false if the engine is idle or stalled.
 func (e *Engine) step() (model.Step, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// apply publishes the results of a step once its time is over.
+// apply publishes the results of a step, after its duration has passed.
 func (e *Engine) apply(step model.Step) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, t := range step.Tokens {
-		e.token(t)
+		e.applyToken(t)
 	}
 	for _, ended := range step.Ended {
 		if g := e.generations[ended.ID]; g != nil {
@@ -103,41 +103,41 @@
 	}
 }
 
-func (e *Engine) token(t model.Token) {
+func (e *Engine) applyToken(t model.Token) {
 	g := e.generations[t.ID]
 	if g == nil || g.done {
 		return
 	}
 	g.produced = t.Index + 1
 	g.notify()
-	if g.crashes && g.produced >= min(crashAfter, g.target) {
-		e.options.Exit(admin.StatusDied)
+	if g.crashMarked && g.produced >= min(crashAfterTokens, g.targetTokens) {
+		e.options.Exit(admin.ExitStatusDied)
 	}
-	if e.dieAfter > 0 {
-		e.dieAfter--
-		if e.dieAfter == 0 {
-			e.options.Exit(admin.StatusDied)
+	if e.dieAfterTokens > 0 {
+		e.dieAfterTokens--
+		if e.dieAfterTokens == 0 {
+			e.options.Exit(admin.ExitStatusDied)
 		}
 	}
 }
 
 func (g *generation) finishReason(f model.Finish) string {
-	if f == model.FinishLength || g.cut {
+	if f == model.FinishLength || g.limited {
 		return finishLength
 	}
 	return string(model.FinishStop)
 }
 
-// keepHouse renews load reports, forgets old generations, and stops a reclaimed
-// engine.
-func (e *Engine) keepHouse(ctx context.Context) {
+// runMaintenance renews load reports, removes expired generations and stops the engine at its
+// reclaim deadline, until ctx is cancelled.
+func (e *Engine) runMaintenance(ctx context.Context) {
 	for sleep(ctx, pollInterval) {
 		e.mu.Lock()
 		now := time.Now()
 		if !e.faults.ReportsFrozen {
 			e.reports.add(now, e.report())
 		}
-		e.forget(now)
+		e.removeExpired(now)
 		reclaimed := !e.leavingAt.IsZero() && now.After(e.leavingAt)
 		e.mu.Unlock()
 		if reclaimed {
@@ -146,9 +146,9 @@
 	}
 }
 
-func (e *Engine) forget(now time.Time) {
+func (e *Engine) removeExpired(now time.Time) {
 	for id, g := range e.generations {
-		if g.done && g.streams == 0 && now.Sub(g.endedAt) > e.options.Keep {
+		if g.done && g.streams == 0 && now.Sub(g.endedAt) > e.options.Retention {
 			delete(e.generations, id)
 		}
 	}
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -8,42 +8,43 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Finish reasons beside the model's.
+// Finish reasons that the engine reports in addition to model.FinishStop.
 const (
 	finishLength    = "length"
 	finishCancelled = "cancelled"
 )
 
-// generation is one run. Its fields are guarded by the engine's mutex. Tokens are
-// not stored: their text follows from the generation's ID and the index.
+// generation is the state of one generation. Its fields are guarded by the engine's mutex. Tokens
+// are not stored, because their text is derived from the generation ID and the index.
 type generation struct {
 	request      endpoint.GenerateRequest
 	runIndex     int
 	promptTokens int
-	// target is the number of tokens after which it ends; cut tells that a bound
-	// and not the answer's own end set it.
-	target      int
-	cut         bool
-	crashes     bool
-	produced    int
-	preemptions int
-	done        bool
-	finish      string
-	endedAt     time.Time
-	streams     int
-	detach      *time.Timer
-	// changed is closed and replaced at each change.
+	// targetTokens is the number of tokens to generate. limited reports that the token limit,
+	// and not the drawn length, determines it.
+	targetTokens int
+	limited      bool
+	crashMarked  bool
+	produced     int
+	preemptions  int
+	done         bool
+	finish       string
+	endedAt      time.Time
+	streams      int
+	detachTimer  *time.Timer
+	// changed is closed and replaced when the generation changes.
 	changed chan struct{}
 }
 
-// textPrefix is the number of bytes of the generation ID in each token's text.
-const textPrefix = 8
+// textPrefixBytes is the number of leading bytes of the generation ID in the text of a token.
+const textPrefixBytes = 8
 
 func tokenText(generationID string, index int) string {
-	return fmt.Sprintf("%s.%d ", generationID[:min(textPrefix, len(generationID))], index)
+	return fmt.Sprintf("%s.%d ", generationID[:min(textPrefixBytes, len(generationID))], index)
 }
 
-// frame builds the frame with an index: a token, or the end at the answer's length.
+// frame returns the frame at index: a token, or the final frame if index is the number of tokens
+// produced. The caller holds the engine's mutex.
 func (g *generation) frame(index int) endpoint.Frame {
 	f := endpoint.Frame{
 		RequestID:    g.request.RequestID,
@@ -61,13 +62,14 @@
 	return f
 }
 
-// notify wakes the streams of a generation.
+// notify wakes the streams of a generation. The caller holds the engine's mutex.
 func (g *generation) notify() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// end marks a generation as ended. The caller holds the engine's mutex.
+// end marks a generation as ended and updates its run record. The caller holds the engine's
+// mutex.
 func (e *Engine) end(g *generation, finish string) {
 	if g.done {
 		return
@@ -91,19 +93,19 @@
 	e.end(g, finishCancelled)
 }
 
-// attach counts a stream in.
-func (e *Engine) attach(g *generation) {
+// attachStream adds a stream to a generation and stops the timer that would cancel it.
+func (e *Engine) attachStream(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g.streams++
-	if g.detach != nil {
-		g.detach.Stop()
-		g.detach = nil
+	if g.detachTimer != nil {
+		g.detachTimer.Stop()
+		g.detachTimer = nil
 	}
 }
 
-// detachStream counts a stream out. A generation that nobody reads goes on for the
-// grace time, so that it can be resumed, and is then cancelled.
+// detachStream removes a stream from a generation. A generation without streams continues for
+// DetachGrace, so that it can be resumed, and is then cancelled.
 func (e *Engine) detachStream(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,7 +113,7 @@
 	if g.streams > 0 || g.done {
 		return
 	}
-	g.detach = time.AfterFunc(e.options.DetachGrace, func() {
+	g.detachTimer = time.AfterFunc(e.options.DetachGrace, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if g.streams == 0 {
--- a/internal/standin/engine/model/load_test.go
+++ b/internal/standin/engine/model/load_test.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// stallGap is the time between two tokens of an answer above which the rest
-	// counts as stall.
-	stallGap = 250 * time.Millisecond
-	answers  = 2000
-	seed     = 1
+	// stallThreshold is the longest time between two tokens of an answer that is not a stall; any
+	// time beyond it counts as stall time.
+	stallThreshold = 250 * time.Millisecond
+	answerCount    = 2000
+	seed           = 1
 )
 
-// figures are what callers saw of a run in model time.
-type figures struct {
-	preemptions  float64 // for each 1,000 answers
-	stall        time.Duration
-	p50, p99     time.Duration // time between tokens
-	first99      time.Duration // time to first token
-	tokensPerSec float64
+// statistics summarizes a run as callers see it, in model time.
+type statistics struct {
+	preemptions   float64       // per 1,000 answers
+	stall         time.Duration // mean per answer
+	p50, p99      time.Duration // time between tokens
+	firstTokenP99 time.Duration // time to first token, 99th percentile
+	tokensPerSec  float64
 }
 
 // arrival is one request of a trace.
@@ -36,23 +36,23 @@
 	seq model.Sequence
 }
 
-// trace draws Poisson arrivals with lognormal prompts and lengths.
+// trace draws Poisson arrivals with lognormal prompt and output lengths.
 func trace(perSecond float64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 0))
 	draw := func(median, sigma float64) int { return 1 + int(median*math.Exp(sigma*random.NormFloat64())) }
 	var at time.Duration
-	list := make([]arrival, answers)
+	list := make([]arrival, answerCount)
 	for i := range list {
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		list[i] = arrival{at, model.Sequence{
-			ID: fmt.Sprint(i), Prompt: min(draw(150, 0.7), 4000), Length: min(draw(180, 0.9), 4000),
+			ID: fmt.Sprint(i), PromptTokens: min(draw(150, 0.7), 4000), OutputTokens: min(draw(180, 0.9), 4000),
 		}}
 	}
 	return list
 }
 
-// replay runs a trace in model time.
-func replay(p model.Params, list []arrival) figures {
+// replay runs a trace in model time until the engine is idle.
+func replay(p model.Params, list []arrival) statistics {
 	e := model.New(p)
 	var now time.Duration
 	var gaps, firsts []time.Duration
@@ -78,23 +78,24 @@
 				continue
 			}
 			gaps = append(gaps, gap)
-			stall += max(0, gap-stallGap)
+			stall += max(0, gap-stallThreshold)
 		}
 	}
 	slices.Sort(gaps)
 	slices.Sort(firsts)
-	return figures{
-		preemptions:  float64(e.Usage().Preemptions) * 1000 / answers,
-		stall:        stall / answers,
-		p50:          gaps[len(gaps)/2],
-		p99:          gaps[len(gaps)*99/100],
-		first99:      firsts[len(firsts)*99/100],
-		tokensPerSec: float64(tokens) / now.Seconds(),
+	return statistics{
+		preemptions:   float64(e.Usage().Preemptions) * 1000 / answerCount,
+		stall:         stall / answerCount,
+		p50:           gaps[len(gaps)/2],
+		p99:           gaps[len(gaps)*99/100],
+		firstTokenP99: firsts[len(firsts)*99/100],
+		tokensPerSec:  float64(tokens) / now.Seconds(),
 	}
 }
 
-// The figures of docs/decisions/0003-engine-model.md come from this test with -v.
-// They are in model time and the same in each run.
+// Guards against a model in which higher load does not cost preemptions, stalls and slower
+// tokens. With -v it logs the table of docs/decisions/0003-engine-model.md, which is in model
+// time and therefore the same in each run.
 func TestMemoryRunsOutUnderLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, capacity := range []int{8000, 30000} {
@@ -103,14 +104,14 @@
 		saturated := replay(p, trace(1000))
 		mean := 0.0
 		for _, a := range trace(1) {
-			mean += float64(a.seq.Length) / answers
+			mean += float64(a.seq.OutputTokens) / answerCount
 		}
-		var rows []figures
+		var rows []statistics
 		for _, load := range []float64{0.5, 0.8, 0.95, 1.2} {
 			f := replay(p, trace(load*saturated.tokensPerSec/mean))
 			rows = append(rows, f)
 			t.Logf("| %d | %.2f | %.1f | %d | %d | %d | %d | %.0f |", capacity, load, f.preemptions,
-				f.stall.Milliseconds(), f.p50.Milliseconds(), f.p99.Milliseconds(), f.first99.Milliseconds(), f.tokensPerSec)
+				f.stall.Milliseconds(), f.p50.Milliseconds(), f.p99.Milliseconds(), f.firstTokenP99.Milliseconds(), f.tokensPerSec)
 		}
 		light, heavy := rows[0], rows[len(rows)-1]
 		g.Expect(heavy.preemptions).To(gomega.BeNumerically(">", 10*light.preemptions))
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -13,7 +13,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// errAborted means that a fault ends the connection without an end of the answer.
+// errAborted means that a fault closes the connection in the middle of the response.
 var errAborted = errors.New("connection aborted")
 
 // stream writes a generation's frames to one client.
@@ -24,13 +24,13 @@
 	flusher http.Flusher
 }
 
-// serve writes frames from the index next on, until the end of the generation or
-// of the client.
+// serve writes frames from index next on, until the generation ends, ctx is cancelled or a write
+// fails.
 func (s *stream) serve(ctx context.Context, next int) error {
 	keepAlive := time.NewTicker(s.engine.options.KeepAlive)
 	defer keepAlive.Stop()
 	for {
-		frames, changed := s.due(next)
+		frames, changed := s.pendingFrames(next)
 		for _, f := range frames {
 			if err := s.write(f); err != nil {
 				return err
@@ -52,9 +52,10 @@
 	}
 }
 
-// due returns the frames from next on that exist now. While streams are muted there
-// are none, and the next look is at the next keep-alive.
-func (s *stream) due(next int) ([]endpoint.Frame, <-chan struct{}) {
+// pendingFrames returns the available frames from next on and a channel that is closed at the next
+// change. While streams are muted it returns no frames and a nil channel, so that the caller checks
+// again at the next keep-alive.
+func (s *stream) pendingFrames(next int) ([]endpoint.Frame, <-chan struct{}) {
 	e, g := s.engine, s.gen
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,11 +97,11 @@
 	}
 }
 
-// write sends a frame with the faults drawn for it.
+// write sends a frame, subject to the faults drawn for it.
 func (s *stream) write(f endpoint.Frame) error {
 	faults := s.engine.drawFrameFaults()
 	if faults.crossed {
-		if err := s.sendFrame(crossed(f)); err != nil {
+		if err := s.sendFrame(crossedFrame(f)); err != nil {
 			return err
 		}
 	}
@@ -119,26 +120,26 @@
 		}
 	}
 	if faults.late && f.Index > 0 && !f.Done {
-		return s.sendFrame(s.older(f.Index / 2))
+		return s.sendFrame(s.earlierFrame(f.Index / 2))
 	}
 	return nil
 }
 
-func (s *stream) older(index int) endpoint.Frame {
+func (s *stream) earlierFrame(index int) endpoint.Frame {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	return s.gen.frame(index)
 }
 
-// crossed makes a frame of another request that has the same index.
-func crossed(f endpoint.Frame) endpoint.Frame {
+// crossedFrame returns a frame with the same index but the IDs of another request and generation.
+func crossedFrame(f endpoint.Frame) endpoint.Frame {
 	f.RequestID = uuid.NewString()
 	f.GenerationID = uuid.NewString()
 	f.Text = tokenText(f.GenerationID, f.Index)
 	return f
 }
 
-// truncate sends the first half of a frame and ends the connection.
+// truncate sends the first half of a frame and returns errAborted to close the connection.
 func (s *stream) truncate(f endpoint.Frame) error {
 	line, err := json.Marshal(f)
 	if err != nil {
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -12,26 +12,26 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// Options of the stand-in.
+// Options configure the stand-in.
 type Options struct {
-	// WriteRate and ReadRate bound calls a second; 0 means no limit.
+	// WriteRate and ReadRate limit the calls per second; 0 means no limit.
 	WriteRate, ReadRate float64
 	// Latency is added to each call.
 	Latency time.Duration
-	// VMLag is the age at which a new list of VMs shows.
+	// VMLag is the delay before a new list of VMs becomes visible; the first has none.
 	VMLag time.Duration
-	// WeightBytesPerS is the rate of the weight store; ModelBytes the size of each
-	// load. Defaults: 2e9 and 1e9.
+	// WeightBytesPerS is the transfer rate of the weight store in bytes per second, ModelBytes
+	// the size of each load in bytes. Defaults 2e9 and 1e9.
 	WeightBytesPerS float64
 	ModelBytes      int64
-	// Seed of the random faults.
+	// Seed seeds the random faults.
 	Seed uint64
 }
 
-// maxHistory bounds the operations that are kept.
-const maxHistory = 500_000
+// maxHistoryOperations is the maximum number of recorded operations; later ones are not recorded.
+const maxHistoryOperations = 500_000
 
-// Server is the stand-in.
+// Server is a stand-in for the platform.
 type Server struct {
 	options Options
 	store   *store
@@ -47,7 +47,7 @@
 	history []admin.Operation
 }
 
-// New returns a stand-in without rows.
+// New returns a stand-in with empty tables.
 func New(o Options) *Server {
 	if o.WeightBytesPerS <= 0 {
 		o.WeightBytesPerS = 2e9
@@ -60,22 +60,22 @@
 		store:   newStore(),
 		writes:  newLimiter(o.WriteRate),
 		reads:   newLimiter(o.ReadRate),
-		weights: &weightStore{bytesPerS: o.WeightBytesPerS, modelBytes: o.ModelBytes},
+		weights: &weightStore{bytesPerSecond: o.WeightBytesPerS, modelBytes: o.ModelBytes},
 		vms:     &laggingVMs{lag: o.VMLag},
 		start:   time.Now(),
 		random:  rand.New(rand.NewPCG(o.Seed, 0)),
 	}
 }
 
-// Handler serves the platform's API and the administration API.
+// Handler returns the handler of the platform's API and the administration API.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
-	e.GET(platform.PathRows, s.guard(s.reads, s.list))
-	e.GET(platform.PathChanges, s.guard(s.reads, s.changes))
-	e.POST(platform.PathTransaction, s.guard(s.writes, s.commit))
-	e.PUT(platform.PathPutObject+":name", s.guard(s.writes, s.putObject))
-	e.GET(platform.PathGetObject+":name", s.guard(s.reads, s.getObject))
-	e.POST(platform.PathReserve, s.guard(s.writes, s.reserve))
+	e.GET(platform.PathRows, s.withFaults(s.reads, s.list))
+	e.GET(platform.PathChanges, s.withFaults(s.reads, s.changes))
+	e.POST(platform.PathTransaction, s.withFaults(s.writes, s.commit))
+	e.PUT(platform.PathPutObject+":name", s.withFaults(s.writes, s.putObject))
+	e.GET(platform.PathGetObject+":name", s.withFaults(s.reads, s.getObject))
+	e.POST(platform.PathReserve, s.withFaults(s.writes, s.reserve))
 	e.GET("/healthz", s.health)
 	e.POST(admin.PathFaults, s.setFaults)
 	e.GET(admin.PathFaults, func(c echo.Context) error { return c.JSON(http.StatusOK, s.currentFaults()) })
@@ -85,9 +85,9 @@
 	return e
 }
 
-// guard applies outage, delay and rate limit before a call, and the late answer
-// after it.
-func (s *Server) guard(limit *limiter, next echo.HandlerFunc) echo.HandlerFunc {
+// withFaults applies outages, the rate limit and the delay before a call. The handlers delay the
+// response themselves.
+func (s *Server) withFaults(limit *limiter, next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		f := s.currentFaults()
 		if f.Unreachable {
@@ -99,16 +99,16 @@
 		if !limit.allow(time.Now()) {
 			return c.NoContent(http.StatusTooManyRequests)
 		}
-		if !pause(c, s.options.Latency+milliseconds(f.SlowMS)) {
+		if !sleepWhileConnected(c, s.options.Latency+milliseconds(f.SlowMS)) {
 			abort()
 		}
 		return next(c)
 	}
 }
 
-// pause waits and reports whether the client is still there: a call whose client
-// has gone before it was applied is not applied.
-func pause(c echo.Context, d time.Duration) bool {
+// sleepWhileConnected waits for d and returns false if the client disconnects first. A call whose
+// client disconnects before the call is applied is not applied.
+func sleepWhileConnected(c echo.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -120,7 +120,7 @@
 	}
 }
 
-// abort ends the connection without an answer.
+// abort closes the connection without a response.
 func abort() { panic(http.ErrAbortHandler) }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -131,7 +131,7 @@
 	return s.faults
 }
 
-// chance reports true with the given probability.
+// chance returns true with probability p.
 func (s *Server) chance(p float64) bool {
 	if p <= 0 {
 		return false
@@ -181,7 +181,7 @@
 	op.ReturnedNS = s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.history) < maxHistory {
+	if len(s.history) < maxHistoryOperations {
 		s.history = append(s.history, op)
 	}
 }
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -1,5 +1,5 @@
-// Package service is the stand-in for a plain service. GET answers; every other
-// method has an effect, which the run list shows.
+// Package service implements a stand-in for a plain service, for tests and experiments. GET has no
+// effect; a call with any other method has an effect and is recorded in the run list.
 package service
 
 import (
@@ -18,45 +18,46 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Options of the stand-in.
+// Options configure the stand-in.
 type Options struct {
 	Name string
 	// Latency is added to each call.
 	Latency time.Duration
-	// DropsRepeats answers a repeated idempotency key from memory, without effect.
-	DropsRepeats bool
-	// Journal is a file for the run list; empty keeps it in memory only.
+	// Deduplicate answers calls with a repeated idempotency key with the first call's answer,
+	// without a second effect.
+	Deduplicate bool
+	// Journal is the file in which runs are recorded; if empty they are kept in memory only.
 	Journal string
-	// Seed of the random faults.
+	// Seed seeds the random faults.
 	Seed uint64
-	// Exit ends the process; nil is allowed in tests.
+	// Exit ends the process. Nil does nothing, for tests.
 	Exit func(status int)
 }
 
-// Answer is the body of each answer.
+// Answer is the body of each successful response.
 type Answer struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	Query   string `json:"query,omitempty"`
 	Body    string `json:"body,omitempty"`
-	// Effect is the ID of the effect; empty for GET.
+	// Effect is the unique ID of the call's effect; empty for GET.
 	Effect string `json:"effect,omitempty"`
 }
 
-// maxBody bounds a request body, in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes is the maximum size of a request body in bytes; longer bodies are truncated.
+const maxBodyBytes = 16 << 20
 
-// repeatKey names one idempotent call.
-type repeatKey struct{ workspace, key string }
+// idempotencyKey identifies a call by its idempotency key within a workspace.
+type idempotencyKey struct{ workspace, key string }
 
-// call is the one run of a repeatKey; done is closed once answer is set.
+// call is the only run of an idempotencyKey. done is closed after answer is set.
 type call struct {
 	done   chan struct{}
 	answer Answer
 }
 
-// Server is the stand-in.
+// Server is a stand-in for a plain service.
 type Server struct {
 	options Options
 	runs    *admin.RunLog
@@ -64,10 +65,10 @@
 	mu     sync.Mutex
 	faults admin.ServiceFaults
 	random *rand.Rand
-	calls  map[repeatKey]*call
+	calls  map[idempotencyKey]*call
 }
 
-// New returns a stand-in.
+// New returns a stand-in. It fails if the journal cannot be opened or read.
 func New(o Options) (*Server, error) {
 	runs, err := admin.OpenRunLog(o.Journal, uuid.NewString())
 	if err != nil {
@@ -77,14 +78,14 @@
 		options: o,
 		runs:    runs,
 		random:  rand.New(rand.NewPCG(o.Seed, 0)),
-		calls:   make(map[repeatKey]*call),
+		calls:   make(map[idempotencyKey]*call),
 	}, nil
 }
 
-// Handler serves the service's API and the administration API.
+// Handler returns the handler of the service's API and the administration API.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
-	e.Use(s.say)
+	e.Use(s.setNoticeHeaders)
 	e.GET(endpoint.PathHealth, s.health)
 	e.POST(admin.PathFaults, s.setFaults)
 	e.GET(admin.PathFaults, func(c echo.Context) error { return c.JSON(http.StatusOK, s.currentFaults()) })
@@ -93,10 +94,10 @@
 	return e
 }
 
-// say puts what the stand-in says of itself on each answer.
-func (s *Server) say(next echo.HandlerFunc) echo.HandlerFunc {
+// setNoticeHeaders is middleware that sets the notice headers of each response.
+func (s *Server) setNoticeHeaders(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		s.currentFaults().Set(c.Response().Header())
+		s.currentFaults().SetHeaders(c.Response().Header())
 		return next(c)
 	}
 }
@@ -105,10 +106,10 @@
 	f := s.currentFaults()
 	if f.Refuse {
 		c.Response().Header().Set(endpoint.HeaderOutcome, string(crocusreel.OutcomeNotRun))
-		f.SetPause(c.Response().Header())
+		f.SetRetryAfter(c.Response().Header())
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
-	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
@@ -126,27 +127,28 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// perform runs the call, or waits for the run of an earlier one with the same key.
+// perform runs the call. If repeats are dropped and a call with the same key has already started,
+// it waits for that call's answer instead.
 func (s *Server) perform(r *http.Request, body string) (Answer, error) {
-	key := repeatKey{r.Header.Get(endpoint.HeaderWorkspace), r.Header.Get(endpoint.HeaderIdempotencyKey)}
-	if r.Method == http.MethodGet || !s.options.DropsRepeats || key.key == "" {
+	key := idempotencyKey{r.Header.Get(endpoint.HeaderWorkspace), r.Header.Get(endpoint.HeaderIdempotencyKey)}
+	if r.Method == http.MethodGet || !s.options.Deduplicate || key.key == "" {
 		return s.run(r, body)
 	}
 	s.mu.Lock()
-	earlier, repeat := s.calls[key]
+	first, repeat := s.calls[key]
 	if !repeat {
-		earlier = &call{done: make(chan struct{})}
-		s.calls[key] = earlier
+		first = &call{done: make(chan struct{})}
+		s.calls[key] = first
 	}
 	s.mu.Unlock()
 	if repeat {
-		<-earlier.done
-		return earlier.answer, nil
+		<-first.done
+		return first.answer, nil
 	}
-	defer close(earlier.done)
+	defer close(first.done)
 	var err error
-	earlier.answer, err = s.run(r, body)
-	return earlier.answer, err
+	first.answer, err = s.run(r, body)
+	return first.answer, err
 }
 
 func (s *Server) run(r *http.Request, body string) (Answer, error) {
@@ -171,7 +173,7 @@
 	return answer, nil
 }
 
-// crash ends the process if the call carries the crash marker.
+// crash ends the process if the path, query or body of the call contains the crash marker.
 func (s *Server) crash(a Answer) {
 	if strings.Contains(a.Path+"?"+a.Query+"?"+a.Body, admin.CrashMarker) {
 		s.exit()
@@ -180,7 +182,7 @@
 
 func (s *Server) exit() {
 	if s.options.Exit != nil {
-		s.options.Exit(admin.StatusDied)
+		s.options.Exit(admin.ExitStatusDied)
 	}
 }
 
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker is the stand-in for the platform's endpoints: model engines and plain
-// services that speak the platform's protocol, with the faults that it allows. It runs
-// within the test's own process.
+// Package worker implements in-process stand-ins for the platform's endpoints, for tests: model
+// engines and plain services that speak the platform's protocol and inject the faults that it
+// allows.
 package worker
 
 import (
@@ -15,121 +15,126 @@
 	"time"
 )
 
-// Fault is what a worker does wrong with one request.
+// Fault is a fault that a worker injects into one request.
 type Fault int
 
-// Faults. Those marked "has run" count the request as run.
+// Faults. With all of them except Shed, the request runs and is recorded in Runs.
 const (
-	// None answers as it should.
+	// None injects no fault.
 	None Fault = iota
-	// Shed refuses: the request has not run.
+	// Shed refuses the request, which does not run.
 	Shed
-	// Fail answers 500: has run.
+	// Fail answers 500.
 	Fail
-	// LoseAnswer closes the connection without an answer: has run.
+	// LoseAnswer closes the connection without a response.
 	LoseAnswer
-	// Truncate closes the connection in the middle of the answer: has run.
+	// Truncate closes the connection in the middle of the response.
 	Truncate
-	// Foreign sends an answer to another request before its own: has run.
-	Foreign
-	// Extra sends a second answer after its own: has run.
-	Extra
-	// Unframed sends an answer without a length, which ends with the connection: has run.
+	// ForeignAnswer sends a response to another request before its own.
+	ForeignAnswer
+	// ExtraAnswer sends a second response after its own.
+	ExtraAnswer
+	// Unframed sends a response without Content-Length or chunked encoding, which ends when the
+	// connection closes.
 	Unframed
-	// UnframedReset resets such a connection in the middle: has run.
+	// UnframedReset resets the connection in the middle of a response without a length.
 	UnframedReset
-	// Hang takes the request and answers nothing: has run.
+	// Hang accepts the request and sends nothing for a minute.
 	Hang
-	// SkipEvent leaves out an event of a stream: has run.
+	// SkipEvent omits the middle event of a stream.
 	SkipEvent
-	// Crash closes the listener and all connections: has run.
+	// Crash stops the worker as Stop does; for a stream, after half of its events.
 	Crash
 )
 
-// Run is one request that a worker began to work on.
+// Run is a request that a worker started to execute.
 type Run struct {
 	ID     string
 	Header http.Header
 	Target string
 	Body   []byte
-	// Resumed is set for a run that goes on from its memory.
+	// Resumed reports that the run continues from a copy of its KV memory.
 	Resumed bool
 }
 
-// Memory is what several engines share: the memory of runs that was moved.
-type Memory struct {
+// KVStore holds the copies and backups of the KV memory of runs, shared by engines between which
+// runs move. It maps the handle of a copy to the number of its last event. It is safe for
+// concurrent use.
+type KVStore struct {
 	mu      sync.Mutex
 	handles map[string]int64
 }
 
-// NewMemory returns an empty Memory.
-func NewMemory() *Memory { return &Memory{handles: make(map[string]int64)} }
+// NewKVStore returns an empty KVStore.
+func NewKVStore() *KVStore { return &KVStore{handles: make(map[string]int64)} }
 
-// Options of a worker.
+// Options configure a worker.
 type Options struct {
 	// ID is the instance ID.
 	ID string
-	// Address is the IP:port to listen at; empty for a free one.
+	// Address is the IP:port to listen on; empty for a free port on 127.0.0.1.
 	Address string
-	// Events is the length of streams and Gap the time between two events; 0 events
-	// makes a plain service.
-	Events int
-	Gap    time.Duration
-	// Memory is shared by engines between which runs move.
-	Memory *Memory
-	// MoveTime is the time that a copy takes.
+	// Events is the number of events of a stream, and EventInterval the time before each
+	// event. With 0 events the worker is a plain service.
+	Events        int
+	EventInterval time.Duration
+	// KVStore is shared by engines between which runs move. Engines need one.
+	KVStore *KVStore
+	// MoveTime is the time to copy the memory of a run.
 	MoveTime time.Duration
-	// Dying makes the worker die once it has made a copy; nil for a worker that lives on.
-	Dying *Dying
-	// LostMoveAnswers is the number of copies whose answer is lost: they are made, and the
-	// connection is closed.
+	// CrashAfterCopy makes the worker crash after it has made a copy; nil for no crash.
+	CrashAfterCopy *CopyCrash
+	// LostMoveAnswers is the number of move orders, from the first on, whose copy is made but
+	// whose connection is then closed without a response.
 	LostMoveAnswers int
-	// FaultOf chooses the fault for a request; nil for none.
+	// FaultOf returns the fault to inject into a request; nil injects none.
 	FaultOf func(r *Run) Fault
 }
 
-// Dying is how a worker dies that has just made a copy: its streams are cut, and the copy's
-// answer goes out, each so long after the copy was made.
-type Dying struct {
+// CopyCrash describes how a worker crashes after it has made a copy. CutAfter and AnswerAfter are
+// the delays from the copy to the cut of the worker's streams and to the response of the move
+// order.
+type CopyCrash struct {
 	CutAfter, AnswerAfter time.Duration
-	// AnswerLost leaves the answer out.
+	// AnswerLost closes the connection of the move order without a response.
 	AnswerLost bool
 }
 
-// Worker is a running stand-in.
+// Worker is a running stand-in for an endpoint.
 type Worker struct {
 	options  Options
 	listener net.Listener
 	server   *http.Server
 
-	mu      sync.Mutex
-	runs    []Run
-	streams map[string]*stream
-	closed  []string // requests whose connection was closed by the caller
-	leaving bool
-	// says are headers of all answers.
-	says map[string]string
-	// pause is the Retry-After of the refusal of all requests; empty for none.
+	mu             sync.Mutex
+	runs           []Run
+	streams        map[string]*stream
+	closedByCaller []string // IDs of streams whose connection the caller closed
+	leaving        bool
+	// notices are the notice headers of all responses.
+	notices map[string]string
+	// pause is the Retry-After in seconds with which all requests are refused; empty if they are
+	// not refused.
 	pause string
-	// arrivals are the requests that came, refused ones included.
+	// arrivals are the received requests, including refused ones.
 	arrivals []Arrival
-	// conns are those of streams, which the server no longer knows.
+	// conns are the hijacked connections of streams, which the server does not close.
 	conns []net.Conn
-	// targets are those of the orders to copy.
-	targets []string
-	// answering is held for reading between the making of a copy and the end of its answer.
-	// Stop waits for it: the name of a copy whose answer is lost is known to nobody, and no
-	// node can go on from it. Dying is for engines that die in between.
+	// moveTargets are the target engines of move orders.
+	moveTargets []string
+	// answering is held for reading from the creation of a copy to the end of the response. Stop
+	// takes the write lock to wait for the response: without it nobody knows the handle of the
+	// copy, and no node can resume from it. CrashAfterCopy simulates a crash in between.
 	answering sync.RWMutex
 }
 
 type stream struct {
-	made int64
-	stop chan struct{}
-	once sync.Once
+	lastEvent int64
+	stop      chan struct{}
+	once      sync.Once
 }
 
-// Start returns a worker that serves.
+// Start starts a worker and returns it. The caller must call Stop.
 func Start(o Options) (*Worker, error) {
 	if o.Address == "" {
 		o.Address = "127.0.0.1:0"
@@ -150,14 +155,14 @@
 	return w, nil
 }
 
-// Address returns the IP:port.
+// Address returns the IP:port on which the worker listens.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// Stop ends the worker and its connections.
+// Stop closes the listener and, after pending responses to move orders, the connections.
 //
-// The listener is closed here as well: a server that is closed before its goroutine has
-// begun to serve closes it only later, and a connection made meanwhile is reset after the
-// request was sent, while tests count on a refusal.
+// It closes the listener itself, because a server that is closed before its goroutine calls Serve
+// closes the listener only later. A connection made in between would be reset after the request
+// was sent, while tests expect connection refused.
 func (w *Worker) Stop() {
 	_ = w.listener.Close()
 	w.answering.Lock()
@@ -174,40 +179,41 @@
 	}
 }
 
-// die cuts the streams and ends the worker once the answer to the order under way is out.
-func (w *Worker) die(d Dying) {
+// crashAfterCopy closes the listener, schedules the cut of the streams and the stop of the worker,
+// and returns when the response to the current move order is due.
+func (w *Worker) crashAfterCopy(d CopyCrash) {
 	_ = w.listener.Close()
 	time.AfterFunc(d.CutAfter, w.cutStreams)
-	time.AfterFunc(d.AnswerAfter+dyingFor, w.Stop)
+	time.AfterFunc(d.AnswerAfter+exitDelay, w.Stop)
 	time.Sleep(d.AnswerAfter)
 }
 
-// dyingFor is the time after its last answer in which a dying worker's process ends.
-const dyingFor = 50 * time.Millisecond
+// exitDelay is the time between the last response of a crashing worker and its stop.
+const exitDelay = 50 * time.Millisecond
 
-// Runs returns the requests that the worker began to work on.
+// Runs returns the requests that the worker started to execute, in start order.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Run(nil), w.runs...)
 }
 
-// Targets returns the targets of the orders to copy a run, in the order in which they came.
-func (w *Worker) Targets() []string {
+// MoveTargets returns the targets of the received move orders, in order of arrival.
+func (w *Worker) MoveTargets() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.targets...)
+	return append([]string(nil), w.moveTargets...)
 }
 
-// Closed returns the IDs of streams that the caller left before their end.
-func (w *Worker) Closed() []string {
+// ClosedByCaller returns the IDs of streams whose connection the caller closed before their end.
+func (w *Worker) ClosedByCaller() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.closed...)
+	return append([]string(nil), w.closedByCaller...)
 }
 
-// Leave makes the worker say at its health check that it leaves.
-func (w *Worker) Leave() {
+// SetLeaving makes the health check fail with 503, which announces that the worker is leaving.
+func (w *Worker) SetLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = true
@@ -222,7 +228,7 @@
 	}
 }
 
-// Seal is the signature of an answer.
+// Seal returns the signature of the response of an instance to a request.
 func Seal(instance, id string) string { return "seal." + instance + "." + id }
 
 func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
@@ -235,14 +241,14 @@
 	if err != nil {
 		return
 	}
-	w.arrived(r.Header.Get("Crocusreel-Attempt-Id"))
+	w.recordArrival(r.Header.Get("Crocusreel-Attempt-Id"))
 	run := Run{ID: r.Header.Get("Crocusreel-Attempt-Id"), Header: r.Header.Clone(), Target: r.RequestURI, Body: body}
 	run.Resumed = r.Header.Get("Kv-From") != ""
 	fault := None
 	if w.options.FaultOf != nil {
 		fault = w.options.FaultOf(&run)
 	}
-	if w.refusing(rw.Header()) || fault == Shed {
+	if w.setRetryAfterIfPaused(rw.Header()) || fault == Shed {
 		rw.Header().Set("Crocusreel-Not-Executed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -268,7 +274,7 @@
 	w.answer(conn, run, fault)
 }
 
-func (w *Worker) head(run Run, status int, framing string) string {
+func (w *Worker) responseHead(run Run, status int, framing string) string {
 	for name, value := range w.noticeHeaders() {
 		framing += name + ": " + value + "\r\n"
 	}
@@ -276,27 +282,28 @@
 		status, http.StatusText(status), run.ID, Seal(w.options.ID, run.ID), framing)
 }
 
-// answer writes a plain answer; the connection ends after it.
+// answer writes the response of a plain call, subject to the fault. The caller closes the
+// connection.
 func (w *Worker) answer(conn net.Conn, run Run, fault Fault) {
 	body := "answer to " + run.ID
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
-	text := w.head(run, http.StatusOK, length) + body
+	text := w.responseHead(run, http.StatusOK, length) + body
 	switch fault {
 	case Fail:
-		text = w.head(run, http.StatusInternalServerError, length) + body
+		text = w.responseHead(run, http.StatusInternalServerError, length) + body
 	case LoseAnswer:
 		return
 	case Truncate:
 		text = text[:len(text)-3]
-	case Foreign:
-		foreign := w.head(Run{ID: "foreign"}, http.StatusOK, "Content-Length: 3\r\n") + "bad"
+	case ForeignAnswer:
+		foreign := w.responseHead(Run{ID: "foreign"}, http.StatusOK, "Content-Length: 3\r\n") + "bad"
 		text = strings.Replace(foreign, "Connection: close\r\n", "", 1) + text
-	case Extra:
-		text += w.head(run, http.StatusOK, "Content-Length: 3\r\n") + "bad"
+	case ExtraAnswer:
+		text += w.responseHead(run, http.StatusOK, "Content-Length: 3\r\n") + "bad"
 	case Unframed:
-		text = w.head(run, http.StatusOK, "") + body
+		text = w.responseHead(run, http.StatusOK, "") + body
 	case UnframedReset:
-		text = w.head(run, http.StatusOK, "") + body[:4]
+		text = w.responseHead(run, http.StatusOK, "") + body[:4]
 	case Hang:
 		time.Sleep(time.Minute)
 	case Crash:
@@ -312,21 +319,22 @@
 	}
 }
 
-// firstEvent returns the number of the first event of a run; ok is false if there is no
-// copy of the run's memory from which it is to go on.
+// firstEvent returns the number of the first event of a run. ok is false if the request names a
+// copy of the run's memory to resume from that does not exist.
 func (w *Worker) firstEvent(r *http.Request) (first int64, ok bool) {
 	from := r.Header.Get("Kv-From")
 	if from == "" {
 		return 1, true
 	}
-	last, ok := w.options.Memory.use(from, r.Header.Get("Last-Event-Id"))
+	last, ok := w.options.KVStore.takeCopy(from, r.Header.Get("Last-Event-Id"))
 	return last + 1, ok
 }
 
-// stream writes events until the end, or until the run is moved away.
+// stream writes events from first on until the last event, until the run is moved to another engine
+// or until the caller closes the connection.
 func (w *Worker) stream(conn net.Conn, first int64, run Run, fault Fault) {
 	backedUp := run.Header.Get("Crocusreel-Kv-Backup") != ""
-	s := &stream{made: first - 1, stop: make(chan struct{})}
+	s := &stream{lastEvent: first - 1, stop: make(chan struct{})}
 	w.mu.Lock()
 	w.streams[run.ID] = s
 	w.mu.Unlock()
@@ -334,31 +342,31 @@
 		time.Sleep(time.Minute)
 		return
 	}
-	framing, chunk, last := "Transfer-Encoding: chunked\r\n", "%x\r\n%s\r\n", "0\r\n\r\n"
+	framing, chunk, lastChunk := "Transfer-Encoding: chunked\r\n", "%x\r\n%s\r\n", "0\r\n\r\n"
 	if fault == Unframed {
-		framing, chunk, last = "", "%[2]s", ""
+		framing, chunk, lastChunk = "", "%[2]s", ""
 	}
-	if _, err := io.WriteString(conn, w.head(run, http.StatusOK, framing)); err != nil {
+	if _, err := io.WriteString(conn, w.responseHead(run, http.StatusOK, framing)); err != nil {
 		return
 	}
 	w.mu.Lock()
 	w.conns = append(w.conns, conn)
 	w.mu.Unlock()
-	gone := make(chan struct{})
+	closedByCaller := make(chan struct{})
 	go func() {
 		_, _ = conn.Read(make([]byte, 1))
-		close(gone)
+		close(closedByCaller)
 	}()
 	for id := first; id <= int64(w.options.Events); id++ {
 		select {
 		case <-s.stop:
 			return
-		case <-gone:
+		case <-closedByCaller:
 			w.mu.Lock()
-			w.closed = append(w.closed, run.ID)
+			w.closedByCaller = append(w.closedByCaller, run.ID)
 			w.mu.Unlock()
 			return
-		case <-time.After(w.options.Gap):
+		case <-time.After(w.options.EventInterval):
 		}
 		event := fmt.Sprintf("id: %d\ndata: token %d of %s\n\n", id, id, run.ID)
 		switch {
@@ -375,19 +383,19 @@
 			return
 		}
 		w.mu.Lock()
-		s.made = id
+		s.lastEvent = id
 		w.mu.Unlock()
 		if backedUp {
-			w.options.Memory.back(run.ID, id)
+			w.options.KVStore.saveBackup(run.ID, id)
 		}
 	}
-	w.options.Memory.drop(run.ID)
-	_, _ = io.WriteString(conn, last)
+	w.options.KVStore.remove(run.ID)
+	_, _ = io.WriteString(conn, lastChunk)
 }
 
-// use takes the memory that a Kv-From header names; the run goes on behind the given
-// event.
-func (m *Memory) use(from, lastEvent string) (int64, bool) {
+// takeCopy removes the copy that a Kv-From header names and returns the number of the event after
+// which the run continues. It returns false if there is no such copy or lastEvent is not a number.
+func (m *KVStore) takeCopy(from, lastEvent string) (int64, bool) {
 	_, handle, _ := strings.Cut(from, "/")
 	last, err := strconv.ParseInt(lastEvent, 10, 64)
 	m.mu.Lock()
@@ -416,9 +424,9 @@
 		rw.WriteHeader(http.StatusNotFound)
 		return
 	}
-	made := s.made
-	w.targets = append(w.targets, body.To)
-	answerLost := len(w.targets) <= w.options.LostMoveAnswers
+	lastEvent := s.lastEvent
+	w.moveTargets = append(w.moveTargets, body.To)
+	answerLost := len(w.moveTargets) <= w.options.LostMoveAnswers
 	if body.Final {
 		s.once.Do(func() { close(s.stop) })
 	}
@@ -426,54 +434,54 @@
 	time.Sleep(w.options.MoveTime)
 	w.answering.RLock()
 	defer w.answering.RUnlock()
-	handle := w.options.Memory.keep(body.ID, made)
-	if d := w.options.Dying; d != nil {
-		w.die(*d)
+	handle := w.options.KVStore.saveCopy(body.ID, lastEvent)
+	if d := w.options.CrashAfterCopy; d != nil {
+		w.crashAfterCopy(*d)
 		answerLost = answerLost || d.AnswerLost
 	}
 	if answerLost {
 		panic(http.ErrAbortHandler)
 	}
-	w.answerMove(rw, handle, made)
+	w.answerMove(rw, handle, lastEvent)
 }
 
-// answerMove sends the whole answer before it returns.
-func (w *Worker) answerMove(rw http.ResponseWriter, handle string, made int64) {
-	data, _ := json.Marshal(map[string]any{"cache_handle": handle, "created": made})
+// answerMove writes and flushes the whole response before it returns.
+func (w *Worker) answerMove(rw http.ResponseWriter, handle string, lastEvent int64) {
+	data, _ := json.Marshal(map[string]any{"cache_handle": handle, "created": lastEvent})
 	rw.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	_, _ = rw.Write(data)
 	_ = http.NewResponseController(rw).Flush()
 }
 
-// back makes or renews the backup of a run, which is named by the run.
-func (m *Memory) back(run string, made int64) {
+// saveBackup creates or renews the backup of a run, whose handle is the run's ID.
+func (m *KVStore) saveBackup(run string, lastEvent int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.handles[run] = made
+	m.handles[run] = lastEvent
 }
 
-// keep makes or renews the copy of a run.
-func (m *Memory) keep(run string, made int64) string {
+// saveCopy creates or renews the copy of a run and returns its handle.
+func (m *KVStore) saveCopy(run string, lastEvent int64) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	handle := "copy-of-" + run
-	m.handles[handle] = made
+	m.handles[handle] = lastEvent
 	return handle
 }
 
 func (w *Worker) free(rw http.ResponseWriter, r *http.Request) {
-	w.options.Memory.drop(r.PathValue("handle"))
+	w.options.KVStore.remove(r.PathValue("handle"))
 	rw.WriteHeader(http.StatusOK)
 }
 
-func (m *Memory) drop(handle string) {
+func (m *KVStore) remove(handle string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.handles, handle)
 }
 
-// Copies returns the number of copies that are neither used nor freed.
-func (m *Memory) Copies() int {
+// Copies returns the number of copies and backups that are neither used nor freed.
+func (m *KVStore) Copies() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.handles)
@@ -484,7 +492,7 @@
 	defer w.mu.Unlock()
 	runs := [][]any{}
 	for id, s := range w.streams {
-		runs = append(runs, []any{id, 1000 + s.made, s.made, 5})
+		runs = append(runs, []any{id, 1000 + s.lastEvent, s.lastEvent, 5})
 	}
 	_ = json.NewEncoder(rw).Encode(map[string]any{"runs": runs})
 }
