--- a/load/experiment/aims.go
+++ b/load/experiment/aims.go
@@ -7,22 +7,26 @@
 	"github.com/crocusreel/crocusreel/load"
 )
 
-// Aims at HighLoad, as ratios of ours to another setting.
+// Bounds of the aims. Unless stated otherwise, they apply at HighLoad to the ratio of the metric of
+// the reservation policy to that of another setting.
 const (
 	aimPlainPreemptions = 0.10
 	aimPlainTimes       = 0.25
 	aimHindsight        = 0.50
 	aimOtherTuning      = 0.10
 	aimOracle           = 1.10
-	// aimOverload is the least goodput at the highest load, as a part of its peak.
+	// aimOverload is the minimum goodput at the highest load, as a fraction of the peak goodput
+	// over all loads.
 	aimOverload = 0.90
-	// aimLookup bounds lookups' p99 under overload, times that at the lowest load.
+	// aimLookup is the maximum p99 latency of lookups at the highest load, as a multiple of that at
+	// the lowest load.
 	aimLookup = 1.5
-	// equalGoodput is the least goodput that counts as equal, as a part of ours.
+	// equalGoodput is the minimum ratio of two goodputs that count as equal.
 	equalGoodput = 0.99
 )
 
-// Aim is one comparison and whether it was reached.
+// Aim is the result of one comparison of the reservation policy with another setting or load. Ratio
+// is Ours divided by Other.
 type Aim struct {
 	Mix     string
 	Text    string
@@ -31,12 +35,12 @@
 	Ratio   float64
 	Bound   float64
 	Reached bool
-	// Undecided is set where both figures are zero: the load does not bind, and nothing
-	// was compared.
+	// Undecided is set if both values are zero: the load is too low to show a difference, so there
+	// is nothing to compare.
 	Undecided bool
 }
 
-// verdict is the aim's entry in the table.
+// verdict returns the entry of the aim in the column "reached" of the table.
 func (a Aim) verdict() string {
 	switch {
 	case a.Undecided:
@@ -48,7 +52,8 @@
 	}
 }
 
-// atMost compares two figures of which less is better. A ratio to zero has no value.
+// atMost compares two values of a metric for which lower is better. The aim is reached if their
+// ratio is at most bound. If only other is zero, the ratio is infinite and the aim is not reached.
 func atMost(mix, text string, ours, other, bound float64) Aim {
 	a := Aim{Mix: mix, Text: text, Ours: ours, Other: other, Bound: bound}
 	switch {
@@ -63,6 +68,8 @@
 	return a
 }
 
+// atLeast compares two values of a metric for which higher is better. The aim is reached if their
+// ratio is at least bound.
 func atLeast(mix, text string, ours, other, bound float64) Aim {
 	a := Aim{Mix: mix, Text: text, Ours: ours, Other: other, Bound: bound}
 	if other > 0 {
@@ -74,7 +81,7 @@
 	return a
 }
 
-// Aims checks every aim for which the results have the runs.
+// Aims evaluates all aims for which the results contain the required runs.
 func (r *Results) Aims() []Aim {
 	cells := r.Cells()
 	var out []Aim
@@ -108,8 +115,8 @@
 	return out
 }
 
-// watermarkAims compares with the watermark that is best in hindsight for this mix
-// at equal goodput, and with the one that is best for another mix.
+// watermarkAims compares with two settings of the watermark policy: the one that proved best for
+// this mix at equal goodput, and, for each other mix, the one that proved best for that mix.
 func watermarkAims(mix string, cells, high []Cell, own Cell) []Aim {
 	var out []Aim
 	if best, ok := bestWatermark(high, own, mix); ok {
@@ -138,9 +145,9 @@
 	return out
 }
 
-// bestWatermark is the pooled watermark with the least of the deployment's first
-// measure among those with at least our goodput; without one, that of the highest
-// goodput.
+// bestWatermark returns the pooled watermark setting with the lowest value of the deployment's
+// first measure among those whose goodput is at least equalGoodput times that of own. If there is
+// none, it returns the setting with the highest goodput.
 func bestWatermark(high []Cell, own Cell, mix string) (Cell, bool) {
 	candidates := family(high, FamilyWatermark)
 	if len(candidates) == 0 {
@@ -160,6 +167,8 @@
 	return best, true
 }
 
+// firstMeasure returns the metric that matters most to the deployment of the mix; it is the mean
+// stall time if the mix cannot be loaded.
 func firstMeasure(mix string) Measure {
 	m, err := load.LoadMix(mix)
 	if err == nil && m.FirstMeasure == "preemption" {
@@ -180,7 +189,8 @@
 	}
 }
 
-// overloadAims looks at ours over all loads.
+// overloadAims checks how goodput and lookup latency of the reservation policy hold up from the
+// lowest to the highest load.
 func overloadAims(mix string, cells []Cell) []Aim {
 	all := loads(cells, mix)
 	if len(all) < 2 {
--- a/load/experiment/cpu.go
+++ b/load/experiment/cpu.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// cpuTimes are the machine's processor times since boot, in ticks.
+// cpuTimes holds the cumulative CPU times of the machine since boot, in clock ticks.
 type cpuTimes struct {
 	total, idle float64
 }
 
-// Columns of the first line of /proc/stat.
+// Columns of the first line of /proc/stat, which sums up all CPUs. Column 0 is the label.
 const (
 	statIdle   = 4
 	statIOWait = 5
 	statSteal  = 8
 )
 
-// readCPU returns zero times where there is no /proc.
+// readCPU reads the CPU times from /proc/stat. It returns zero times if the file cannot be read or
+// parsed, for example on systems without /proc.
 func readCPU() cpuTimes {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -29,7 +30,7 @@
 	line, _, _ := strings.Cut(string(text), "\n")
 	var t cpuTimes
 	for i, field := range strings.Fields(line) {
-		// The columns behind steal are part of earlier ones.
+		// The columns after steal (guest and guest_nice) are already included in user and nice.
 		if i == 0 || i > statSteal {
 			continue
 		}
@@ -45,7 +46,7 @@
 	return t
 }
 
-// busySince is the share of processor time in use since then, or -1 if unknown.
+// busySince returns the fraction of CPU time in use between then and t, or -1 if unknown.
 func (t cpuTimes) busySince(then cpuTimes) float64 {
 	total := t.total - then.total
 	if total <= 0 {
@@ -55,14 +56,15 @@
 }
 
 const (
-	// quietShare is the share of busy processors under which a run starts. Above it,
-	// gaps between tokens tell more of the machine than of the policy.
+	// quietShare is the CPU utilization below which a run may start. Above it, the gaps between
+	// tokens depend more on the load of the machine than on the policy.
 	quietShare = 0.75
 	quietTries = 20
 	quietProbe = time.Second
 )
 
-// awaitQuiet waits, for a bounded time, until other work leaves room for a run.
+// awaitQuiet waits until the CPU utilization of the machine falls below quietShare. It gives up
+// after quietTries samples of quietProbe each, and the run starts anyway.
 func awaitQuiet(ctx context.Context) {
 	for range quietTries {
 		before := readCPU()
--- a/load/experiment/experiment_test.go
+++ b/load/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/load/experiment"
 )
 
-// run is a finished run with just the figures that matter here.
+// run returns a finished run that has only the metrics used in these tests.
 func run(mix, family, name string, seed uint64, goodput, preemptions, stall float64) experiment.Run {
 	return experiment.Run{
 		Mix: mix, Load: experiment.HighLoad, Seed: seed,
@@ -54,7 +54,7 @@
 }
 
 var _ = Describe("Results", func() {
-	It("take the median over seeds and compare with each aim", func() {
+	It("compare the medians over seeds with the bound of each aim", func() {
 		aims := results().Aims()
 		preemptions := aim(aims, "preemptions against round robin")
 		Expect(preemptions.Ratio).To(BeNumerically("~", 0.08))
@@ -64,13 +64,13 @@
 		Expect(stall.Reached).To(BeFalse())
 	})
 
-	It("take as the watermark to beat the best of equal goodput", func() {
+	It("compare with the best watermark at equal goodput", func() {
 		a := aim(results().Aims(), "stall mean against the best watermark")
 		Expect(a.Text).To(HaveSuffix("watermark 0.70"))
 		Expect(a.Other).To(BeNumerically("==", 20))
 	})
 
-	It("stand in a table and in plots", func() {
+	It("render as tables and plots", func() {
 		r := results()
 		Expect(r.Markdown()).To(ContainSubstring("| watermark 0.70 | 93 (92..94) | 40.0 (39.0..41.0) |"))
 		dir := GinkgoT().TempDir()
@@ -86,7 +86,7 @@
 })
 
 var _ = Describe("Plan", func() {
-	It("keeps only what is asked for", func() {
+	It("keeps only the selected families, loads and seeds", func() {
 		p := experiment.Full().Only([]string{experiment.FamilyOurs}).WithLoads([]float64{2.0}).WithSeeds(2)
 		Expect(p.Series).To(HaveLen(1))
 		Expect(p.Series[0].Settings).To(HaveLen(1))
--- a/load/experiment/faults.go
+++ b/load/experiment/faults.go
@@ -7,7 +7,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Times of the faults, as parts of a run's duration.
+// Times of the faults, as fractions of Plan.Duration.
 const (
 	slowAt    = 0.35
 	killAt    = 0.45
@@ -15,11 +15,12 @@
 	gatewayAt = 0.70
 )
 
-// slowFactor multiplies the step time of the engine that slows down.
+// slowFactor multiplies the step time of the slowed engine.
 const slowFactor = 3
 
-// injectFaults slows one engine, kills and restarts another, and kills a gateway, at
-// the same times in each run. The returned function ends it.
+// injectFaults starts a goroutine that, at the same times in each run, slows down the first engine,
+// kills and restarts the last one, and kills the last gateway. It does nothing unless Plan.Faults
+// is set. The returned function skips the remaining faults and waits for the goroutine.
 func (s *system) injectFaults(ctx context.Context, p Plan) (stop func()) {
 	if !p.Faults {
 		return func() {}
--- a/load/experiment/markdown.go
+++ b/load/experiment/markdown.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Markdown renders calibration, aims and every table.
+// Markdown renders the conditions of the experiment, the calibrations, the aims and one table per
+// mix and load.
 func (r *Results) Markdown() string {
 	var b strings.Builder
 	r.writeConditions(&b)
@@ -58,8 +59,8 @@
 	}
 }
 
-// writeCells writes one table: medians, with the range over seeds in brackets where
-// there are several.
+// writeCells writes one table with the medians over seeds. If a cell has several runs, their range
+// follows in parentheses.
 func writeCells(b *strings.Builder, cells []Cell) {
 	b.WriteString("| policy |")
 	for _, m := range measures {
--- a/load/experiment/overhead.go
+++ b/load/experiment/overhead.go
@@ -21,42 +21,45 @@
 
 const (
 	overheadModel = "m"
-	// overheadStreams one-token answers are timed one after the other, and
-	// overheadRounds long answers of overheadTokens tokens.
+	// overheadStreams is the number of one-token answers timed on each path, and overheadRounds the
+	// number of long answers, of overheadTokens tokens each. All are sent one after the other.
 	overheadStreams = 300
 	overheadRounds  = 9
 	overheadTokens  = 4000
-	// overheadScale makes the engine's own step time negligible.
+	// overheadScale is the time scale of the engine. It makes the engine's step time negligible.
 	overheadScale = 1e6
-	// clockTick is the unit of processor time in /proc on Linux.
+	// clockTick is the unit of the CPU times in /proc on Linux.
 	clockTick = 10 * time.Millisecond
 )
 
-// PathCost is what an answer costs on one path.
+// PathCost is the latency and CPU cost of answers on one path.
 type PathCost struct {
-	// FirstP50 and FirstP99 are times to the only token of an answer, in microseconds.
+	// FirstP50 and FirstP99 are quantiles of the time to the first token of one-token answers, in
+	// microseconds.
 	FirstP50 float64 `json:"first_p50_us"`
 	FirstP99 float64 `json:"first_p99_us"`
-	// PerToken is the median over rounds of the time of a token, in microseconds,
-	// with the range.
+	// PerToken is the median and range, over the rounds, of the mean time per token after the
+	// first, in microseconds.
 	PerToken Spread `json:"per_token_us"`
-	// Processor is the processor time of engine and gateway for each token, in
-	// microseconds.
+	// Processor is the CPU time of engine and gateway together per token, in microseconds. It is
+	// measured over the long answers.
 	Processor float64 `json:"processor_us"`
 }
 
-// Overhead compares streams through a gateway with streams straight from the engine.
+// Overhead compares the cost of streams through a gateway with that of streams read directly from
+// the engine.
 type Overhead struct {
 	Direct  PathCost `json:"direct"`
 	Gateway PathCost `json:"gateway"`
 }
 
-// path sends one generation and reads its answer; it returns the time to the first
-// token and the whole time.
+// path sends one generation of the given number of tokens over one path and reads the answer. It
+// returns the time to the first token and the time to the end of the stream.
 type path func(ctx context.Context, tokens int) (first, whole time.Duration, err error)
 
-// MeasureOverhead measures both paths in turn in one run, on one engine and one
-// gateway that also is the scheduler.
+// MeasureOverhead measures both paths alternately on one system, with one engine and one gateway
+// that is also the scheduler. It starts the system in a temporary directory below s.Dir and removes
+// it at the end.
 func MeasureOverhead(ctx context.Context, s System) (*Overhead, error) {
 	dir, err := os.MkdirTemp(s.Dir, "overhead-")
 	if err != nil {
@@ -130,13 +133,15 @@
 
 func lengthPrompt(tokens int) string { return fmt.Sprintf("[[len=%d]]", tokens) }
 
-// timeTokens reads to the end of a stream; the engine's last frame carries no token.
+// timeTokens reads a stream to its end and returns the times since begin of the first token and of
+// the end. It fails if the stream has fewer than the given number of tokens. The last frame of the
+// engine carries no token, so the number of frames may exceed that of the tokens.
 func timeTokens(begin time.Time, tokens int, next func() error) (first, whole time.Duration, err error) {
 	for i := 0; ; i++ {
 		err := next()
 		if errors.Is(err, io.EOF) {
 			if i < tokens {
-				return 0, 0, eris.Errorf("%d tokens of %d", i, tokens)
+				return 0, 0, eris.Errorf("stream ended after %d of %d tokens", i, tokens)
 			}
 			return first, time.Since(begin), nil
 		}
@@ -149,6 +154,8 @@
 	}
 }
 
+// measurePaths measures every path with the same number of answers, alternating between the paths.
+// The processes are those whose CPU time counts.
 func measurePaths(ctx context.Context, paths []path, processes []*rig.Process) ([]PathCost, error) {
 	costs := make([]PathCost, len(paths))
 	firsts := make([][]float64, len(paths))
@@ -188,13 +195,15 @@
 
 func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// Fields of /proc/PID/stat behind the name in parentheses.
+// Indices of the user and system time among the fields of /proc/PID/stat that follow the process
+// name in parentheses.
 const (
 	statUser   = 11
 	statSystem = 12
 )
 
-// processorTime is what the processes have used so far; 0 where there is no /proc.
+// processorTime returns the total CPU time that the processes have used so far, or 0 if it cannot
+// be read, for example on systems without /proc.
 func processorTime(processes []*rig.Process) time.Duration {
 	sum := time.Duration(0)
 	for _, p := range processes {
@@ -213,7 +222,7 @@
 	return sum
 }
 
-// Markdown renders the comparison.
+// Markdown renders the comparison as a table.
 func (o *Overhead) Markdown() string {
 	var b strings.Builder
 	b.WriteString("| | direct | through a gateway | ratio |\n|---|---|---|---|\n")
--- a/load/experiment/plan.go
+++ b/load/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment compares scheduling policies: each runs the same seeded traces
-// on a whole system of its own, real processes on loopback with time-scaled stand-in
-// engines, and the results stand side by side.
+// Package experiment compares scheduling policies. Each policy runs the same seeded traces on a
+// complete system of its own, which consists of real processes on the loopback interface and
+// time-scaled stand-in engines. The results are reported side by side.
 package experiment
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/crocusreel/crocusreel/config"
 )
 
-// Setting is one policy with its parameters.
+// Setting is a scheduling policy with its parameters.
 type Setting struct {
-	// Name is unique; Family groups the points of one frontier.
+	// Name is unique. Family groups settings of one policy, which form one frontier in the plots.
 	Name      string  `json:"name"`
 	Family    string  `json:"family"`
 	Policy    string  `json:"policy"`
 	Scope     string  `json:"scope"`
 	Watermark float64 `json:"watermark"`
-	// StallWeight and PreemptionWeight replace the mix's weights if one is set.
+	// StallWeight and PreemptionWeight, if at least one is set, replace the weights of the mix.
 	StallWeight      float64 `json:"stall_weight,omitempty"`
 	PreemptionWeight float64 `json:"preemption_weight,omitempty"`
 }
@@ -34,14 +34,15 @@
 	FamilyOracle           = "oracle"
 )
 
+// plainPolicies are the baseline policies without joint admission.
 var plainPolicies = []struct{ policy, family string }{
 	{config.PolicyRoundRobin, FamilyRoundRobin},
 	{config.PolicyLeastOutstanding, FamilyLeastOutstanding},
 	{config.PolicyPowerOfTwo, FamilyPowerOfTwo},
 }
 
-// plain returns the baselines in which each gateway decides alone on lagged load,
-// with one watermark; 0 is none.
+// plain returns the baselines in which each gateway decides independently, based on lagged load
+// reports, with the given watermark. 0 means no watermark.
 func plain(watermark float64) []Setting {
 	var out []Setting
 	for _, p := range plainPolicies {
@@ -56,8 +57,8 @@
 	return out
 }
 
-// pooled returns the watermark with joint admission and exact counts: the baseline
-// to beat.
+// pooled returns the watermark policy with joint admission and exact counts. It is the strongest
+// baseline.
 func pooled(watermark float64) Setting {
 	return Setting{
 		Name: fmt.Sprintf("watermark %.2f", watermark), Family: FamilyWatermark,
@@ -65,12 +66,14 @@
 	}
 }
 
-// ours and oracle end every list of settings.
+// ours returns the reservation policy with the weights of the mix. Every list of settings ends with
+// it and the oracle.
 func ours() Setting {
 	return Setting{Name: FamilyOurs, Family: FamilyOurs, Policy: config.PolicyReservation, Scope: config.ScopePool}
 }
 
-// weighed is ours with other weights of stall and preemption than the site's.
+// weighed returns the reservation policy with weights of stall and preemption that replace those of
+// the mix.
 func weighed(stall, preemption float64) Setting {
 	s := ours()
 	s.Name = fmt.Sprintf("reservation, stall %g to preemption %g", stall, preemption)
@@ -78,48 +81,50 @@
 	return s
 }
 
+// oracle returns the policy that knows the length of every answer in advance.
 func oracle() Setting {
 	return Setting{Name: FamilyOracle, Family: FamilyOracle, Policy: config.PolicyOracle, Scope: config.ScopePool}
 }
 
-// Series is a set of settings at some loads.
+// Series runs each setting at each load with each seed.
 type Series struct {
 	Settings []Setting
-	// Loads are fractions of capacity.
+	// Loads are the offered loads as fractions of the calibrated capacity.
 	Loads []float64
 	Seeds []uint64
 }
 
-// Plan is an experiment.
+// Plan describes an experiment.
 type Plan struct {
 	Mixes  []string
 	Series []Series
-	// Duration is the time of one run over which requests are sent, of which Warmup
-	// is not measured.
+	// Duration is the length of the sending period of a run. Its first part, Warmup, is not
+	// measured.
 	Duration, Warmup time.Duration
-	// Drain bounds the wait for the last answers of a run.
+	// Drain is the maximum wait for answers after the last request of a run.
 	Drain time.Duration
 	System
 }
 
-// System is what each run is made on.
+// System describes the system on which each run is executed. Each gateway runs on a VM of its own
+// together with a controller.
 type System struct {
 	Gateways int
 	Engines  int
-	// KVCapacity of each engine, in tokens.
+	// KVCapacity is the KV memory of each engine in tokens.
 	KVCapacity int
 	MaxBatch   int
-	// TimeScale divides the engines' step times.
+	// TimeScale divides the step times of the engines.
 	TimeScale float64
-	// ReportLag is the lag of the engines' load reports.
+	// ReportLag is the delay of the load reports of the engines.
 	ReportLag time.Duration
-	// Bin is the directory of the programs; Dir gets settings and logs.
+	// Bin is the directory of the executables. Settings and logs are written below Dir.
 	Bin, Dir string
-	// Faults has engines and a gateway fail during each run.
+	// Faults injects faults into engines and a gateway during each run.
 	Faults bool
 }
 
-// HighLoad is the load at which the aims are checked.
+// HighLoad is the load, as a fraction of capacity, at which most aims are checked.
 const HighLoad = 0.95
 
 func defaultSystem() System {
@@ -133,7 +138,7 @@
 	}
 }
 
-// Full is the experiment of docs/EXPERIMENTS.md.
+// Full returns the plan of the experiment reported in docs/EXPERIMENTS.md.
 func Full() Plan {
 	var sweep []Setting
 	sweep = append(sweep, plain(0)...)
@@ -157,13 +162,13 @@
 	}
 }
 
-// shortList is one setting of each family.
+// shortList returns one setting of each family.
 func shortList() []Setting {
 	return append(plain(0), pooled(0.8), ours(), oracle())
 }
 
-// Faulty has an engine slow down and another die, and a gateway die, in each run, at
-// a load that the remaining engines can bear.
+// Faulty returns a plan in which one engine slows down, another one crashes and restarts, and a
+// gateway crashes in each run. The load is low enough for the remaining engines to serve.
 func Faulty() Plan {
 	p := Full()
 	p.Series = []Series{{Settings: shortList(), Loads: []float64{0.8}, Seeds: []uint64{1, 2}}}
@@ -171,7 +176,8 @@
 	return p
 }
 
-// Quick is a trial of under three minutes: one load, one seed, few settings.
+// Quick returns a plan for a trial with one load, one seed and few settings, which takes less than
+// three minutes.
 func Quick() Plan {
 	p := Full()
 	few := []Setting{plain(0)[0], plain(0)[2], pooled(0.8), ours(), oracle()}
@@ -182,7 +188,7 @@
 	return p
 }
 
-// Only returns the plan with just the settings of these families.
+// Only returns a copy of the plan that contains only the settings of the given families.
 func (p Plan) Only(families []string) Plan {
 	var out []Series
 	for _, s := range p.Series {
@@ -197,7 +203,7 @@
 	return p
 }
 
-// WithSeeds returns the plan with n seeds in each series.
+// WithSeeds returns a copy of the plan with the seeds 1 to n in each series.
 func (p Plan) WithSeeds(n int) Plan {
 	series := slices.Clone(p.Series)
 	for i := range series {
@@ -210,7 +216,8 @@
 	return p
 }
 
-// WithLoads returns the plan with just these loads, where a series has them.
+// WithLoads returns a copy of the plan restricted to the given loads. Series that have none of them
+// are removed.
 func (p Plan) WithLoads(wanted []float64) Plan {
 	var out []Series
 	for _, s := range p.Series {
--- a/load/experiment/plot.go
+++ b/load/experiment/plot.go
@@ -22,16 +22,17 @@
 	glyphSize  = 4
 )
 
-// families in the order of colours.
+// families lists the families in the order of their plot colours.
 var families = []string{
 	FamilyRoundRobin, FamilyLeastOutstanding, FamilyPowerOfTwo, FamilyWatermark, FamilyOurs, FamilyOracle,
 }
 
-// WritePlots draws, for each mix, the frontiers of preemptions and stall against
-// goodput at HighLoad, and goodput against load. It returns the names of the files.
+// WritePlots writes plots for each mix to dir, which it creates if needed: the frontiers of
+// preemptions, mean stall time and p99 gap against goodput at HighLoad, and goodput against load if
+// there are several loads. It returns the names of the files relative to dir.
 func (r *Results) WritePlots(dir string) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, eris.Wrap(err, "make directory of plots")
+		return nil, eris.Wrap(err, "create directory of plots")
 	}
 	cells := r.Cells()
 	var files []string
@@ -77,6 +78,7 @@
 	return p
 }
 
+// frontier plots the metric against goodput, with one line per family.
 func frontier(file, mix string, cells []Cell, m Measure) error {
 	p := newPlot(fmt.Sprintf("%s at %.2f of capacity", mix, HighLoad), heading(measureGoodput), heading(m))
 	for i, name := range families {
@@ -93,7 +95,8 @@
 	return eris.Wrap(p.Save(plotWidth, plotHeight, file), "write plot")
 }
 
-// place orders the points of a frontier; no watermark stands behind every watermark.
+// place returns the sort key of a point on a frontier. A baseline without watermark sorts after all
+// watermarks.
 func place(s Setting) float64 {
 	if s.Watermark == 0 && s.Family != FamilyOurs {
 		return math.Inf(1)
@@ -101,6 +104,8 @@
 	return s.Watermark + s.StallWeight - s.PreemptionWeight
 }
 
+// overLoads plots the goodput of the best setting of each family against the offered load, both as
+// fractions of capacity.
 func overLoads(file string, calibration Calibration, cells []Cell) error {
 	p := newPlot(calibration.Mix+": goodput against load", "offered, of capacity", "goodput, of capacity")
 	for i, name := range families {
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -15,42 +15,44 @@
 )
 
 const (
-	// calibrationLoad is the offered load of the calibration runs, as a multiple of
-	// the estimate of capacity; it must saturate the engines without drowning them.
+	// calibrationLoad is the offered load of the calibration runs as a multiple of the estimated
+	// capacity. It must saturate the engines without overloading them heavily.
 	calibrationLoad = 1.25
-	// calibrationSeed differs from every seed of a series.
+	// calibrationSeed must differ from the seeds of all series.
 	calibrationSeed = 9999
-	// inFlight bounds the requests of one run that wait or run.
+	// inFlight is the maximum number of requests of one run that are queued or running.
 	inFlight = 4000
 )
 
-// Run is one run of one setting.
+// Run is one run of one setting with its result.
 type Run struct {
 	Mix     string       `json:"mix"`
 	Load    float64      `json:"load"`
 	Seed    uint64       `json:"seed"`
 	Setting Setting      `json:"setting"`
 	Report  *load.Report `json:"report"`
-	// CPUBusy is the share of all processors of the machine that was busy, other
+	// CPUBusy is the CPU utilization of the whole machine during the run as a fraction, other
 	// processes included; -1 if it could not be read.
 	CPUBusy float64 `json:"cpu_busy"`
 }
 
-// Calibration is what a mix's loads and thresholds are fractions of.
+// Calibration holds the reference values of a mix, from which the offered loads and the stall
+// threshold of its runs are derived.
 type Calibration struct {
 	Mix string `json:"mix"`
-	// Capacity is the highest goodput of the saturated system under the oracle,
-	// tokens/s.
+	// Capacity is the highest goodput of the saturated system under the oracle policy, in tokens
+	// per second.
 	Capacity float64 `json:"capacity"`
-	// MedianGapMS is the median time between tokens under the oracle; StallMS, the stall
-	// threshold of all runs of the mix, is load.StallFactor times as long.
+	// MedianGapMS is the median time between tokens under the oracle policy, in the last
+	// calibration run. StallMS, the stall threshold of all runs of the mix, is load.StallFactor
+	// times as long.
 	MedianGapMS float64 `json:"median_gap_ms"`
 	StallMS     float64 `json:"stall_ms"`
-	// CPUBusy is as in Run.
+	// CPUBusy is as in Run, for the last calibration run.
 	CPUBusy float64 `json:"cpu_busy"`
 }
 
-// Results is all that an experiment measured.
+// Results holds all measurements of an experiment. TookS is its duration in seconds.
 type Results struct {
 	Started      time.Time     `json:"started"`
 	TookS        float64       `json:"took_s"`
@@ -59,9 +61,9 @@
 	Runs         []Run         `json:"runs"`
 }
 
-// Do makes the experiment with up to parallel runs at a time, and writes a line for
-// each to progress. A run that cannot be made, or the end of ctx, ends the experiment;
-// the runs made until then are returned beside the error.
+// Do executes the experiment with up to parallel runs at a time and writes a line per run to
+// progress. It stops at the first run that fails and when ctx ends; it then returns the completed
+// runs along with the error. If it stops during calibration, it returns no results.
 func Do(ctx context.Context, p Plan, parallel int, progress io.Writer) (*Results, error) {
 	res := &Results{Started: time.Now(), Plan: p}
 	x := &executor{plan: p, progress: progress, mixes: map[string]*load.Mix{}}
@@ -84,20 +86,22 @@
 	return res, err
 }
 
-// executor makes the runs of one experiment.
+// executor executes the runs of one experiment.
 type executor struct {
 	plan  Plan
 	mixes map[string]*load.Mix
 	known []Calibration
 
+	// mu guards the fields below.
 	mu       sync.Mutex
 	progress io.Writer
 	done     int
 	total    int
 }
 
-// calibrate measures a mix's capacity and gap between tokens. Each saturated run
-// offers more than the best of those before; the first one's estimate may be far off.
+// calibrate measures the capacity of the system for a mix and the gap between tokens. The first run
+// bases its offered load on Estimate, which may be far off; the second one on the goodput of the
+// first.
 func (x *executor) calibrate(ctx context.Context, c *Calibration) error {
 	mix := x.mixes[c.Mix]
 	offered := Estimate(x.plan.System, mix)
@@ -121,10 +125,11 @@
 	return nil
 }
 
-// Estimate computes a system's capacity from the engine model, in tokens a second:
-// as many answers of mean length as fit into the memory, each at half its length on
-// average, advance by one token each step. Prefill, short work and memory lost to
-// variance are left out, so it is too high and the first calibration run saturates.
+// Estimate computes the capacity of a system from the engine model, in tokens per second. It
+// assumes that as many answers as fit into KV memory and batch, each at half its median length on
+// average, advance by one token per step. It ignores prefill, short generations and memory lost to
+// the variance of lengths, so it is too high, which ensures that the first calibration run
+// saturates the system.
 func Estimate(s System, mix *load.Mix) float64 {
 	length, prompt, share := 0.0, 0.0, 0.0
 	for _, w := range mix.Work {
@@ -141,8 +146,8 @@
 	return batch / step * s.TimeScale * float64(s.Engines)
 }
 
-// planned lists the runs, settings innermost: those to be compared run next to each
-// other in time.
+// planned returns the list of runs and sets x.total. The settings vary fastest, so that runs to be
+// compared are close to each other in time.
 func (x *executor) planned() []Run {
 	var runs []Run
 	for _, series := range x.plan.Series {
@@ -160,7 +165,8 @@
 	return runs
 }
 
-// each calls do for every item, up to parallel at a time, until one fails.
+// each calls do for every item, up to parallel at a time. After the first error it cancels the
+// context that is passed to the calls, stops handing out items and returns the error.
 func each[T any](ctx context.Context, items []T, parallel int, do func(context.Context, *T) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -209,7 +215,7 @@
 			return c
 		}
 	}
-	panic("experiment: a run of a mix that was not calibrated: " + mix)
+	panic("experiment: no calibration for mix " + mix)
 }
 
 func (x *executor) tell(run *Run) {
@@ -222,7 +228,8 @@
 		r.StallMeanMS, r.BetweenTokens.P99, r.Lookup.P99, r.Fairness, r.Refusals, r.Violations, 100*run.CPUBusy)
 }
 
-// one runs a trace on a fresh system.
+// one runs a trace on a freshly started system. It returns the report and the CPU utilization of
+// the machine during the run.
 func (x *executor) one(ctx context.Context, mix *load.Mix, setting Setting, trace load.Trace, stall time.Duration) (*load.Report, float64, error) {
 	awaitQuiet(ctx)
 	sys, err := start(ctx, x.plan.System, mix, setting)
--- a/load/experiment/summary.go
+++ b/load/experiment/summary.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// Measure is one figure of a run.
+// Measure is a metric of a run.
 type Measure struct {
 	Name string
-	// Unit is for headings; may be empty.
+	// Unit is shown in headings; may be empty.
 	Unit string
-	// Digits after the point in tables.
+	// Digits is the number of decimal places in tables.
 	Digits int
-	Of     func(r Run) float64
+	// Of returns the value of the metric in a run.
+	Of func(r Run) float64
 }
 
-// Measures of every table, in the order of the columns.
+// measures lists the metrics of every table in the order of the columns.
 var (
 	measureGoodput     = Measure{"goodput", "tokens/s", 0, func(r Run) float64 { return r.Report.Goodput }}
 	measurePreemptions = Measure{"preemptions", "per 1,000", 1, func(r Run) float64 { return r.Report.PreemptionsPer1000 }}
@@ -35,7 +36,8 @@
 	}
 )
 
-// unserved is the share of requests without a whole answer.
+// unserved returns the percentage of requests without a complete answer, or 0 if there were no
+// requests.
 func unserved(r Run) float64 {
 	if r.Report.Requests == 0 {
 		return 0
@@ -43,7 +45,7 @@
 	return 100 * (1 - float64(r.Report.Whole)/float64(r.Report.Requests))
 }
 
-// Spread is a median over seeds with the range.
+// Spread is the median and range of a sample, for example over the seeds of a cell.
 type Spread struct{ Median, Min, Max float64 }
 
 func spreadOf(values []float64) Spread {
@@ -55,7 +57,7 @@
 	return Spread{Median: (sorted[(n-1)/2] + sorted[n/2]) / 2, Min: sorted[0], Max: sorted[n-1]}
 }
 
-// Cell is all runs of one setting, mix and load.
+// Cell groups all runs of one setting, mix and load, which differ in the seed only.
 type Cell struct {
 	Mix     string
 	Load    float64
@@ -63,7 +65,7 @@
 	Runs    []Run
 }
 
-// Spread of one measure over the cell's seeds.
+// Spread returns the median and range of a metric over the seeds of the cell.
 func (c Cell) Spread(m Measure) Spread {
 	var values []float64
 	for _, r := range c.Runs {
@@ -72,10 +74,10 @@
 	return spreadOf(values)
 }
 
-// Median of one measure.
+// Median returns the median of a metric over the seeds of the cell.
 func (c Cell) Median(m Measure) float64 { return c.Spread(m).Median }
 
-// Cells groups the runs, in the order in which each cell came first.
+// Cells groups the runs into cells, in the order of the first run of each cell.
 func (r *Results) Cells() []Cell {
 	type key struct {
 		mix  string
@@ -108,7 +110,7 @@
 	return out
 }
 
-// loads lists the loads of a mix in rising order.
+// loads returns the distinct loads of a mix in ascending order.
 func loads(cells []Cell, mix string) []float64 {
 	var out []float64
 	for _, c := range cells {
@@ -120,7 +122,7 @@
 	return slices.Compact(out)
 }
 
-// family returns the cells of one family.
+// family returns the cells of the named family.
 func family(cells []Cell, name string) []Cell {
 	var out []Cell
 	for _, c := range cells {
@@ -131,7 +133,7 @@
 	return out
 }
 
-// named returns the cell of one setting; ok is false if there is none.
+// named returns the cell of the named setting and whether there is one.
 func named(cells []Cell, name string) (Cell, bool) {
 	for _, c := range cells {
 		if c.Setting.Name == name {
--- a/load/experiment/system.go
+++ b/load/experiment/system.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// startLimit bounds the start of a system.
+	// startLimit is the maximum time that the start of a system may take.
 	startLimit = 30 * time.Second
-	// queueLength and queueWait bound the queue of the model, so that overload leads
-	// to refusals within a run. The wait is short because the engines' time is scaled.
+	// queueLength and queueWait are the limits of the model's queue. They make overload lead to
+	// refusals within a run. The wait is short because the time of the engines is scaled.
 	queueLength = 64
 	queueWait   = 8 * time.Second
 )
 
 func callerKey(workspace string) string { return "experiment-" + workspace }
 
-// system is a running rig and its directory.
+// system is a running rig and the directory of its files.
 type system struct {
 	*rig.Rig
 	dir string
 }
 
-// start runs a fresh system under the setting, so that no run profits from what an
-// earlier one has learned.
+// start starts a new system with the given setting. Every run has its own system, so that it cannot
+// benefit from state that an earlier run has learned. The caller must stop the system.
 func start(ctx context.Context, s System, mix *load.Mix, setting Setting) (*system, error) {
 	dir, err := os.MkdirTemp(s.Dir, "run-")
 	if err != nil {
@@ -48,7 +48,7 @@
 	return &system{r, dir}, nil
 }
 
-// stop ends the system and removes its files.
+// stop shuts down the system and removes its files.
 func (s *system) stop() {
 	s.Close()
 	_ = os.RemoveAll(s.dir)
@@ -79,7 +79,8 @@
 
 func dataCentre(i int) string { return fmt.Sprintf("dc%d", i%4+1) }
 
-// services returns one plain service for each leading path element of the mix.
+// services returns one plain service for each distinct first path element among the calls of the
+// mix.
 func services(mix *load.Mix) []rig.ServiceSpec {
 	var out []rig.ServiceSpec
 	seen := map[string]bool{}
@@ -96,7 +97,8 @@
 	return out
 }
 
-// base is the part of the configuration that the experiment sets.
+// base returns the part of the configuration, in TOML, that the experiment sets: weights, limits,
+// scheduling policy and workspaces.
 func base(mix *load.Mix, setting Setting) string {
 	var b strings.Builder
 	stall, preemption := mix.StallWeight, mix.PreemptionWeight
@@ -113,5 +115,6 @@
 	return b.String()
 }
 
-// tellsLengths is set for the one policy that may know them.
+// tellsLengths reports whether requests carry the length of their answer, which only the oracle
+// policy may know.
 func tellsLengths(s Setting) bool { return s.Policy == config.PolicyOracle }
--- a/load/experiment/verdict_test.go
+++ b/load/experiment/verdict_test.go
@@ -6,8 +6,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Under a load at which no policy preempts anything, both figures of a comparison are zero.
-// A reader of the page who sees "reached" would take it for a result.
+// Guards against a comparison of two zeros that the page reports as reached. It occurs at loads at
+// which no policy preempts anything, and a reader would take it for a result.
 func TestTwoZerosDecideNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(atMost("mix", "preemptions", 0, 0, 0.5).verdict()).To(gomega.Equal("undecided"))
--- a/load/export_test.go
+++ b/load/export_test.go
@@ -8,7 +8,8 @@
 	Fairness  = fairness
 )
 
-// Verify checks the texts of one answer's tokens.
+// Verify runs the verifier over the token texts of one complete answer that should have want
+// tokens, and returns the first violation or an empty string.
 func Verify(texts []string, want int) Violation {
 	var v verifier
 	for i, text := range texts {
--- a/load/fairness.go
+++ b/load/fairness.go
@@ -1,9 +1,9 @@
 package load
 
-// fairness is Jain's index over the workspaces' normalised service. A workspace's
-// service is its served tokens divided by its max-min fair part of all served
-// tokens, given weights and demands: 1 for each if sharing is fair, however unequal
-// demands and weights are. Workspaces without demand are left out.
+// fairness returns Jain's fairness index over the normalised service of the workspaces. The
+// normalised service of a workspace is its served tokens divided by its weighted max-min fair share
+// of all served tokens. It is 1 for every workspace if sharing is fair, however unequal demands and
+// weights are. Workspaces without demand are left out.
 func fairness(workspaces []Workspace, demand, served map[string]float64) float64 {
 	total := 0.0
 	for _, v := range served {
@@ -19,7 +19,7 @@
 	return jain(xs)
 }
 
-// jain is (sum x)^2 / (n * sum x^2); 1 if nothing is shared.
+// jain returns Jain's index, (sum x)^2 / (n * sum x^2), or 1 if xs is empty or all zero.
 func jain(xs []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, x := range xs {
@@ -32,8 +32,8 @@
 	return sum * sum / (float64(len(xs)) * squares)
 }
 
-// fairParts shares supply by weight; what a workspace does not ask for goes to the
-// others.
+// fairParts computes the weighted max-min fair allocation of supply. Supply that exceeds the demand
+// of a workspace is redistributed to the others by weight.
 func fairParts(workspaces []Workspace, demand map[string]float64, supply float64) map[string]float64 {
 	parts := map[string]float64{}
 	open := append([]Workspace(nil), workspaces...)
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -27,7 +27,7 @@
 }
 
 var _ = Describe("Mix", func() {
-	It("reads every example", func() {
+	It("loads every example mix", func() {
 		sizes := map[string]int{}
 		for _, name := range examples.MixNames() {
 			sizes[name] = len(exampleMix(name).Workspaces)
@@ -35,7 +35,7 @@
 		Expect(sizes).To(Equal(map[string]int{"demo": 1, "schronisko": 10, "postwerk": 10}))
 	})
 
-	It("reports every mistake at once", func() {
+	It("reports all problems of a mix in one error", func() {
 		_, err := load.ParseMix("m.toml", `
 name = "m"
 model = "x"
@@ -59,7 +59,7 @@
 		Expect(load.NewTokenTrace(mix, 20000, 10*time.Second, 8).Items).NotTo(Equal(a.Items))
 	})
 
-	It("asks for the tokens wanted, in order of time", func() {
+	It("requests the given total of tokens, sorted by time", func() {
 		trace := load.NewTokenTrace(exampleMix("schronisko"), 50000, 10*time.Second, 1)
 		Expect(trace.Tokens()).To(BeNumerically("~", 50000, 3000))
 		for i := range trace.Items[1:] {
@@ -67,7 +67,7 @@
 		}
 	})
 
-	It("sends prompts of the length that the mix tells", func() {
+	It("builds prompts of the length that the mix specifies", func() {
 		for _, item := range load.NewTokenTrace(exampleMix("postwerk"), 20000, 10*time.Second, 1).Items {
 			if item.Tokens > 0 {
 				Expect(endpoint.PromptTokens(item.Prompt)).To(BeNumerically("~", item.Work.PromptTokens, 2))
@@ -75,14 +75,14 @@
 		}
 	})
 
-	It("has about the rate asked for", func() {
+	It("has approximately the requested rate", func() {
 		trace := load.NewTrace(exampleMix("schronisko"), 200, 20*time.Second, 1)
 		Expect(len(trace.Items)).To(BeNumerically("~", 4000, 300))
 	})
 })
 
 var _ = Describe("Measures", func() {
-	DescribeTable("find every broken promise",
+	DescribeTable("detect every kind of violation",
 		func(texts []string, want load.Violation) {
 			Expect(load.Verify(texts, 3)).To(Equal(want))
 		},
@@ -94,12 +94,12 @@
 		Entry("too long", []string{"g.0 ", "g.1 ", "g.2 ", "g.3 "}, load.ViolationExtra),
 	)
 
-	It("counts as stall only what exceeds the threshold", func() {
+	It("count only the time in excess of the threshold as stall", func() {
 		gaps := []time.Duration{10, 30, 100, 31}
 		Expect(load.StallTime(gaps, 30)).To(Equal(time.Duration(71)))
 	})
 
-	It("calls sharing fair that follows weights and demands", func() {
+	It("rate an allocation as fair if it follows weights and demands", func() {
 		workspaces := []load.Workspace{{Name: "a", Weight: 3}, {Name: "b", Weight: 1}, {Name: "c", Weight: 1}}
 		demand := map[string]float64{"a": 1000, "b": 1000, "c": 20}
 		fair := map[string]float64{"a": 360, "b": 120, "c": 20}
@@ -109,7 +109,8 @@
 	})
 })
 
-// miniGateway answers every generation with the length that its prompt tells.
+// miniGateway starts a stub gateway that answers each generation with as many tokens as the length
+// marker in its prompt requests. The caller must close it.
 func miniGateway() *httptest.Server {
 	marker := regexp.MustCompile(`\[\[len=(\d+)\]\]`)
 	var server *httptest.Server
@@ -135,7 +136,7 @@
 }
 
 var _ = Describe("Run", func() {
-	It("sends the whole trace and reports it", func() {
+	It("sends all requests of the trace and reports the results", func() {
 		server := miniGateway()
 		defer server.Close()
 		trace := load.NewCountTrace(exampleMix("schronisko"), 400, 200, 3)
--- a/load/mix.go
+++ b/load/mix.go
@@ -1,5 +1,5 @@
-// Package load sends seeded request mixes to the gateways, checks every answer and
-// reports what callers saw.
+// Package load generates load: it sends request mixes, reproducible by seed, to the gateways,
+// verifies every answer and reports latency, throughput and errors as seen by the callers.
 package load
 
 import (
@@ -12,32 +12,33 @@
 	"github.com/crocusreel/crocusreel/internal/tomlcheck"
 )
 
-// Kind is a kind of work in a mix.
+// Kind classifies the requests of a mix.
 type Kind string
 
-// Kinds of work.
+// Kinds of requests.
 const (
 	// KindGeneration is a streamed generation of unknown length.
 	KindGeneration Kind = "generation"
 	// KindShort is a short streamed generation.
 	KindShort Kind = "short"
-	// KindLookup is an idempotent call to a plain service.
+	// KindLookup is an idempotent call to a plain service, that is, one without an engine.
 	KindLookup Kind = "lookup"
-	// KindNonIdempotent is a call to a plain service that may run at most once.
+	// KindNonIdempotent is a call to a plain service that must be executed at most once.
 	KindNonIdempotent Kind = "non_idempotent"
 )
 
-// generates tells whether the work is done by an engine.
+// generates reports whether requests of this kind are generations, which run on an engine.
 func (k Kind) generates() bool { return k == KindGeneration || k == KindShort }
 
-// Mix describes the requests of one deployment.
+// Mix describes the request traffic of one deployment.
 type Mix struct {
 	Name string `toml:"name" required:"true"`
-	// Model that all generations ask for.
+	// Model is the model of all generations.
 	Model string `toml:"model" required:"true"`
-	// FirstMeasure is what the deployment weighs most: "stall" or "preemption".
+	// FirstMeasure is the metric that matters most to the deployment: "stall" or "preemption".
 	FirstMeasure string `toml:"first_measure" default:"stall" oneof:"stall|preemption"`
-	// StallWeight and PreemptionWeight are the site's weights of the two costs.
+	// StallWeight and PreemptionWeight are the weights of the two costs in the deployment's
+	// configuration.
 	StallWeight      float64     `toml:"stall_weight" default:"1" min:"0"`
 	PreemptionWeight float64     `toml:"preemption_weight" default:"1" min:"0"`
 	Workspaces       []Workspace `toml:"workspaces" required:"true"`
@@ -47,39 +48,43 @@
 // Workspace is one customer in a mix.
 type Workspace struct {
 	Name string `toml:"name" required:"true"`
-	// Share is its part of all requests; only the ratio to the others matters.
+	// Share is the relative share of all requests that this workspace sends; the shares need not
+	// add up to 1.
 	Share float64 `toml:"share" default:"1" min:"0"`
-	// Weight is its share under contention, as in the configuration.
+	// Weight is the weight of the workspace under contention, as in the configuration.
 	Weight float64 `toml:"weight" default:"1" min:"0.001"`
-	// LengthFactor multiplies the median length of its generations.
+	// LengthFactor scales the median length of the workspace's generations; short generations are
+	// not scaled.
 	LengthFactor float64 `toml:"length_factor" default:"1" min:"0.01" max:"100"`
 }
 
-// Work is one kind of request in a mix.
+// Work describes one type of request in a mix.
 type Work struct {
 	Name string `toml:"name" required:"true"`
 	Kind Kind   `toml:"kind" required:"true" oneof:"generation|short|lookup|non_idempotent"`
-	// Share is its part of all requests; only the ratio to the others matters.
+	// Share is the relative share of this type among all requests; the shares need not add up to 1.
 	Share float64 `toml:"share" default:"1" min:"0"`
-	// PromptTokens is the length of the prompt, of which the first
-	// SharedPromptTokens are the same for all requests of a workspace.
+	// PromptTokens is the length of the prompt. Its first SharedPromptTokens tokens are the same
+	// for all requests of this type from one workspace.
 	PromptTokens       int `toml:"prompt_tokens" default:"32" min:"1" max:"100000"`
 	SharedPromptTokens int `toml:"shared_prompt_tokens" default:"0" min:"0" max:"100000"`
-	// TokensMedian and TokensSigma shape the lognormal length of answers.
+	// TokensMedian and TokensSigma are the median and the sigma (standard deviation of the
+	// logarithm) of the lognormal distribution of answer lengths in tokens.
 	TokensMedian float64 `toml:"tokens_median" default:"100" min:"1" max:"100000"`
 	TokensSigma  float64 `toml:"tokens_sigma" default:"0.5" min:"0" max:"3"`
-	// MaxTokens bounds the length.
+	// MaxTokens is the maximum length of an answer.
 	MaxTokens int `toml:"max_tokens" default:"4096" min:"1" max:"100000"`
-	// Correlation is the share of the variance of log length that requests of one
-	// workspace have in common over some seconds, 0 to 1.
+	// Correlation is the fraction, from 0 to 1, of the variance of the log length that is common to
+	// all requests of a workspace within one correlationPeriod.
 	Correlation float64 `toml:"correlation" default:"0" min:"0" max:"1"`
 	Priority    int     `toml:"priority" default:"0" min:"-10" max:"10"`
-	// Method and Path are of calls to plain services.
+	// Method and Path are the HTTP method and path of calls to plain services.
 	Method string `toml:"method" default:"GET" oneof:"GET|POST|PUT|PATCH|DELETE"`
 	Path   string `toml:"path" default:"/"`
 }
 
-// ParseMix reads a mix from TOML. The error lists every mistake.
+// ParseMix parses a mix from TOML. The file name is used in error messages only. The error lists
+// every problem found.
 func ParseMix(file, text string) (*Mix, error) {
 	m := new(Mix)
 	problems := tomlcheck.Load(file, text, m)
@@ -108,8 +113,8 @@
 	}
 }
 
-// LoadMix reads the mix in the file of this name or, if there is none, the example
-// mix of this name.
+// LoadMix reads the mix from the file with the given name. If no such file exists, it returns the
+// embedded example mix of that name.
 func LoadMix(name string) (*Mix, error) {
 	text, err := os.ReadFile(name)
 	if err == nil {
@@ -125,8 +130,8 @@
 	return ParseMix(name, example)
 }
 
-// MeanTokens is the expected number of generated tokens for each request of the
-// mix, bounds on the length left aside.
+// MeanTokens returns the expected number of generated tokens per request of the mix, plain calls
+// included. It ignores the limits on the length of an answer.
 func (m *Mix) MeanTokens() float64 {
 	factor, shares := 0.0, 0.0
 	for _, w := range m.Workspaces {
--- a/load/plot.go
+++ b/load/plot.go
@@ -17,8 +17,8 @@
 	plotHeight = 14 * vg.Centimeter
 )
 
-// curve is a distribution as a line: milliseconds against the share of values at or
-// above, which shows tails.
+// curve is a complementary cumulative distribution, which shows the tail: X is a time in
+// milliseconds, Y the fraction of values above it.
 type curve struct {
 	name   string
 	points plotter.XYs
@@ -36,7 +36,8 @@
 	return c
 }
 
-// WritePNG draws the distributions of times, both axes logarithmic.
+// WritePNG plots the latency distributions on logarithmic axes and writes them to a PNG file. It
+// fails if the report has no distribution with at least two points.
 func (r *Report) WritePNG(file string) error {
 	p := plot.New()
 	p.Title.Text = "Share of times above (" + r.Mix + ")"
@@ -60,7 +61,7 @@
 		drawn++
 	}
 	if drawn == 0 {
-		return eris.New("plot: nothing was measured")
+		return eris.New("plot: report has no latency distribution with at least 2 points")
 	}
 	p.Y.Max = 1
 	p.Y.Min = math.Max(p.Y.Min, 1e-6)
--- a/load/report.go
+++ b/load/report.go
@@ -11,71 +11,78 @@
 )
 
 const (
-	// StallFactor times the median gap between tokens is the default threshold
-	// beyond which an answer stalls.
+	// StallFactor is the default stall threshold as a multiple of the median gap between tokens.
 	StallFactor = 4
-	// maxMicros and digits set the range and precision of histograms.
+	// maxMicros is the upper bound of histogram values in microseconds, digits the number of
+	// significant decimal digits that histograms keep.
 	maxMicros = int64(10 * time.Minute / time.Microsecond)
 	digits    = 3
 )
 
-// Report is what callers saw of one run.
+// Report holds the results of one run as seen by the callers.
 type Report struct {
 	Mix  string `json:"mix"`
 	Seed uint64 `json:"seed"`
-	// DurationS is the time over which requests were sent, and ElapsedS the time
-	// until the last answer, in seconds.
+	// DurationS is the planned length of the sending period in seconds. ElapsedS is the time from
+	// the start of the run to the last answer in seconds.
 	DurationS float64 `json:"duration_s"`
 	ElapsedS  float64 `json:"elapsed_s"`
 
-	// Requests counts those planned after the warm-up; so do all counts and times
-	// but those of violations.
+	// Requests is the number of requests planned after the warm-up. The other counts and times
+	// exclude the warm-up too, except for violations, OfferedTokensPerS and Client, which cover the
+	// whole run. A closed-loop run has no warm-up.
 	Requests int `json:"requests"`
-	// NotSent counts arrivals over the bound of requests in flight.
+	// NotSent counts requests that were not sent because the limit of requests in flight was
+	// reached.
 	NotSent int `json:"not_sent"`
-	// Whole counts whole answers and replies; Generations those of engines.
+	// Whole counts complete answers, replies of plain services included. Generations counts the
+	// complete generations among them.
 	Whole       int `json:"whole"`
 	Generations int `json:"generations"`
-	// Refusals counts requests without a whole answer, by reason.
+	// Refusals counts requests that were sent but got no complete answer, by reason. The reasons
+	// include failures at the client, such as a lost connection.
 	Refusals map[crocusreel.Reason]int `json:"refusals"`
-	// Violations counts broken promises; Examples tells some of them.
+	// Violations counts answers that violated a guarantee. Examples describes the first of them, at
+	// most maxExamples.
 	Violations map[Violation]int `json:"violations"`
 	Examples   []string          `json:"examples,omitempty"`
 
-	// StallThresholdMS is the gap beyond which an answer stalls. An answer's stall
-	// time is the sum, over its gaps, of what exceeds the threshold.
+	// StallThresholdMS is the gap between tokens beyond which an answer is stalled. The stall time
+	// of an answer is the sum, over its gaps, of the time in excess of the threshold.
 	StallThresholdMS float64 `json:"stall_threshold_ms"`
 	StallMeanMS      float64 `json:"stall_mean_ms"`
 	StallP99MS       float64 `json:"stall_p99_ms"`
-	// Stalled counts answers with any stall time.
+	// Stalled counts answers with a stall time above 0.
 	Stalled int `json:"stalled"`
 
-	// PreemptionsPer1000 is for 1,000 whole generations.
+	// PreemptionsPer1000 is the number of preemptions per 1,000 complete generations.
 	PreemptionsPer1000 float64 `json:"preemptions_per_1000"`
 
 	BetweenTokens Quantiles `json:"between_tokens"`
-	// FirstToken and ShortFirst count from the planned arrival, queueing and
-	// retries included; Lookup is the time to a plain service's reply.
+	// FirstToken and ShortFirst are the times to the first token of generations and of short
+	// generations, Lookup is the time to the reply of a plain service. All are measured from the
+	// planned arrival, so queueing and retries are included.
 	FirstToken Quantiles `json:"first_token"`
 	ShortFirst Quantiles `json:"short_first"`
 	Lookup     Quantiles `json:"lookup"`
 
-	// OfferedTokensPerS is what the trace asks for.
+	// OfferedTokensPerS is the rate of tokens that the whole trace requests.
 	OfferedTokensPerS float64 `json:"offered_tokens_per_s"`
-	// Goodput is the rate of tokens of whole answers that came after the warm-up
-	// and before the last arrival, tokens a second.
+	// Goodput is the number of tokens of complete answers received per second, counting tokens that
+	// arrived after the warm-up and within the sending period. In a closed loop all tokens of
+	// complete answers count.
 	Goodput float64 `json:"goodput"`
-	// Fairness is Jain's index over the workspaces' served tokens, each divided by
-	// its max-min fair part of all served tokens under the workspaces' weights. All
-	// answers up to the last count, so it tells of refusals and not of waiting.
+	// Fairness is Jain's index over the served tokens of the workspaces, each divided by its
+	// weighted max-min fair share of all served tokens. Answers count whenever they arrive, also
+	// after the sending period, so the index reflects refusals but not waiting times.
 	Fairness float64       `json:"fairness"`
 	Client   client.Counts `json:"client"`
 
-	// curves are the cumulative distributions for the plot.
+	// curves are the distributions for the plot.
 	curves []curve
 }
 
-// Quantiles of a distribution, in milliseconds.
+// Quantiles summarizes a latency distribution, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -84,16 +91,16 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// OK tells whether every answer kept the promises.
+// OK reports whether no answer violated a guarantee.
 func (r *Report) OK() bool { return len(r.Violations) == 0 }
 
-// maxExamples bounds Report.Examples.
+// maxExamples is the maximum length of Report.Examples.
 const maxExamples = 10
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, digits) }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The value is clamped to the range, so that the error cannot occur.
+	// RecordValue fails only for values out of range, and the value is clamped to the range.
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
 }
 
@@ -105,7 +112,7 @@
 	return Quantiles{Count: h.TotalCount(), P50: ms(50), P95: ms(95), P99: ms(99), Max: float64(h.Max()) / 1000}
 }
 
-// report sums up the results.
+// report aggregates the results. It must be called after all requests have ended.
 func (r *runner) report(elapsed time.Duration) *Report {
 	rep := &Report{
 		Mix:        r.trace.Mix.Name,
@@ -127,7 +134,8 @@
 	return rep
 }
 
-// measured tells whether the item counts: those of the warm-up do not.
+// measured reports whether the request counts in the statistics. Requests of the warm-up do not; a
+// closed-loop run has no warm-up.
 func (r *runner) measured(res *result) bool {
 	return r.opts.ClosedLoop || res.item.At >= r.opts.Warmup
 }
@@ -151,7 +159,7 @@
 	}
 }
 
-// countViolation counts in the warm-up too: promises hold at all times.
+// countViolation counts violations in the warm-up too, because the guarantees hold at all times.
 func (r *runner) countViolation(rep *Report, res *result) {
 	if res.broken == "" {
 		return
@@ -203,7 +211,7 @@
 	r.measureStalls(rep)
 }
 
-// measureStalls counts every started generation, whole or not.
+// measureStalls computes the stall times of all generations that received a token or completed.
 func (r *runner) measureStalls(rep *Report) {
 	threshold := r.opts.StallThreshold
 	if threshold == 0 {
@@ -232,7 +240,7 @@
 	rep.StallP99MS = millis(stalls[(len(stalls)-1)*99/100])
 }
 
-// stallTime is the time beyond the threshold in which an answer made no progress.
+// stallTime returns the sum of the time by which each gap exceeds the threshold.
 func stallTime(gaps []time.Duration, threshold time.Duration) time.Duration {
 	sum := time.Duration(0)
 	for _, gap := range gaps {
@@ -273,9 +281,9 @@
 	rep.Fairness = fairness(r.trace.Mix.Workspaces, demand, served)
 }
 
-// goodTokens counts a whole answer's tokens within the measured time. Of a run at a
-// rate, what comes behind the last arrival is left out: with no more arrivals all
-// work is done in the end, and goodput would not tell of overload.
+// goodTokens returns the number of tokens of a complete answer that count towards goodput. In an
+// open-loop run it excludes tokens received after the sending period: once arrivals stop, the
+// backlog drains completely, and counting it would hide overload.
 func (r *runner) goodTokens(res *result) int {
 	if r.opts.ClosedLoop {
 		return res.item.Tokens
--- a/load/run.go
+++ b/load/run.go
@@ -13,41 +13,45 @@
 	"github.com/crocusreel/crocusreel/client"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	defaultInFlight = 1024
 	defaultDrain    = 60 * time.Second
 )
 
-// Options set up a run.
+// Options configures a run.
 type Options struct {
-	// Gateways are IP:port addresses to ask first.
+	// Gateways are the IP:port addresses of the gateways that clients contact first. Clients learn
+	// further addresses from them.
 	Gateways []string
-	// Key returns the caller key of a workspace.
+	// Key returns the API key of a workspace.
 	Key func(workspace string) string
-	// InFlight bounds the requests in flight; default 1024. An arrival over the
-	// bound is not sent and counted.
+	// InFlight is the maximum number of requests in flight; default 1024. A request that arrives at
+	// the limit is not sent and counts in Report.NotSent.
 	InFlight int
-	// ClosedLoop sends the next request as soon as fewer than InFlight are in
-	// flight, whatever its planned time.
+	// ClosedLoop sends the next request as soon as fewer than InFlight are in flight, regardless of
+	// its planned time.
 	ClosedLoop bool
-	// Attempts bounds the attempts at one request; 0 takes the client's default.
+	// Attempts is the maximum number of attempts per request; 0 means the default of the client.
 	Attempts int
-	// Drain bounds the wait for answers after the last arrival; default 60 s.
+	// Drain is the maximum wait for answers after the last request was sent; default 60 s. Requests
+	// that are still in flight after it are cancelled.
 	Drain time.Duration
-	// Warmup is the time at the start whose requests are sent and checked but not
-	// measured.
+	// Warmup is the time at the start of a run during which requests are sent and verified but not
+	// measured. It is ignored in a closed loop.
 	Warmup time.Duration
-	// StallThreshold is the gap between two tokens beyond which an answer stalls;
-	// 0 takes StallFactor times the run's median gap.
+	// StallThreshold is the gap between two tokens beyond which an answer is stalled; 0 means
+	// StallFactor times the median gap of the run.
 	StallThreshold time.Duration
-	// TellLengths sends each answer's length along, for the oracle policy.
+	// TellLengths sends the length of the answer with each generation request, for the oracle
+	// policy.
 	TellLengths bool
-	// Progress is called about once a second; may be nil.
+	// Progress, if not nil, is called about once a second and at the end of the run, from a
+	// goroutine of its own.
 	Progress func(Progress)
 }
 
-// Progress is the state of a run.
+// Progress is a snapshot of the counters of a run. Ended includes failed requests.
 type Progress struct {
 	Elapsed  time.Duration
 	Planned  int
@@ -58,27 +62,29 @@
 	InFlight int64
 }
 
-// result is what became of one item. Each is written by one goroutine and read after
-// the run.
+// result is the outcome of one item. Only the goroutine that sends the item writes to it; it is
+// read after the run.
 type result struct {
 	item *Item
 	sent bool
-	// whole is set if the whole answer came.
+	// whole is set if the answer is complete. Otherwise reason says why not.
 	whole  bool
 	reason crocusreel.Reason
-	// first is the time from the planned arrival to the first token or, for a call,
-	// to the reply.
+	// first is the time from the planned arrival to the first token or, for a plain call, to the
+	// reply.
 	first time.Duration
-	// gaps are the times between tokens.
+	// gaps are the times between consecutive tokens.
 	gaps []time.Duration
-	// windowTokens came after the warm-up and before the last arrival.
+	// windowTokens is the number of tokens received after the warm-up and within the sending
+	// period.
 	windowTokens int
 	preemptions  int
-	broken       Violation
-	detail       string
+	// broken is the first violation found in the answer, or empty; detail describes it.
+	broken Violation
+	detail string
 }
 
-// runner is one run in progress.
+// runner executes one run.
 type runner struct {
 	trace   Trace
 	opts    Options
@@ -89,8 +95,9 @@
 	sent, ended, failed, tokens atomic.Int64
 }
 
-// Run sends the trace and reports. An error means that the run could not be made;
-// refused and broken answers are in the report.
+// Run sends the requests of the trace, waits for the answers and returns the report. Refused
+// requests and violations are not errors but part of the report. An error means that the clients
+// could not be created or that ctx was cancelled.
 func Run(ctx context.Context, trace Trace, opts Options) (*Report, error) {
 	if opts.InFlight == 0 {
 		opts.InFlight = defaultInFlight
@@ -109,13 +116,13 @@
 	elapsed := time.Since(r.begin)
 	stopProgress()
 	if ctx.Err() != nil {
-		return nil, eris.Wrap(ctx.Err(), "load: run ended early")
+		return nil, eris.Wrap(ctx.Err(), "load: run cancelled before its end")
 	}
 	return r.report(elapsed), nil
 }
 
-// connect makes one client for each workspace, as in the field, where each customer
-// has its own key and its own retry budget.
+// connect creates one client per workspace, as in production, where each customer has its own API
+// key and its own retry budget. The clients share one HTTP transport.
 func (r *runner) connect() error {
 	transport := &http.Transport{MaxIdleConnsPerHost: r.opts.InFlight, IdleConnTimeout: time.Minute}
 	r.clients = make(map[string]*client.Client)
@@ -127,7 +134,7 @@
 			HTTP:     &http.Client{Transport: transport},
 		})
 		if err != nil {
-			return eris.Wrapf(err, "load: workspace %s", ws.Name)
+			return eris.Wrapf(err, "load: create client of workspace %s", ws.Name)
 		}
 		r.clients[ws.Name] = c
 	}
@@ -140,7 +147,7 @@
 	}
 }
 
-// send starts every item at its time and waits for the answers.
+// send sends every item at its planned time, each in its own goroutine, and waits for the answers.
 func (r *runner) send(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -164,8 +171,9 @@
 	r.drain(&running, cancel)
 }
 
-// await waits for the item's time and takes a place in flight; false means that the
-// item is not sent.
+// await waits for the planned time of the item and acquires a slot of room, which the caller must
+// release. In a closed loop it waits for a free slot instead. It returns false if the item must not
+// be sent, because no slot is free at its planned time or ctx is done.
 func (r *runner) await(ctx context.Context, item *Item, room chan struct{}) bool {
 	if r.opts.ClosedLoop {
 		select {
@@ -188,7 +196,8 @@
 	}
 }
 
-// drain waits for the answers and gives up those that take too long.
+// drain waits for the answers. It cancels the requests that are still in flight after
+// Options.Drain.
 func (r *runner) drain(running *sync.WaitGroup, cancel context.CancelFunc) {
 	done := make(chan struct{})
 	go func() {
@@ -203,7 +212,8 @@
 	}
 }
 
-// progress calls opts.Progress until the returned function is called.
+// progress starts a goroutine that calls Options.Progress once a second. The returned function
+// stops it, after a last call, and waits for it.
 func (r *runner) progress() (stop func()) {
 	if r.opts.Progress == nil {
 		return func() {}
--- a/load/send.go
+++ b/load/send.go
@@ -10,7 +10,7 @@
 	"github.com/crocusreel/crocusreel/client"
 )
 
-// one sends one item and takes its answer.
+// one sends one item, receives its answer and records the outcome in res.
 func (r *runner) one(ctx context.Context, res *result) {
 	planned := r.begin.Add(res.item.At)
 	if r.opts.ClosedLoop {
@@ -31,7 +31,7 @@
 	res.whole = true
 }
 
-// Reasons of failures that are not refusals.
+// Reasons of failures that the client detected, other than refusals by the system.
 const (
 	reasonGatewayLost crocusreel.Reason = "client_gateway_lost"
 	reasonUnfinished  crocusreel.Reason = "client_unfinished"
@@ -88,7 +88,7 @@
 	return r.read(stream, res, planned)
 }
 
-// read takes the whole stream, with the time of each token.
+// read receives the stream to its end, verifies it and records the arrival time of each token.
 func (r *runner) read(stream *client.Stream, res *result, planned time.Time) error {
 	var v verifier
 	defer func() { res.broken, res.detail = v.broken, v.detail }()
--- a/load/table.go
+++ b/load/table.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the report as a table for people.
+// WriteTable writes the report to w as a human-readable table.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) {
--- a/load/trace.go
+++ b/load/trace.go
@@ -12,27 +12,28 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// markerTokens is the length of the marker that tells stand-in engines the answer's
-// length, in tokens.
+// markerTokens is the length, in tokens, of the marker in a prompt that sets the length of the
+// answer of a stand-in engine.
 const markerTokens = 3
 
-// correlationPeriod is how long the common part of a workspace's lengths lasts.
+// correlationPeriod is the time after which the common component of the answer lengths of a
+// workspace is drawn again; see Work.Correlation.
 const correlationPeriod = 2 * time.Second
 
 // Item is one planned request.
 type Item struct {
-	// At is when it is sent, from the start of the run.
+	// At is the planned time of sending, relative to the start of the run.
 	At        time.Duration
 	Workspace string
 	Work      *Work
-	// Tokens is the length that the answer shall have; 0 for plain calls.
+	// Tokens is the expected length of the answer; 0 for plain calls.
 	Tokens int
 	Prompt string
 	// Key is the idempotency key.
 	Key string
 }
 
-// Class is the class that the request is sent with.
+// Class returns the request class under which the item is sent.
 func (i Item) Class() crocusreel.Class {
 	switch i.Work.Kind {
 	case KindGeneration:
@@ -44,17 +45,18 @@
 	}
 }
 
-// Trace is a planned run. Equal mixes, sizes and seeds give equal traces.
+// Trace is the sequence of requests of a run. Traces are deterministic: equal mixes, sizes and
+// seeds give equal traces.
 type Trace struct {
 	Mix  *Mix
 	Seed uint64
-	// Duration is the time over which requests are sent.
+	// Duration is the length of the sending period.
 	Duration time.Duration
-	// Items are in order of At.
+	// Items are sorted by At.
 	Items []Item
 }
 
-// Tokens is the number of tokens that the whole trace asks for.
+// Tokens returns the total number of tokens that the trace requests.
 func (t Trace) Tokens() int {
 	sum := 0
 	for _, i := range t.Items {
@@ -63,8 +65,8 @@
 	return sum
 }
 
-// NewTrace plans requests that arrive as a Poisson process of the rate (requests a
-// second).
+// NewTrace returns a trace of the given duration with Poisson arrivals at the given rate in
+// requests per second.
 func NewTrace(mix *Mix, rate float64, duration time.Duration, seed uint64) Trace {
 	g := newGenerator(mix, seed)
 	t := Trace{Mix: mix, Seed: seed, Duration: duration}
@@ -78,7 +80,8 @@
 	}
 }
 
-// NewCountTrace plans a number of requests that arrive as a Poisson process.
+// NewCountTrace returns a trace of the given number of requests with Poisson arrivals at the given
+// rate in requests per second. Its duration ends with the last arrival.
 func NewCountTrace(mix *Mix, rate float64, requests int, seed uint64) Trace {
 	g := newGenerator(mix, seed)
 	t := Trace{Mix: mix, Seed: seed}
@@ -91,9 +94,11 @@
 	return t
 }
 
-// NewTokenTrace plans requests until they ask for tokens in total, with arrivals
-// uniform over the duration: a Poisson process, given their number. The offered load
-// is thus exact for each seed, however heavy the tail of the lengths is.
+// NewTokenTrace returns a trace whose requests add up to at least the given number of tokens; only
+// the last request may exceed it. Arrival times are uniform over the duration, which is the
+// distribution of a Poisson process conditioned on its number of arrivals. The offered load is
+// therefore the same for every seed, up to the length of one answer, however heavy the tail of the
+// lengths is.
 func NewTokenTrace(mix *Mix, tokens int, duration time.Duration, seed uint64) Trace {
 	g := newGenerator(mix, seed)
 	t := Trace{Mix: mix, Seed: seed, Duration: duration}
@@ -113,7 +118,7 @@
 	seed   uint64
 	random *rand.Rand
 	serial int
-	// prefixes are the shared leading parts of prompts.
+	// prefixes holds the shared prefixes of prompts, keyed by workspace and work.
 	prefixes map[string]string
 }
 
@@ -170,8 +175,8 @@
 	return n - 1
 }
 
-// length draws a lognormal length, of whose log variance a part is common to the
-// workspace for a while.
+// length draws a lognormal answer length in tokens. A fraction Work.Correlation of the variance of
+// its logarithm is common to the workspace within a correlationPeriod.
 func (g *generator) length(at time.Duration, ws *Workspace, work *Work) int {
 	z := math.Sqrt(work.Correlation)*g.common(at, ws) +
 		math.Sqrt(1-work.Correlation)*g.random.NormFloat64()
@@ -183,7 +188,8 @@
 	return min(max(n, 1), work.MaxTokens)
 }
 
-// common is a standard normal value that depends only on seed, workspace and period.
+// common returns a standard normal value that depends only on the seed, the workspace and the
+// correlationPeriod that contains at.
 func (g *generator) common(at time.Duration, ws *Workspace) float64 {
 	hash := uint64(14695981039346656037)
 	for _, b := range []byte(ws.Name) {
@@ -193,8 +199,8 @@
 	return rand.New(rand.NewPCG(g.seed^hash, period)).NormFloat64()
 }
 
-// prompt builds a prompt of about the wanted number of tokens, which starts with the
-// workspace's shared part and tells stand-in engines the answer's length.
+// prompt builds a prompt of about Work.PromptTokens tokens. It starts with the prefix shared within
+// the workspace and ends with the marker that sets the answer length of stand-in engines to tokens.
 func (g *generator) prompt(ws *Workspace, work *Work, tokens int) string {
 	name := ws.Name + "/" + work.Name
 	prefix, ok := g.prefixes[name]
@@ -207,11 +213,11 @@
 	return prefix + words(unique, own) + fmt.Sprintf("[[len=%d]]", tokens)
 }
 
-// bytesPerToken is what gateways and stand-in engines take as the mean length of a
-// prompt's tokens.
+// bytesPerToken is the mean token length that gateways and stand-in engines assume to estimate the
+// number of tokens of a prompt.
 const bytesPerToken = 4
 
-// words returns text of n tokens that repeats the stem.
+// words returns a text of n tokens, that is n*bytesPerToken bytes, made of repetitions of stem.
 func words(stem string, n int) string {
 	if n <= 0 {
 		return ""
--- a/load/verify.go
+++ b/load/verify.go
@@ -8,25 +8,26 @@
 	"github.com/crocusreel/crocusreel/client"
 )
 
-// Violation is a broken promise that a caller can see.
+// Violation is a breach of the guarantees on the tokens of an answer, as detected by the caller.
 type Violation string
 
-// Violations.
+// Kinds of violations.
 const (
-	// ViolationMixed: a token of another generation, or with other text than its
-	// index tells.
+	// ViolationMixed is a token that belongs to another generation than the token before it, or
+	// whose text is not that of a stand-in engine's token.
 	ViolationMixed Violation = "wrong_token"
-	// ViolationMissing: an answer ended as whole with tokens missing.
+	// ViolationMissing is an answer that skips tokens or ended as complete with too few tokens. A
+	// token whose index differs from the position in its text also counts here.
 	ViolationMissing Violation = "missing_tokens"
-	// ViolationRepeated: a token came twice.
+	// ViolationRepeated is a token at a position that was already received.
 	ViolationRepeated Violation = "repeated_token"
-	// ViolationExtra: an answer has more tokens than asked for.
+	// ViolationExtra is a complete answer with more tokens than requested.
 	ViolationExtra Violation = "extra_tokens"
 )
 
-// verifier checks one answer. Stand-in engines send "<generation>.<index> " as the
-// text of each token, so the text alone tells which generation it is from and which
-// position it has, whatever the index that the gateway put on it.
+// verifier checks the tokens of one answer. Stand-in engines send "<generation>.<index> " as the
+// text of each token, so the text alone identifies the generation and the position of the token,
+// independently of the index that the gateway assigned to it.
 type verifier struct {
 	generation string
 	next       int
@@ -59,7 +60,7 @@
 	}
 }
 
-// fail keeps the first violation.
+// fail records a violation; only the first one is kept.
 func (v *verifier) fail(kind Violation, detail string) {
 	if v.broken == "" {
 		v.broken = kind
