--- a/load/experiment/aims.go
+++ b/load/experiment/aims.go
@@ -10,11 +10,11 @@
 // Bounds of the aims. Unless stated otherwise, they apply at HighLoad to the ratio of the metric of
 // the reservation policy to that of another setting.
 const (
-	aimPlainPreemptions = 0.10
-	aimPlainTimes       = 0.25
-	aimHindsight        = 0.50
-	aimOtherTuning      = 0.10
-	aimOracle           = 1.10
+	aimBaselinePreemptions = 0.10
+	aimBaselineLatencies   = 0.25
+	aimBestWatermark       = 0.50
+	aimMistunedWatermark   = 0.10
+	aimOracle              = 1.10
 	// aimOverload is the minimum goodput at the highest load, as a fraction of the peak goodput
 	// over all loads.
 	aimOverload = 0.90
@@ -86,9 +86,9 @@
 	cells := r.Cells()
 	var out []Aim
 	for _, c := range r.Calibrations {
-		high := at(cells, c.Mix, HighLoad)
-		if own, ok := named(high, FamilyOurs); ok {
-			out = append(out, plainAims(c.Mix, high, own)...)
+		high := cellsAt(cells, c.Mix, HighLoad)
+		if own, ok := findCell(high, FamilyOurs); ok {
+			out = append(out, baselineAims(c.Mix, high, own)...)
 			out = append(out, watermarkAims(c.Mix, cells, high, own)...)
 			out = append(out, oracleAims(c.Mix, high, own)...)
 		}
@@ -97,20 +97,20 @@
 	return out
 }
 
-func plainAims(mix string, high []Cell, own Cell) []Aim {
+func baselineAims(mix string, high []Cell, own Cell) []Aim {
 	var out []Aim
-	for _, p := range plainPolicies {
-		other, ok := named(high, p.family)
+	for _, p := range baselinePolicies {
+		other, ok := findCell(high, p.family)
 		if !ok {
 			continue
 		}
 		compare := func(m Measure, bound float64) {
 			out = append(out, atMost(mix, m.Name+" against "+p.family, own.Median(m), other.Median(m), bound))
 		}
-		compare(measurePreemptions, aimPlainPreemptions)
-		compare(measureStall, aimPlainTimes)
-		compare(measureGap, aimPlainTimes)
-		out = append(out, atLeast(mix, "goodput against "+p.family, own.Median(measureGoodput), other.Median(measureGoodput), equalGoodput))
+		compare(metricPreemptions, aimBaselinePreemptions)
+		compare(metricStall, aimBaselineLatencies)
+		compare(metricGap, aimBaselineLatencies)
+		out = append(out, atLeast(mix, "goodput against "+p.family, own.Median(metricGoodput), other.Median(metricGoodput), equalGoodput))
 	}
 	return out
 }
@@ -120,26 +120,26 @@
 func watermarkAims(mix string, cells, high []Cell, own Cell) []Aim {
 	var out []Aim
 	if best, ok := bestWatermark(high, own, mix); ok {
-		for _, m := range []Measure{measurePreemptions, measureStall} {
+		for _, m := range []Measure{metricPreemptions, metricStall} {
 			text := fmt.Sprintf("%s against the best %s", m.Name, best.Setting.Name)
-			out = append(out, atMost(mix, text, own.Median(m), best.Median(m), aimHindsight))
+			out = append(out, atMost(mix, text, own.Median(m), best.Median(m), aimBestWatermark))
 		}
 	}
 	for _, c := range cells {
 		if c.Mix == mix || c.Load != HighLoad || c.Setting.Name != FamilyOurs {
 			continue
 		}
-		tuned, ok := bestWatermark(at(cells, c.Mix, HighLoad), c, c.Mix)
+		tuned, ok := bestWatermark(cellsAt(cells, c.Mix, HighLoad), c, c.Mix)
 		if !ok {
 			continue
 		}
-		other, ok := named(high, tuned.Setting.Name)
+		other, ok := findCell(high, tuned.Setting.Name)
 		if !ok {
 			continue
 		}
-		for _, m := range []Measure{measurePreemptions, measureStall} {
+		for _, m := range []Measure{metricPreemptions, metricStall} {
 			text := fmt.Sprintf("%s against %s, tuned on %s", m.Name, other.Setting.Name, c.Mix)
-			out = append(out, atMost(mix, text, own.Median(m), other.Median(m), aimOtherTuning))
+			out = append(out, atMost(mix, text, own.Median(m), other.Median(m), aimMistunedWatermark))
 		}
 	}
 	return out
@@ -149,67 +149,67 @@
 // first measure among those whose goodput is at least equalGoodput times that of own. If there is
 // none, it returns the setting with the highest goodput.
 func bestWatermark(high []Cell, own Cell, mix string) (Cell, bool) {
-	candidates := family(high, FamilyWatermark)
+	candidates := cellsOfFamily(high, FamilyWatermark)
 	if len(candidates) == 0 {
 		return Cell{}, false
 	}
-	first := firstMeasure(mix)
-	need := equalGoodput * own.Median(measureGoodput)
+	first := primaryMetric(mix)
+	need := equalGoodput * own.Median(metricGoodput)
 	best, found := candidates[0], false
 	for _, c := range candidates {
 		switch {
-		case c.Median(measureGoodput) >= need && (!found || c.Median(first) < best.Median(first)):
+		case c.Median(metricGoodput) >= need && (!found || c.Median(first) < best.Median(first)):
 			best, found = c, true
-		case !found && c.Median(measureGoodput) > best.Median(measureGoodput):
+		case !found && c.Median(metricGoodput) > best.Median(metricGoodput):
 			best = c
 		}
 	}
 	return best, true
 }
 
-// firstMeasure returns the metric that matters most to the deployment of the mix; it is the mean
+// primaryMetric returns the metric that matters most to the deployment of the mix; it is the mean
 // stall time if the mix cannot be loaded.
-func firstMeasure(mix string) Measure {
+func primaryMetric(mix string) Measure {
 	m, err := load.LoadMix(mix)
 	if err == nil && m.FirstMeasure == "preemption" {
-		return measurePreemptions
+		return metricPreemptions
 	}
-	return measureStall
+	return metricStall
 }
 
 func oracleAims(mix string, high []Cell, own Cell) []Aim {
-	other, ok := named(high, FamilyOracle)
+	other, ok := findCell(high, FamilyOracle)
 	if !ok {
 		return nil
 	}
-	m := firstMeasure(mix)
+	m := primaryMetric(mix)
 	return []Aim{
 		atMost(mix, m.Name+" against the oracle", own.Median(m), other.Median(m), aimOracle),
-		atLeast(mix, "goodput against the oracle", own.Median(measureGoodput), other.Median(measureGoodput), 1/aimOracle),
+		atLeast(mix, "goodput against the oracle", own.Median(metricGoodput), other.Median(metricGoodput), 1/aimOracle),
 	}
 }
 
 // overloadAims checks how goodput and lookup latency of the reservation policy hold up from the
 // lowest to the highest load.
 func overloadAims(mix string, cells []Cell) []Aim {
-	all := loads(cells, mix)
+	all := loadsOfMix(cells, mix)
 	if len(all) < 2 {
 		return nil
 	}
-	lowest, lowOK := named(at(cells, mix, all[0]), FamilyOurs)
-	highest, highOK := named(at(cells, mix, all[len(all)-1]), FamilyOurs)
+	lowest, lowOK := findCell(cellsAt(cells, mix, all[0]), FamilyOurs)
+	highest, highOK := findCell(cellsAt(cells, mix, all[len(all)-1]), FamilyOurs)
 	if !lowOK || !highOK {
 		return nil
 	}
 	peak := 0.0
 	for _, l := range all {
-		if c, ok := named(at(cells, mix, l), FamilyOurs); ok {
-			peak = max(peak, c.Median(measureGoodput))
+		if c, ok := findCell(cellsAt(cells, mix, l), FamilyOurs); ok {
+			peak = max(peak, c.Median(metricGoodput))
 		}
 	}
 	top := all[len(all)-1]
 	return []Aim{
-		atLeast(mix, fmt.Sprintf("goodput at %.1f against its peak", top), highest.Median(measureGoodput), peak, aimOverload),
-		atMost(mix, fmt.Sprintf("lookup p99 at %.1f against %.1f", top, all[0]), highest.Median(measureLookup), lowest.Median(measureLookup), aimLookup),
+		atLeast(mix, fmt.Sprintf("goodput at %.1f against its peak", top), highest.Median(metricGoodput), peak, aimOverload),
+		atMost(mix, fmt.Sprintf("lookup p99 at %.1f against %.1f", top, all[0]), highest.Median(metricLookup), lowest.Median(metricLookup), aimLookup),
 	}
 }
--- a/load/experiment/cpu.go
+++ b/load/experiment/cpu.go
@@ -56,24 +56,24 @@
 }
 
 const (
-	// quietShare is the CPU utilization below which a run may start. Above it, the gaps between
-	// tokens depend more on the load of the machine than on the policy.
-	quietShare = 0.75
-	quietTries = 20
-	quietProbe = time.Second
+	// maxBusyFraction is the CPU utilization below which a run may start. Above it, the gaps
+	// between tokens depend more on the load of the machine than on the policy.
+	maxBusyFraction   = 0.75
+	maxIdleProbes     = 20
+	idleProbeInterval = time.Second
 )
 
-// awaitQuiet waits until the CPU utilization of the machine falls below quietShare. It gives up
-// after quietTries samples of quietProbe each, and the run starts anyway.
-func awaitQuiet(ctx context.Context) {
-	for range quietTries {
+// awaitIdleCPU waits until the CPU utilization of the machine falls below maxBusyFraction. It gives
+// up after maxIdleProbes samples of idleProbeInterval each, and the run starts anyway.
+func awaitIdleCPU(ctx context.Context) {
+	for range maxIdleProbes {
 		before := readCPU()
 		select {
-		case <-time.After(quietProbe):
+		case <-time.After(idleProbeInterval):
 		case <-ctx.Done():
 			return
 		}
-		if readCPU().busySince(before) < quietShare {
+		if readCPU().busySince(before) < maxBusyFraction {
 			return
 		}
 	}
--- a/load/experiment/faults.go
+++ b/load/experiment/faults.go
@@ -9,10 +9,10 @@
 
 // Times of the faults, as fractions of Plan.Duration.
 const (
-	slowAt    = 0.35
-	killAt    = 0.45
-	restartAt = 0.60
-	gatewayAt = 0.70
+	engineSlowAt    = 0.35
+	engineKillAt    = 0.45
+	engineRestartAt = 0.60
+	gatewayKillAt   = 0.70
 )
 
 // slowFactor multiplies the step time of the slowed engine.
@@ -30,21 +30,21 @@
 	go func() {
 		defer close(done)
 		begin := time.Now()
-		at := func(part float64, act func()) {
+		at := func(fraction float64, inject func()) {
 			select {
-			case <-time.After(time.Until(begin.Add(time.Duration(part * float64(p.Duration))))):
-				act()
+			case <-time.After(time.Until(begin.Add(time.Duration(fraction * float64(p.Duration))))):
+				inject()
 			case <-ctx.Done():
 			}
 		}
 		last := s.Engines[len(s.Engines)-1]
-		at(slowAt, func() { _ = s.Engines[0].Admin.SetFaults(ctx, admin.EngineFaults{SlowFactor: slowFactor}) })
-		at(killAt, last.Kill)
-		at(restartAt, func() {
+		at(engineSlowAt, func() { _ = s.Engines[0].Admin.SetFaults(ctx, admin.EngineFaults{SlowFactor: slowFactor}) })
+		at(engineKillAt, last.Kill)
+		at(engineRestartAt, func() {
 			_ = last.Restart()
 			_ = s.Engines[0].Admin.SetFaults(ctx, admin.EngineFaults{})
 		})
-		at(gatewayAt, s.VMs[len(s.VMs)-1].Gateway.Kill)
+		at(gatewayKillAt, s.VMs[len(s.VMs)-1].Gateway.Kill)
 	}()
 	return func() {
 		cancel()
--- a/load/experiment/markdown.go
+++ b/load/experiment/markdown.go
@@ -15,9 +15,9 @@
 	r.writeAims(&b)
 	cells := r.Cells()
 	for _, c := range r.Calibrations {
-		for _, l := range loads(cells, c.Mix) {
+		for _, l := range loadsOfMix(cells, c.Mix) {
 			fmt.Fprintf(&b, "\n### %s at %.2f of capacity\n\n", c.Mix, l)
-			writeCells(&b, at(cells, c.Mix, l))
+			writeCells(&b, cellsAt(cells, c.Mix, l))
 		}
 	}
 	return b.String()
@@ -63,13 +63,13 @@
 // follows in parentheses.
 func writeCells(b *strings.Builder, cells []Cell) {
 	b.WriteString("| policy |")
-	for _, m := range measures {
+	for _, m := range metrics {
 		fmt.Fprintf(b, " %s |", heading(m))
 	}
-	b.WriteString("\n|---|" + strings.Repeat("---|", len(measures)) + "\n")
+	b.WriteString("\n|---|" + strings.Repeat("---|", len(metrics)) + "\n")
 	for _, c := range cells {
 		fmt.Fprintf(b, "| %s |", c.Setting.Name)
-		for _, m := range measures {
+		for _, m := range metrics {
 			s := c.Spread(m)
 			fmt.Fprintf(b, " %.*f", m.Digits, s.Median)
 			if len(c.Runs) > 1 {
--- a/load/experiment/overhead.go
+++ b/load/experiment/overhead.go
@@ -21,13 +21,15 @@
 
 const (
 	overheadModel = "m"
-	// overheadStreams is the number of one-token answers timed on each path, and overheadRounds the
-	// number of long answers, of overheadTokens tokens each. All are sent one after the other.
-	overheadStreams = 300
-	overheadRounds  = 9
-	overheadTokens  = 4000
-	// overheadScale is the time scale of the engine. It makes the engine's step time negligible.
-	overheadScale = 1e6
+	// overheadShortAnswers is the number of one-token answers timed on each path, and
+	// overheadLongAnswers the number of long answers, of overheadAnswerTokens tokens each. All are
+	// sent one after the other.
+	overheadShortAnswers = 300
+	overheadLongAnswers  = 9
+	overheadAnswerTokens = 4000
+	// overheadTimeScale is the time scale of the engine. It makes the engine's step time
+	// negligible.
+	overheadTimeScale = 1e6
 	// clockTick is the unit of the CPU times in /proc on Linux.
 	clockTick = 10 * time.Millisecond
 )
@@ -38,7 +40,7 @@
 	// microseconds.
 	FirstP50 float64 `json:"first_p50_us"`
 	FirstP99 float64 `json:"first_p99_us"`
-	// PerToken is the median and range, over the rounds, of the mean time per token after the
+	// PerToken is the median and range, over the long answers, of the mean time per token after the
 	// first, in microseconds.
 	PerToken Spread `json:"per_token_us"`
 	// Processor is the CPU time of engine and gateway together per token, in microseconds. It is
@@ -53,9 +55,9 @@
 	Gateway PathCost `json:"gateway"`
 }
 
-// path sends one generation of the given number of tokens over one path and reads the answer. It
-// returns the time to the first token and the time to the end of the stream.
-type path func(ctx context.Context, tokens int) (first, whole time.Duration, err error)
+// streamFunc sends one generation of the given number of tokens over one path and reads the answer.
+// It returns the time to the first token and the time to the end of the stream.
+type streamFunc func(ctx context.Context, tokens int) (first, whole time.Duration, err error)
 
 // MeasureOverhead measures both paths alternately on one system, with one engine and one gateway
 // that is also the scheduler. It starts the system in a temporary directory below s.Dir and removes
@@ -71,7 +73,7 @@
 		VMs: []rig.VMSpec{{ID: "vm1", DataCentre: "dc1"}},
 		Engines: []rig.EngineSpec{{
 			Name: "engine1", DataCentre: "dc1", Models: []string{overheadModel},
-			Args: []string{"--kv-capacity", "1000000", "--time-scale", strconv.Itoa(overheadScale)},
+			Args: []string{"--kv-capacity", "1000000", "--time-scale", strconv.Itoa(overheadTimeScale)},
 		}},
 	})
 	if err != nil {
@@ -88,7 +90,7 @@
 	defer c.Close()
 	engine := endpoint.NewEngine(r.Engines[0].Address, endpoint.Options{})
 	processes := []*rig.Process{r.Engines[0].Process, r.VMs[0].Gateway}
-	paths := []path{direct(engine), through(c)}
+	paths := []streamFunc{directStream(engine), gatewayStream(c)}
 	costs, err := measurePaths(ctx, paths, processes)
 	if err != nil {
 		return nil, err
@@ -96,7 +98,7 @@
 	return &Overhead{Direct: costs[0], Gateway: costs[1]}, nil
 }
 
-func direct(engine endpoint.Engine) path {
+func directStream(engine endpoint.Engine) streamFunc {
 	return func(ctx context.Context, tokens int) (first, whole time.Duration, err error) {
 		begin := time.Now()
 		stream, err := engine.Generate(ctx, endpoint.GenerateRequest{
@@ -114,7 +116,7 @@
 	}
 }
 
-func through(c *client.Client) path {
+func gatewayStream(c *client.Client) streamFunc {
 	return func(ctx context.Context, tokens int) (first, whole time.Duration, err error) {
 		begin := time.Now()
 		stream, err := c.Generate(ctx, client.Request{
@@ -156,12 +158,12 @@
 
 // measurePaths measures every path with the same number of answers, alternating between the paths.
 // The processes are those whose CPU time counts.
-func measurePaths(ctx context.Context, paths []path, processes []*rig.Process) ([]PathCost, error) {
+func measurePaths(ctx context.Context, paths []streamFunc, processes []*rig.Process) ([]PathCost, error) {
 	costs := make([]PathCost, len(paths))
 	firsts := make([][]float64, len(paths))
 	perToken := make([][]float64, len(paths))
 	processor := make([]time.Duration, len(paths))
-	for range overheadStreams {
+	for range overheadShortAnswers {
 		for i, p := range paths {
 			first, _, err := p(ctx, 1)
 			if err != nil {
@@ -170,15 +172,15 @@
 			firsts[i] = append(firsts[i], micros(first))
 		}
 	}
-	for range overheadRounds {
+	for range overheadLongAnswers {
 		for i, p := range paths {
-			before := processorTime(processes)
-			first, whole, err := p(ctx, overheadTokens)
+			before := cpuTime(processes)
+			first, whole, err := p(ctx, overheadAnswerTokens)
 			if err != nil {
 				return nil, err
 			}
-			processor[i] += processorTime(processes) - before
-			perToken[i] = append(perToken[i], micros(whole-first)/(overheadTokens-1))
+			processor[i] += cpuTime(processes) - before
+			perToken[i] = append(perToken[i], micros(whole-first)/(overheadAnswerTokens-1))
 		}
 	}
 	for i := range costs {
@@ -187,7 +189,7 @@
 			FirstP50:  firsts[i][len(firsts[i])/2],
 			FirstP99:  firsts[i][len(firsts[i])*99/100],
 			PerToken:  spreadOf(perToken[i]),
-			Processor: micros(processor[i]) / (overheadRounds * overheadTokens),
+			Processor: micros(processor[i]) / (overheadLongAnswers * overheadAnswerTokens),
 		}
 	}
 	return costs, nil
@@ -202,9 +204,9 @@
 	statSystem = 12
 )
 
-// processorTime returns the total CPU time that the processes have used so far, or 0 if it cannot
+// cpuTime returns the total CPU time that the processes have used so far, or 0 if it cannot
 // be read, for example on systems without /proc.
-func processorTime(processes []*rig.Process) time.Duration {
+func cpuTime(processes []*rig.Process) time.Duration {
 	sum := time.Duration(0)
 	for _, p := range processes {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
@@ -234,7 +236,7 @@
 	row("time of a token, median, us", o.Direct.PerToken.Median, o.Gateway.PerToken.Median)
 	row("processor time of a token at engine and gateway, us", o.Direct.Processor, o.Gateway.Processor)
 	fmt.Fprintf(&b, "\n%d answers of one token and %d of %d tokens on each path, in turn; time of a token ranges from %.1f to %.1f direct and from %.1f to %.1f through the gateway.\n",
-		overheadStreams, overheadRounds, overheadTokens,
+		overheadShortAnswers, overheadLongAnswers, overheadAnswerTokens,
 		o.Direct.PerToken.Min, o.Direct.PerToken.Max, o.Gateway.PerToken.Min, o.Gateway.PerToken.Max)
 	return b.String()
 }
--- a/load/experiment/plan.go
+++ b/load/experiment/plan.go
@@ -34,18 +34,18 @@
 	FamilyOracle           = "oracle"
 )
 
-// plainPolicies are the baseline policies without joint admission.
-var plainPolicies = []struct{ policy, family string }{
+// baselinePolicies are the baseline policies without joint admission.
+var baselinePolicies = []struct{ policy, family string }{
 	{config.PolicyRoundRobin, FamilyRoundRobin},
 	{config.PolicyLeastOutstanding, FamilyLeastOutstanding},
 	{config.PolicyPowerOfTwo, FamilyPowerOfTwo},
 }
 
-// plain returns the baselines in which each gateway decides independently, based on lagged load
+// baselines returns the baselines in which each gateway decides independently, based on lagged load
 // reports, with the given watermark. 0 means no watermark.
-func plain(watermark float64) []Setting {
+func baselines(watermark float64) []Setting {
 	var out []Setting
-	for _, p := range plainPolicies {
+	for _, p := range baselinePolicies {
 		name := p.family
 		if watermark > 0 {
 			name = fmt.Sprintf("%s, watermark %.2f", p.family, watermark)
@@ -57,25 +57,25 @@
 	return out
 }
 
-// pooled returns the watermark policy with joint admission and exact counts. It is the strongest
-// baseline.
-func pooled(watermark float64) Setting {
+// pooledWatermark returns the watermark policy with joint admission and exact counts. It is the
+// strongest baseline.
+func pooledWatermark(watermark float64) Setting {
 	return Setting{
 		Name: fmt.Sprintf("watermark %.2f", watermark), Family: FamilyWatermark,
 		Policy: config.PolicyWatermark, Scope: config.ScopePool, Watermark: watermark,
 	}
 }
 
-// ours returns the reservation policy with the weights of the mix. Every list of settings ends with
-// it and the oracle.
-func ours() Setting {
+// reservation returns the reservation policy with the weights of the mix. Every list of settings
+// ends with it and the oracle.
+func reservation() Setting {
 	return Setting{Name: FamilyOurs, Family: FamilyOurs, Policy: config.PolicyReservation, Scope: config.ScopePool}
 }
 
-// weighed returns the reservation policy with weights of stall and preemption that replace those of
-// the mix.
-func weighed(stall, preemption float64) Setting {
-	s := ours()
+// reservationWithWeights returns the reservation policy with weights of stall and preemption that
+// replace those of the mix.
+func reservationWithWeights(stall, preemption float64) Setting {
+	s := reservation()
 	s.Name = fmt.Sprintf("reservation, stall %g to preemption %g", stall, preemption)
 	s.StallWeight, s.PreemptionWeight = stall, preemption
 	return s
@@ -141,19 +141,19 @@
 // Full returns the plan of the experiment reported in docs/EXPERIMENTS.md.
 func Full() Plan {
 	var sweep []Setting
-	sweep = append(sweep, plain(0)...)
+	sweep = append(sweep, baselines(0)...)
 	for _, w := range []float64{0.6, 0.75, 0.9} {
-		sweep = append(sweep, plain(w)...)
+		sweep = append(sweep, baselines(w)...)
 	}
 	for _, w := range []float64{0.5, 0.6, 0.7, 0.8, 0.9, 1.0} {
-		sweep = append(sweep, pooled(w))
+		sweep = append(sweep, pooledWatermark(w))
 	}
-	sweep = append(sweep, weighed(100, 1), weighed(1, 100), ours(), oracle())
+	sweep = append(sweep, reservationWithWeights(100, 1), reservationWithWeights(1, 100), reservation(), oracle())
 	return Plan{
 		Mixes: []string{"schronisko", "postwerk"},
 		Series: []Series{
 			{Settings: sweep, Loads: []float64{HighLoad}, Seeds: []uint64{1, 2, 3}},
-			{Settings: shortList(), Loads: []float64{0.5, 0.8, 1.2, 2.0}, Seeds: []uint64{1}},
+			{Settings: representativeSettings(), Loads: []float64{0.5, 0.8, 1.2, 2.0}, Seeds: []uint64{1}},
 		},
 		Duration: 14 * time.Second,
 		Warmup:   4 * time.Second,
@@ -162,16 +162,16 @@
 	}
 }
 
-// shortList returns one setting of each family.
-func shortList() []Setting {
-	return append(plain(0), pooled(0.8), ours(), oracle())
+// representativeSettings returns one setting of each family.
+func representativeSettings() []Setting {
+	return append(baselines(0), pooledWatermark(0.8), reservation(), oracle())
 }
 
 // Faulty returns a plan in which one engine slows down, another one crashes and restarts, and a
 // gateway crashes in each run. The load is low enough for the remaining engines to serve.
 func Faulty() Plan {
 	p := Full()
-	p.Series = []Series{{Settings: shortList(), Loads: []float64{0.8}, Seeds: []uint64{1, 2}}}
+	p.Series = []Series{{Settings: representativeSettings(), Loads: []float64{0.8}, Seeds: []uint64{1, 2}}}
 	p.Faults = true
 	return p
 }
@@ -180,7 +180,7 @@
 // three minutes.
 func Quick() Plan {
 	p := Full()
-	few := []Setting{plain(0)[0], plain(0)[2], pooled(0.8), ours(), oracle()}
+	few := []Setting{baselines(0)[0], baselines(0)[2], pooledWatermark(0.8), reservation(), oracle()}
 	p.Series = []Series{{Settings: few, Loads: []float64{HighLoad}, Seeds: []uint64{1}}}
 	p.Duration = 6 * time.Second
 	p.Warmup = 1500 * time.Millisecond
--- a/load/experiment/plot.go
+++ b/load/experiment/plot.go
@@ -37,20 +37,20 @@
 	cells := r.Cells()
 	var files []string
 	for _, c := range r.Calibrations {
-		high := at(cells, c.Mix, HighLoad)
-		for _, m := range []Measure{measurePreemptions, measureStall, measureGap} {
+		high := cellsAt(cells, c.Mix, HighLoad)
+		for _, m := range []Measure{metricPreemptions, metricStall, metricGap} {
 			if len(high) == 0 {
 				break
 			}
 			name := fmt.Sprintf("%s-%s.png", c.Mix, slug(m.Name))
-			if err := frontier(filepath.Join(dir, name), c.Mix, high, m); err != nil {
+			if err := plotFrontier(filepath.Join(dir, name), c.Mix, high, m); err != nil {
 				return nil, err
 			}
 			files = append(files, name)
 		}
-		if len(loads(cells, c.Mix)) > 1 {
+		if len(loadsOfMix(cells, c.Mix)) > 1 {
 			name := c.Mix + "-goodput.png"
-			if err := overLoads(filepath.Join(dir, name), c, cells); err != nil {
+			if err := plotGoodputByLoad(filepath.Join(dir, name), c, cells); err != nil {
 				return nil, err
 			}
 			files = append(files, name)
@@ -78,15 +78,15 @@
 	return p
 }
 
-// frontier plots the metric against goodput, with one line per family.
-func frontier(file, mix string, cells []Cell, m Measure) error {
-	p := newPlot(fmt.Sprintf("%s at %.2f of capacity", mix, HighLoad), heading(measureGoodput), heading(m))
+// plotFrontier plots the metric against goodput, with one line per family.
+func plotFrontier(file, mix string, cells []Cell, m Measure) error {
+	p := newPlot(fmt.Sprintf("%s at %.2f of capacity", mix, HighLoad), heading(metricGoodput), heading(m))
 	for i, name := range families {
-		group := family(cells, name)
-		slices.SortFunc(group, func(a, b Cell) int { return cmp.Compare(place(a.Setting), place(b.Setting)) })
+		group := cellsOfFamily(cells, name)
+		slices.SortFunc(group, func(a, b Cell) int { return cmp.Compare(frontierOrder(a.Setting), frontierOrder(b.Setting)) })
 		var points plotter.XYs
 		for _, c := range group {
-			points = append(points, plotter.XY{X: c.Median(measureGoodput), Y: c.Median(m)})
+			points = append(points, plotter.XY{X: c.Median(metricGoodput), Y: c.Median(m)})
 		}
 		if err := addSeries(p, i, name, points); err != nil {
 			return err
@@ -95,25 +95,25 @@
 	return eris.Wrap(p.Save(plotWidth, plotHeight, file), "write plot")
 }
 
-// place returns the sort key of a point on a frontier. A baseline without watermark sorts after all
-// watermarks.
-func place(s Setting) float64 {
+// frontierOrder returns the sort key of a point on a frontier. A baseline without watermark sorts
+// after all watermarks.
+func frontierOrder(s Setting) float64 {
 	if s.Watermark == 0 && s.Family != FamilyOurs {
 		return math.Inf(1)
 	}
 	return s.Watermark + s.StallWeight - s.PreemptionWeight
 }
 
-// overLoads plots the goodput of the best setting of each family against the offered load, both as
-// fractions of capacity.
-func overLoads(file string, calibration Calibration, cells []Cell) error {
+// plotGoodputByLoad plots the goodput of the best setting of each family against the offered load,
+// both as fractions of capacity.
+func plotGoodputByLoad(file string, calibration Calibration, cells []Cell) error {
 	p := newPlot(calibration.Mix+": goodput against load", "offered, of capacity", "goodput, of capacity")
 	for i, name := range families {
 		var points plotter.XYs
-		for _, l := range loads(cells, calibration.Mix) {
+		for _, l := range loadsOfMix(cells, calibration.Mix) {
 			best := 0.0
-			for _, c := range family(at(cells, calibration.Mix, l), name) {
-				best = max(best, c.Median(measureGoodput))
+			for _, c := range cellsOfFamily(cellsAt(cells, calibration.Mix, l), name) {
+				best = max(best, c.Median(metricGoodput))
 			}
 			if best > 0 {
 				points = append(points, plotter.XY{X: l, Y: best / calibration.Capacity})
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -20,8 +20,8 @@
 	calibrationLoad = 1.25
 	// calibrationSeed must differ from the seeds of all series.
 	calibrationSeed = 9999
-	// inFlight is the maximum number of requests of one run that are queued or running.
-	inFlight = 4000
+	// maxInFlight is the maximum number of requests of one run that are queued or running.
+	maxInFlight = 4000
 )
 
 // Run is one run of one setting with its result.
@@ -75,12 +75,12 @@
 		x.mixes[mix.Name] = mix
 		res.Calibrations = append(res.Calibrations, Calibration{Mix: mix.Name})
 	}
-	if err := each(ctx, res.Calibrations, parallel, x.calibrate); err != nil {
+	if err := forEach(ctx, res.Calibrations, parallel, x.calibrate); err != nil {
 		return nil, err
 	}
-	x.known = res.Calibrations
-	res.Runs = x.planned()
-	err := each(ctx, res.Runs, parallel, x.run)
+	x.calibrations = res.Calibrations
+	res.Runs = x.planRuns()
+	err := forEach(ctx, res.Runs, parallel, x.execute)
 	res.Runs = slices.DeleteFunc(res.Runs, func(r Run) bool { return r.Report == nil })
 	res.TookS = time.Since(res.Started).Seconds()
 	return res, err
@@ -88,9 +88,9 @@
 
 // executor executes the runs of one experiment.
 type executor struct {
-	plan  Plan
-	mixes map[string]*load.Mix
-	known []Calibration
+	plan         Plan
+	mixes        map[string]*load.Mix
+	calibrations []Calibration
 
 	// mu guards the fields below.
 	mu       sync.Mutex
@@ -108,7 +108,7 @@
 	for _, setting := range []Setting{oracle(), oracle()} {
 		tokens := calibrationLoad * offered * x.plan.Duration.Seconds()
 		trace := load.NewTokenTrace(mix, int(tokens), x.plan.Duration, calibrationSeed)
-		rep, busy, err := x.one(ctx, mix, setting, trace, 0)
+		rep, busy, err := x.runTrace(ctx, mix, setting, trace, 0)
 		if err != nil {
 			return eris.Wrapf(err, "calibrate %s", c.Mix)
 		}
@@ -146,12 +146,12 @@
 	return batch / step * s.TimeScale * float64(s.Engines)
 }
 
-// planned returns the list of runs and sets x.total. The settings vary fastest, so that runs to be
+// planRuns returns the list of runs and sets x.total. The settings vary fastest, so that runs to be
 // compared are close to each other in time.
-func (x *executor) planned() []Run {
+func (x *executor) planRuns() []Run {
 	var runs []Run
 	for _, series := range x.plan.Series {
-		for _, c := range x.known {
+		for _, c := range x.calibrations {
 			for _, l := range series.Loads {
 				for _, seed := range series.Seeds {
 					for _, s := range series.Settings {
@@ -165,9 +165,9 @@
 	return runs
 }
 
-// each calls do for every item, up to parallel at a time. After the first error it cancels the
+// forEach calls do for every item, up to parallel at a time. After the first error it cancels the
 // context that is passed to the calls, stops handing out items and returns the error.
-func each[T any](ctx context.Context, items []T, parallel int, do func(context.Context, *T) error) error {
+func forEach[T any](ctx context.Context, items []T, parallel int, do func(context.Context, *T) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	next := make(chan *T)
@@ -195,22 +195,22 @@
 	return nil
 }
 
-func (x *executor) run(ctx context.Context, run *Run) error {
+func (x *executor) execute(ctx context.Context, run *Run) error {
 	mix, c := x.mixes[run.Mix], x.calibration(run.Mix)
 	tokens := run.Load * c.Capacity * x.plan.Duration.Seconds()
 	trace := load.NewTokenTrace(mix, int(tokens), x.plan.Duration, run.Seed)
 	stall := time.Duration(c.StallMS * float64(time.Millisecond))
-	rep, busy, err := x.one(ctx, mix, run.Setting, trace, stall)
+	rep, busy, err := x.runTrace(ctx, mix, run.Setting, trace, stall)
 	if err != nil {
 		return eris.Wrapf(err, "%s at %.2f, seed %d, %s", run.Mix, run.Load, run.Seed, run.Setting.Name)
 	}
 	run.Report, run.CPUBusy = rep, busy
-	x.tell(run)
+	x.reportProgress(run)
 	return nil
 }
 
 func (x *executor) calibration(mix string) Calibration {
-	for _, c := range x.known {
+	for _, c := range x.calibrations {
 		if c.Mix == mix {
 			return c
 		}
@@ -218,21 +218,21 @@
 	panic("experiment: no calibration for mix " + mix)
 }
 
-func (x *executor) tell(run *Run) {
+func (x *executor) reportProgress(run *Run) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.done++
 	r := run.Report
-	fmt.Fprintf(x.progress, "%d/%d %s %.2f seed %d %-34s goodput %5.0f  preempted %6.1f/1000  stall %7.1f ms  p99 gap %6.1f ms  lookup p99 %5.1f ms  fair %.2f  lost %v  broken %v  cpu %.0f%%\n",
+	fmt.Fprintf(x.progress, "%d/%d %s %.2f seed %d %-34s goodput %5.0f  preempted %6.1f/1000  stall %7.1f ms  p99 gap %6.1f ms  lookup p99 %5.1f ms  fairness %.2f  refusals %v  violations %v  cpu %.0f%%\n",
 		x.done, x.total, run.Mix, run.Load, run.Seed, run.Setting.Name, r.Goodput, r.PreemptionsPer1000,
 		r.StallMeanMS, r.BetweenTokens.P99, r.Lookup.P99, r.Fairness, r.Refusals, r.Violations, 100*run.CPUBusy)
 }
 
-// one runs a trace on a freshly started system. It returns the report and the CPU utilization of
-// the machine during the run.
-func (x *executor) one(ctx context.Context, mix *load.Mix, setting Setting, trace load.Trace, stall time.Duration) (*load.Report, float64, error) {
-	awaitQuiet(ctx)
-	sys, err := start(ctx, x.plan.System, mix, setting)
+// runTrace runs a trace on a freshly started system. It returns the report and the CPU utilization
+// of the machine during the run.
+func (x *executor) runTrace(ctx context.Context, mix *load.Mix, setting Setting, trace load.Trace, stall time.Duration) (*load.Report, float64, error) {
+	awaitIdleCPU(ctx)
+	sys, err := startSystem(ctx, x.plan.System, mix, setting)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -242,11 +242,11 @@
 	rep, err := load.Run(ctx, trace, load.Options{
 		Gateways:       sys.CallerAddresses(),
 		Key:            callerKey,
-		InFlight:       inFlight,
+		InFlight:       maxInFlight,
 		Drain:          x.plan.Drain,
 		Warmup:         x.plan.Warmup,
 		StallThreshold: stall,
-		TellLengths:    tellsLengths(setting),
+		TellLengths:    sendsLengthHints(setting),
 	})
 	busy := readCPU().busySince(before)
 	stopFaults()
--- a/load/experiment/summary.go
+++ b/load/experiment/summary.go
@@ -16,23 +16,23 @@
 	Of func(r Run) float64
 }
 
-// measures lists the metrics of every table in the order of the columns.
+// metrics lists the metrics of every table in the order of the columns.
 var (
-	measureGoodput     = Measure{"goodput", "tokens/s", 0, func(r Run) float64 { return r.Report.Goodput }}
-	measurePreemptions = Measure{"preemptions", "per 1,000", 1, func(r Run) float64 { return r.Report.PreemptionsPer1000 }}
-	measureStall       = Measure{"stall mean", "ms", 1, func(r Run) float64 { return r.Report.StallMeanMS }}
-	measureStallP99    = Measure{"stall p99", "ms", 0, func(r Run) float64 { return r.Report.StallP99MS }}
-	measureGap         = Measure{"gap p99", "ms", 1, func(r Run) float64 { return r.Report.BetweenTokens.P99 }}
-	measureFirst       = Measure{"first token p99", "ms", 0, func(r Run) float64 { return r.Report.FirstToken.P99 }}
-	measureShort       = Measure{"short p99", "ms", 0, func(r Run) float64 { return r.Report.ShortFirst.P99 }}
-	measureLookup      = Measure{"lookup p99", "ms", 1, func(r Run) float64 { return r.Report.Lookup.P99 }}
-	measureFairness    = Measure{"fairness", "", 3, func(r Run) float64 { return r.Report.Fairness }}
-	measureUnserved    = Measure{"unserved", "%", 1, unserved}
-	measureCPU         = Measure{"processors", "%", 0, func(r Run) float64 { return 100 * r.CPUBusy }}
+	metricGoodput         = Measure{"goodput", "tokens/s", 0, func(r Run) float64 { return r.Report.Goodput }}
+	metricPreemptions     = Measure{"preemptions", "per 1,000", 1, func(r Run) float64 { return r.Report.PreemptionsPer1000 }}
+	metricStall           = Measure{"stall mean", "ms", 1, func(r Run) float64 { return r.Report.StallMeanMS }}
+	metricStallP99        = Measure{"stall p99", "ms", 0, func(r Run) float64 { return r.Report.StallP99MS }}
+	metricGap             = Measure{"gap p99", "ms", 1, func(r Run) float64 { return r.Report.BetweenTokens.P99 }}
+	metricFirstToken      = Measure{"first token p99", "ms", 0, func(r Run) float64 { return r.Report.FirstToken.P99 }}
+	metricShortFirstToken = Measure{"short p99", "ms", 0, func(r Run) float64 { return r.Report.ShortFirst.P99 }}
+	metricLookup          = Measure{"lookup p99", "ms", 1, func(r Run) float64 { return r.Report.Lookup.P99 }}
+	metricFairness        = Measure{"fairness", "", 3, func(r Run) float64 { return r.Report.Fairness }}
+	metricUnserved        = Measure{"unserved", "%", 1, unserved}
+	metricCPU             = Measure{"processors", "%", 0, func(r Run) float64 { return 100 * r.CPUBusy }}
 
-	measures = []Measure{
-		measureGoodput, measurePreemptions, measureStall, measureStallP99, measureGap,
-		measureFirst, measureShort, measureLookup, measureFairness, measureUnserved, measureCPU,
+	metrics = []Measure{
+		metricGoodput, metricPreemptions, metricStall, metricStallP99, metricGap,
+		metricFirstToken, metricShortFirstToken, metricLookup, metricFairness, metricUnserved, metricCPU,
 	}
 )
 
@@ -99,8 +99,8 @@
 	return cells
 }
 
-// at returns the cells of one mix and load.
-func at(cells []Cell, mix string, load float64) []Cell {
+// cellsAt returns the cells of one mix and load.
+func cellsAt(cells []Cell, mix string, load float64) []Cell {
 	var out []Cell
 	for _, c := range cells {
 		if c.Mix == mix && c.Load == load {
@@ -110,8 +110,8 @@
 	return out
 }
 
-// loads returns the distinct loads of a mix in ascending order.
-func loads(cells []Cell, mix string) []float64 {
+// loadsOfMix returns the distinct loads of a mix in ascending order.
+func loadsOfMix(cells []Cell, mix string) []float64 {
 	var out []float64
 	for _, c := range cells {
 		if c.Mix == mix {
@@ -122,8 +122,8 @@
 	return slices.Compact(out)
 }
 
-// family returns the cells of the named family.
-func family(cells []Cell, name string) []Cell {
+// cellsOfFamily returns the cells of the named family.
+func cellsOfFamily(cells []Cell, name string) []Cell {
 	var out []Cell
 	for _, c := range cells {
 		if c.Setting.Family == name {
@@ -133,8 +133,8 @@
 	return out
 }
 
-// named returns the cell of the named setting and whether there is one.
-func named(cells []Cell, name string) (Cell, bool) {
+// findCell returns the cell of the named setting and whether there is one.
+func findCell(cells []Cell, name string) (Cell, bool) {
 	for _, c := range cells {
 		if c.Setting.Name == name {
 			return c, true
--- a/load/experiment/system.go
+++ b/load/experiment/system.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// startLimit is the maximum time that the start of a system may take.
-	startLimit = 30 * time.Second
+	// startTimeout is the maximum time that the start of a system may take.
+	startTimeout = 30 * time.Second
 	// queueLength and queueWait are the limits of the model's queue. They make overload lead to
 	// refusals within a run. The wait is short because the time of the engines is scaled.
 	queueLength = 64
@@ -32,16 +32,16 @@
 	dir string
 }
 
-// start starts a new system with the given setting. Every run has its own system, so that it cannot
-// benefit from state that an earlier run has learned. The caller must stop the system.
-func start(ctx context.Context, s System, mix *load.Mix, setting Setting) (*system, error) {
+// startSystem starts a new system with the given setting. Every run has its own system, so that it
+// cannot benefit from state that an earlier run has learned. The caller must stop the system.
+func startSystem(ctx context.Context, s System, mix *load.Mix, setting Setting) (*system, error) {
 	dir, err := os.MkdirTemp(s.Dir, "run-")
 	if err != nil {
 		return nil, eris.Wrap(err, "make directory")
 	}
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	r, err := rig.Start(ctx, spec(s, dir, mix, setting))
+	r, err := rig.Start(ctx, rigSpec(s, dir, mix, setting))
 	if err != nil {
 		return nil, eris.Wrapf(err, "start system for %s (logs in %s)", setting.Name, dir)
 	}
@@ -54,8 +54,8 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-func spec(s System, dir string, mix *load.Mix, setting Setting) rig.Spec {
-	out := rig.Spec{Dir: dir, Bin: s.Bin, Base: base(mix, setting)}
+func rigSpec(s System, dir string, mix *load.Mix, setting Setting) rig.Spec {
+	out := rig.Spec{Dir: dir, Bin: s.Bin, Base: baseConfig(mix, setting)}
 	for i := range s.Gateways {
 		out.VMs = append(out.VMs, rig.VMSpec{ID: fmt.Sprintf("vm%d", i+1), DataCentre: dataCentre(i)})
 	}
@@ -73,15 +73,15 @@
 			},
 		})
 	}
-	out.Services = services(mix)
+	out.Services = serviceSpecs(mix)
 	return out
 }
 
 func dataCentre(i int) string { return fmt.Sprintf("dc%d", i%4+1) }
 
-// services returns one plain service for each distinct first path element among the calls of the
-// mix.
-func services(mix *load.Mix) []rig.ServiceSpec {
+// serviceSpecs returns one plain service for each distinct first path element among the calls of
+// the mix.
+func serviceSpecs(mix *load.Mix) []rig.ServiceSpec {
 	var out []rig.ServiceSpec
 	seen := map[string]bool{}
 	for _, w := range mix.Work {
@@ -97,9 +97,9 @@
 	return out
 }
 
-// base returns the part of the configuration, in TOML, that the experiment sets: weights, limits,
-// scheduling policy and workspaces.
-func base(mix *load.Mix, setting Setting) string {
+// baseConfig returns the part of the configuration, in TOML, that the experiment sets: weights,
+// limits, scheduling policy and workspaces.
+func baseConfig(mix *load.Mix, setting Setting) string {
 	var b strings.Builder
 	stall, preemption := mix.StallWeight, mix.PreemptionWeight
 	if setting.StallWeight+setting.PreemptionWeight > 0 {
@@ -115,6 +115,6 @@
 	return b.String()
 }
 
-// tellsLengths reports whether requests carry the length of their answer, which only the oracle
+// sendsLengthHints reports whether requests carry the length of their answer, which only the oracle
 // policy may know.
-func tellsLengths(s Setting) bool { return s.Policy == config.PolicyOracle }
+func sendsLengthHints(s Setting) bool { return s.Policy == config.PolicyOracle }
--- a/load/experiment/verdict_test.go
+++ b/load/experiment/verdict_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a comparison of two zeros that the page reports as reached. It occurs at loads at
 // which no policy preempts anything, and a reader would take it for a result.
-func TestTwoZerosDecideNothing(t *testing.T) {
+func TestComparisonOfZerosIsUndecided(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(atMost("mix", "preemptions", 0, 0, 0.5).verdict()).To(gomega.Equal("undecided"))
 	g.Expect(atMost("mix", "preemptions", 0, 4, 0.5).verdict()).To(gomega.Equal("yes"))
--- a/load/export_test.go
+++ b/load/export_test.go
@@ -13,8 +13,8 @@
 func Verify(texts []string, want int) Violation {
 	var v verifier
 	for i, text := range texts {
-		v.token(client.Token{Index: i, Text: text})
+		v.addToken(client.Token{Index: i, Text: text})
 	}
-	v.end(want)
-	return v.broken
+	v.finish(want)
+	return v.violation
 }
--- a/load/fairness.go
+++ b/load/fairness.go
@@ -9,11 +9,11 @@
 	for _, v := range served {
 		total += v
 	}
-	parts := fairParts(workspaces, demand, total)
+	fairShares := maxMinShares(workspaces, demand, total)
 	var xs []float64
 	for _, ws := range workspaces {
-		if parts[ws.Name] > 0 {
-			xs = append(xs, served[ws.Name]/parts[ws.Name])
+		if fairShares[ws.Name] > 0 {
+			xs = append(xs, served[ws.Name]/fairShares[ws.Name])
 		}
 	}
 	return jain(xs)
@@ -32,33 +32,33 @@
 	return sum * sum / (float64(len(xs)) * squares)
 }
 
-// fairParts computes the weighted max-min fair allocation of supply. Supply that exceeds the demand
-// of a workspace is redistributed to the others by weight.
-func fairParts(workspaces []Workspace, demand map[string]float64, supply float64) map[string]float64 {
-	parts := map[string]float64{}
-	open := append([]Workspace(nil), workspaces...)
-	for len(open) > 0 {
+// maxMinShares computes the weighted max-min fair allocation of supply. Supply that exceeds the
+// demand of a workspace is redistributed to the others by weight.
+func maxMinShares(workspaces []Workspace, demand map[string]float64, supply float64) map[string]float64 {
+	shares := map[string]float64{}
+	unsatisfied := append([]Workspace(nil), workspaces...)
+	for len(unsatisfied) > 0 {
 		weights := 0.0
-		for _, ws := range open {
+		for _, ws := range unsatisfied {
 			weights += ws.Weight
 		}
-		level := supply / weights
-		var rest []Workspace
-		for _, ws := range open {
-			if demand[ws.Name] <= level*ws.Weight {
-				parts[ws.Name] = demand[ws.Name]
+		sharePerWeight := supply / weights
+		var remaining []Workspace
+		for _, ws := range unsatisfied {
+			if demand[ws.Name] <= sharePerWeight*ws.Weight {
+				shares[ws.Name] = demand[ws.Name]
 				supply -= demand[ws.Name]
 			} else {
-				rest = append(rest, ws)
+				remaining = append(remaining, ws)
 			}
 		}
-		if len(rest) == len(open) {
-			for _, ws := range rest {
-				parts[ws.Name] = level * ws.Weight
+		if len(remaining) == len(unsatisfied) {
+			for _, ws := range remaining {
+				shares[ws.Name] = sharePerWeight * ws.Weight
 			}
-			return parts
+			return shares
 		}
-		open = rest
+		unsatisfied = remaining
 	}
-	return parts
+	return shares
 }
--- a/load/mix.go
+++ b/load/mix.go
@@ -27,8 +27,8 @@
 	KindNonIdempotent Kind = "non_idempotent"
 )
 
-// generates reports whether requests of this kind are generations, which run on an engine.
-func (k Kind) generates() bool { return k == KindGeneration || k == KindShort }
+// isGeneration reports whether requests of this kind are generations, which run on an engine.
+func (k Kind) isGeneration() bool { return k == KindGeneration || k == KindShort }
 
 // Mix describes the request traffic of one deployment.
 type Mix struct {
@@ -142,7 +142,7 @@
 	tokens, total := 0.0, 0.0
 	for _, w := range m.Work {
 		total += w.Share
-		if !w.Kind.generates() {
+		if !w.Kind.isGeneration() {
 			continue
 		}
 		mean := w.TokensMedian * math.Exp(w.TokensSigma*w.TokensSigma/2)
--- a/load/report.go
+++ b/load/report.go
@@ -15,8 +15,8 @@
 	StallFactor = 4
 	// maxMicros is the upper bound of histogram values in microseconds, digits the number of
 	// significant decimal digits that histograms keep.
-	maxMicros = int64(10 * time.Minute / time.Microsecond)
-	digits    = 3
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // Report holds the results of one run as seen by the callers.
@@ -97,7 +97,7 @@
 // maxExamples is the maximum length of Report.Examples.
 const maxExamples = 10
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, significantDigits) }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	// RecordValue fails only for values out of range, and the value is clamped to the range.
@@ -151,22 +151,22 @@
 		switch {
 		case !res.sent:
 			rep.NotSent++
-		case res.whole:
+		case res.complete:
 			rep.Whole++
 		default:
-			rep.Refusals[res.reason]++
+			rep.Refusals[res.failureReason]++
 		}
 	}
 }
 
 // countViolation counts violations in the warm-up too, because the guarantees hold at all times.
 func (r *runner) countViolation(rep *Report, res *result) {
-	if res.broken == "" {
+	if res.violation == "" {
 		return
 	}
-	rep.Violations[res.broken]++
+	rep.Violations[res.violation]++
 	if len(rep.Examples) < maxExamples {
-		rep.Examples = append(rep.Examples, res.item.Key+": "+string(res.broken)+": "+res.detail)
+		rep.Examples = append(rep.Examples, res.item.Key+": "+string(res.violation)+": "+res.violationDetail)
 	}
 }
 
@@ -181,18 +181,18 @@
 		for _, gap := range res.gaps {
 			record(between, gap)
 		}
-		if !res.whole {
+		if !res.complete {
 			continue
 		}
 		switch res.item.Work.Kind {
 		case KindGeneration:
-			record(first, res.first)
+			record(first, res.firstLatency)
 		case KindShort:
-			record(short, res.first)
+			record(short, res.firstLatency)
 		case KindLookup:
-			record(lookup, res.first)
+			record(lookup, res.firstLatency)
 		}
-		if res.item.Work.Kind.generates() {
+		if res.item.Work.Kind.isGeneration() {
 			rep.Generations++
 			preemptions += res.preemptions
 		}
@@ -221,7 +221,7 @@
 	sum := time.Duration(0)
 	for i := range r.results {
 		res := &r.results[i]
-		if !r.measured(res) || !res.item.Work.Kind.generates() || (res.first == 0 && !res.whole) {
+		if !r.measured(res) || !res.item.Work.Kind.isGeneration() || (res.firstLatency == 0 && !res.complete) {
 			continue
 		}
 		stall := stallTime(res.gaps, threshold)
@@ -261,14 +261,14 @@
 	tokens := 0
 	for i := range r.results {
 		res := &r.results[i]
-		if res.whole {
-			tokens += r.goodTokens(res)
+		if res.complete {
+			tokens += r.goodputTokens(res)
 		}
 		if !r.measured(res) {
 			continue
 		}
 		demand[res.item.Workspace] += float64(res.item.Tokens)
-		if res.whole {
+		if res.complete {
 			served[res.item.Workspace] += float64(res.item.Tokens)
 		}
 	}
@@ -281,14 +281,14 @@
 	rep.Fairness = fairness(r.trace.Mix.Workspaces, demand, served)
 }
 
-// goodTokens returns the number of tokens of a complete answer that count towards goodput. In an
+// goodputTokens returns the number of tokens of a complete answer that count towards goodput. In an
 // open-loop run it excludes tokens received after the sending period: once arrivals stop, the
 // backlog drains completely, and counting it would hide overload.
-func (r *runner) goodTokens(res *result) int {
+func (r *runner) goodputTokens(res *result) int {
 	if r.opts.ClosedLoop {
 		return res.item.Tokens
 	}
-	return res.windowTokens
+	return res.measuredTokens
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/load/run.go
+++ b/load/run.go
@@ -67,30 +67,30 @@
 type result struct {
 	item *Item
 	sent bool
-	// whole is set if the answer is complete. Otherwise reason says why not.
-	whole  bool
-	reason crocusreel.Reason
-	// first is the time from the planned arrival to the first token or, for a plain call, to the
-	// reply.
-	first time.Duration
+	// complete is set if the answer is complete. Otherwise failureReason says why not.
+	complete      bool
+	failureReason crocusreel.Reason
+	// firstLatency is the time from the planned arrival to the first token or, for a plain call, to
+	// the reply.
+	firstLatency time.Duration
 	// gaps are the times between consecutive tokens.
 	gaps []time.Duration
-	// windowTokens is the number of tokens received after the warm-up and within the sending
+	// measuredTokens is the number of tokens received after the warm-up and within the sending
 	// period.
-	windowTokens int
-	preemptions  int
-	// broken is the first violation found in the answer, or empty; detail describes it.
-	broken Violation
-	detail string
+	measuredTokens int
+	preemptions    int
+	// violation is the first violation found in the answer, or empty; violationDetail describes it.
+	violation       Violation
+	violationDetail string
 }
 
 // runner executes one run.
 type runner struct {
-	trace   Trace
-	opts    Options
-	clients map[string]*client.Client
-	begin   time.Time
-	results []result
+	trace     Trace
+	opts      Options
+	clients   map[string]*client.Client
+	startedAt time.Time
+	results   []result
 
 	sent, ended, failed, tokens atomic.Int64
 }
@@ -106,14 +106,14 @@
 		opts.Drain = defaultDrain
 	}
 	r := &runner{trace: trace, opts: opts, results: make([]result, len(trace.Items))}
-	if err := r.connect(); err != nil {
+	if err := r.createClients(); err != nil {
 		return nil, err
 	}
-	defer r.disconnect()
-	r.begin = time.Now()
-	stopProgress := r.progress()
+	defer r.closeClients()
+	r.startedAt = time.Now()
+	stopProgress := r.startProgress()
 	r.send(ctx)
-	elapsed := time.Since(r.begin)
+	elapsed := time.Since(r.startedAt)
 	stopProgress()
 	if ctx.Err() != nil {
 		return nil, eris.Wrap(ctx.Err(), "load: run cancelled before its end")
@@ -121,9 +121,9 @@
 	return r.report(elapsed), nil
 }
 
-// connect creates one client per workspace, as in production, where each customer has its own API
-// key and its own retry budget. The clients share one HTTP transport.
-func (r *runner) connect() error {
+// createClients creates one client per workspace, as in production, where each customer has its own
+// API key and its own retry budget. The clients share one HTTP transport.
+func (r *runner) createClients() error {
 	transport := &http.Transport{MaxIdleConnsPerHost: r.opts.InFlight, IdleConnTimeout: time.Minute}
 	r.clients = make(map[string]*client.Client)
 	for _, ws := range r.trace.Mix.Workspaces {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (r *runner) disconnect() {
+func (r *runner) closeClients() {
 	for _, c := range r.clients {
 		c.Close()
 	}
@@ -151,12 +151,12 @@
 func (r *runner) send(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	room := make(chan struct{}, r.opts.InFlight)
+	slots := make(chan struct{}, r.opts.InFlight)
 	var running sync.WaitGroup
 	for i := range r.trace.Items {
 		res := &r.results[i]
 		res.item = &r.trace.Items[i]
-		if !r.await(ctx, res.item, room) {
+		if !r.acquireSlot(ctx, res.item, slots) {
 			continue
 		}
 		res.sent = true
@@ -164,32 +164,32 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			r.one(ctx, res)
-			<-room
+			r.sendItem(ctx, res)
+			<-slots
 		}()
 	}
 	r.drain(&running, cancel)
 }
 
-// await waits for the planned time of the item and acquires a slot of room, which the caller must
-// release. In a closed loop it waits for a free slot instead. It returns false if the item must not
-// be sent, because no slot is free at its planned time or ctx is done.
-func (r *runner) await(ctx context.Context, item *Item, room chan struct{}) bool {
+// acquireSlot waits for the planned time of the item and acquires one of the slots, which the
+// caller must release. In a closed loop it waits for a free slot instead. It returns false if the
+// item must not be sent, because no slot is free at its planned time or ctx is done.
+func (r *runner) acquireSlot(ctx context.Context, item *Item, slots chan struct{}) bool {
 	if r.opts.ClosedLoop {
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 			return true
 		case <-ctx.Done():
 			return false
 		}
 	}
 	select {
-	case <-time.After(time.Until(r.begin.Add(item.At))):
+	case <-time.After(time.Until(r.startedAt.Add(item.At))):
 	case <-ctx.Done():
 		return false
 	}
 	select {
-	case room <- struct{}{}:
+	case slots <- struct{}{}:
 		return true
 	default:
 		return false
@@ -212,9 +212,9 @@
 	}
 }
 
-// progress starts a goroutine that calls Options.Progress once a second. The returned function
+// startProgress starts a goroutine that calls Options.Progress once a second. The returned function
 // stops it, after a last call, and waits for it.
-func (r *runner) progress() (stop func()) {
+func (r *runner) startProgress() (stop func()) {
 	if r.opts.Progress == nil {
 		return func() {}
 	}
@@ -227,9 +227,9 @@
 		for {
 			select {
 			case <-ticker.C:
-				r.opts.Progress(r.state())
+				r.opts.Progress(r.snapshot())
 			case <-quit:
-				r.opts.Progress(r.state())
+				r.opts.Progress(r.snapshot())
 				return
 			}
 		}
@@ -240,10 +240,10 @@
 	}
 }
 
-func (r *runner) state() Progress {
+func (r *runner) snapshot() Progress {
 	sent, ended := r.sent.Load(), r.ended.Load()
 	return Progress{
-		Elapsed:  time.Since(r.begin),
+		Elapsed:  time.Since(r.startedAt),
 		Planned:  len(r.trace.Items),
 		Sent:     sent,
 		Ended:    ended,
--- a/load/send.go
+++ b/load/send.go
@@ -10,25 +10,25 @@
 	"github.com/crocusreel/crocusreel/client"
 )
 
-// one sends one item, receives its answer and records the outcome in res.
-func (r *runner) one(ctx context.Context, res *result) {
-	planned := r.begin.Add(res.item.At)
+// sendItem sends one item, receives its answer and records the outcome in res.
+func (r *runner) sendItem(ctx context.Context, res *result) {
+	planned := r.startedAt.Add(res.item.At)
 	if r.opts.ClosedLoop {
 		planned = time.Now()
 	}
 	var err error
-	if res.item.Work.Kind.generates() {
-		err = r.generate(ctx, res, planned)
+	if res.item.Work.Kind.isGeneration() {
+		err = r.sendGeneration(ctx, res, planned)
 	} else {
-		err = r.call(ctx, res, planned)
+		err = r.sendCall(ctx, res, planned)
 	}
 	r.ended.Add(1)
 	if err != nil {
-		res.reason = reasonOf(err)
+		res.failureReason = reasonOf(err)
 		r.failed.Add(1)
 		return
 	}
-	res.whole = true
+	res.complete = true
 }
 
 // Reasons of failures that the client detected, other than refusals by the system.
@@ -53,7 +53,7 @@
 	return reasonOther
 }
 
-func (r *runner) call(ctx context.Context, res *result, planned time.Time) error {
+func (r *runner) sendCall(ctx context.Context, res *result, planned time.Time) error {
 	work := res.item.Work
 	_, err := r.clients[res.item.Workspace].Call(ctx, client.CallRequest{
 		Meta: client.Meta{
@@ -64,11 +64,11 @@
 		Method: work.Method,
 		Path:   work.Path,
 	})
-	res.first = time.Since(planned)
+	res.firstLatency = time.Since(planned)
 	return err
 }
 
-func (r *runner) generate(ctx context.Context, res *result, planned time.Time) error {
+func (r *runner) sendGeneration(ctx context.Context, res *result, planned time.Time) error {
 	item := res.item
 	req := client.Request{
 		Meta:      client.Meta{Key: item.Key, Priority: crocusreel.Priority(item.Work.Priority)},
@@ -85,18 +85,19 @@
 		return err
 	}
 	defer stream.Close()
-	return r.read(stream, res, planned)
+	return r.readStream(stream, res, planned)
 }
 
-// read receives the stream to its end, verifies it and records the arrival time of each token.
-func (r *runner) read(stream *client.Stream, res *result, planned time.Time) error {
+// readStream receives the stream to its end, verifies it and records the arrival time of each
+// token.
+func (r *runner) readStream(stream *client.Stream, res *result, planned time.Time) error {
 	var v verifier
-	defer func() { res.broken, res.detail = v.broken, v.detail }()
+	defer func() { res.violation, res.violationDetail = v.violation, v.detail }()
 	var last time.Time
 	for {
 		token, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			v.end(res.item.Tokens)
+			v.finish(res.item.Tokens)
 			res.preemptions = stream.Answer().Preemptions
 			return nil
 		}
@@ -105,15 +106,15 @@
 		}
 		now := time.Now()
 		if last.IsZero() {
-			res.first = now.Sub(planned)
+			res.firstLatency = now.Sub(planned)
 		} else {
 			res.gaps = append(res.gaps, now.Sub(last))
 		}
 		last = now
 		r.tokens.Add(1)
-		if at := now.Sub(r.begin); at >= r.opts.Warmup && at < r.trace.Duration {
-			res.windowTokens++
+		if at := now.Sub(r.startedAt); at >= r.opts.Warmup && at < r.trace.Duration {
+			res.measuredTokens++
 		}
-		v.token(token)
+		v.addToken(token)
 	}
 }
--- a/load/trace.go
+++ b/load/trace.go
@@ -68,7 +68,7 @@
 // NewTrace returns a trace of the given duration with Poisson arrivals at the given rate in
 // requests per second.
 func NewTrace(mix *Mix, rate float64, duration time.Duration, seed uint64) Trace {
-	g := newGenerator(mix, seed)
+	g := newTraceGenerator(mix, seed)
 	t := Trace{Mix: mix, Seed: seed, Duration: duration}
 	at := time.Duration(0)
 	for {
@@ -76,19 +76,19 @@
 		if at >= duration {
 			return t
 		}
-		t.Items = append(t.Items, g.item(at))
+		t.Items = append(t.Items, g.newItem(at))
 	}
 }
 
 // NewCountTrace returns a trace of the given number of requests with Poisson arrivals at the given
 // rate in requests per second. Its duration ends with the last arrival.
 func NewCountTrace(mix *Mix, rate float64, requests int, seed uint64) Trace {
-	g := newGenerator(mix, seed)
+	g := newTraceGenerator(mix, seed)
 	t := Trace{Mix: mix, Seed: seed}
 	at := time.Duration(0)
 	for range requests {
 		at += time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
-		t.Items = append(t.Items, g.item(at))
+		t.Items = append(t.Items, g.newItem(at))
 	}
 	t.Duration = at
 	return t
@@ -100,11 +100,11 @@
 // therefore the same for every seed, up to the length of one answer, however heavy the tail of the
 // lengths is.
 func NewTokenTrace(mix *Mix, tokens int, duration time.Duration, seed uint64) Trace {
-	g := newGenerator(mix, seed)
+	g := newTraceGenerator(mix, seed)
 	t := Trace{Mix: mix, Seed: seed, Duration: duration}
 	for sum := 0; sum < tokens; {
 		at := time.Duration(g.random.Float64() * float64(duration))
-		item := g.item(at)
+		item := g.newItem(at)
 		sum += item.Tokens
 		t.Items = append(t.Items, item)
 	}
@@ -112,18 +112,18 @@
 	return t
 }
 
-// generator draws the items of a trace.
-type generator struct {
-	mix    *Mix
-	seed   uint64
-	random *rand.Rand
-	serial int
+// traceGenerator draws the items of a trace.
+type traceGenerator struct {
+	mix       *Mix
+	seed      uint64
+	random    *rand.Rand
+	itemCount int
 	// prefixes holds the shared prefixes of prompts, keyed by workspace and work.
 	prefixes map[string]string
 }
 
-func newGenerator(mix *Mix, seed uint64) *generator {
-	return &generator{
+func newTraceGenerator(mix *Mix, seed uint64) *traceGenerator {
+	return &traceGenerator{
 		mix:      mix,
 		seed:     seed,
 		random:   rand.New(rand.NewPCG(seed, 0)),
@@ -131,36 +131,36 @@
 	}
 }
 
-func (g *generator) item(at time.Duration) Item {
-	workspace := g.workspace()
-	work := g.work()
-	g.serial++
+func (g *traceGenerator) newItem(at time.Duration) Item {
+	workspace := g.pickWorkspace()
+	work := g.pickWork()
+	g.itemCount++
 	item := Item{
 		At:        at,
 		Workspace: workspace.Name,
 		Work:      work,
-		Key:       fmt.Sprintf("load-%d-%d-%08x", g.seed, g.serial, g.random.Uint32()),
+		Key:       fmt.Sprintf("load-%d-%d-%08x", g.seed, g.itemCount, g.random.Uint32()),
 	}
-	if work.Kind.generates() {
+	if work.Kind.isGeneration() {
 		item.Tokens = g.length(at, workspace, work)
 		item.Prompt = g.prompt(workspace, work, item.Tokens)
 	}
 	return item
 }
 
-func (g *generator) workspace() *Workspace {
+func (g *traceGenerator) pickWorkspace() *Workspace {
 	list := g.mix.Workspaces
-	i := g.choose(len(list), func(i int) float64 { return list[i].Share })
+	i := g.pickWeighted(len(list), func(i int) float64 { return list[i].Share })
 	return &list[i]
 }
 
-func (g *generator) work() *Work {
+func (g *traceGenerator) pickWork() *Work {
 	list := g.mix.Work
-	i := g.choose(len(list), func(i int) float64 { return list[i].Share })
+	i := g.pickWeighted(len(list), func(i int) float64 { return list[i].Share })
 	return &list[i]
 }
 
-func (g *generator) choose(n int, share func(int) float64) int {
+func (g *traceGenerator) pickWeighted(n int, share func(int) float64) int {
 	total := 0.0
 	for i := range n {
 		total += share(i)
@@ -177,8 +177,8 @@
 
 // length draws a lognormal answer length in tokens. A fraction Work.Correlation of the variance of
 // its logarithm is common to the workspace within a correlationPeriod.
-func (g *generator) length(at time.Duration, ws *Workspace, work *Work) int {
-	z := math.Sqrt(work.Correlation)*g.common(at, ws) +
+func (g *traceGenerator) length(at time.Duration, ws *Workspace, work *Work) int {
+	z := math.Sqrt(work.Correlation)*g.sharedNormal(at, ws) +
 		math.Sqrt(1-work.Correlation)*g.random.NormFloat64()
 	median := work.TokensMedian
 	if work.Kind == KindGeneration {
@@ -188,9 +188,9 @@
 	return min(max(n, 1), work.MaxTokens)
 }
 
-// common returns a standard normal value that depends only on the seed, the workspace and the
+// sharedNormal returns a standard normal value that depends only on the seed, the workspace and the
 // correlationPeriod that contains at.
-func (g *generator) common(at time.Duration, ws *Workspace) float64 {
+func (g *traceGenerator) sharedNormal(at time.Duration, ws *Workspace) float64 {
 	hash := uint64(14695981039346656037)
 	for _, b := range []byte(ws.Name) {
 		hash = (hash ^ uint64(b)) * 1099511628211
@@ -201,24 +201,25 @@
 
 // prompt builds a prompt of about Work.PromptTokens tokens. It starts with the prefix shared within
 // the workspace and ends with the marker that sets the answer length of stand-in engines to tokens.
-func (g *generator) prompt(ws *Workspace, work *Work, tokens int) string {
+func (g *traceGenerator) prompt(ws *Workspace, work *Work, tokens int) string {
 	name := ws.Name + "/" + work.Name
 	prefix, ok := g.prefixes[name]
 	if !ok {
-		prefix = words("shared-"+name, work.SharedPromptTokens)
+		prefix = fillerText("shared-"+name, work.SharedPromptTokens)
 		g.prefixes[name] = prefix
 	}
-	own := max(work.PromptTokens-work.SharedPromptTokens-markerTokens, 0)
-	unique := fmt.Sprintf("own%d", g.serial)
-	return prefix + words(unique, own) + fmt.Sprintf("[[len=%d]]", tokens)
+	uniqueTokens := max(work.PromptTokens-work.SharedPromptTokens-markerTokens, 0)
+	uniqueStem := fmt.Sprintf("own%d", g.itemCount)
+	return prefix + fillerText(uniqueStem, uniqueTokens) + fmt.Sprintf("[[len=%d]]", tokens)
 }
 
 // bytesPerToken is the mean token length that gateways and stand-in engines assume to estimate the
 // number of tokens of a prompt.
 const bytesPerToken = 4
 
-// words returns a text of n tokens, that is n*bytesPerToken bytes, made of repetitions of stem.
-func words(stem string, n int) string {
+// fillerText returns a text of n tokens, that is n*bytesPerToken bytes, made of repetitions of
+// stem.
+func fillerText(stem string, n int) string {
 	if n <= 0 {
 		return ""
 	}
--- a/load/verify.go
+++ b/load/verify.go
@@ -30,40 +30,40 @@
 // independently of the index that the gateway assigned to it.
 type verifier struct {
 	generation string
-	next       int
-	broken     Violation
+	nextIndex  int
+	violation  Violation
 	detail     string
 }
 
-func (v *verifier) token(t client.Token) {
+func (v *verifier) addToken(t client.Token) {
 	generation, index, ok := splitToken(t.Text)
 	switch {
 	case !ok:
 		v.fail(ViolationMixed, fmt.Sprintf("text %q", t.Text))
-	case v.next > 0 && generation != v.generation:
+	case v.nextIndex > 0 && generation != v.generation:
 		v.fail(ViolationMixed, fmt.Sprintf("generation %s after %s", generation, v.generation))
-	case index < v.next:
-		v.fail(ViolationRepeated, fmt.Sprintf("token %d in place of %d", index, v.next))
-	case index > v.next || t.Index != index:
-		v.fail(ViolationMissing, fmt.Sprintf("token %d (index %d) in place of %d", index, t.Index, v.next))
+	case index < v.nextIndex:
+		v.fail(ViolationRepeated, fmt.Sprintf("token %d in place of %d", index, v.nextIndex))
+	case index > v.nextIndex || t.Index != index:
+		v.fail(ViolationMissing, fmt.Sprintf("token %d (index %d) in place of %d", index, t.Index, v.nextIndex))
 	}
 	v.generation = generation
-	v.next++
+	v.nextIndex++
 }
 
-func (v *verifier) end(want int) {
+func (v *verifier) finish(want int) {
 	switch {
-	case v.next < want:
-		v.fail(ViolationMissing, fmt.Sprintf("%d tokens of %d", v.next, want))
-	case v.next > want:
-		v.fail(ViolationExtra, fmt.Sprintf("%d tokens of %d", v.next, want))
+	case v.nextIndex < want:
+		v.fail(ViolationMissing, fmt.Sprintf("%d tokens of %d", v.nextIndex, want))
+	case v.nextIndex > want:
+		v.fail(ViolationExtra, fmt.Sprintf("%d tokens of %d", v.nextIndex, want))
 	}
 }
 
 // fail records a violation; only the first one is kept.
 func (v *verifier) fail(kind Violation, detail string) {
-	if v.broken == "" {
-		v.broken = kind
+	if v.violation == "" {
+		v.violation = kind
 		v.detail = detail
 	}
 }
