--- a/cmd/crocusreel/load.go
+++ b/cmd/crocusreel/load.go
@@ -101,14 +101,14 @@
 	o := load.Options{
 		Gateways:       c.Gateways,
 		Key:            c.key,
-		InFlight:       c.InFlight,
-		Drain:          c.Drain,
+		MaxInFlight:       c.InFlight,
+		DrainTimeout:          c.Drain,
 		Warmup:         c.Warmup,
 		StallThreshold: c.Stall,
-		TellLengths:    c.TellLengths,
+		SendLengthHints:    c.TellLengths,
 	}
 	if c.Concurrency > 0 {
-		o.InFlight = c.Concurrency
+		o.MaxInFlight = c.Concurrency
 		o.ClosedLoop = true
 	}
 	if isTerminal(os.Stderr) {
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -240,13 +240,13 @@
 	stopFaults := sys.injectFaults(ctx, x.plan)
 	before := readCPU()
 	rep, err := load.Run(ctx, trace, load.Options{
-		Gateways:       sys.CallerAddresses(),
-		Key:            callerKey,
-		InFlight:       maxInFlight,
-		Drain:          x.plan.Drain,
-		Warmup:         x.plan.Warmup,
-		StallThreshold: stall,
-		TellLengths:    sendsLengthHints(setting),
+		Gateways:        sys.CallerAddresses(),
+		Key:             callerKey,
+		MaxInFlight:     maxInFlight,
+		DrainTimeout:    x.plan.Drain,
+		Warmup:          x.plan.Warmup,
+		StallThreshold:  stall,
+		SendLengthHints: sendsLengthHints(setting),
 	})
 	busy := readCPU().busySince(before)
 	stopFaults()
--- a/load/run.go
+++ b/load/run.go
@@ -26,26 +26,26 @@
 	Gateways []string
 	// Key returns the API key of a workspace.
 	Key func(workspace string) string
-	// InFlight is the maximum number of requests in flight; default 1024. A request that arrives at
-	// the limit is not sent and counts in Report.NotSent.
-	InFlight int
+	// MaxInFlight is the maximum number of requests in flight; default 1024. A request that arrives
+	// at the limit is not sent and counts in Report.NotSent.
+	MaxInFlight int
 	// ClosedLoop sends the next request as soon as fewer than InFlight are in flight, regardless of
 	// its planned time.
 	ClosedLoop bool
-	// Attempts is the maximum number of attempts per request; 0 means the default of the client.
-	Attempts int
-	// Drain is the maximum wait for answers after the last request was sent; default 60 s. Requests
-	// that are still in flight after it are cancelled.
-	Drain time.Duration
+	// MaxAttempts is the maximum number of attempts per request; 0 means the default of the client.
+	MaxAttempts int
+	// DrainTimeout is the maximum wait for answers after the last request was sent; default 60 s.
+	// Requests that are still in flight after it are cancelled.
+	DrainTimeout time.Duration
 	// Warmup is the time at the start of a run during which requests are sent and verified but not
 	// measured. It is ignored in a closed loop.
 	Warmup time.Duration
 	// StallThreshold is the gap between two tokens beyond which an answer is stalled; 0 means
 	// StallFactor times the median gap of the run.
 	StallThreshold time.Duration
-	// TellLengths sends the length of the answer with each generation request, for the oracle
+	// SendLengthHints sends the length of the answer with each generation request, for the oracle
 	// policy.
-	TellLengths bool
+	SendLengthHints bool
 	// Progress, if not nil, is called about once a second and at the end of the run, from a
 	// goroutine of its own.
 	Progress func(Progress)
@@ -99,11 +99,11 @@
 // requests and violations are not errors but part of the report. An error means that the clients
 // could not be created or that ctx was cancelled.
 func Run(ctx context.Context, trace Trace, opts Options) (*Report, error) {
-	if opts.InFlight == 0 {
-		opts.InFlight = defaultInFlight
+	if opts.MaxInFlight == 0 {
+		opts.MaxInFlight = defaultInFlight
 	}
-	if opts.Drain == 0 {
-		opts.Drain = defaultDrain
+	if opts.DrainTimeout == 0 {
+		opts.DrainTimeout = defaultDrain
 	}
 	r := &runner{trace: trace, opts: opts, results: make([]result, len(trace.Items))}
 	if err := r.createClients(); err != nil {
@@ -124,13 +124,13 @@
 // createClients creates one client per workspace, as in production, where each customer has its own
 // API key and its own retry budget. The clients share one HTTP transport.
 func (r *runner) createClients() error {
-	transport := &http.Transport{MaxIdleConnsPerHost: r.opts.InFlight, IdleConnTimeout: time.Minute}
+	transport := &http.Transport{MaxIdleConnsPerHost: r.opts.MaxInFlight, IdleConnTimeout: time.Minute}
 	r.clients = make(map[string]*client.Client)
 	for _, ws := range r.trace.Mix.Workspaces {
 		c, err := client.New(client.Options{
 			Seeds:    r.opts.Gateways,
 			Key:      r.opts.Key(ws.Name),
-			Attempts: r.opts.Attempts,
+			Attempts: r.opts.MaxAttempts,
 			HTTP:     &http.Client{Transport: transport},
 		})
 		if err != nil {
@@ -151,7 +151,7 @@
 func (r *runner) send(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	slots := make(chan struct{}, r.opts.InFlight)
+	slots := make(chan struct{}, r.opts.MaxInFlight)
 	var running sync.WaitGroup
 	for i := range r.trace.Items {
 		res := &r.results[i]
@@ -206,7 +206,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(r.opts.Drain):
+	case <-time.After(r.opts.DrainTimeout):
 		cancel()
 		<-done
 	}
--- a/load/send.go
+++ b/load/send.go
@@ -77,7 +77,7 @@
 		MaxTokens: item.Work.MaxTokens,
 		Class:     item.Class(),
 	}
-	if r.opts.TellLengths {
+	if r.opts.SendLengthHints {
 		req.LengthHint = item.Tokens
 	}
 	stream, err := r.clients[item.Workspace].Generate(ctx, req)
