--- a/load/load_test.go
+++ b/load/load_test.go
@@ -87,11 +87,11 @@
 			Expect(load.Verify(texts, 3)).To(Equal(want))
 		},
 		Entry("whole", []string{"g.0 ", "g.1 ", "g.2 "}, load.Violation("")),
-		Entry("cut", []string{"g.0 ", "g.1 "}, load.ViolationMissing),
-		Entry("gap", []string{"g.0 ", "g.2 ", "g.3 "}, load.ViolationMissing),
-		Entry("repeated", []string{"g.0 ", "g.0 ", "g.1 "}, load.ViolationRepeated),
-		Entry("spliced", []string{"g.0 ", "h.1 ", "h.2 "}, load.ViolationMixed),
-		Entry("too long", []string{"g.0 ", "g.1 ", "g.2 ", "g.3 "}, load.ViolationExtra),
+		Entry("cut", []string{"g.0 ", "g.1 "}, load.ViolationMissingTokens),
+		Entry("gap", []string{"g.0 ", "g.2 ", "g.3 "}, load.ViolationMissingTokens),
+		Entry("repeated", []string{"g.0 ", "g.0 ", "g.1 "}, load.ViolationRepeatedToken),
+		Entry("spliced", []string{"g.0 ", "h.1 ", "h.2 "}, load.ViolationWrongToken),
+		Entry("too long", []string{"g.0 ", "g.1 ", "g.2 ", "g.3 "}, load.ViolationExtraTokens),
 	)
 
 	It("count only the time in excess of the threshold as stall", func() {
--- a/load/verify.go
+++ b/load/verify.go
@@ -13,16 +13,16 @@
 
 // Kinds of violations.
 const (
-	// ViolationMixed is a token that belongs to another generation than the token before it, or
-	// whose text is not that of a stand-in engine's token.
-	ViolationMixed Violation = "wrong_token"
-	// ViolationMissing is an answer that skips tokens or ended as complete with too few tokens. A
-	// token whose index differs from the position in its text also counts here.
-	ViolationMissing Violation = "missing_tokens"
-	// ViolationRepeated is a token at a position that was already received.
-	ViolationRepeated Violation = "repeated_token"
-	// ViolationExtra is a complete answer with more tokens than requested.
-	ViolationExtra Violation = "extra_tokens"
+	// ViolationWrongToken is a token that belongs to another generation than the token before it,
+	// or whose text is not that of a stand-in engine's token.
+	ViolationWrongToken Violation = "wrong_token"
+	// ViolationMissingTokens is an answer that skips tokens or ended as complete with too few
+	// tokens. A token whose index differs from the position in its text also counts here.
+	ViolationMissingTokens Violation = "missing_tokens"
+	// ViolationRepeatedToken is a token at a position that was already received.
+	ViolationRepeatedToken Violation = "repeated_token"
+	// ViolationExtraTokens is a complete answer with more tokens than requested.
+	ViolationExtraTokens Violation = "extra_tokens"
 )
 
 // verifier checks the tokens of one answer. Stand-in engines send "<generation>.<index> " as the
@@ -39,13 +39,13 @@
 	generation, index, ok := splitToken(t.Text)
 	switch {
 	case !ok:
-		v.fail(ViolationMixed, fmt.Sprintf("text %q", t.Text))
+		v.fail(ViolationWrongToken, fmt.Sprintf("text %q", t.Text))
 	case v.nextIndex > 0 && generation != v.generation:
-		v.fail(ViolationMixed, fmt.Sprintf("generation %s after %s", generation, v.generation))
+		v.fail(ViolationWrongToken, fmt.Sprintf("generation %s after %s", generation, v.generation))
 	case index < v.nextIndex:
-		v.fail(ViolationRepeated, fmt.Sprintf("token %d in place of %d", index, v.nextIndex))
+		v.fail(ViolationRepeatedToken, fmt.Sprintf("token %d in place of %d", index, v.nextIndex))
 	case index > v.nextIndex || t.Index != index:
-		v.fail(ViolationMissing, fmt.Sprintf("token %d (index %d) in place of %d", index, t.Index, v.nextIndex))
+		v.fail(ViolationMissingTokens, fmt.Sprintf("token %d (index %d) in place of %d", index, t.Index, v.nextIndex))
 	}
 	v.generation = generation
 	v.nextIndex++
@@ -54,9 +54,9 @@
 func (v *verifier) finish(want int) {
 	switch {
 	case v.nextIndex < want:
-		v.fail(ViolationMissing, fmt.Sprintf("%d tokens of %d", v.nextIndex, want))
+		v.fail(ViolationMissingTokens, fmt.Sprintf("%d tokens of %d", v.nextIndex, want))
 	case v.nextIndex > want:
-		v.fail(ViolationExtra, fmt.Sprintf("%d tokens of %d", v.nextIndex, want))
+		v.fail(ViolationExtraTokens, fmt.Sprintf("%d tokens of %d", v.nextIndex, want))
 	}
 }
 
