--- a/load/load_test.go
+++ b/load/load_test.go
@@ -70,7 +70,7 @@
 	It("builds prompts of the length that the mix specifies", func() {
 		for _, item := range load.NewTokenTrace(exampleMix("postwerk"), 20000, 10*time.Second, 1).Items {
 			if item.Tokens > 0 {
-				Expect(endpoint.PromptTokens(item.Prompt)).To(BeNumerically("~", item.Work.PromptTokens, 2))
+				Expect(endpoint.PromptTokens(item.Prompt)).To(BeNumerically("~", item.Template.PromptTokens, 2))
 			}
 		}
 	})
--- a/load/mix.go
+++ b/load/mix.go
@@ -39,10 +39,10 @@
 	FirstMeasure string `toml:"first_measure" default:"stall" oneof:"stall|preemption"`
 	// StallWeight and PreemptionWeight are the weights of the two costs in the deployment's
 	// configuration.
-	StallWeight      float64     `toml:"stall_weight" default:"1" min:"0"`
-	PreemptionWeight float64     `toml:"preemption_weight" default:"1" min:"0"`
-	Workspaces       []Workspace `toml:"workspaces" required:"true"`
-	Work             []Work      `toml:"work" required:"true"`
+	StallWeight      float64           `toml:"stall_weight" default:"1" min:"0"`
+	PreemptionWeight float64           `toml:"preemption_weight" default:"1" min:"0"`
+	Workspaces       []Workspace       `toml:"workspaces" required:"true"`
+	Work             []RequestTemplate `toml:"work" required:"true"`
 }
 
 // Workspace is one customer in a mix.
@@ -58,8 +58,8 @@
 	LengthFactor float64 `toml:"length_factor" default:"1" min:"0.01" max:"100"`
 }
 
-// Work describes one type of request in a mix.
-type Work struct {
+// RequestTemplate describes one type of request in a mix.
+type RequestTemplate struct {
 	Name string `toml:"name" required:"true"`
 	Kind Kind   `toml:"kind" required:"true" oneof:"generation|short|lookup|non_idempotent"`
 	// Share is the relative share of this type among all requests; the shares need not add up to 1.
--- a/load/report.go
+++ b/load/report.go
@@ -184,7 +184,7 @@
 		if !res.complete {
 			continue
 		}
-		switch res.item.Work.Kind {
+		switch res.item.Template.Kind {
 		case KindGeneration:
 			record(first, res.firstLatency)
 		case KindShort:
@@ -192,7 +192,7 @@
 		case KindLookup:
 			record(lookup, res.firstLatency)
 		}
-		if res.item.Work.Kind.isGeneration() {
+		if res.item.Template.Kind.isGeneration() {
 			rep.Generations++
 			preemptions += res.preemptions
 		}
@@ -221,7 +221,7 @@
 	sum := time.Duration(0)
 	for i := range r.results {
 		res := &r.results[i]
-		if !r.measured(res) || !res.item.Work.Kind.isGeneration() || (res.firstLatency == 0 && !res.complete) {
+		if !r.measured(res) || !res.item.Template.Kind.isGeneration() || (res.firstLatency == 0 && !res.complete) {
 			continue
 		}
 		stall := stallTime(res.gaps, threshold)
--- a/load/send.go
+++ b/load/send.go
@@ -17,7 +17,7 @@
 		planned = time.Now()
 	}
 	var err error
-	if res.item.Work.Kind.isGeneration() {
+	if res.item.Template.Kind.isGeneration() {
 		err = r.sendGeneration(ctx, res, planned)
 	} else {
 		err = r.sendCall(ctx, res, planned)
@@ -54,7 +54,7 @@
 }
 
 func (r *runner) sendCall(ctx context.Context, res *result, planned time.Time) error {
-	work := res.item.Work
+	work := res.item.Template
 	_, err := r.clients[res.item.Workspace].Call(ctx, client.CallRequest{
 		Meta: client.Meta{
 			Key:           res.item.Key,
@@ -71,10 +71,10 @@
 func (r *runner) sendGeneration(ctx context.Context, res *result, planned time.Time) error {
 	item := res.item
 	req := client.Request{
-		Meta:      client.Meta{Key: item.Key, Priority: crocusreel.Priority(item.Work.Priority)},
+		Meta:      client.Meta{Key: item.Key, Priority: crocusreel.Priority(item.Template.Priority)},
 		Model:     r.trace.Mix.Model,
 		Prompt:    item.Prompt,
-		MaxTokens: item.Work.MaxTokens,
+		MaxTokens: item.Template.MaxTokens,
 		Class:     item.Class(),
 	}
 	if r.opts.SendLengthHints {
--- a/load/trace.go
+++ b/load/trace.go
@@ -25,7 +25,7 @@
 	// At is the planned time of sending, relative to the start of the run.
 	At        time.Duration
 	Workspace string
-	Work      *Work
+	Template  *RequestTemplate
 	// Tokens is the expected length of the answer; 0 for plain calls.
 	Tokens int
 	Prompt string
@@ -35,7 +35,7 @@
 
 // Class returns the request class under which the item is sent.
 func (i Item) Class() crocusreel.Class {
-	switch i.Work.Kind {
+	switch i.Template.Kind {
 	case KindGeneration:
 		return crocusreel.ClassGeneration
 	case KindShort:
@@ -138,7 +138,7 @@
 	item := Item{
 		At:        at,
 		Workspace: workspace.Name,
-		Work:      work,
+		Template:  work,
 		Key:       fmt.Sprintf("load-%d-%d-%08x", g.seed, g.itemCount, g.random.Uint32()),
 	}
 	if work.Kind.isGeneration() {
@@ -154,7 +154,7 @@
 	return &list[i]
 }
 
-func (g *traceGenerator) pickWork() *Work {
+func (g *traceGenerator) pickWork() *RequestTemplate {
 	list := g.mix.Work
 	i := g.pickWeighted(len(list), func(i int) float64 { return list[i].Share })
 	return &list[i]
@@ -177,7 +177,7 @@
 
 // length draws a lognormal answer length in tokens. A fraction Work.Correlation of the variance of
 // its logarithm is common to the workspace within a correlationPeriod.
-func (g *traceGenerator) length(at time.Duration, ws *Workspace, work *Work) int {
+func (g *traceGenerator) length(at time.Duration, ws *Workspace, work *RequestTemplate) int {
 	z := math.Sqrt(work.Correlation)*g.sharedNormal(at, ws) +
 		math.Sqrt(1-work.Correlation)*g.random.NormFloat64()
 	median := work.TokensMedian
@@ -201,7 +201,7 @@
 
 // prompt builds a prompt of about Work.PromptTokens tokens. It starts with the prefix shared within
 // the workspace and ends with the marker that sets the answer length of stand-in engines to tokens.
-func (g *traceGenerator) prompt(ws *Workspace, work *Work, tokens int) string {
+func (g *traceGenerator) prompt(ws *Workspace, work *RequestTemplate, tokens int) string {
 	name := ws.Name + "/" + work.Name
 	prefix, ok := g.prefixes[name]
 	if !ok {
