--- a/cmd/crocusreel/experiment.go
+++ b/cmd/crocusreel/experiment.go
@@ -88,7 +88,7 @@
 // and error may both be non-nil.
 func (c *experimentCommand) results(ctx context.Context, dir string) (*experiment.Results, error) {
 	if c.From == "" {
-		return experiment.Do(ctx, c.plan(dir), c.Parallel, os.Stderr)
+		return experiment.Execute(ctx, c.plan(dir), c.Parallel, os.Stderr)
 	}
 	text, err := os.ReadFile(c.From)
 	if err != nil {
@@ -102,7 +102,7 @@
 	p := experiment.Full()
 	switch {
 	case c.Faults:
-		p = experiment.Faulty()
+		p = experiment.FaultInjection()
 	case c.Quick:
 		p = experiment.Quick()
 	}
@@ -111,7 +111,7 @@
 		p.Mixes = c.Mix
 	}
 	if len(c.Family) > 0 {
-		p = p.Only(c.Family)
+		p = p.WithFamilies(c.Family)
 	}
 	if c.Seeds > 0 {
 		p = p.WithSeeds(c.Seeds)
--- a/load/experiment/aims.go
+++ b/load/experiment/aims.go
@@ -87,7 +87,7 @@
 	var out []Aim
 	for _, c := range r.Calibrations {
 		high := cellsAt(cells, c.Mix, HighLoad)
-		if own, ok := findCell(high, FamilyOurs); ok {
+		if own, ok := findCell(high, FamilyReservation); ok {
 			out = append(out, baselineAims(c.Mix, high, own)...)
 			out = append(out, watermarkAims(c.Mix, cells, high, own)...)
 			out = append(out, oracleAims(c.Mix, high, own)...)
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, c := range cells {
-		if c.Mix == mix || c.Load != HighLoad || c.Setting.Name != FamilyOurs {
+		if c.Mix == mix || c.Load != HighLoad || c.Setting.Name != FamilyReservation {
 			continue
 		}
 		tuned, ok := bestWatermark(cellsAt(cells, c.Mix, HighLoad), c, c.Mix)
@@ -196,14 +196,14 @@
 	if len(all) < 2 {
 		return nil
 	}
-	lowest, lowOK := findCell(cellsAt(cells, mix, all[0]), FamilyOurs)
-	highest, highOK := findCell(cellsAt(cells, mix, all[len(all)-1]), FamilyOurs)
+	lowest, lowOK := findCell(cellsAt(cells, mix, all[0]), FamilyReservation)
+	highest, highOK := findCell(cellsAt(cells, mix, all[len(all)-1]), FamilyReservation)
 	if !lowOK || !highOK {
 		return nil
 	}
 	peak := 0.0
 	for _, l := range all {
-		if c, ok := findCell(cellsAt(cells, mix, l), FamilyOurs); ok {
+		if c, ok := findCell(cellsAt(cells, mix, l), FamilyReservation); ok {
 			peak = max(peak, c.Median(metricGoodput))
 		}
 	}
--- a/load/experiment/experiment_test.go
+++ b/load/experiment/experiment_test.go
@@ -37,7 +37,7 @@
 		add(experiment.FamilyWatermark, "watermark 0.50", 60, 1, 1)
 		add(experiment.FamilyWatermark, "watermark 0.70", 93, 40, 20)
 		add(experiment.FamilyWatermark, "watermark 0.90", 95, 80, 40)
-		add(experiment.FamilyOurs, experiment.FamilyOurs, 92, 8, 15)
+		add(experiment.FamilyReservation, experiment.FamilyReservation, 92, 8, 15)
 	}
 	return r
 }
@@ -87,7 +87,7 @@
 
 var _ = Describe("Plan", func() {
 	It("keeps only the selected families, loads and seeds", func() {
-		p := experiment.Full().Only([]string{experiment.FamilyOurs}).WithLoads([]float64{2.0}).WithSeeds(2)
+		p := experiment.Full().WithFamilies([]string{experiment.FamilyReservation}).WithLoads([]float64{2.0}).WithSeeds(2)
 		Expect(p.Series).To(HaveLen(1))
 		Expect(p.Series[0].Settings).To(HaveLen(1))
 		Expect(p.Series[0].Loads).To(Equal([]float64{2.0}))
--- a/load/experiment/plan.go
+++ b/load/experiment/plan.go
@@ -30,7 +30,7 @@
 	FamilyLeastOutstanding = "least outstanding"
 	FamilyPowerOfTwo       = "power of two"
 	FamilyWatermark        = "watermark"
-	FamilyOurs             = "reservation (ours)"
+	FamilyReservation      = "reservation (ours)"
 	FamilyOracle           = "oracle"
 )
 
@@ -69,7 +69,7 @@
 // reservation returns the reservation policy with the weights of the mix. Every list of settings
 // ends with it and the oracle.
 func reservation() Setting {
-	return Setting{Name: FamilyOurs, Family: FamilyOurs, Policy: config.PolicyReservation, Scope: config.ScopePool}
+	return Setting{Name: FamilyReservation, Family: FamilyReservation, Policy: config.PolicyReservation, Scope: config.ScopePool}
 }
 
 // reservationWithWeights returns the reservation policy with weights of stall and preemption that
@@ -167,9 +167,9 @@
 	return append(baselines(0), pooledWatermark(0.8), reservation(), oracle())
 }
 
-// Faulty returns a plan in which one engine slows down, another one crashes and restarts, and a
-// gateway crashes in each run. The load is low enough for the remaining engines to serve.
-func Faulty() Plan {
+// FaultInjection returns a plan in which one engine slows down, another one crashes and restarts,
+// and a gateway crashes in each run. The load is low enough for the remaining engines to serve.
+func FaultInjection() Plan {
 	p := Full()
 	p.Series = []Series{{Settings: representativeSettings(), Loads: []float64{0.8}, Seeds: []uint64{1, 2}}}
 	p.Faults = true
@@ -188,8 +188,8 @@
 	return p
 }
 
-// Only returns a copy of the plan that contains only the settings of the given families.
-func (p Plan) Only(families []string) Plan {
+// WithFamilies returns a copy of the plan that contains only the settings of the given families.
+func (p Plan) WithFamilies(families []string) Plan {
 	var out []Series
 	for _, s := range p.Series {
 		kept := slices.DeleteFunc(slices.Clone(s.Settings), func(x Setting) bool {
--- a/load/experiment/plot.go
+++ b/load/experiment/plot.go
@@ -24,7 +24,7 @@
 
 // families lists the families in the order of their plot colours.
 var families = []string{
-	FamilyRoundRobin, FamilyLeastOutstanding, FamilyPowerOfTwo, FamilyWatermark, FamilyOurs, FamilyOracle,
+	FamilyRoundRobin, FamilyLeastOutstanding, FamilyPowerOfTwo, FamilyWatermark, FamilyReservation, FamilyOracle,
 }
 
 // WritePlots writes plots for each mix to dir, which it creates if needed: the frontiers of
@@ -98,7 +98,7 @@
 // frontierOrder returns the sort key of a point on a frontier. A baseline without watermark sorts
 // after all watermarks.
 func frontierOrder(s Setting) float64 {
-	if s.Watermark == 0 && s.Family != FamilyOurs {
+	if s.Watermark == 0 && s.Family != FamilyReservation {
 		return math.Inf(1)
 	}
 	return s.Watermark + s.StallWeight - s.PreemptionWeight
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -61,10 +61,10 @@
 	Runs         []Run         `json:"runs"`
 }
 
-// Do executes the experiment with up to parallel runs at a time and writes a line per run to
+// Execute executes the experiment with up to parallel runs at a time and writes a line per run to
 // progress. It stops at the first run that fails and when ctx ends; it then returns the completed
 // runs along with the error. If it stops during calibration, it returns no results.
-func Do(ctx context.Context, p Plan, parallel int, progress io.Writer) (*Results, error) {
+func Execute(ctx context.Context, p Plan, parallel int, progress io.Writer) (*Results, error) {
 	res := &Results{Started: time.Now(), Plan: p}
 	x := &executor{plan: p, progress: progress, mixes: map[string]*load.Mix{}}
 	for _, name := range p.Mixes {
