--- a/load/experiment/aims.go
+++ b/load/experiment/aims.go
@@ -104,7 +104,7 @@
 		if !ok {
 			continue
 		}
-		compare := func(m Measure, bound float64) {
+		compare := func(m Metric, bound float64) {
 			out = append(out, atMost(mix, m.Name+" against "+p.family, own.Median(m), other.Median(m), bound))
 		}
 		compare(metricPreemptions, aimBaselinePreemptions)
@@ -120,7 +120,7 @@
 func watermarkAims(mix string, cells, high []Cell, own Cell) []Aim {
 	var out []Aim
 	if best, ok := bestWatermark(high, own, mix); ok {
-		for _, m := range []Measure{metricPreemptions, metricStall} {
+		for _, m := range []Metric{metricPreemptions, metricStall} {
 			text := fmt.Sprintf("%s against the best %s", m.Name, best.Setting.Name)
 			out = append(out, atMost(mix, text, own.Median(m), best.Median(m), aimBestWatermark))
 		}
@@ -137,7 +137,7 @@
 		if !ok {
 			continue
 		}
-		for _, m := range []Measure{metricPreemptions, metricStall} {
+		for _, m := range []Metric{metricPreemptions, metricStall} {
 			text := fmt.Sprintf("%s against %s, tuned on %s", m.Name, other.Setting.Name, c.Mix)
 			out = append(out, atMost(mix, text, own.Median(m), other.Median(m), aimMistunedWatermark))
 		}
@@ -169,7 +169,7 @@
 
 // primaryMetric returns the metric that matters most to the deployment of the mix; it is the mean
 // stall time if the mix cannot be loaded.
-func primaryMetric(mix string) Measure {
+func primaryMetric(mix string) Metric {
 	m, err := load.LoadMix(mix)
 	if err == nil && m.FirstMeasure == "preemption" {
 		return metricPreemptions
--- a/load/experiment/markdown.go
+++ b/load/experiment/markdown.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func heading(m Measure) string {
+func heading(m Metric) string {
 	if m.Unit == "" {
 		return m.Name
 	}
--- a/load/experiment/plot.go
+++ b/load/experiment/plot.go
@@ -38,7 +38,7 @@
 	var files []string
 	for _, c := range r.Calibrations {
 		high := cellsAt(cells, c.Mix, HighLoad)
-		for _, m := range []Measure{metricPreemptions, metricStall, metricGap} {
+		for _, m := range []Metric{metricPreemptions, metricStall, metricGap} {
 			if len(high) == 0 {
 				break
 			}
@@ -79,7 +79,7 @@
 }
 
 // plotFrontier plots the metric against goodput, with one line per family.
-func plotFrontier(file, mix string, cells []Cell, m Measure) error {
+func plotFrontier(file, mix string, cells []Cell, m Metric) error {
 	p := newPlot(fmt.Sprintf("%s at %.2f of capacity", mix, HighLoad), heading(metricGoodput), heading(m))
 	for i, name := range families {
 		group := cellsOfFamily(cells, name)
--- a/load/experiment/summary.go
+++ b/load/experiment/summary.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// Measure is a metric of a run.
-type Measure struct {
+// Metric is a metric of a run.
+type Metric struct {
 	Name string
 	// Unit is shown in headings; may be empty.
 	Unit string
 	// Digits is the number of decimal places in tables.
 	Digits int
-	// Of returns the value of the metric in a run.
-	Of func(r Run) float64
+	// Value returns the value of the metric in a run.
+	Value func(r Run) float64
 }
 
 // metrics lists the metrics of every table in the order of the columns.
 var (
-	metricGoodput         = Measure{"goodput", "tokens/s", 0, func(r Run) float64 { return r.Report.Goodput }}
-	metricPreemptions     = Measure{"preemptions", "per 1,000", 1, func(r Run) float64 { return r.Report.PreemptionsPer1000 }}
-	metricStall           = Measure{"stall mean", "ms", 1, func(r Run) float64 { return r.Report.StallMeanMS }}
-	metricStallP99        = Measure{"stall p99", "ms", 0, func(r Run) float64 { return r.Report.StallP99MS }}
-	metricGap             = Measure{"gap p99", "ms", 1, func(r Run) float64 { return r.Report.BetweenTokens.P99 }}
-	metricFirstToken      = Measure{"first token p99", "ms", 0, func(r Run) float64 { return r.Report.FirstToken.P99 }}
-	metricShortFirstToken = Measure{"short p99", "ms", 0, func(r Run) float64 { return r.Report.ShortFirst.P99 }}
-	metricLookup          = Measure{"lookup p99", "ms", 1, func(r Run) float64 { return r.Report.Lookup.P99 }}
-	metricFairness        = Measure{"fairness", "", 3, func(r Run) float64 { return r.Report.Fairness }}
-	metricUnserved        = Measure{"unserved", "%", 1, unserved}
-	metricCPU             = Measure{"processors", "%", 0, func(r Run) float64 { return 100 * r.CPUBusy }}
+	metricGoodput         = Metric{"goodput", "tokens/s", 0, func(r Run) float64 { return r.Report.Goodput }}
+	metricPreemptions     = Metric{"preemptions", "per 1,000", 1, func(r Run) float64 { return r.Report.PreemptionsPer1000 }}
+	metricStall           = Metric{"stall mean", "ms", 1, func(r Run) float64 { return r.Report.StallMeanMS }}
+	metricStallP99        = Metric{"stall p99", "ms", 0, func(r Run) float64 { return r.Report.StallP99MS }}
+	metricGap             = Metric{"gap p99", "ms", 1, func(r Run) float64 { return r.Report.BetweenTokens.P99 }}
+	metricFirstToken      = Metric{"first token p99", "ms", 0, func(r Run) float64 { return r.Report.FirstToken.P99 }}
+	metricShortFirstToken = Metric{"short p99", "ms", 0, func(r Run) float64 { return r.Report.ShortFirst.P99 }}
+	metricLookup          = Metric{"lookup p99", "ms", 1, func(r Run) float64 { return r.Report.Lookup.P99 }}
+	metricFairness        = Metric{"fairness", "", 3, func(r Run) float64 { return r.Report.Fairness }}
+	metricUnserved        = Metric{"unserved", "%", 1, unserved}
+	metricCPU             = Metric{"processors", "%", 0, func(r Run) float64 { return 100 * r.CPUBusy }}
 
-	metrics = []Measure{
+	metrics = []Metric{
 		metricGoodput, metricPreemptions, metricStall, metricStallP99, metricGap,
 		metricFirstToken, metricShortFirstToken, metricLookup, metricFairness, metricUnserved, metricCPU,
 	}
@@ -66,16 +66,16 @@
 }
 
 // Spread returns the median and range of a metric over the seeds of the cell.
-func (c Cell) Spread(m Measure) Spread {
+func (c Cell) Spread(m Metric) Spread {
 	var values []float64
 	for _, r := range c.Runs {
-		values = append(values, m.Of(r))
+		values = append(values, m.Value(r))
 	}
 	return spreadOf(values)
 }
 
 // Median returns the median of a metric over the seeds of the cell.
-func (c Cell) Median(m Measure) float64 { return c.Spread(m).Median }
+func (c Cell) Median(m Metric) float64 { return c.Spread(m).Median }
 
 // Cells groups the runs into cells, in the order of the first run of each cell.
 func (r *Results) Cells() []Cell {
