--- a/cmd/crocusreel/load.go
+++ b/cmd/crocusreel/load.go
@@ -56,7 +56,9 @@
 type brokenAnswersError struct{}
 
 // Error implements the error interface.
-func (brokenAnswersError) Error() string { return "some answers violated the guarantees to callers; see the violations in the report" }
+func (brokenAnswersError) Error() string {
+	return "some answers violated the guarantees to callers; see the violations in the report"
+}
 
 // interruptible returns a context that is cancelled on the first SIGINT or SIGTERM.
 func interruptible() (context.Context, context.CancelFunc) {
@@ -99,13 +101,13 @@
 
 func (c *loadCommand) options() load.Options {
 	o := load.Options{
-		Gateways:       c.Gateways,
-		Key:            c.key,
-		MaxInFlight:       c.InFlight,
-		DrainTimeout:          c.Drain,
-		Warmup:         c.Warmup,
-		StallThreshold: c.Stall,
-		SendLengthHints:    c.TellLengths,
+		Gateways:        c.Gateways,
+		Key:             c.key,
+		MaxInFlight:     c.InFlight,
+		DrainTimeout:    c.Drain,
+		Warmup:          c.Warmup,
+		StallThreshold:  c.Stall,
+		SendLengthHints: c.TellLengths,
 	}
 	if c.Concurrency > 0 {
 		o.MaxInFlight = c.Concurrency
--- a/load/experiment/aims.go
+++ b/load/experiment/aims.go
@@ -146,7 +146,7 @@
 }
 
 // bestWatermark returns the pooled watermark setting with the lowest value of the deployment's
-// first measure among those whose goodput is at least equalGoodput times that of own. If there is
+// primary metric among those whose goodput is at least equalGoodput times that of own. If there is
 // none, it returns the setting with the highest goodput.
 func bestWatermark(high []Cell, own Cell, mix string) (Cell, bool) {
 	candidates := cellsOfFamily(high, FamilyWatermark)
--- a/load/experiment/plan.go
+++ b/load/experiment/plan.go
@@ -58,7 +58,7 @@
 }
 
 // pooledWatermark returns the watermark policy with joint admission and exact counts. It is the
-// strongest baseline.
+// main baseline for the comparison with the reservation policy.
 func pooledWatermark(watermark float64) Setting {
 	return Setting{
 		Name: fmt.Sprintf("watermark %.2f", watermark), Family: FamilyWatermark,
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -61,7 +61,7 @@
 	Runs         []Run         `json:"runs"`
 }
 
-// Execute executes the experiment with up to parallel runs at a time and writes a line per run to
+// Execute runs the experiment with up to parallel runs at a time and writes a line per run to
 // progress. It stops at the first run that fails and when ctx ends; it then returns the completed
 // runs along with the error. If it stops during calibration, it returns no results.
 func Execute(ctx context.Context, p Plan, parallel int, progress io.Writer) (*Results, error) {
--- a/load/experiment/summary.go
+++ b/load/experiment/summary.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Metric is a metric of a run.
+// Metric defines a value that is derived from a run and shown in tables and plots.
 type Metric struct {
 	Name string
 	// Unit is shown in headings; may be empty.
--- a/load/report.go
+++ b/load/report.go
@@ -13,8 +13,8 @@
 const (
 	// StallFactor is the default stall threshold as a multiple of the median gap between tokens.
 	StallFactor = 4
-	// maxMicros is the upper bound of histogram values in microseconds, digits the number of
-	// significant decimal digits that histograms keep.
+	// maxMicros is the upper bound of histogram values in microseconds, significantDigits
+	// the number of decimal digits that histograms keep.
 	maxMicros         = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
@@ -28,7 +28,7 @@
 	DurationS float64 `json:"duration_s"`
 	ElapsedS  float64 `json:"elapsed_s"`
 
-	// Requests is the number of requests planned after the warm-up. The other counts and times
+	// Requests is the number of requests planned after the warm-up. The counts and times below
 	// exclude the warm-up too, except for violations, OfferedTokensPerS and Client, which cover the
 	// whole run. A closed-loop run has no warm-up.
 	Requests int `json:"requests"`
--- a/load/run.go
+++ b/load/run.go
@@ -29,8 +29,8 @@
 	// MaxInFlight is the maximum number of requests in flight; default 1024. A request that arrives
 	// at the limit is not sent and counts in Report.NotSent.
 	MaxInFlight int
-	// ClosedLoop sends the next request as soon as fewer than InFlight are in flight, regardless of
-	// its planned time.
+	// ClosedLoop sends the next request as soon as fewer than MaxInFlight are in flight, regardless
+	// of its planned time.
 	ClosedLoop bool
 	// MaxAttempts is the maximum number of attempts per request; 0 means the default of the client.
 	MaxAttempts int
@@ -197,7 +197,7 @@
 }
 
 // drain waits for the answers. It cancels the requests that are still in flight after
-// Options.Drain.
+// Options.DrainTimeout.
 func (r *runner) drain(running *sync.WaitGroup, cancel context.CancelFunc) {
 	done := make(chan struct{})
 	go func() {
--- a/load/send.go
+++ b/load/send.go
@@ -54,15 +54,15 @@
 }
 
 func (r *runner) sendCall(ctx context.Context, res *result, planned time.Time) error {
-	work := res.item.Template
+	template := res.item.Template
 	_, err := r.clients[res.item.Workspace].Call(ctx, client.CallRequest{
 		Meta: client.Meta{
 			Key:           res.item.Key,
-			NonIdempotent: work.Kind == KindNonIdempotent,
-			Priority:      crocusreel.Priority(work.Priority),
+			NonIdempotent: template.Kind == KindNonIdempotent,
+			Priority:      crocusreel.Priority(template.Priority),
 		},
-		Method: work.Method,
-		Path:   work.Path,
+		Method: template.Method,
+		Path:   template.Path,
 	})
 	res.firstLatency = time.Since(planned)
 	return err
--- a/load/trace.go
+++ b/load/trace.go
@@ -17,7 +17,7 @@
 const markerTokens = 3
 
 // correlationPeriod is the time after which the common component of the answer lengths of a
-// workspace is drawn again; see Work.Correlation.
+// workspace is drawn again; see RequestTemplate.Correlation.
 const correlationPeriod = 2 * time.Second
 
 // Item is one planned request.
@@ -118,7 +118,7 @@
 	seed      uint64
 	random    *rand.Rand
 	itemCount int
-	// prefixes holds the shared prefixes of prompts, keyed by workspace and work.
+	// prefixes holds the shared prefixes of prompts, keyed by workspace and request template.
 	prefixes map[string]string
 }
 
@@ -133,17 +133,17 @@
 
 func (g *traceGenerator) newItem(at time.Duration) Item {
 	workspace := g.pickWorkspace()
-	work := g.pickWork()
+	template := g.pickTemplate()
 	g.itemCount++
 	item := Item{
 		At:        at,
 		Workspace: workspace.Name,
-		Template:  work,
+		Template:  template,
 		Key:       fmt.Sprintf("load-%d-%d-%08x", g.seed, g.itemCount, g.random.Uint32()),
 	}
-	if work.Kind.isGeneration() {
-		item.Tokens = g.length(at, workspace, work)
-		item.Prompt = g.prompt(workspace, work, item.Tokens)
+	if template.Kind.isGeneration() {
+		item.Tokens = g.length(at, workspace, template)
+		item.Prompt = g.prompt(workspace, template, item.Tokens)
 	}
 	return item
 }
@@ -154,7 +154,7 @@
 	return &list[i]
 }
 
-func (g *traceGenerator) pickWork() *RequestTemplate {
+func (g *traceGenerator) pickTemplate() *RequestTemplate {
 	list := g.mix.Work
 	i := g.pickWeighted(len(list), func(i int) float64 { return list[i].Share })
 	return &list[i]
@@ -175,17 +175,17 @@
 	return n - 1
 }
 
-// length draws a lognormal answer length in tokens. A fraction Work.Correlation of the variance of
-// its logarithm is common to the workspace within a correlationPeriod.
-func (g *traceGenerator) length(at time.Duration, ws *Workspace, work *RequestTemplate) int {
-	z := math.Sqrt(work.Correlation)*g.sharedNormal(at, ws) +
-		math.Sqrt(1-work.Correlation)*g.random.NormFloat64()
-	median := work.TokensMedian
-	if work.Kind == KindGeneration {
+// length draws a lognormal answer length in tokens. A fraction RequestTemplate.Correlation of the
+// variance of its logarithm is common to the workspace within a correlationPeriod.
+func (g *traceGenerator) length(at time.Duration, ws *Workspace, template *RequestTemplate) int {
+	z := math.Sqrt(template.Correlation)*g.sharedNormal(at, ws) +
+		math.Sqrt(1-template.Correlation)*g.random.NormFloat64()
+	median := template.TokensMedian
+	if template.Kind == KindGeneration {
 		median *= ws.LengthFactor
 	}
-	n := int(math.Round(median * math.Exp(work.TokensSigma*z)))
-	return min(max(n, 1), work.MaxTokens)
+	n := int(math.Round(median * math.Exp(template.TokensSigma*z)))
+	return min(max(n, 1), template.MaxTokens)
 }
 
 // sharedNormal returns a standard normal value that depends only on the seed, the workspace and the
@@ -199,16 +199,17 @@
 	return rand.New(rand.NewPCG(g.seed^hash, period)).NormFloat64()
 }
 
-// prompt builds a prompt of about Work.PromptTokens tokens. It starts with the prefix shared within
-// the workspace and ends with the marker that sets the answer length of stand-in engines to tokens.
-func (g *traceGenerator) prompt(ws *Workspace, work *RequestTemplate, tokens int) string {
-	name := ws.Name + "/" + work.Name
+// prompt builds a prompt of about RequestTemplate.PromptTokens tokens. It starts with the prefix
+// shared within the workspace and ends with the marker that sets the answer length of stand-in
+// engines to tokens.
+func (g *traceGenerator) prompt(ws *Workspace, template *RequestTemplate, tokens int) string {
+	name := ws.Name + "/" + template.Name
 	prefix, ok := g.prefixes[name]
 	if !ok {
-		prefix = fillerText("shared-"+name, work.SharedPromptTokens)
+		prefix = fillerText("shared-"+name, template.SharedPromptTokens)
 		g.prefixes[name] = prefix
 	}
-	uniqueTokens := max(work.PromptTokens-work.SharedPromptTokens-markerTokens, 0)
+	uniqueTokens := max(template.PromptTokens-template.SharedPromptTokens-markerTokens, 0)
 	uniqueStem := fmt.Sprintf("own%d", g.itemCount)
 	return prefix + fillerText(uniqueStem, uniqueTokens) + fmt.Sprintf("[[len=%d]]", tokens)
 }
