--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -92,7 +92,7 @@
 	mixes        map[string]*load.Mix
 	calibrations []Calibration
 
-	// mu guards the fields below.
+	// mu guards done and serializes writes to progress.
 	mu       sync.Mutex
 	progress io.Writer
 	done     int
--- a/load/experiment/summary.go
+++ b/load/experiment/summary.go
@@ -16,7 +16,7 @@
 	Value func(r Run) float64
 }
 
-// metrics lists the metrics of every table in the order of the columns.
+// Metrics of a run. The slice metrics lists them in the order of the table columns.
 var (
 	metricGoodput         = Metric{"goodput", "tokens/s", 0, func(r Run) float64 { return r.Report.Goodput }}
 	metricPreemptions     = Metric{"preemptions", "per 1,000", 1, func(r Run) float64 { return r.Report.PreemptionsPer1000 }}
