--- a/load/experiment/faults.go
+++ b/load/experiment/faults.go
@@ -7,19 +7,20 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Times of the faults, as parts of a run's duration.
+// Times of the faults, as fractions of Plan.Duration.
 const (
-	slowAt    = 0.35
-	killAt    = 0.45
-	restartAt = 0.60
-	gatewayAt = 0.70
+	engineSlowAt    = 0.35
+	engineKillAt    = 0.45
+	engineRestartAt = 0.60
+	gatewayKillAt   = 0.70
 )
 
-// slowFactor multiplies the step time of the engine that slows down.
+// slowFactor multiplies the step time of the slowed engine.
 const slowFactor = 3
 
-// injectFaults slows one engine, kills and restarts another, and kills a gateway, at
-// the same times in each run. The returned function ends it.
+// injectFaults starts a goroutine that, at the same times in each run, slows down the first engine,
+// kills and restarts the last one, and kills the last gateway. It does nothing unless Plan.Faults
+// is set. The returned function skips the remaining faults and waits for the goroutine.
 func (s *system) injectFaults(ctx context.Context, p Plan) (stop func()) {
 	if !p.Faults {
 		return func() {}
@@ -29,21 +30,21 @@
 	go func() {
 		defer close(done)
 		begin := time.Now()
-		at := func(part float64, act func()) {
+		at := func(fraction float64, inject func()) {
 			select {
-			case <-time.After(time.Until(begin.Add(time.Duration(part * float64(p.Duration))))):
-				act()
+			case <-time.After(time.Until(begin.Add(time.Duration(fraction * float64(p.Duration))))):
+				inject()
 			case <-ctx.Done():
 			}
 		}
 		last := s.Engines[len(s.Engines)-1]
-		at(slowAt, func() { _ = s.Engines[0].Admin.SetFaults(ctx, admin.EngineFaults{SlowFactor: slowFactor}) })
-		at(killAt, last.Kill)
-		at(restartAt, func() {
+		at(engineSlowAt, func() { _ = s.Engines[0].Admin.SetFaults(ctx, admin.EngineFaults{SlowFactor: slowFactor}) })
+		at(engineKillAt, last.Kill)
+		at(engineRestartAt, func() {
 			_ = last.Restart()
 			_ = s.Engines[0].Admin.SetFaults(ctx, admin.EngineFaults{})
 		})
-		at(gatewayAt, s.VMs[len(s.VMs)-1].Gateway.Kill)
+		at(gatewayKillAt, s.VMs[len(s.VMs)-1].Gateway.Kill)
 	}()
 	return func() {
 		cancel()
--- a/load/experiment/markdown.go
+++ b/load/experiment/markdown.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// Markdown renders calibration, aims and every table.
+// Markdown renders the conditions of the experiment, the calibrations, the aims and one table per
+// mix and load.
 func (r *Results) Markdown() string {
 	var b strings.Builder
 	r.writeConditions(&b)
 	r.writeAims(&b)
 	cells := r.Cells()
 	for _, c := range r.Calibrations {
-		for _, l := range loads(cells, c.Mix) {
+		for _, l := range loadsOfMix(cells, c.Mix) {
 			fmt.Fprintf(&b, "\n### %s at %.2f of capacity\n\n", c.Mix, l)
-			writeCells(&b, at(cells, c.Mix, l))
+			writeCells(&b, cellsAt(cells, c.Mix, l))
 		}
 	}
 	return b.String()
@@ -58,17 +59,17 @@
 	}
 }
 
-// writeCells writes one table: medians, with the range over seeds in brackets where
-// there are several.
+// writeCells writes one table with the medians over seeds. If a cell has several runs, their range
+// follows in parentheses.
 func writeCells(b *strings.Builder, cells []Cell) {
 	b.WriteString("| policy |")
-	for _, m := range measures {
+	for _, m := range metrics {
 		fmt.Fprintf(b, " %s |", heading(m))
 	}
-	b.WriteString("\n|---|" + strings.Repeat("---|", len(measures)) + "\n")
+	b.WriteString("\n|---|" + strings.Repeat("---|", len(metrics)) + "\n")
 	for _, c := range cells {
 		fmt.Fprintf(b, "| %s |", c.Setting.Name)
-		for _, m := range measures {
+		for _, m := range metrics {
 			s := c.Spread(m)
 			fmt.Fprintf(b, " %.*f", m.Digits, s.Median)
 			if len(c.Runs) > 1 {
@@ -80,7 +81,7 @@
 	}
 }
 
-func heading(m Measure) string {
+func heading(m Metric) string {
 	if m.Unit == "" {
 		return m.Name
 	}
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -15,42 +15,44 @@
 )
 
 const (
-	// calibrationLoad is the offered load of the calibration runs, as a multiple of
-	// the estimate of capacity; it must saturate the engines without drowning them.
+	// calibrationLoad is the offered load of the calibration runs as a multiple of the estimated
+	// capacity. It must saturate the engines without overloading them heavily.
 	calibrationLoad = 1.25
-	// calibrationSeed differs from every seed of a series.
+	// calibrationSeed must differ from the seeds of all series.
 	calibrationSeed = 9999
-	// inFlight bounds the requests of one run that wait or run.
-	inFlight = 4000
+	// maxInFlight is the maximum number of requests of one run that are queued or running.
+	maxInFlight = 4000
 )
 
-// Run is one run of one setting.
+// Run is one run of one setting with its result.
 type Run struct {
 	Mix     string       `json:"mix"`
 	Load    float64      `json:"load"`
 	Seed    uint64       `json:"seed"`
 	Setting Setting      `json:"setting"`
 	Report  *load.Report `json:"report"`
-	// CPUBusy is the share of all processors of the machine that was busy, other
+	// CPUBusy is the CPU utilization of the whole machine during the run as a fraction, other
 	// processes included; -1 if it could not be read.
 	CPUBusy float64 `json:"cpu_busy"`
 }
 
-// Calibration is what a mix's loads and thresholds are fractions of.
+// Calibration holds the reference values of a mix, from which the offered loads and the stall
+// threshold of its runs are derived.
 type Calibration struct {
 	Mix string `json:"mix"`
-	// Capacity is the highest goodput of the saturated system under the oracle,
-	// tokens/s.
+	// Capacity is the highest goodput of the saturated system under the oracle policy, in tokens
+	// per second.
 	Capacity float64 `json:"capacity"`
-	// MedianGapMS is the median time between tokens under the oracle; StallMS, the stall
-	// threshold of all runs of the mix, is load.StallFactor times as long.
+	// MedianGapMS is the median time between tokens under the oracle policy, in the last
+	// calibration run. StallMS, the stall threshold of all runs of the mix, is load.StallFactor
+	// times as long.
 	MedianGapMS float64 `json:"median_gap_ms"`
 	StallMS     float64 `json:"stall_ms"`
-	// CPUBusy is as in Run.
+	// CPUBusy is as in Run, for the last calibration run.
 	CPUBusy float64 `json:"cpu_busy"`
 }
 
-// Results is all that an experiment measured.
+// Results holds all measurements of an experiment. TookS is its duration in seconds.
 type Results struct {
 	Started      time.Time     `json:"started"`
 	TookS        float64       `json:"took_s"`
@@ -59,10 +61,10 @@
 	Runs         []Run         `json:"runs"`
 }
 
-// Do makes the experiment with up to parallel runs at a time, and writes a line for
-// each to progress. A run that cannot be made, or the end of ctx, ends the experiment;
-// the runs made until then are returned beside the error.
-func Do(ctx context.Context, p Plan, parallel int, progress io.Writer) (*Results, error) {
+// Execute runs the experiment with up to parallel runs at a time and writes a line per run to
+// progress. It stops at the first run that fails and when ctx ends; it then returns the completed
+// runs along with the error. If it stops during calibration, it returns no results.
+func Execute(ctx context.Context, p Plan, parallel int, progress io.Writer) (*Results, error) {
 	res := &Results{Started: time.Now(), Plan: p}
 	x := &executor{plan: p, progress: progress, mixes: map[string]*load.Mix{}}
 	for _, name := range p.Mixes {
@@ -73,38 +75,40 @@
 		x.mixes[mix.Name] = mix
 		res.Calibrations = append(res.Calibrations, Calibration{Mix: mix.Name})
 	}
-	if err := each(ctx, res.Calibrations, parallel, x.calibrate); err != nil {
+	if err := forEach(ctx, res.Calibrations, parallel, x.calibrate); err != nil {
 		return nil, err
 	}
-	x.known = res.Calibrations
-	res.Runs = x.planned()
-	err := each(ctx, res.Runs, parallel, x.run)
+	x.calibrations = res.Calibrations
+	res.Runs = x.planRuns()
+	err := forEach(ctx, res.Runs, parallel, x.execute)
 	res.Runs = slices.DeleteFunc(res.Runs, func(r Run) bool { return r.Report == nil })
 	res.TookS = time.Since(res.Started).Seconds()
 	return res, err
 }
 
-// executor makes the runs of one experiment.
+// executor executes the runs of one experiment.
 type executor struct {
-	plan  Plan
-	mixes map[string]*load.Mix
-	known []Calibration
+	plan         Plan
+	mixes        map[string]*load.Mix
+	calibrations []Calibration
 
+	// mu guards done and serializes writes to progress.
 	mu       sync.Mutex
 	progress io.Writer
 	done     int
 	total    int
 }
 
-// calibrate measures a mix's capacity and gap between tokens. Each saturated run
-// offers more than the best of those before; the first one's estimate may be far off.
+// calibrate measures the capacity of the system for a mix and the gap between tokens. The first run
+// bases its offered load on Estimate, which may be far off; the second one on the goodput of the
+// first.
 func (x *executor) calibrate(ctx context.Context, c *Calibration) error {
 	mix := x.mixes[c.Mix]
 	offered := Estimate(x.plan.System, mix)
 	for _, setting := range []Setting{oracle(), oracle()} {
 		tokens := calibrationLoad * offered * x.plan.Duration.Seconds()
 		trace := load.NewTokenTrace(mix, int(tokens), x.plan.Duration, calibrationSeed)
-		rep, busy, err := x.one(ctx, mix, setting, trace, 0)
+		rep, busy, err := x.runTrace(ctx, mix, setting, trace, 0)
 		if err != nil {
 			return eris.Wrapf(err, "calibrate %s", c.Mix)
 		}
@@ -121,10 +125,11 @@
 	return nil
 }
 
-// Estimate computes a system's capacity from the engine model, in tokens a second:
-// as many answers of mean length as fit into the memory, each at half its length on
-// average, advance by one token each step. Prefill, short work and memory lost to
-// variance are left out, so it is too high and the first calibration run saturates.
+// Estimate computes the capacity of a system from the engine model, in tokens per second. It
+// assumes that as many answers as fit into KV memory and batch, each at half its median length on
+// average, advance by one token per step. It ignores prefill, short generations and memory lost to
+// the variance of lengths, so it is too high, which ensures that the first calibration run
+// saturates the system.
 func Estimate(s System, mix *load.Mix) float64 {
 	length, prompt, share := 0.0, 0.0, 0.0
 	for _, w := range mix.Work {
@@ -141,12 +146,12 @@
 	return batch / step * s.TimeScale * float64(s.Engines)
 }
 
-// planned lists the runs, settings innermost: those to be compared run next to each
-// other in time.
-func (x *executor) planned() []Run {
+// planRuns returns the list of runs and sets x.total. The settings vary fastest, so that runs to be
+// compared are close to each other in time.
+func (x *executor) planRuns() []Run {
 	var runs []Run
 	for _, series := range x.plan.Series {
-		for _, c := range x.known {
+		for _, c := range x.calibrations {
 			for _, l := range series.Loads {
 				for _, seed := range series.Seeds {
 					for _, s := range series.Settings {
@@ -160,8 +165,9 @@
 	return runs
 }
 
-// each calls do for every item, up to parallel at a time, until one fails.
-func each[T any](ctx context.Context, items []T, parallel int, do func(context.Context, *T) error) error {
+// forEach calls do for every item, up to parallel at a time. After the first error it cancels the
+// context that is passed to the calls, stops handing out items and returns the error.
+func forEach[T any](ctx context.Context, items []T, parallel int, do func(context.Context, *T) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	next := make(chan *T)
@@ -189,43 +195,44 @@
 	return nil
 }
 
-func (x *executor) run(ctx context.Context, run *Run) error {
+func (x *executor) execute(ctx context.Context, run *Run) error {
 	mix, c := x.mixes[run.Mix], x.calibration(run.Mix)
 	tokens := run.Load * c.Capacity * x.plan.Duration.Seconds()
 	trace := load.NewTokenTrace(mix, int(tokens), x.plan.Duration, run.Seed)
 	stall := time.Duration(c.StallMS * float64(time.Millisecond))
-	rep, busy, err := x.one(ctx, mix, run.Setting, trace, stall)
+	rep, busy, err := x.runTrace(ctx, mix, run.Setting, trace, stall)
 	if err != nil {
 		return eris.Wrapf(err, "%s at %.2f, seed %d, %s", run.Mix, run.Load, run.Seed, run.Setting.Name)
 	}
 	run.Report, run.CPUBusy = rep, busy
-	x.tell(run)
+	x.reportProgress(run)
 	return nil
 }
 
 func (x *executor) calibration(mix string) Calibration {
-	for _, c := range x.known {
+	for _, c := range x.calibrations {
 		if c.Mix == mix {
 			return c
 		}
 	}
-	panic("experiment: a run of a mix that was not calibrated: " + mix)
+	panic("experiment: no calibration for mix " + mix)
 }
 
-func (x *executor) tell(run *Run) {
+func (x *executor) reportProgress(run *Run) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.done++
 	r := run.Report
-	fmt.Fprintf(x.progress, "%d/%d %s %.2f seed %d %-34s goodput %5.0f  preempted %6.1f/1000  stall %7.1f ms  p99 gap %6.1f ms  lookup p99 %5.1f ms  fair %.2f  lost %v  broken %v  cpu %.0f%%\n",
+	fmt.Fprintf(x.progress, "%d/%d %s %.2f seed %d %-34s goodput %5.0f  preempted %6.1f/1000  stall %7.1f ms  p99 gap %6.1f ms  lookup p99 %5.1f ms  fairness %.2f  refusals %v  violations %v  cpu %.0f%%\n",
 		x.done, x.total, run.Mix, run.Load, run.Seed, run.Setting.Name, r.Goodput, r.PreemptionsPer1000,
 		r.StallMeanMS, r.BetweenTokens.P99, r.Lookup.P99, r.Fairness, r.Refusals, r.Violations, 100*run.CPUBusy)
 }
 
-// one runs a trace on a fresh system.
-func (x *executor) one(ctx context.Context, mix *load.Mix, setting Setting, trace load.Trace, stall time.Duration) (*load.Report, float64, error) {
-	awaitQuiet(ctx)
-	sys, err := start(ctx, x.plan.System, mix, setting)
+// runTrace runs a trace on a freshly started system. It returns the report and the CPU utilization
+// of the machine during the run.
+func (x *executor) runTrace(ctx context.Context, mix *load.Mix, setting Setting, trace load.Trace, stall time.Duration) (*load.Report, float64, error) {
+	awaitIdleCPU(ctx)
+	sys, err := startSystem(ctx, x.plan.System, mix, setting)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -233,13 +240,13 @@
 	stopFaults := sys.injectFaults(ctx, x.plan)
 	before := readCPU()
 	rep, err := load.Run(ctx, trace, load.Options{
-		Gateways:       sys.CallerAddresses(),
-		Key:            callerKey,
-		InFlight:       inFlight,
-		Drain:          x.plan.Drain,
-		Warmup:         x.plan.Warmup,
-		StallThreshold: stall,
-		TellLengths:    tellsLengths(setting),
+		Gateways:        sys.CallerAddresses(),
+		Key:             callerKey,
+		MaxInFlight:     maxInFlight,
+		DrainTimeout:    x.plan.Drain,
+		Warmup:          x.plan.Warmup,
+		StallThreshold:  stall,
+		SendLengthHints: sendsLengthHints(setting),
 	})
 	busy := readCPU().busySince(before)
 	stopFaults()
--- a/load/experiment/summary.go
+++ b/load/experiment/summary.go
@@ -5,37 +5,39 @@
 	"slices"
 )
 
-// Measure is one figure of a run.
-type Measure struct {
+// Metric defines a value that is derived from a run and shown in tables and plots.
+type Metric struct {
 	Name string
-	// Unit is for headings; may be empty.
+	// Unit is shown in headings; may be empty.
 	Unit string
-	// Digits after the point in tables.
+	// Digits is the number of decimal places in tables.
 	Digits int
-	Of     func(r Run) float64
+	// Value returns the value of the metric in a run.
+	Value func(r Run) float64
 }
 
-// Measures of every table, in the order of the columns.
+// Metrics of a run. The slice metrics lists them in the order of the table columns.
 var (
-	measureGoodput     = Measure{"goodput", "tokens/s", 0, func(r Run) float64 { return r.Report.Goodput }}
-	measurePreemptions = Measure{"preemptions", "per 1,000", 1, func(r Run) float64 { return r.Report.PreemptionsPer1000 }}
-	measureStall       = Measure{"stall mean", "ms", 1, func(r Run) float64 { return r.Report.StallMeanMS }}
-	measureStallP99    = Measure{"stall p99", "ms", 0, func(r Run) float64 { return r.Report.StallP99MS }}
-	measureGap         = Measure{"gap p99", "ms", 1, func(r Run) float64 { return r.Report.BetweenTokens.P99 }}
-	measureFirst       = Measure{"first token p99", "ms", 0, func(r Run) float64 { return r.Report.FirstToken.P99 }}
-	measureShort       = Measure{"short p99", "ms", 0, func(r Run) float64 { return r.Report.ShortFirst.P99 }}
-	measureLookup      = Measure{"lookup p99", "ms", 1, func(r Run) float64 { return r.Report.Lookup.P99 }}
-	measureFairness    = Measure{"fairness", "", 3, func(r Run) float64 { return r.Report.Fairness }}
-	measureUnserved    = Measure{"unserved", "%", 1, unserved}
-	measureCPU         = Measure{"processors", "%", 0, func(r Run) float64 { return 100 * r.CPUBusy }}
+	metricGoodput         = Metric{"goodput", "tokens/s", 0, func(r Run) float64 { return r.Report.Goodput }}
+	metricPreemptions     = Metric{"preemptions", "per 1,000", 1, func(r Run) float64 { return r.Report.PreemptionsPer1000 }}
+	metricStall           = Metric{"stall mean", "ms", 1, func(r Run) float64 { return r.Report.StallMeanMS }}
+	metricStallP99        = Metric{"stall p99", "ms", 0, func(r Run) float64 { return r.Report.StallP99MS }}
+	metricGap             = Metric{"gap p99", "ms", 1, func(r Run) float64 { return r.Report.BetweenTokens.P99 }}
+	metricFirstToken      = Metric{"first token p99", "ms", 0, func(r Run) float64 { return r.Report.FirstToken.P99 }}
+	metricShortFirstToken = Metric{"short p99", "ms", 0, func(r Run) float64 { return r.Report.ShortFirst.P99 }}
+	metricLookup          = Metric{"lookup p99", "ms", 1, func(r Run) float64 { return r.Report.Lookup.P99 }}
+	metricFairness        = Metric{"fairness", "", 3, func(r Run) float64 { return r.Report.Fairness }}
+	metricUnserved        = Metric{"unserved", "%", 1, unserved}
+	metricCPU             = Metric{"processors", "%", 0, func(r Run) float64 { return 100 * r.CPUBusy }}
 
-	measures = []Measure{
-		measureGoodput, measurePreemptions, measureStall, measureStallP99, measureGap,
-		measureFirst, measureShort, measureLookup, measureFairness, measureUnserved, measureCPU,
+	metrics = []Metric{
+		metricGoodput, metricPreemptions, metricStall, metricStallP99, metricGap,
+		metricFirstToken, metricShortFirstToken, metricLookup, metricFairness, metricUnserved, metricCPU,
 	}
 )
 
-// unserved is the share of requests without a whole answer.
+// unserved returns the percentage of requests without a complete answer, or 0 if there were no
+// requests.
 func unserved(r Run) float64 {
 	if r.Report.Requests == 0 {
 		return 0
@@ -43,7 +45,7 @@
 	return 100 * (1 - float64(r.Report.Whole)/float64(r.Report.Requests))
 }
 
-// Spread is a median over seeds with the range.
+// Spread is the median and range of a sample, for example over the seeds of a cell.
 type Spread struct{ Median, Min, Max float64 }
 
 func spreadOf(values []float64) Spread {
@@ -55,7 +57,7 @@
 	return Spread{Median: (sorted[(n-1)/2] + sorted[n/2]) / 2, Min: sorted[0], Max: sorted[n-1]}
 }
 
-// Cell is all runs of one setting, mix and load.
+// Cell groups all runs of one setting, mix and load, which differ in the seed only.
 type Cell struct {
 	Mix     string
 	Load    float64
@@ -63,19 +65,19 @@
 	Runs    []Run
 }
 
-// Spread of one measure over the cell's seeds.
-func (c Cell) Spread(m Measure) Spread {
+// Spread returns the median and range of a metric over the seeds of the cell.
+func (c Cell) Spread(m Metric) Spread {
 	var values []float64
 	for _, r := range c.Runs {
-		values = append(values, m.Of(r))
+		values = append(values, m.Value(r))
 	}
 	return spreadOf(values)
 }
 
-// Median of one measure.
-func (c Cell) Median(m Measure) float64 { return c.Spread(m).Median }
+// Median returns the median of a metric over the seeds of the cell.
+func (c Cell) Median(m Metric) float64 { return c.Spread(m).Median }
 
-// Cells groups the runs, in the order in which each cell came first.
+// Cells groups the runs into cells, in the order of the first run of each cell.
 func (r *Results) Cells() []Cell {
 	type key struct {
 		mix  string
@@ -97,8 +99,8 @@
 	return cells
 }
 
-// at returns the cells of one mix and load.
-func at(cells []Cell, mix string, load float64) []Cell {
+// cellsAt returns the cells of one mix and load.
+func cellsAt(cells []Cell, mix string, load float64) []Cell {
 	var out []Cell
 	for _, c := range cells {
 		if c.Mix == mix && c.Load == load {
@@ -108,8 +110,8 @@
 	return out
 }
 
-// loads lists the loads of a mix in rising order.
-func loads(cells []Cell, mix string) []float64 {
+// loadsOfMix returns the distinct loads of a mix in ascending order.
+func loadsOfMix(cells []Cell, mix string) []float64 {
 	var out []float64
 	for _, c := range cells {
 		if c.Mix == mix {
@@ -120,8 +122,8 @@
 	return slices.Compact(out)
 }
 
-// family returns the cells of one family.
-func family(cells []Cell, name string) []Cell {
+// cellsOfFamily returns the cells of the named family.
+func cellsOfFamily(cells []Cell, name string) []Cell {
 	var out []Cell
 	for _, c := range cells {
 		if c.Setting.Family == name {
@@ -131,8 +133,8 @@
 	return out
 }
 
-// named returns the cell of one setting; ok is false if there is none.
-func named(cells []Cell, name string) (Cell, bool) {
+// findCell returns the cell of the named setting and whether there is one.
+func findCell(cells []Cell, name string) (Cell, bool) {
 	for _, c := range cells {
 		if c.Setting.Name == name {
 			return c, true
--- a/load/trace.go
+++ b/load/trace.go
@@ -12,29 +12,30 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// markerTokens is the length of the marker that tells stand-in engines the answer's
-// length, in tokens.
+// markerTokens is the length, in tokens, of the marker in a prompt that sets the length of the
+// answer of a stand-in engine.
 const markerTokens = 3
 
-// correlationPeriod is how long the common part of a workspace's lengths lasts.
+// correlationPeriod is the time after which the common component of the answer lengths of a
+// workspace is drawn again; see RequestTemplate.Correlation.
 const correlationPeriod = 2 * time.Second
 
 // Item is one planned request.
 type Item struct {
-	// At is when it is sent, from the start of the run.
+	// At is the planned time of sending, relative to the start of the run.
 	At        time.Duration
 	Workspace string
-	Work      *Work
-	// Tokens is the length that the answer shall have; 0 for plain calls.
+	Template  *RequestTemplate
+	// Tokens is the expected length of the answer; 0 for plain calls.
 	Tokens int
 	Prompt string
 	// Key is the idempotency key.
 	Key string
 }
 
-// Class is the class that the request is sent with.
+// Class returns the request class under which the item is sent.
 func (i Item) Class() crocusreel.Class {
-	switch i.Work.Kind {
+	switch i.Template.Kind {
 	case KindGeneration:
 		return crocusreel.ClassGeneration
 	case KindShort:
@@ -44,17 +45,18 @@
 	}
 }
 
-// Trace is a planned run. Equal mixes, sizes and seeds give equal traces.
+// Trace is the sequence of requests of a run. Traces are deterministic: equal mixes, sizes and
+// seeds give equal traces.
 type Trace struct {
 	Mix  *Mix
 	Seed uint64
-	// Duration is the time over which requests are sent.
+	// Duration is the length of the sending period.
 	Duration time.Duration
-	// Items are in order of At.
+	// Items are sorted by At.
 	Items []Item
 }
 
-// Tokens is the number of tokens that the whole trace asks for.
+// Tokens returns the total number of tokens that the trace requests.
 func (t Trace) Tokens() int {
 	sum := 0
 	for _, i := range t.Items {
@@ -63,10 +65,10 @@
 	return sum
 }
 
-// NewTrace plans requests that arrive as a Poisson process of the rate (requests a
-// second).
+// NewTrace returns a trace of the given duration with Poisson arrivals at the given rate in
+// requests per second.
 func NewTrace(mix *Mix, rate float64, duration time.Duration, seed uint64) Trace {
-	g := newGenerator(mix, seed)
+	g := newTraceGenerator(mix, seed)
 	t := Trace{Mix: mix, Seed: seed, Duration: duration}
 	at := time.Duration(0)
 	for {
@@ -74,32 +76,35 @@
 		if at >= duration {
 			return t
 		}
-		t.Items = append(t.Items, g.item(at))
+		t.Items = append(t.Items, g.newItem(at))
 	}
 }
 
-// NewCountTrace plans a number of requests that arrive as a Poisson process.
+// NewCountTrace returns a trace of the given number of requests with Poisson arrivals at the given
+// rate in requests per second. Its duration ends with the last arrival.
 func NewCountTrace(mix *Mix, rate float64, requests int, seed uint64) Trace {
-	g := newGenerator(mix, seed)
+	g := newTraceGenerator(mix, seed)
 	t := Trace{Mix: mix, Seed: seed}
 	at := time.Duration(0)
 	for range requests {
 		at += time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
-		t.Items = append(t.Items, g.item(at))
+		t.Items = append(t.Items, g.newItem(at))
 	}
 	t.Duration = at
 	return t
 }
 
-// NewTokenTrace plans requests until they ask for tokens in total, with arrivals
-// uniform over the duration: a Poisson process, given their number. The offered load
-// is thus exact for each seed, however heavy the tail of the lengths is.
+// NewTokenTrace returns a trace whose requests add up to at least the given number of tokens; only
+// the last request may exceed it. Arrival times are uniform over the duration, which is the
+// distribution of a Poisson process conditioned on its number of arrivals. The offered load is
+// therefore the same for every seed, up to the length of one answer, however heavy the tail of the
+// lengths is.
 func NewTokenTrace(mix *Mix, tokens int, duration time.Duration, seed uint64) Trace {
-	g := newGenerator(mix, seed)
+	g := newTraceGenerator(mix, seed)
 	t := Trace{Mix: mix, Seed: seed, Duration: duration}
 	for sum := 0; sum < tokens; {
 		at := time.Duration(g.random.Float64() * float64(duration))
-		item := g.item(at)
+		item := g.newItem(at)
 		sum += item.Tokens
 		t.Items = append(t.Items, item)
 	}
@@ -107,18 +112,18 @@
 	return t
 }
 
-// generator draws the items of a trace.
-type generator struct {
-	mix    *Mix
-	seed   uint64
-	random *rand.Rand
-	serial int
-	// prefixes are the shared leading parts of prompts.
+// traceGenerator draws the items of a trace.
+type traceGenerator struct {
+	mix       *Mix
+	seed      uint64
+	random    *rand.Rand
+	itemCount int
+	// prefixes holds the shared prefixes of prompts, keyed by workspace and request template.
 	prefixes map[string]string
 }
 
-func newGenerator(mix *Mix, seed uint64) *generator {
-	return &generator{
+func newTraceGenerator(mix *Mix, seed uint64) *traceGenerator {
+	return &traceGenerator{
 		mix:      mix,
 		seed:     seed,
 		random:   rand.New(rand.NewPCG(seed, 0)),
@@ -126,36 +131,36 @@
 	}
 }
 
-func (g *generator) item(at time.Duration) Item {
-	workspace := g.workspace()
-	work := g.work()
-	g.serial++
+func (g *traceGenerator) newItem(at time.Duration) Item {
+	workspace := g.pickWorkspace()
+	template := g.pickTemplate()
+	g.itemCount++
 	item := Item{
 		At:        at,
 		Workspace: workspace.Name,
-		Work:      work,
-		Key:       fmt.Sprintf("load-%d-%d-%08x", g.seed, g.serial, g.random.Uint32()),
+		Template:  template,
+		Key:       fmt.Sprintf("load-%d-%d-%08x", g.seed, g.itemCount, g.random.Uint32()),
 	}
-	if work.Kind.generates() {
-		item.Tokens = g.length(at, workspace, work)
-		item.Prompt = g.prompt(workspace, work, item.Tokens)
+	if template.Kind.isGeneration() {
+		item.Tokens = g.length(at, workspace, template)
+		item.Prompt = g.prompt(workspace, template, item.Tokens)
 	}
 	return item
 }
 
-func (g *generator) workspace() *Workspace {
+func (g *traceGenerator) pickWorkspace() *Workspace {
 	list := g.mix.Workspaces
-	i := g.choose(len(list), func(i int) float64 { return list[i].Share })
+	i := g.pickWeighted(len(list), func(i int) float64 { return list[i].Share })
 	return &list[i]
 }
 
-func (g *generator) work() *Work {
+func (g *traceGenerator) pickTemplate() *RequestTemplate {
 	list := g.mix.Work
-	i := g.choose(len(list), func(i int) float64 { return list[i].Share })
+	i := g.pickWeighted(len(list), func(i int) float64 { return list[i].Share })
 	return &list[i]
 }
 
-func (g *generator) choose(n int, share func(int) float64) int {
+func (g *traceGenerator) pickWeighted(n int, share func(int) float64) int {
 	total := 0.0
 	for i := range n {
 		total += share(i)
@@ -170,21 +175,22 @@
 	return n - 1
 }
 
-// length draws a lognormal length, of whose log variance a part is common to the
-// workspace for a while.
-func (g *generator) length(at time.Duration, ws *Workspace, work *Work) int {
-	z := math.Sqrt(work.Correlation)*g.common(at, ws) +
-		math.Sqrt(1-work.Correlation)*g.random.NormFloat64()
-	median := work.TokensMedian
-	if work.Kind == KindGeneration {
+// length draws a lognormal answer length in tokens. A fraction RequestTemplate.Correlation of the
+// variance of its logarithm is common to the workspace within a correlationPeriod.
+func (g *traceGenerator) length(at time.Duration, ws *Workspace, template *RequestTemplate) int {
+	z := math.Sqrt(template.Correlation)*g.sharedNormal(at, ws) +
+		math.Sqrt(1-template.Correlation)*g.random.NormFloat64()
+	median := template.TokensMedian
+	if template.Kind == KindGeneration {
 		median *= ws.LengthFactor
 	}
-	n := int(math.Round(median * math.Exp(work.TokensSigma*z)))
-	return min(max(n, 1), work.MaxTokens)
+	n := int(math.Round(median * math.Exp(template.TokensSigma*z)))
+	return min(max(n, 1), template.MaxTokens)
 }
 
-// common is a standard normal value that depends only on seed, workspace and period.
-func (g *generator) common(at time.Duration, ws *Workspace) float64 {
+// sharedNormal returns a standard normal value that depends only on the seed, the workspace and the
+// correlationPeriod that contains at.
+func (g *traceGenerator) sharedNormal(at time.Duration, ws *Workspace) float64 {
 	hash := uint64(14695981039346656037)
 	for _, b := range []byte(ws.Name) {
 		hash = (hash ^ uint64(b)) * 1099511628211
@@ -193,26 +199,28 @@
 	return rand.New(rand.NewPCG(g.seed^hash, period)).NormFloat64()
 }
 
-// prompt builds a prompt of about the wanted number of tokens, which starts with the
-// workspace's shared part and tells stand-in engines the answer's length.
-func (g *generator) prompt(ws *Workspace, work *Work, tokens int) string {
-	name := ws.Name + "/" + work.Name
+// prompt builds a prompt of about RequestTemplate.PromptTokens tokens. It starts with the prefix
+// shared within the workspace and ends with the marker that sets the answer length of stand-in
+// engines to tokens.
+func (g *traceGenerator) prompt(ws *Workspace, template *RequestTemplate, tokens int) string {
+	name := ws.Name + "/" + template.Name
 	prefix, ok := g.prefixes[name]
 	if !ok {
-		prefix = words("shared-"+name, work.SharedPromptTokens)
+		prefix = fillerText("shared-"+name, template.SharedPromptTokens)
 		g.prefixes[name] = prefix
 	}
-	own := max(work.PromptTokens-work.SharedPromptTokens-markerTokens, 0)
-	unique := fmt.Sprintf("own%d", g.serial)
-	return prefix + words(unique, own) + fmt.Sprintf("[[len=%d]]", tokens)
+	uniqueTokens := max(template.PromptTokens-template.SharedPromptTokens-markerTokens, 0)
+	uniqueStem := fmt.Sprintf("own%d", g.itemCount)
+	return prefix + fillerText(uniqueStem, uniqueTokens) + fmt.Sprintf("[[len=%d]]", tokens)
 }
 
-// bytesPerToken is what gateways and stand-in engines take as the mean length of a
-// prompt's tokens.
+// bytesPerToken is the mean token length that gateways and stand-in engines assume to estimate the
+// number of tokens of a prompt.
 const bytesPerToken = 4
 
-// words returns text of n tokens that repeats the stem.
-func words(stem string, n int) string {
+// fillerText returns a text of n tokens, that is n*bytesPerToken bytes, made of repetitions of
+// stem.
+func fillerText(stem string, n int) string {
 	if n <= 0 {
 		return ""
 	}
--- a/load/verify.go
+++ b/load/verify.go
@@ -8,61 +8,62 @@
 	"github.com/crocusreel/crocusreel/client"
 )
 
-// Violation is a broken promise that a caller can see.
+// Violation is a breach of the guarantees on the tokens of an answer, as detected by the caller.
 type Violation string
 
-// Violations.
+// Kinds of violations.
 const (
-	// ViolationMixed: a token of another generation, or with other text than its
-	// index tells.
-	ViolationMixed Violation = "wrong_token"
-	// ViolationMissing: an answer ended as whole with tokens missing.
-	ViolationMissing Violation = "missing_tokens"
-	// ViolationRepeated: a token came twice.
-	ViolationRepeated Violation = "repeated_token"
-	// ViolationExtra: an answer has more tokens than asked for.
-	ViolationExtra Violation = "extra_tokens"
+	// ViolationWrongToken is a token that belongs to another generation than the token before it,
+	// or whose text is not that of a stand-in engine's token.
+	ViolationWrongToken Violation = "wrong_token"
+	// ViolationMissingTokens is an answer that skips tokens or ended as complete with too few
+	// tokens. A token whose index differs from the position in its text also counts here.
+	ViolationMissingTokens Violation = "missing_tokens"
+	// ViolationRepeatedToken is a token at a position that was already received.
+	ViolationRepeatedToken Violation = "repeated_token"
+	// ViolationExtraTokens is a complete answer with more tokens than requested.
+	ViolationExtraTokens Violation = "extra_tokens"
 )
 
-// verifier checks one answer. Stand-in engines send "<generation>.<index> " as the
-// text of each token, so the text alone tells which generation it is from and which
-// position it has, whatever the index that the gateway put on it.
+// verifier checks the tokens of one answer. Stand-in engines send "<generation>.<index> " as the
+// text of each token, so the text alone identifies the generation and the position of the token,
+// independently of the index that the gateway assigned to it.
 type verifier struct {
 	generation string
-	next       int
-	broken     Violation
+	nextIndex  int
+	violation  Violation
 	detail     string
 }
 
-func (v *verifier) token(t client.Token) {
+func (v *verifier) addToken(t client.Token) {
 	generation, index, ok := splitToken(t.Text)
 	switch {
 	case !ok:
-		v.fail(ViolationMixed, fmt.Sprintf("text %q", t.Text))
-	case v.next > 0 && generation != v.generation:
-		v.fail(ViolationMixed, fmt.Sprintf("generation %s after %s", generation, v.generation))
-	case index < v.next:
-		v.fail(ViolationRepeated, fmt.Sprintf("token %d in place of %d", index, v.next))
-	case index > v.next || t.Index != index:
-		v.fail(ViolationMissing, fmt.Sprintf("token %d (index %d) in place of %d", index, t.Index, v.next))
+		v.fail(ViolationWrongToken, fmt.Sprintf("text %q", t.Text))
+	case v.nextIndex > 0 && generation != v.generation:
+		v.fail(ViolationWrongToken, fmt.Sprintf("generation %s after %s", generation, v.generation))
+	case index < v.nextIndex:
+		v.fail(ViolationRepeatedToken, fmt.Sprintf("token %d in place of %d", index, v.nextIndex))
+	case index > v.nextIndex || t.Index != index:
+		v.fail(ViolationMissingTokens, fmt.Sprintf("token %d (index %d) in place of %d", index, t.Index, v.nextIndex))
 	}
 	v.generation = generation
-	v.next++
+	v.nextIndex++
 }
 
-func (v *verifier) end(want int) {
+func (v *verifier) finish(want int) {
 	switch {
-	case v.next < want:
-		v.fail(ViolationMissing, fmt.Sprintf("%d tokens of %d", v.next, want))
-	case v.next > want:
-		v.fail(ViolationExtra, fmt.Sprintf("%d tokens of %d", v.next, want))
+	case v.nextIndex < want:
+		v.fail(ViolationMissingTokens, fmt.Sprintf("%d tokens of %d", v.nextIndex, want))
+	case v.nextIndex > want:
+		v.fail(ViolationExtraTokens, fmt.Sprintf("%d tokens of %d", v.nextIndex, want))
 	}
 }
 
-// fail keeps the first violation.
+// fail records a violation; only the first one is kept.
 func (v *verifier) fail(kind Violation, detail string) {
-	if v.broken == "" {
-		v.broken = kind
+	if v.violation == "" {
+		v.violation = kind
 		v.detail = detail
 	}
 }
