--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,9 +1,9 @@
-// Package boottime reads a clock that goes on while the machine is suspended.
+// Package boottime reads a clock that keeps running while the machine is suspended.
 //
-// time.Now is monotonic but stands still during a suspension. A lease or a
-// confirmation whose age is measured by it looks fresh on a machine that has just
-// woken, and the machine then acts on what others took back while it slept. Ages of
-// leases and beliefs are therefore measured by this clock.
+// The monotonic clock of time.Now stops during a suspension. A lease or a confirmation whose age
+// is measured with it looks fresh on a machine that has just resumed, and the machine then acts on
+// grants that other processes revoked during the suspension. The ages of leases and of cached
+// state are therefore measured with this clock.
 package boottime
 
 import (
@@ -12,7 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine started, suspensions included.
+// Now returns the time since the machine booted, including suspensions. It panics if
+// CLOCK_BOOTTIME is not available.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -1,5 +1,5 @@
-// Package daemon holds what the long-running programs share: their command line and
-// the members of their process groups.
+// Package daemon contains the code that the long-running programs share: the command line and the
+// actors of their run groups.
 package daemon
 
 import (
@@ -15,10 +15,11 @@
 	"github.com/crocusreel/crocusreel/peer"
 )
 
-// stopTimeout bounds the time for requests under way when a server is stopped.
+// stopTimeout bounds the wait for in-flight requests when a server shuts down.
 const stopTimeout = 2 * time.Second
 
-// AddServer serves a listener in the group until the group ends.
+// AddServer adds an actor to the group that serves HTTP on the listener. When the group ends, the
+// server is shut down within stopTimeout.
 func AddServer(g *run.Group, s *http.Server, l net.Listener) {
 	g.Add(func() error {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -32,7 +33,8 @@
 	})
 }
 
-// AddTask runs a task in the group; its context ends with the group.
+// AddTask adds an actor to the group that runs the task. The context of the task is cancelled when
+// the group ends.
 func AddTask(g *run.Group, task func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error { return task(ctx) }, func(error) { cancel() })
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -17,9 +17,10 @@
 	exitSettings = 2
 )
 
-// Runner is a built process.
+// Runner is a process that is fully built and ready to run.
 type Runner interface {
-	// Run serves until a signal, at which it returns nil, or until it fails.
+	// Run serves until a termination signal arrives, in which case it returns nil, or until it
+	// fails.
 	Run() error
 }
 
@@ -28,10 +29,13 @@
 	Name string
 	// Description is printed by --help.
 	Description string
-	Load        func(path string) (S, error)
-	Log         func(S) settings.Log
-	VM          func(S) settings.VM
-	Build       func(S, *zap.Logger) (Runner, error)
+	// Load reads the settings file.
+	Load func(path string) (S, error)
+	// Log and VM return the parts of the settings that configure the logger.
+	Log func(S) settings.Log
+	VM  func(S) settings.VM
+	// Build constructs the process but does not start it.
+	Build func(S, *zap.Logger) (Runner, error)
 }
 
 type commandLine struct {
--- a/internal/httponce/client.go
+++ b/internal/httponce/client.go
@@ -1,5 +1,5 @@
-// Package httponce sends HTTP requests that are never replayed, and tells for each
-// failed request whether any byte of it can have reached the server.
+// Package httponce sends HTTP requests that the transport never replays, and reports for each
+// failed request whether any byte of it may have reached the server.
 package httponce
 
 import (
@@ -17,29 +17,29 @@
 )
 
 const (
-	// idleTimeout is how long an unused connection is kept. It is shorter than the
-	// idle timeouts that servers commonly have, so that the client closes first: a
-	// server that closes at the moment of a write leaves the outcome unknown.
+	// idleTimeout is how long an idle connection stays in the pool. It is shorter than the idle
+	// timeouts that are common for servers, so that the client closes first: if the server closes
+	// while the client writes a request, the outcome of the request is unknown.
 	idleTimeout = 30 * time.Second
-	// maxIdle bounds the idle connections to one server.
+	// maxIdle is the maximum number of idle connections, both in total and per server.
 	maxIdle = 512
 )
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
-	// ConnectTimeout bounds the TCP handshake. Default 1 second.
+	// ConnectTimeout bounds the TCP handshake. The default is 1 second.
 	ConnectTimeout time.Duration
-	// UserTimeout is the time after which a connection is given up on which sent bytes
-	// or probes stay unacknowledged; 0 leaves it to the system, which takes minutes.
+	// UserTimeout is the time after which a connection is closed if sent data or keep-alive probes
+	// stay unacknowledged. 0 keeps the defaults of the operating system, which are in minutes.
 	UserTimeout time.Duration
 }
 
-// Client talks to servers over HTTP/1.1 with pooled connections.
+// Client sends requests over HTTP/1.1 with pooled connections. It is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
 }
 
-// New returns a client.
+// New returns a client with the given options.
 func New(o Options) *Client {
 	if o.ConnectTimeout <= 0 {
 		o.ConnectTimeout = time.Second
@@ -60,16 +60,16 @@
 	}}
 }
 
-// CloseIdle closes the connections that carry no request.
+// CloseIdle closes the idle connections of the pool.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
 
 // NewRequest builds a request that the transport cannot replay.
 //
-// net/http sends a request again on its own when a pooled connection breaks and it
-// takes the request for repeatable: no body or a body that can be rewound, and a
-// method such as GET or a header Idempotency-Key. A booking would then run twice
-// while its caller saw one attempt. A body that is present but cannot be rewound
-// rules out each of these cases, also where it is empty.
+// net/http retries a request on its own when a pooled connection breaks and it considers the
+// request replayable: the request has no body or one that can be rewound, and an idempotent method
+// such as GET or an Idempotency-Key header. A booking would then run twice although its caller made
+// one attempt. A body that is present but cannot be rewound, even if it is empty, prevents this in
+// all cases.
 func NewRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
@@ -85,8 +85,8 @@
 
 func (o *opaqueReader) Read(p []byte) (int, error) { return o.r.Read(p) }
 
-// Do sends a request made by NewRequest. It follows no redirect. If it fails with
-// sent == false, no byte of the request has left or will leave this process.
+// Do sends a request made by NewRequest. It does not follow redirects. If it returns an error and
+// sent is false, no byte of the request has left or will leave this process.
 func (c *Client) Do(req *http.Request) (resp *http.Response, sent bool, err error) {
 	var conns []mark
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -105,7 +105,7 @@
 	return nil, sent, err
 }
 
-// mark is a connection and the number of writes on it before the request.
+// mark is a connection and its write count before the request.
 type mark struct {
 	conn   *trackedConn
 	writes int64
--- a/internal/httponce/client_test.go
+++ b/internal/httponce/client_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// breakingServer answers the first request of its life and, on any connection,
-// breaks the connection after it has read a later one.
+// breakingServer answers only the first request that it receives. For each later request, on any
+// connection, it reads the request and closes the connection without an answer.
 type breakingServer struct {
 	listener net.Listener
 	requests atomic.Int64
@@ -55,9 +55,8 @@
 func (s *breakingServer) url() string { return "http://" + s.listener.Addr().String() + "/" }
 
 var _ = Describe("a pooled connection that breaks after the request was written", func() {
-	// A booking goes out on a pooled connection, the service runs it and dies before
-	// it answers. A transport that repeats the request on its own books a second
-	// bed, and its caller never learns of it.
+	// A service executes a booking that arrived on a pooled connection and crashes before it
+	// answers. A transport that retries on its own would book a second bed unknown to the caller.
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
 		for _, body := range []string{"", "bed 7"} {
 			It("sends "+method+" with body '"+body+"' once", func() {
@@ -84,8 +83,8 @@
 		}
 	}
 
-	// The same with a plain net/http request shows that this server can tell: the
-	// transport sends the second request twice.
+	// Control case: with a plain net/http request the transport sends the second request twice,
+	// which shows that breakingServer detects a replay.
 	It("is repeated by net/http for an ordinary request with a key", func() {
 		server := newBreakingServer()
 		client := New(Options{})
@@ -102,8 +101,8 @@
 })
 
 var _ = Describe("whether a failed request was sent", func() {
-	// The endpoint is down: nothing listens at its address. The caller may be told
-	// "not run" and may try elsewhere at once.
+	// Nothing listens at the address of the endpoint. The request was certainly not run, so that
+	// it can be retried on another endpoint at once.
 	It("is no when the connection is refused", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -116,7 +115,7 @@
 		Expect(sent).To(BeFalse())
 	})
 
-	It("is no when the caller gave up before", func() {
+	It("is no when the context was cancelled before the call", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		req, err := NewRequest(ctx, http.MethodPost, newBreakingServer().url(), []byte("x"))
@@ -126,9 +125,9 @@
 		Expect(sent).To(BeFalse())
 	})
 
-	// The caller gives up while the transport's own goroutine is about to write. It
-	// is told "not sent", and the write would still reach the endpoint afterwards.
-	It("stays no: a sealed connection takes no more writes", func() {
+	// The caller gives up while the write goroutine of the transport is about to write. The
+	// request is reported as not sent, but the write could still reach the endpoint afterwards.
+	It("stays no: an aborted connection accepts no more writes", func() {
 		near, far := net.Pipe()
 		DeferCleanup(far.Close)
 		conn := &trackedConn{Conn: near}
--- a/internal/httponce/conn.go
+++ b/internal/httponce/conn.go
@@ -9,17 +9,18 @@
 )
 
 var (
-	errSealed      = eris.New("connection sealed")
+	errSealed      = eris.New("write rejected: connection aborted after a failed request")
 	errSelfConnect = eris.New("connection refused: connected to itself")
 )
 
 type dialer struct{ net.Dialer }
 
-// dial connects and wraps the connection.
+// dial connects and wraps the connection in a trackedConn.
 //
-// On loopback, a dial to a port without a listener can be given that very port as
-// its own and connect to itself. The request would then come back as its answer,
-// and a server that is certainly down would count as one that may have run it.
+// On loopback, the kernel can choose the destination port as the source port when nothing listens
+// there, and the connection then connects to itself. The request would be read back as its own
+// response, and a server that is certainly down would be treated as one that may have run the
+// request. Such a connection is closed and reported as refused.
 func (d *dialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := d.DialContext(ctx, network, addr)
 	if err != nil {
@@ -32,16 +33,17 @@
 	return &trackedConn{Conn: conn}, nil
 }
 
-// trackedConn counts writes and can be sealed against further ones.
+// trackedConn counts writes and can be closed in a way that rejects every further write.
 type trackedConn struct {
 	net.Conn
-	mu     sync.Mutex
+	mu sync.Mutex
+	// writes and sealed are guarded by mu.
 	writes int64
 	sealed bool
 }
 
-// Write implements net.Conn. It counts before it writes, so that a write under way
-// is never taken for none.
+// Write implements net.Conn. The count is incremented before the write starts, so that a write in
+// progress is included.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -59,9 +61,9 @@
 	return c.writes
 }
 
-// seal forbids further writes and reports whether there was one since the count
-// before. Without it, the transport's own goroutine could still write a request
-// after its caller gave up and was told that nothing was sent.
+// seal rejects further writes, closes the connection and reports whether it was written to since
+// its write count was before. Otherwise the write goroutine of the transport could still write a
+// request after the call had returned and reported that nothing was sent.
 func (c *trackedConn) seal(before int64) bool {
 	c.mu.Lock()
 	c.sealed = true
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -44,7 +44,7 @@
 		Expect(passed).To(BeFalse())
 	})
 
-	It("passes over the listed tests alone, runs them last and prints them", func() {
+	It("skips only the listed tests, runs them last and prints them", func() {
 		passed, printed, err := runSample(listed, specs, plain)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(passed).To(BeTrue(), printed)
@@ -53,9 +53,9 @@
 		Expect(strings.Count(printed, "known red, passed this time: false")).To(Equal(2))
 	})
 
-	// A suite of specs is one Go test. If an entry took the whole suite out of the verdict,
-	// every other fault in it would land unseen behind the one that is known; if it took out
-	// specs whose text only begins alike, so would theirs.
+	// A Ginkgo suite is a single Go test. If an entry excluded the whole suite from the verdict, or
+	// every spec whose text begins with the same words, new faults in the other specs would stay
+	// unnoticed.
 	It("fails if another spec of the same suite fails", func() {
 		DeferCleanup(os.Unsetenv, "SAMPLE_FAILS")
 		for _, other := range []string{"yes", "other"} {
@@ -66,21 +66,21 @@
 		}
 	})
 
-	// An entry's test is renamed, or its name has a slip. Nothing is passed over then, and
-	// the entry would stand for ever without telling whether its fault is still there.
-	It("is refused if an entry names no test", func() {
+	// The test of an entry was renamed or its name is misspelled. The entry then skips nothing, and
+	// would stay on the list for ever although nobody knows whether its fault persists.
+	It("is refused if an entry names a test that does not exist", func() {
 		for _, e := range []knownred.Entry{entry(specs, "a sample (of specs) is not there"), entry(plain, "TestNotThere")} {
 			_, _, err := runSample(append(listed, e), specs, plain)
 			Expect(err).To(MatchError(ContainSubstring("has no test")))
 		}
 	})
 
-	It("is refused if an entry names no package", func() {
+	It("is refused if an entry names a package that does not exist", func() {
 		_, _, err := runSample([]knownred.Entry{entry("./testdata/nothing", "TestFails")}, specs)
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("does not run the listed tests of packages that are not asked for", func() {
+	It("does not run listed tests of packages that were not requested", func() {
 		passed, printed, err := runSample(listed[:1], plain)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(passed).To(BeFalse())
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -1,6 +1,7 @@
-// Package knownred runs tests and passes over those that are listed as failing for a fault
-// that is known and not mended yet. These run too and are printed, but do not decide: a new
-// failure stays visible although an old one is open.
+// Package knownred runs tests and excludes from the verdict those that are listed as failing
+// because of a known fault that is not fixed yet. The listed tests still run and their results are
+// printed, but they do not affect the verdict, so that a new failure stays visible while a known
+// one is open.
 package knownred
 
 import (
@@ -13,16 +14,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// Entry is one listed test.
+// Entry is one test on the list of known failures.
 type Entry struct {
-	// Package is the directory of the test's package, as ./tests.
+	// Package is the directory of the package of the test, such as ./tests.
 	Package string
-	// Test is the name of a Go test, or the full text of a spec: the texts of its containers
-	// and its own, with a space between.
+	// Test is the name of a Go test, or the full text of a Ginkgo spec: the texts of its
+	// containers and its own, separated by spaces.
 	Test string
-	// Command makes the fault come; it names the seed if there is one.
+	// Command reproduces the failure. It includes the seed if there is one.
 	Command string
-	// Seen is what a failing run shows, and Issue the open issue.
+	// Seen is the observed failure, and Issue the open issue.
 	Seen, Issue string
 }
 
@@ -31,17 +32,17 @@
 	return fmt.Sprintf("%s: %s (%s; issue %s; %s)", e.Package, e.Test, e.Seen, e.Issue, e.Command)
 }
 
-// fields is the number of parts of a line, with separator between them.
+// fields is the number of parts of a line, and separator separates them.
 const (
 	fields    = 4
 	separator = "|"
 )
 
-// Parse reads a list: a line each of the form
+// Parse reads a list with one entry per line, of the form
 //
 //	PACKAGE: TEST | COMMAND | SEEN | ISSUE
 //
-// Empty lines and those that begin with # are skipped.
+// Empty lines and lines that begin with # are skipped.
 func Parse(r io.Reader) ([]Entry, error) {
 	var entries []Entry
 	lines := bufio.NewScanner(r)
@@ -62,27 +63,28 @@
 func parseLine(line string) (Entry, error) {
 	parts := strings.Split(line, separator)
 	if len(parts) != fields {
-		return Entry{}, eris.Errorf("%d parts, want PACKAGE: TEST | COMMAND | SEEN | ISSUE", len(parts))
+		return Entry{}, eris.Errorf("entry has %d parts, expected the form PACKAGE: TEST | COMMAND | SEEN | ISSUE", len(parts))
 	}
 	for i := range parts {
 		if parts[i] = strings.TrimSpace(parts[i]); parts[i] == "" {
-			return Entry{}, eris.Errorf("part %d is empty", i+1)
+			return Entry{}, eris.Errorf("part %d of the entry is empty", i+1)
 		}
 	}
 	pkg, test, ok := strings.Cut(parts[0], ": ")
 	if !ok || !strings.HasPrefix(pkg, "./") {
-		return Entry{}, eris.New("the first part is not of the form ./PACKAGE: TEST")
+		return Entry{}, eris.New("first part of the entry does not have the form ./PACKAGE: TEST")
 	}
 	return Entry{Package: pkg, Test: test, Command: parts[1], Seen: parts[2], Issue: parts[3]}, nil
 }
 
-// goTest is what the name of a Go test looks like; everything else is the text of a spec.
+// goTest matches the name of a Go test. Everything else is the text of a spec.
 var goTest = regexp.MustCompile(`^(Test|Fuzz|Example)\w*$`)
 
 func (e Entry) isGoTest() bool { return goTest.MatchString(e.Test) }
 
-// pattern matches the test and no other. The text of a spec comes behind the description
-// of its suite.
+// pattern returns a regular expression that matches the test and no other. Ginkgo matches the
+// description of the suite followed by the text of the spec, so the pattern for a spec may start
+// after a space.
 func (e Entry) pattern() string {
 	if e.isGoTest() {
 		return "^" + e.Test + "$"
@@ -90,8 +92,8 @@
 	return "(^| )" + regexp.QuoteMeta(e.Test) + "$"
 }
 
-// skip returns the flags of "go test" that leave the tests out, and only those that their
-// package needs: a package without specs does not know the flags for specs.
+// skip returns the flags of "go test" that skip the given tests of one package. Only the flags
+// that are needed are set, because a package without specs does not accept the flags of Ginkgo.
 func skip(entries []Entry) []string {
 	var tests, specs []string
 	for _, e := range entries {
@@ -111,7 +113,7 @@
 	return flags
 }
 
-// only returns the flag that runs nothing but the test.
+// only returns the flag of "go test" that runs this test alone.
 func (e Entry) only() string {
 	if e.isGoTest() {
 		return "-run=" + e.pattern()
--- a/internal/knownred/run.go
+++ b/internal/knownred/run.go
@@ -15,16 +15,18 @@
 
 // Runner runs tests with the go command.
 type Runner struct {
-	// Dir is the directory of the module, and Flags those of "go test".
+	// Dir is the directory of the module, and Flags are the flags for "go test". An empty Dir
+	// stands for the current directory.
 	Dir   string
 	Flags []string
-	// Out gets everything that the tests print.
+	// Out receives the output of the tests.
 	Out io.Writer
 }
 
-// Run runs the tests of the packages and tells whether all passed that are not listed. An
-// error means that they could not be run, or that an entry names no test: then nothing is
-// known of the fault that it lists.
+// Run runs the tests of the packages and reports whether all tests that are not listed passed. It
+// returns an error if the tests could not be run, or if an entry does not match any test, since
+// the state of the fault that it lists is then unknown. Entries of packages that do not match
+// patterns are ignored.
 func (r *Runner) Run(ctx context.Context, entries []Entry, patterns ...string) (passed bool, err error) {
 	packages, err := r.list(ctx, patterns...)
 	if err != nil {
@@ -37,7 +39,7 @@
 			return false, err
 		}
 		if len(names) != 1 {
-			return false, eris.Errorf("%s is not one package", e.Package)
+			return false, eris.Errorf("package %s of a known-red entry must match exactly one Go package", e.Package)
 		}
 		if slices.Contains(packages, names[0]) {
 			listed[names[0]] = append(listed[names[0]], e)
@@ -47,7 +49,7 @@
 	return passed, r.show(ctx, listed)
 }
 
-// decide runs all tests that are not listed.
+// decide runs all tests that are not listed and reports whether they passed.
 func (r *Runner) decide(ctx context.Context, packages []string, listed map[string][]Entry) bool {
 	var plain, some []string
 	for _, p := range packages {
@@ -60,17 +62,18 @@
 	passed := len(plain) == 0 || r.test(ctx, r.Out, plain...) == nil
 	for _, p := range some {
 		for _, e := range listed[p] {
-			fmt.Fprintln(r.Out, "known red, passed over:", e)
+			fmt.Fprintln(r.Out, "known red, skipped:", e)
 		}
 		passed = r.test(ctx, r.Out, append([]string{p}, skip(listed[p])...)...) == nil && passed
 	}
 	return passed
 }
 
-// nothingRan is what a run prints that was asked for a test which is not there.
+// nothingRan matches the output of a run whose -run or -ginkgo.focus flag matched no test.
 var nothingRan = regexp.MustCompile(`no tests to run|Ran\D+0\D+of`)
 
-// show runs the listed tests.
+// show runs the listed tests one by one and prints their results. It returns an error if an entry
+// does not match any test.
 func (r *Runner) show(ctx context.Context, listed map[string][]Entry) error {
 	for p, entries := range listed {
 		for _, e := range entries {
@@ -86,14 +89,14 @@
 	return ctx.Err()
 }
 
-// test runs "go test" with the runner's flags and further arguments.
+// test runs "go test" with the flags of the runner and the given arguments.
 func (r *Runner) test(ctx context.Context, out io.Writer, args ...string) error {
 	cmd := exec.CommandContext(ctx, "go", slices.Concat([]string{"test"}, r.Flags, args)...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = r.Dir, out, out
 	return cmd.Run()
 }
 
-// list returns the import paths of packages.
+// list returns the import paths of the packages that match patterns.
 func (r *Runner) list(ctx context.Context, patterns ...string) ([]string, error) {
 	cmd := exec.CommandContext(ctx, "go", append([]string{"list"}, patterns...)...)
 	cmd.Dir, cmd.Stderr = r.Dir, r.Out
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait to be written: about a second's worth at
-	// the highest rate of a node.
+	// queuedLines is the maximum number of queued lines: about the output of one second at the
+	// highest log rate of a node.
 	queuedLines = 2048
-	// syncTimeout bounds the wait for queued lines at the end of the process.
+	// syncTimeout bounds the time for which Sync waits for queued lines when the process exits.
 	syncTimeout = 500 * time.Millisecond
 )
 
-// asyncWriter writes lines from a goroutine of its own. A reader of the log that
-// stalls would otherwise stall every request that logs. Lines that do not fit into the
-// queue are dropped and counted.
+// asyncWriter writes lines in a separate goroutine, since a stalled reader of the log would
+// otherwise block every request that logs. Lines that do not fit into the queue are dropped and
+// counted.
 type asyncWriter struct {
-	out     io.Writer
-	lines   chan []byte
+	out   io.Writer
+	lines chan []byte
+	// pending is the number of lines that are queued or being written.
 	pending atomic.Int64
 	start   sync.Once
 }
@@ -31,7 +32,7 @@
 	return &asyncWriter{out: out, lines: make(chan []byte, queuedLines)}
 }
 
-// Write implements zapcore.WriteSyncer. It never blocks.
+// Write implements zapcore.WriteSyncer. It never blocks, and reports success for dropped lines.
 func (w *asyncWriter) Write(p []byte) (int, error) {
 	w.start.Do(func() { go w.run() })
 	line := append([]byte(nil), p...)
@@ -54,7 +55,8 @@
 	}
 }
 
-// Sync implements zapcore.WriteSyncer. It waits a bounded time for queued lines.
+// Sync implements zapcore.WriteSyncer. It waits at most syncTimeout until the queued lines are
+// written, and returns nil in any case.
 func (w *asyncWriter) Sync() error {
 	for until := time.Now().Add(syncTimeout); w.pending.Load() > 0 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -8,7 +8,7 @@
 	"github.com/onsi/gomega"
 )
 
-// stuckWriter blocks until it is released, as a pipe does whose reader has stopped.
+// stuckWriter blocks until it is released, like a pipe whose reader has stopped reading.
 type stuckWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -22,8 +22,8 @@
 	return w.Buffer.Write(p)
 }
 
-// The reader of the log stops reading. If writing a line waited for it, every request
-// that logs would hang, and callers would see a node that accepts and never answers.
+// The process that reads the log stops reading. If writing a log line blocked, every request that
+// logs would hang, and callers would see a node that accepts requests and never answers.
 func TestStuckReaderBlocksNobody(t *testing.T) {
 	g := gomega.NewWithT(t)
 	stuck := &stuckWriter{release: make(chan struct{})}
--- a/internal/logging/encoder.go
+++ b/internal/logging/encoder.go
@@ -13,8 +13,8 @@
 
 var bufferPool = buffer.NewPool()
 
-// pairEncoder renders an entry as key=value pairs. Fields are collected by zap's
-// own map encoder, so that every field type is understood.
+// pairEncoder encodes an entry as key=value pairs. Fields are collected by the map encoder of zap,
+// which supports every field type.
 type pairEncoder struct {
 	*zapcore.MapObjectEncoder
 }
@@ -58,8 +58,9 @@
 	return keys
 }
 
-// writePair quotes a value that holds a space, a quote, an equals sign or a line
-// break, so that a hostile value cannot forge another pair or line.
+// writePair appends a key=value pair. A value that is empty or contains a space, a control
+// character, a double quote, an equals sign or a line break is quoted, so that a malicious value
+// cannot forge another pair or line.
 func writePair(buf *buffer.Buffer, key, value string) {
 	if buf.Len() > 0 {
 		buf.AppendByte(' ')
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -7,8 +7,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// A caller puts a line break and an equals sign into a name. Unquoted, it would
-// add a second line that looks like an event of ours.
+// A caller sends a name that contains a line break and an equals sign. Without quotes it would add
+// a second line to the log that looks like a genuine event.
 func TestHostileValueStaysInItsPair(t *testing.T) {
 	g := gomega.NewWithT(t)
 	enc := newEncoder()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -10,7 +10,8 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// Counters of all processes. Each map has one entry for each reason.
+// Maps that every process publishes. Refusals and retries have one entry for each reason, events
+// and gauges one for each name.
 var (
 	refusals = newMap("refusals")
 	retries  = newMap("retries")
@@ -18,8 +19,7 @@
 	gauges   = newMap("gauges")
 )
 
-// registerOnce guards against a second registration of a name, at which expvar
-// stops the process.
+// registerOnce serializes newMap. Registering a name twice would make expvar terminate the process.
 var registerOnce sync.Mutex
 
 func newMap(name string) *expvar.Map {
@@ -31,36 +31,36 @@
 	return expvar.NewMap(name)
 }
 
-// Refused counts a refusal by its reason.
+// Refused increments the refusal counter of a reason.
 func Refused(reason crocusreel.Reason) { refusals.Add(string(reason), 1) }
 
-// Retried counts a retry by its reason.
+// Retried increments the retry counter of a reason.
 func Retried(reason crocusreel.Reason) { retries.Add(string(reason), 1) }
 
-// Count adds one to the named event counter.
+// Count increments the named event counter by one.
 func Count(event string) { events.Add(event, 1) }
 
-// CountN adds n to the named event counter.
+// CountN increments the named event counter by n.
 func CountN(event string, n int64) { events.Add(event, n) }
 
-// Gauge sets a named gauge.
+// Gauge sets the named gauge to a value.
 func Gauge(name string, value int64) {
 	v := new(expvar.Int)
 	v.Set(value)
 	gauges.Set(name, v)
 }
 
-// GaugeFunc publishes a gauge that is computed when it is read.
+// GaugeFunc publishes a gauge whose value f computes on each read.
 func GaugeFunc(name string, f func() any) { gauges.Set(name, expvar.Func(f)) }
 
-// histogramBounds are the upper bounds of latency buckets, in milliseconds: a factor of
-// two apart, from a call within a data centre to the longest generation.
+// histogramBounds are the upper bounds of the latency buckets in milliseconds. They are a factor of
+// 2 to 2.5 apart and range from a call within a data centre to the longest generation.
 var histogramBounds = []int64{5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 20000, 40000}
 
 var latencies = newMap("latencies")
 
-// Observe adds a duration to the named latency histogram. Each bucket counts the
-// durations up to its bound.
+// Observe adds a duration to the named latency histogram. Buckets are not cumulative: a duration is
+// counted only in the first bucket whose bound it does not exceed, or in the bucket inf.
 func Observe(name string, d time.Duration) {
 	ms := d.Milliseconds()
 	label := "inf"
--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -1,5 +1,5 @@
-// Package procstat reads what a process on this Linux machine has used, for
-// measurements and for the rig.
+// Package procstat reads the resource usage and state of Linux processes from /proc, for
+// measurements and for package rig.
 package procstat
 
 import (
@@ -13,44 +13,44 @@
 	"github.com/rotisserie/eris"
 )
 
-// clockTick is the unit of processor time in /proc; it is the same on all machines
-// that Go runs on.
+// clockTick is the unit of CPU time in /proc. It is the same on all Linux platforms that Go
+// supports.
 const clockTick = 10 * time.Millisecond
 
-// Positions in /proc/PID/stat behind the process's name.
+// Indexes of the fields in /proc/PID/stat, counted from the field after the process name.
 const (
 	fieldUser   = 11
 	fieldSystem = 12
 	fieldPages  = 21
 )
 
-// Sample is what a process has used since it started, and its memory now.
+// Sample is the resource usage of a process since its start, and its current memory.
 type Sample struct {
-	// CPU is processor time, user and system.
+	// CPU is the user and system CPU time.
 	CPU time.Duration
-	// RSS is resident memory in MiB.
+	// RSS is the resident memory in MiB.
 	RSS float64
-	// In and Out are the bytes read and written through files and sockets, without
+	// In and Out are the numbers of bytes read and written through files and sockets, without
 	// packet headers.
 	In, Out float64
 }
 
-// Read samples a process.
+// Read returns a sample of the process with the given PID.
 func Read(pid int) (Sample, error) {
 	var s Sample
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return s, eris.Wrap(err, "process")
+		return s, eris.Wrap(err, "read CPU time and memory of process")
 	}
 	fields := strings.Fields(afterName(stat))
 	if len(fields) <= fieldPages {
-		return s, eris.Errorf("process %d: stat has %d fields", pid, len(fields))
+		return s, eris.Errorf("process %d: too few fields in stat: %d after the name", pid, len(fields))
 	}
 	s.CPU = time.Duration(number(fields[fieldUser])+number(fields[fieldSystem])) * clockTick
 	s.RSS = number(fields[fieldPages]) * float64(os.Getpagesize()) / (1 << 20)
 	io, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
-		return s, eris.Wrap(err, "process")
+		return s, eris.Wrap(err, "read I/O counters of process")
 	}
 	for _, line := range strings.Split(string(io), "\n") {
 		name, value, _ := strings.Cut(line, ": ")
@@ -64,7 +64,8 @@
 	return s, nil
 }
 
-// Stopped tells whether all threads of a process are stopped or gone.
+// Stopped reports whether every thread of the process is stopped (T), a zombie (Z) or dead (X). It
+// also returns true if the process does not exist.
 func Stopped(pid int) bool {
 	stats, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, name := range stats {
@@ -80,14 +81,15 @@
 	return true
 }
 
-// afterName cuts a stat line behind the name in parentheses, which may hold spaces
-// and parentheses itself.
+// afterName returns the part of a stat line after the process name. The name is in parentheses and
+// may itself contain spaces and parentheses.
 func afterName(stat []byte) string {
 	text := string(stat)
 	return strings.TrimSpace(text[strings.LastIndexByte(text, ')')+1:])
 }
 
-// number reads a figure of the kernel's; these are well-formed.
+// number parses a number from /proc. Errors are ignored, because the kernel writes well-formed
+// numbers.
 func number(text string) float64 {
 	n, _ := strconv.ParseFloat(text, 64)
 	return n
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -1,4 +1,4 @@
-// Package sockopt sets up connections that notice a silent peer.
+// Package sockopt sets socket options that detect an unresponsive peer.
 package sockopt
 
 import (
@@ -10,15 +10,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// probes is the number of keep-alive probes within the limit.
+// probes is the number of keep-alive probes that fit into the limit.
 const probes = 3
 
-// Watch makes connections of the dialer end when the peer acknowledges nothing for the
-// given time, with or without traffic.
+// Watch configures the dialer so that its connections fail when the peer acknowledges nothing for
+// limit, whether or not there is traffic. It replaces the KeepAliveConfig and Control fields of the
+// dialer.
 //
-// A peer that lost power or was cut off sends no reset. Without probes, a connection
-// that waits for an answer would wait for ever; without the user timeout, one that
-// has sent a request would retransmit it for a quarter of an hour.
+// A peer that lost power or its network sends no reset. Without keep-alive probes, a connection that
+// waits for a response would wait for ever. Without TCP_USER_TIMEOUT, a connection that has sent a
+// request would retransmit it for about 15 minutes.
 func Watch(d *net.Dialer, limit time.Duration) {
 	every := limit / probes
 	d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: every, Interval: every, Count: probes}
--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -1,4 +1,4 @@
-// Package testcert makes certificates for tests.
+// Package testcert generates certificates for tests.
 package testcert
 
 import (
@@ -19,29 +19,30 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// lifetime is how long certificates are valid.
+// lifetime is how long certificates are valid after they are issued. NotBefore lies the same
+// time before the issue.
 const lifetime = time.Hour
 
-// Authority signs certificates.
+// Authority is a certificate authority that signs certificates.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority with a certificate of its own.
+// NewAuthority generates an authority with a self-signed certificate.
 func NewAuthority(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, eris.Wrap(err, "make key")
+		return nil, eris.Wrap(err, "generate key")
 	}
 	cert := template(name)
 	cert.IsCA, cert.BasicConstraintsValid, cert.KeyUsage = true, true, x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, cert, cert, &key.PublicKey, key)
 	if err != nil {
-		return nil, eris.Wrap(err, "sign authority")
+		return nil, eris.Wrap(err, "sign CA certificate")
 	}
 	if cert, err = x509.ParseCertificate(der); err != nil {
-		return nil, eris.Wrap(err, "parse authority")
+		return nil, eris.Wrap(err, "parse CA certificate")
 	}
 	return &Authority{cert: cert, key: key}, nil
 }
@@ -55,7 +56,8 @@
 	}
 }
 
-// Files names the three files of a listener in a directory.
+// Files returns the paths of the certificate, key and CA files in a directory. It does not create
+// them.
 func Files(dir string) settings.TLS {
 	return settings.TLS{
 		CertFile: filepath.Join(dir, "cert.pem"),
@@ -64,11 +66,12 @@
 	}
 }
 
-// Issue writes a new key, a certificate for the IP and the trusted authorities.
+// Issue generates a key and a certificate for the IP address that is valid for servers and clients,
+// and writes both and the certificates of the trusted authorities to files.
 func (a *Authority) Issue(files settings.TLS, ip string, trusted ...*Authority) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return eris.Wrap(err, "make key")
+		return eris.Wrap(err, "generate key")
 	}
 	cert := template(a.cert.Subject.CommonName + " leaf")
 	cert.IPAddresses, cert.KeyUsage = []net.IP{net.ParseIP(ip)}, x509.KeyUsageDigitalSignature
@@ -79,7 +82,7 @@
 	}
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return eris.Wrap(err, "encode key")
+		return eris.Wrap(err, "encode private key")
 	}
 	var pool []byte
 	for _, t := range trusted {
--- a/internal/tlsreload/source.go
+++ b/internal/tlsreload/source.go
@@ -1,5 +1,5 @@
-// Package tlsreload keeps certificates and authorities that are read again when
-// their files change, so that they can be renewed without a restart.
+// Package tlsreload provides TLS listeners and clients whose certificates and authorities are
+// reloaded when their files change, so that they can be renewed without a restart.
 package tlsreload
 
 import (
@@ -15,34 +15,38 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// checkInterval is the least time between two looks at the files.
+// checkInterval is the minimum time between two checks of the files for changes.
 const checkInterval = time.Second
 
-// Source holds the material of one listener and of the clients that go with it. A
-// nil Source stands for no TLS; all methods accept it.
+// Source holds the certificate, key and authorities of one listener and of the clients that connect
+// to its peers. It is safe for concurrent use. A nil Source means no TLS: Listener, HTTPClient and
+// Config accept a nil receiver.
 type Source struct {
 	files settings.TLS
 
+	// mu guards the fields below.
 	mu        sync.Mutex
 	checkedAt time.Time
 	stamps    [3]stamp
 	current   *material
 }
 
-// stamp tells whether a file has changed.
+// stamp is the modification time and size of a file. A different stamp means that the file has
+// changed.
 type stamp struct {
 	modified time.Time
 	size     int64
 }
 
-// material is what was read from the files. It is immutable.
+// material is the parsed content of the files. It is immutable. authority is nil if there is no CA
+// file.
 type material struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 	server      *tls.Config
 }
 
-// New reads the files. Without files it returns nil.
+// New reads the files. It returns a nil Source if files is empty.
 func New(files settings.TLS) (*Source, error) {
 	if files == (settings.TLS{}) {
 		return nil, nil
@@ -60,9 +64,9 @@
 	return s, nil
 }
 
-// get returns the current material and reads changed files first. If they cannot
-// be read, as in the middle of a replacement, the former material stays in use and
-// the next look tries again.
+// get returns the current material and reloads the files first if they have changed. If they cannot
+// be read, for example while they are being replaced, the previous material stays in use and the
+// next check tries again.
 func (s *Source) get() *material {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +99,7 @@
 		}
 		info, err := os.Stat(path)
 		if err != nil {
-			return stamps, eris.Wrap(err, "look at TLS file")
+			return stamps, eris.Wrap(err, "stat TLS file")
 		}
 		stamps[i] = stamp{modified: info.ModTime(), size: info.Size()}
 	}
--- a/internal/tlsreload/tlsreload_test.go
+++ b/internal/tlsreload/tlsreload_test.go
@@ -29,7 +29,8 @@
 
 func newFiles() settings.TLS { return testcert.Files(GinkgoT().TempDir()) }
 
-// serve answers with the protocol and the name of the client's authority.
+// serve starts a server that returns the name of the authority of the client in the header Client.
+// It returns the URL of the server.
 func serve(s *tlsreload.Source) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -47,7 +48,7 @@
 	return s
 }
 
-// call makes one request on a fresh connection.
+// call makes one request on a new connection.
 func call(s *tlsreload.Source, url string) (*http.Response, error) {
 	client := s.HTTPClient()
 	defer client.CloseIdleConnections()
@@ -59,7 +60,7 @@
 }
 
 var _ = Describe("Certificates of peers", func() {
-	It("are demanded on both sides, and carry HTTP/2", func() {
+	It("are required on both sides, and HTTP/2 is negotiated", func() {
 		a, b := newAuthority("a"), newAuthority("b")
 		serverFiles, clientFiles, strangerFiles := newFiles(), newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.1", a)).To(Succeed())
@@ -76,9 +77,9 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	// A peer's certificate was issued for another VM. Accepted here, whoever took
-	// one VM could pose as all.
-	It("count only for the address that is dialled", func() {
+	// The certificate of a peer was issued for another VM. If it were accepted, an attacker who
+	// controls one VM could impersonate every other one.
+	It("are accepted only for the address that is dialled", func() {
 		a := newAuthority("a")
 		serverFiles, clientFiles := newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.9", a)).To(Succeed())
@@ -87,9 +88,9 @@
 		Expect(err).To(MatchError(ContainSubstring("127.0.0.9")))
 	})
 
-	// Certificates expire and authorities are replaced while the processes run.
-	// Read once at start, they would need a restart of every VM on the same day.
-	It("are read again when the files change, on both sides and with the authority", func() {
+	// Certificates expire and authorities are replaced while the processes run. If they were read
+	// only at startup, every VM would have to be restarted on the same day.
+	It("are reloaded when the files change, on both sides and with the authority", func() {
 		a, b := newAuthority("a"), newAuthority("b")
 		serverFiles, clientFiles := newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.1", a)).To(Succeed())
@@ -108,8 +109,8 @@
 		}).WithTimeout(20 * time.Second).WithPolling(200 * time.Millisecond).Should(Succeed())
 	})
 
-	// A renewal tool truncates the file before it writes it. A handshake in between
-	// must not fail, nor stop the process.
+	// A renewal tool truncates the file before it writes the new content. A handshake in between
+	// must neither fail nor terminate the process.
 	It("stay in use while a file is broken", func() {
 		a := newAuthority("a")
 		serverFiles, clientFiles := newFiles(), newFiles()
--- a/internal/tlsreload/use.go
+++ b/internal/tlsreload/use.go
@@ -11,7 +11,7 @@
 	"github.com/crocusreel/crocusreel/peer"
 )
 
-// protocolsOffered are the HTTP versions that a listener offers.
+// protocolsOffered are the ALPN protocols that a listener offers.
 var protocolsOffered = []string{"h2", "http/1.1"}
 
 func (m *material) serverConfig() *tls.Config {
@@ -26,8 +26,8 @@
 	return c
 }
 
-// Listener wraps a listener in TLS. With an authority it demands a client
-// certificate that the authority has signed.
+// Listener wraps a listener in TLS. If there is a CA file, clients must present a certificate that
+// one of its authorities has signed. A nil Source returns l unchanged.
 func (s *Source) Listener(l net.Listener) net.Listener {
 	if s == nil {
 		return l
@@ -35,14 +35,15 @@
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: protocolsOffered,
-		// Session tickets belong to the inner configuration, which is new after each
-		// reload: a session from before a change of authority cannot be resumed.
+		// Session ticket keys belong to the inner configuration, which is replaced on each
+		// reload: a session that began before a change of the authority cannot be resumed.
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return s.get().server, nil },
 	})
 }
 
-// HTTPClient returns a client for peers whose certificates the authority has
-// signed for the IP that is dialled.
+// HTTPClient returns a client that accepts peers whose certificate is signed by the authority and
+// valid for the IP address that is dialled. Without a CA file the system roots apply. A nil Source
+// returns a client without TLS.
 func (s *Source) HTTPClient() *http.Client {
 	client := peer.NewHTTPClient(s.Config())
 	if s != nil {
@@ -51,8 +52,8 @@
 	return client
 }
 
-// Config is set if peers speak TLS. It serves to build their URLs; connections are
-// made by HTTPClient.
+// Config returns a non-nil configuration if peers use TLS, and nil otherwise. It serves only to
+// build the URLs of peers. Connections use the configuration that dial builds.
 func (s *Source) Config() *tls.Config {
 	if s == nil {
 		return nil
@@ -60,12 +61,12 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12}
 }
 
-// dial builds a configuration for each connection, since the one in an
-// http.Transport is fixed and would keep the first authority for ever.
+// dial builds a TLS configuration for each connection, because the one in an http.Transport is fixed
+// and would keep the first authority for ever.
 func (s *Source) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return nil, eris.Wrap(err, "peer address")
+		return nil, eris.Wrap(err, "parse peer address")
 	}
 	m := s.get()
 	d := tls.Dialer{
--- a/internal/tomlcheck/decode.go
+++ b/internal/tomlcheck/decode.go
@@ -12,7 +12,7 @@
 // Table is a decoded TOML table.
 type Table = map[string]any
 
-// Parse reads the text of a file. A syntax error is reported with its position.
+// Parse decodes the text of a file. A syntax error is reported with its line.
 func Parse(file, text string) (Table, Problems) {
 	var t Table
 	_, err := toml.Decode(text, &t)
@@ -28,23 +28,24 @@
 	return nil, ps
 }
 
-// Check reports unknown keys, wrong types and values out of range among the keys
-// that are present. The target is a pointer to a struct; it is not changed.
+// Check reports unknown keys, wrong types and values out of range among the keys that are present.
+// The target is a pointer to a struct and is not modified.
 func Check(file string, t Table, target any) Problems {
 	c := checker{file: file}
 	c.table("", t, reflect.TypeOf(target).Elem())
 	return c.problems
 }
 
-// Fill sets the target from the table and from defaults. It reports required keys
-// that are missing; values that Check would report are skipped.
+// Fill sets the fields of target, a pointer to a struct, from the table and from default tags. It
+// reports required keys that are missing. Values that Check would report are skipped.
 func Fill(file string, t Table, target any) Problems {
 	f := filler{file: file}
 	f.table("", t, reflect.ValueOf(target).Elem())
 	return f.problems
 }
 
-// Load parses, checks and fills in one run.
+// Load calls Parse, Check and Fill, and returns all problems. It stops after Parse if the syntax is
+// wrong.
 func Load(file, text string, target any) Problems {
 	t, ps := Parse(file, text)
 	if len(ps) > 0 {
@@ -54,6 +55,7 @@
 	return append(ps, Fill(file, t, target)...)
 }
 
+// checker collects the problems of the keys that are present.
 type checker struct {
 	file     string
 	problems Problems
@@ -114,7 +116,8 @@
 	}
 }
 
-// tableList accepts both forms in which the TOML library delivers a list of tables.
+// tableList converts a list of tables, which the TOML library decodes to one of two types. It
+// reports false for any other value.
 func tableList(v any) ([]Table, bool) {
 	switch l := v.(type) {
 	case []Table:
@@ -133,6 +136,8 @@
 	return nil, false
 }
 
+// entryPath returns the path of the entry at index i, with its name instead of the index if it has
+// one.
 func entryPath(path string, i int, t Table) string {
 	if name, ok := t["name"].(string); ok && name != "" {
 		return fmt.Sprintf("%s[%s]", path, name)
--- a/internal/tomlcheck/fill.go
+++ b/internal/tomlcheck/fill.go
@@ -7,6 +7,7 @@
 	"strings"
 )
 
+// filler sets a struct from a table and its default tags.
 type filler struct {
 	file     string
 	problems Problems
@@ -39,6 +40,7 @@
 	}
 }
 
+// missing sets the default of a key that is absent, or reports the key if it is required.
 func (f *filler) missing(path string, field reflect.StructField, v reflect.Value) {
 	if field.Tag.Get("required") != "" {
 		f.problems.Add(f.file, path, "nothing", ruleText(field))
@@ -68,13 +70,14 @@
 	}
 }
 
+// mustParse panics if the value of a default tag does not parse.
 func mustParse(err error, path string) {
 	if err != nil {
 		panic(fmt.Sprintf("tomlcheck: bad default tag of %s: %v", path, err))
 	}
 }
 
-// ruleText says what a key may hold.
+// ruleText describes the allowed values of a key, for Problem.Allowed.
 func ruleText(field reflect.StructField) string {
 	tag := field.Tag
 	if allowed, ok := tag.Lookup("oneof"); ok {
--- a/internal/tomlcheck/problem.go
+++ b/internal/tomlcheck/problem.go
@@ -1,8 +1,8 @@
-// Package tomlcheck reads TOML into structs strictly: it reports every unknown
-// key, wrong type and value out of range of a file in one run.
+// Package tomlcheck decodes TOML strictly into structs: it reports all unknown keys, wrong types and
+// values out of range of a file at once.
 //
-// Struct tags state the rules: toml (key), default, required, min, max, oneof
-// (values separated by |) and format (name, address, sha256).
+// Struct tags define the rules: toml (the key), default, required, min, max, oneof (values separated
+// by |), format (name, address or sha256) and secret (the value is not shown in problems).
 package tomlcheck
 
 import (
@@ -10,27 +10,28 @@
 	"strings"
 )
 
-// Problem is one mistake in a file.
+// Problem is one error in a file.
 type Problem struct {
-	// File names the file or the part of a document.
+	// File is the name of the file or of the part of a document.
 	File string `json:"file"`
-	// Key is the dotted path of the key, with the index or name of list entries.
+	// Key is the dotted path of the key. List entries are given by name or index in brackets.
 	Key string `json:"key"`
-	// Found says what the file holds.
+	// Found describes the value in the file.
 	Found string `json:"found"`
-	// Allowed says what it may hold.
+	// Allowed describes the values that are allowed.
 	Allowed string `json:"allowed"`
 }
 
-// String renders the problem on one line.
+// String implements fmt.Stringer. It formats the problem as one line.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s: %s: found %s; allowed: %s", p.File, p.Key, p.Found, p.Allowed)
 }
 
-// Problems is every mistake found in one run. It is an error if it is not empty.
+// Problems lists all problems found in one run. It implements error; use Err, which returns nil for
+// an empty list.
 type Problems []Problem
 
-// Error implements the error interface, with one problem on each line.
+// Error implements the error interface. It returns one problem per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -47,7 +48,7 @@
 	return ps
 }
 
-// Add appends one problem.
+// Add appends a problem.
 func (ps *Problems) Add(file, key, found, allowed string) {
 	*ps = append(*ps, Problem{File: file, Key: key, Found: found, Allowed: allowed})
 }
--- a/internal/tomlcheck/scalar.go
+++ b/internal/tomlcheck/scalar.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// namePattern is the form of names that appear in paths, rows and logs.
+// namePattern matches names that are safe to use in paths, rows and logs.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 const (
@@ -19,7 +19,8 @@
 	digestRule  = "a SHA-256 digest in 64 hex digits"
 )
 
-// scalarProblem says what is allowed if the value is not; it is empty otherwise.
+// scalarProblem returns a description of the allowed values if v is not one of them, and an empty
+// string if v is valid. It panics if there is no rule for typ.
 func scalarProblem(v any, typ reflect.Type, tag reflect.StructTag) string {
 	switch typ.Kind() {
 	case reflect.String:
@@ -63,13 +64,14 @@
 func rangeProblem(f float64, tag reflect.StructTag) string {
 	low, hasLow := bound(tag, "min")
 	high, hasHigh := bound(tag, "max")
-	// The comparisons are written so that NaN fails them.
+	// The comparisons are negated so that NaN is out of range.
 	if (hasLow && !(f >= low)) || (hasHigh && !(f <= high)) {
 		return "a number" + rangeText(tag)
 	}
 	return ""
 }
 
+// bound returns the value of a min or max tag, and whether the tag is present.
 func bound(tag reflect.StructTag, name string) (float64, bool) {
 	text, ok := tag.Lookup(name)
 	if !ok {
@@ -96,6 +98,8 @@
 	return ""
 }
 
+// stringProblem is scalarProblem for strings. An empty string is valid unless the key is required
+// or has a oneof tag.
 func stringProblem(s string, tag reflect.StructTag) string {
 	if allowed, ok := tag.Lookup("oneof"); ok {
 		for _, a := range strings.Split(allowed, "|") {
@@ -129,8 +133,8 @@
 	return ""
 }
 
-// describe shows a value. One of a field tagged secret is not shown, since the
-// text ends up in logs.
+// describe formats a value for Problem.Found. The value of a field with a secret tag is not shown,
+// because the text is written to logs.
 func describe(v any, tag reflect.StructTag) string {
 	const longest = 80
 	if tag.Get("secret") != "" {
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred runs "go test" with the flags and packages given, and passes over the
-// tests that KNOWN-RED.txt lists: these run last, are printed and do not decide. Its exit
-// code is 0 if all others passed.
+// Command knownred runs "go test" with the given flags and packages, and excludes the tests that
+// KNOWN-RED.txt lists from the verdict: they run last and their results are printed. The exit code
+// is 0 if all other tests passed.
 package main
 
 import (
@@ -12,7 +12,8 @@
 	"github.com/crocusreel/crocusreel/internal/knownred"
 )
 
-// listFile is the list, at the root of the module.
+// listFile is the list of known failures. It is read from the current directory, which must be the
+// root of the module.
 const listFile = "KNOWN-RED.txt"
 
 func main() {
