--- a/internal/rig/build.go
+++ b/internal/rig/build.go
@@ -8,18 +8,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// Programs are the names of the programs that a rig may start.
+// Names of the programs that a rig starts.
 const (
 	programGateway    = "crocusreel-gateway"
 	programController = "crocusreel-controller"
 	programStandin    = "crocusreel-standin"
 )
 
-// Build compiles all programs of the module at root into the directory bin.
+// Build compiles the programs in cmd of the module at root into the directory bin.
 func Build(ctx context.Context, root, bin string) error {
 	target, err := filepath.Abs(bin)
 	if err != nil {
-		return eris.Wrap(err, "resolve directory")
+		return eris.Wrap(err, "resolve output directory")
 	}
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", target+string(filepath.Separator), "./cmd/...")
 	cmd.Dir = root
--- a/internal/rig/document.go
+++ b/internal/rig/document.go
@@ -10,14 +10,15 @@
 	"github.com/crocusreel/crocusreel/config"
 )
 
-// Digest is the hex SHA-256 digest by which a key stands in configuration and
-// settings.
+// Digest returns the hex SHA-256 digest of a key, which represents the key in the configuration and
+// in settings.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Document is the configuration that fits what the rig runs.
+// Document returns a configuration that describes the engines and services of the rig, together
+// with the Base and Overlays of its Spec.
 func (r *Rig) Document() config.Document {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[service]\nname = \"rig\"\n%s\n", r.spec.Base)
@@ -37,7 +38,7 @@
 	return config.Document{Base: b.String(), Overlays: r.spec.Overlays}
 }
 
-// writeModels adds each model of an engine that Base does not describe.
+// writeModels adds an entry for each model of an engine that Base does not define.
 func (r *Rig) writeModels(b *strings.Builder) {
 	var names []string
 	for _, e := range r.Engines {
--- a/internal/rig/link.go
+++ b/internal/rig/link.go
@@ -11,28 +11,29 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Direction of the bytes on a link.
+// Direction is the direction of traffic on a link.
 type Direction string
 
 const (
-	// Upstream is from the process that connects to the one that listens.
+	// Upstream is from the connecting process to the listening one.
 	Upstream Direction = "upstream"
-	// Downstream is the other way.
+	// Downstream is from the listening process to the connecting one.
 	Downstream Direction = "downstream"
 )
 
 var quietLog = sync.OnceFunc(func() { logrus.SetLevel(logrus.FatalLevel) })
 
-// Link is a proxy in front of one listener. All methods may be called at any time.
+// Link is a fault-injecting proxy in front of one listener. It is safe for concurrent use.
 type Link struct {
 	name, listen, target string
 
+	// mu guards the fields below.
 	mu    sync.Mutex
 	proxy *toxiproxy.Proxy
 	cut   bool
 }
 
-// NewLink starts a proxy that listens at listen and connects to target.
+// NewLink starts a proxy that listens at the address listen and connects to target.
 func NewLink(name, listen, target string) (*Link, error) {
 	quietLog()
 	l := &Link{name: name, listen: listen, target: target}
@@ -46,9 +47,9 @@
 	return eris.Wrapf(p.Start(), "start proxy %s", l.name)
 }
 
-// Renew ends all connections and removes every fault, as a link that was replaced. Unlike
-// Heal it never waits for a connection: the proxy's own reset of faults waits for ever
-// for one that is held back while its reader is frozen.
+// Renew closes all connections and replaces the proxy by a new one without faults. Unlike Heal it
+// never waits for a connection: the function of the proxy that removes faults blocks for ever on a
+// connection that is stalled while its reader is frozen.
 func (l *Link) Renew() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +60,7 @@
 	return l.startProxy()
 }
 
-// Cut ends all connections and refuses new ones until Heal.
+// Cut closes all connections and refuses new ones until Heal or Renew is called.
 func (l *Link) Cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +70,7 @@
 	}
 }
 
-// Heal removes every fault of the link.
+// Heal removes all faults of the link. It can block, see Renew.
 func (l *Link) Heal() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,18 +85,18 @@
 	return nil
 }
 
-// Reset ends all connections; new ones are accepted at once.
+// Reset closes all connections and removes all faults. New connections are accepted immediately.
 func (l *Link) Reset() error {
 	l.Cut()
 	return l.Heal()
 }
 
-// Stall holds back all bytes of one direction; connections stay open.
+// Stall stops all traffic in one direction. Connections stay open.
 func (l *Link) Stall(d Direction) error {
 	return l.toxic("timeout", d, map[string]any{"timeout": 0})
 }
 
-// Delay adds latency to one direction.
+// Delay adds latency with the given jitter to the traffic in one direction.
 func (l *Link) Delay(d Direction, latency, jitter time.Duration) error {
 	return l.toxic("latency", d, map[string]any{"latency": latency.Milliseconds(), "jitter": jitter.Milliseconds()})
 }
@@ -103,10 +104,10 @@
 func (l *Link) toxic(kind string, d Direction, attributes map[string]any) error {
 	text, err := json.Marshal(map[string]any{"type": kind, "stream": d, "toxicity": 1, "attributes": attributes})
 	if err != nil {
-		return eris.Wrap(err, "encode toxic")
+		return eris.Wrap(err, "encode fault of link")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, err = l.proxy.Toxics.AddToxicJson(strings.NewReader(string(text)))
-	return eris.Wrapf(err, "add %s", kind)
+	return eris.Wrapf(err, "add fault %s to link", kind)
 }
--- a/internal/rig/operator.go
+++ b/internal/rig/operator.go
@@ -13,13 +13,13 @@
 	"github.com/crocusreel/crocusreel/operator"
 )
 
-// Operator returns a client of the administration API of v.
+// Operator returns a client for the administration API of the controller of v.
 func (r *Rig) Operator(v *VM) *operator.Client {
 	return operator.NewClient("http://"+v.OperatorAddress, OperatorKey, nil)
 }
 
-// Apply edits the configuration through the controller of v and returns the new
-// version. While the controller is not ready it tries again with the same edit ID.
+// Apply edits the configuration through the controller of v and returns the new version. It retries
+// failures that are temporary with the same edit ID until ctx ends.
 func (r *Rig) Apply(ctx context.Context, v *VM, expected uint64, doc config.Document) (uint64, error) {
 	e := operator.Edit{ExpectedVersion: expected, EditID: uuid.NewString(), Document: doc}
 	for {
@@ -35,14 +35,15 @@
 	}
 }
 
-// retryable tells failures that pass from refusals of the edit itself.
+// retryable reports whether an error is temporary. A response with a status below 500 is not: it
+// means that the edit itself was refused.
 func retryable(err error) bool {
 	var refused *operator.RemoteError
 	return !eris.As(err, &refused) || refused.Status >= http.StatusInternalServerError
 }
 
-// Vars reads the counters that the listener at address serves at /debug/vars: maps
-// of numbers, by their names.
+// Vars reads the counters that the listener at address serves at /debug/vars. It returns the maps of
+// numbers by name and ignores all other variables.
 func (r *Rig) Vars(ctx context.Context, address string) (map[string]map[string]float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/debug/vars", nil)
 	if err != nil {
--- a/internal/rig/ports.go
+++ b/internal/rig/ports.go
@@ -11,35 +11,35 @@
 	"github.com/rotisserie/eris"
 )
 
-// Ports are taken below the range from which the kernel takes the ports of outgoing
-// connections, so that no connection occupies a port between its choice and its
-// use.
+// Ports are chosen below the ephemeral port range of the kernel, so that no outgoing connection
+// occupies a port between its choice and its use.
 const (
 	firstPort = 12000
 	lastPort  = 32000
 	portTries = 500
 )
 
-// Host is the loopback address of this process's rigs. A link that is cut listens no more
-// until it is healed; on an address shared with the rigs of other processes, one of these
-// could be given its port meanwhile, and the link could not be healed.
+// Host is the loopback address of the rigs of this process. A link that is cut closes its listener
+// until it is healed. If several processes shared an address, a rig of another process could take
+// the port in the meantime, and the link could not be healed.
 var Host = HostOf(os.Getpid())
 
-// HostOf returns the loopback address of the rigs of a process. Neighbouring processes have
-// different ones. The third part stays below 100: addresses above are those of nodes, which
-// need the same ports at each.
+// HostOf returns the loopback address of the rigs of the process with the given PID. Processes with
+// nearby PIDs get different addresses. The third octet stays below 100: higher values are reserved
+// for nodes, each of which needs the same ports on its own address.
 func HostOf(pid int) string {
 	const most = 250
 	return fmt.Sprintf("127.%d.%d.1", 1+pid%most, pid/most%100)
 }
 
+// portsUsed contains the ports that FreeAddress has returned. It is guarded by portMu.
 var (
 	portMu    sync.Mutex
 	portsUsed = map[int]bool{}
 )
 
-// FreeAddress returns a loopback IP:port that nothing listens on and that this
-// process was not given before.
+// FreeAddress returns an IP:port on Host on which nothing listens and that it has not returned
+// before in this process. It is safe for concurrent use.
 func FreeAddress() (string, error) {
 	portMu.Lock()
 	defer portMu.Unlock()
@@ -56,5 +56,5 @@
 		portsUsed[port] = true
 		return address, eris.Wrap(listener.Close(), "close listener")
 	}
-	return "", eris.New("no free port")
+	return "", eris.New("no free loopback port found")
 }
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -14,21 +14,23 @@
 	"github.com/crocusreel/crocusreel/internal/procstat"
 )
 
-// pollInterval is the pause between two looks at something that is awaited.
+// pollInterval is the interval between two checks of a condition that is waited for.
 const pollInterval = 20 * time.Millisecond
 
-// Process is one program that the rig started. It is steered by its process ID
-// only.
+// Process is one program that the rig starts. It is controlled only through its process ID. Its
+// methods are safe for concurrent use.
 type Process struct {
 	Name string
-	// LogPath names the file that gets its standard output and error.
+	// LogPath is the file to which standard output and standard error are appended.
 	LogPath string
 
 	path string
 	args []string
-	// env are variables beside those of this process, as name=value.
+	// env contains environment variables, as name=value, in addition to those of this process.
 	env []string
 
+	// mu guards the fields below. done is closed when the process has ended, after code, its exit
+	// code, is set.
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -39,21 +41,22 @@
 	return &Process{Name: name, LogPath: logPath, path: path, args: args}
 }
 
-// NewProcess describes a program that is not part of a Rig, with variables as
-// name=value beside those of this process.
+// NewProcess returns a process that is not part of a Rig and is not started yet. env contains
+// environment variables, as name=value, in addition to those of this process.
 func NewProcess(name, logPath, path string, env []string, args ...string) *Process {
 	p := newProcess(name, logPath, path, args...)
 	p.env = env
 	return p
 }
 
-// starts carries the commands to the goroutine that starts them.
+// starts returns the channel of the functions that the starter goroutine runs, and starts that
+// goroutine on the first call.
 var starts = sync.OnceValue(func() chan func() {
 	ch := make(chan func())
 	go func() {
-		// The kernel sends the parent-death signal when the thread that started the
-		// child ends, not the process. Without a thread of its own, children would be
-		// killed whenever the runtime retires a thread.
+		// The kernel sends the parent-death signal when the thread that started the child
+		// ends, not when the process ends. Without a locked thread, children would be killed
+		// whenever the runtime terminates the thread that started them.
 		runtime.LockOSThread()
 		for f := range ch {
 			f()
@@ -68,12 +71,12 @@
 	return <-result
 }
 
-// Start starts the process, or starts it again after it ended.
+// Start starts the process, or restarts it after it has ended.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.running() {
-		return eris.Errorf("%s is running", p.Name)
+		return eris.Errorf("start %s: process is already running", p.Name)
 	}
 	log, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -85,7 +88,7 @@
 	if len(p.env) > 0 {
 		cmd.Env = append(os.Environ(), p.env...)
 	}
-	// A process must not outlive the one that steers it.
+	// The process must not outlive the process that controls it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := startCommand(cmd); err != nil {
 		return eris.Wrapf(err, "start %s", p.Name)
@@ -97,7 +100,7 @@
 }
 
 func (p *Process) reap(cmd *exec.Cmd, done chan struct{}) {
-	// The error repeats what the process state tells.
+	// The error is ignored, because the process state contains the same information.
 	_ = cmd.Wait()
 	p.mu.Lock()
 	p.code = cmd.ProcessState.ExitCode()
@@ -105,6 +108,7 @@
 	close(done)
 }
 
+// running implements Running. The caller holds p.mu.
 func (p *Process) running() bool {
 	if p.cmd == nil {
 		return false
@@ -117,14 +121,14 @@
 	}
 }
 
-// Running tells whether the process was started and has not ended.
+// Running reports whether the process was started and has not ended.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.running()
 }
 
-// PID is the process ID, 0 before the first start.
+// PID returns the process ID of the latest start, or 0 before the first start.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,21 +138,21 @@
 	return p.cmd.Process.Pid
 }
 
-// Freezing is checked so often, for two seconds at most.
+// Freeze checks every freezePoll whether the process has stopped, for at most 2 s in total.
 const (
 	freezePoll  = 2 * time.Millisecond
 	freezePolls = 1000
 )
 
-// Kill ends the process at once and waits until it is gone.
+// Kill sends SIGKILL to the process and waits until it has ended.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	_, _ = p.Wait(context.Background())
 }
 
-// Freeze stops the process without its knowledge; Thaw lets it go on. It returns
-// once every thread has stopped: on a busy machine a thread that still runs would
-// answer a request sent after the signal.
+// Freeze stops the process with SIGSTOP, which it cannot observe. It returns when every thread has
+// stopped, or after 2 s: on a busy machine, a thread that is still running would answer a request
+// sent after the signal. Thaw continues the process.
 func (p *Process) Freeze() {
 	p.signal(syscall.SIGSTOP)
 	for range freezePolls {
@@ -159,23 +163,23 @@
 	}
 }
 
-// Thaw lets a frozen process go on.
+// Thaw continues a frozen process.
 func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
 
-// Terminate asks for a graceful shutdown; it does not wait.
+// Terminate requests a graceful shutdown with SIGTERM. It does not wait.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
 func (p *Process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.running() {
-		// The process may end by itself before the signal arrives.
+		// The error is ignored, because the process can end on its own before the signal arrives.
 		_ = p.cmd.Process.Signal(s)
 	}
 }
 
-// Wait waits for the end of the process and returns its exit code, -1 if a signal
-// ended it.
+// Wait waits until the process has ended and returns its exit code, which is -1 if a signal
+// terminated it. For a process that was never started it returns 0 immediately.
 func (p *Process) Wait(ctx context.Context) (int, error) {
 	p.mu.Lock()
 	done := p.done
@@ -185,7 +189,7 @@
 	}
 	select {
 	case <-ctx.Done():
-		return 0, eris.Wrapf(ctx.Err(), "wait for %s", p.Name)
+		return 0, eris.Wrapf(ctx.Err(), "wait for process %s to end", p.Name)
 	case <-done:
 	}
 	p.mu.Lock()
@@ -193,7 +197,7 @@
 	return p.code, nil
 }
 
-// stop ends the process gracefully within limit, and then by force.
+// stop requests a graceful shutdown, and kills the process if it has not ended within limit.
 func (p *Process) stop(limit time.Duration) {
 	p.Thaw()
 	p.Terminate()
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -14,10 +14,10 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// stopLimit is how long a process may take to end by itself when a rig is closed.
+// stopLimit is the time that each process has for a graceful shutdown when a rig is closed.
 const stopLimit = 3 * time.Second
 
-// Rig is a running system.
+// Rig is a running system of stand-ins, VMs and links.
 type Rig struct {
 	Platform *Platform
 	VMs      []*VM
@@ -28,47 +28,47 @@
 	http *http.Client
 }
 
-// Platform is the stand-in of the platform.
+// Platform is the stand-in for the platform.
 type Platform struct {
 	*Process
-	// Address is the stand-in's own, in front of which the links stand.
+	// Address is the address of the stand-in itself. The links of the VMs connect to it.
 	Address string
 	Admin   *admin.Client
 }
 
-// VM is one VM with its two processes. The links are nil in a rig without links.
+// VM is one VM with its two processes. All links are nil in a rig without links.
 type VM struct {
 	VMSpec
 	Gateway, Controller *Process
-	// CallerAddress, GatewayPeerAddress and ControllerPeerAddress are the addresses
-	// that the processes tell to others. Behind each stands a link, if there are any.
+	// CallerAddress, GatewayPeerAddress and ControllerPeerAddress are the addresses that the
+	// processes advertise. In a rig with links, each is the address of a link.
 	CallerAddress, GatewayPeerAddress, ControllerPeerAddress string
-	// GatewayVars and ControllerVars are the IP:port that serve /debug/vars, past the
-	// links.
+	// GatewayVars and ControllerVars are the addresses (IP:port) that serve /debug/vars. They
+	// bypass the links.
 	GatewayVars, ControllerVars string
-	// OperatorAddress is the controller's administration API.
+	// OperatorAddress is the address of the administration API of the controller.
 	OperatorAddress string
-	// Callers, GatewayPeers and ControllerPeers are the links towards this VM.
+	// Callers, GatewayPeers and ControllerPeers are the inbound links of this VM.
 	Callers, GatewayPeers, ControllerPeers *Link
-	// GatewayPlatform and ControllerPlatform are the links from this VM.
+	// GatewayPlatform and ControllerPlatform are the outbound links of this VM to the platform.
 	GatewayPlatform, ControllerPlatform *Link
 }
 
-// Endpoint is one stand-in of an engine or plain service.
+// Endpoint is one stand-in for an engine or a plain service.
 type Endpoint struct {
 	*Process
 	Name, DataCentre, Region string
 	Models                   []string
 	ChecksFence              bool
-	// Address is the one in the configuration.
+	// Address is the address in the configuration. In a rig with links, it is the address of Link.
 	Address string
-	// Link is in front of it; nil in a rig without links.
+	// Link is the link in front of the stand-in, or nil in a rig without links.
 	Link  *Link
 	Admin *admin.Client
 }
 
-// Start starts everything, applies the configuration and waits until every process
-// is ready. On an error whatever was started is stopped.
+// Start starts the system, applies the configuration and waits until every gateway is ready. On an
+// error it stops everything that it has started.
 func Start(ctx context.Context, spec Spec) (*Rig, error) {
 	r := &Rig{spec: spec, http: &http.Client{Timeout: 5 * time.Second}}
 	if err := r.start(ctx); err != nil {
@@ -124,7 +124,7 @@
 	return v.Gateway.Start()
 }
 
-// ListVMs puts the rig's VMs on the platform's list.
+// ListVMs sets the list of VMs in the stand-in of the platform to the VMs of the rig.
 func (r *Rig) ListVMs(ctx context.Context) error {
 	vms := make([]platform.VM, len(r.VMs))
 	for i, v := range r.VMs {
@@ -133,7 +133,7 @@
 	return r.Platform.Admin.SetVMs(ctx, vms)
 }
 
-// waitEndpoints waits until every engine and service answers.
+// waitEndpoints waits until every engine and service is healthy.
 func (r *Rig) waitEndpoints(ctx context.Context) error {
 	for _, endpoints := range [][]*Endpoint{r.Engines, r.Services} {
 		for _, e := range endpoints {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// WaitReady waits until every gateway serves callers.
+// WaitReady waits until every gateway is healthy at its address for callers.
 func (r *Rig) WaitReady(ctx context.Context) error {
 	for _, v := range r.VMs {
 		if err := r.WaitHealthy(ctx, v.CallerAddress); err != nil {
@@ -155,7 +155,8 @@
 	return nil
 }
 
-// WaitHealthy waits until the listener at address answers /healthz with 200.
+// WaitHealthy waits until the listener at address answers /healthz with status 200, or until ctx
+// ends.
 func (r *Rig) WaitHealthy(ctx context.Context, address string) error {
 	for {
 		if r.healthy(ctx, address) {
@@ -163,7 +164,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Wrapf(ctx.Err(), "%s is not healthy", address)
+			return eris.Wrapf(ctx.Err(), "%s did not become healthy", address)
 		case <-time.After(pollInterval):
 		}
 	}
@@ -182,7 +183,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// CallerAddresses are the addresses that callers may begin with.
+// CallerAddresses returns the address for callers of each gateway. Callers can start with any of
+// them.
 func (r *Rig) CallerAddresses() []string {
 	addresses := make([]string, len(r.VMs))
 	for i, v := range r.VMs {
@@ -191,8 +193,8 @@
 	return addresses
 }
 
-// Kill ends the endpoint at once. Its link then refuses connections, as the host of
-// a dead process does.
+// Kill kills the process of the endpoint. The link, if any, then refuses connections, like the host
+// of a process that has ended.
 func (e *Endpoint) Kill() {
 	e.Process.Kill()
 	if e.Link != nil {
@@ -200,7 +202,7 @@
 	}
 }
 
-// Restart starts the endpoint again after its end.
+// Restart heals the link and starts the process of the endpoint after it has ended.
 func (e *Endpoint) Restart() error {
 	if e.Link != nil {
 		if err := e.Link.Heal(); err != nil {
@@ -210,7 +212,8 @@
 	return e.Start()
 }
 
-// Close stops every process: gracefully at first, by force after a few seconds.
+// Close stops every process, gateways first. It requests a graceful shutdown and kills processes that
+// have not ended within stopLimit.
 func (r *Rig) Close() {
 	var gateways, others []*Process
 	for _, v := range r.VMs {
@@ -233,7 +236,7 @@
 func stopAll(processes []*Process) {
 	var wg sync.WaitGroup
 	for _, p := range processes {
-		// A rig whose start failed has processes that were never made.
+		// Processes can be nil if the start of the rig failed.
 		if p != nil {
 			wg.Go(func() { p.stop(stopLimit) })
 		}
@@ -264,5 +267,5 @@
 
 func (r *Rig) write(name string, data []byte) (string, error) {
 	path := filepath.Join(r.spec.Dir, name)
-	return path, eris.Wrap(os.WriteFile(path, data, 0o600), "write settings")
+	return path, eris.Wrap(os.WriteFile(path, data, 0o600), "write settings file")
 }
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -14,9 +14,9 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Several suites run side by side, each with links that are cut and healed. While one is cut
-// its port is free; a rig of another process that takes it keeps the link from being healed,
-// and a run of random faults ends with "address already in use" although nothing is wrong.
+// Several suites run in parallel, each with links that are cut and healed. If the rig of another
+// process takes the port of a link while it is cut, the link cannot be healed, and a run of random
+// faults fails with "address already in use" although the system is correct.
 func TestRigsOfOtherProcessesDoNotTakeThePortsOfCutLinks(t *testing.T) {
 	g := NewWithT(t)
 	listen, err := rig.FreeAddress()
@@ -35,15 +35,15 @@
 	link.Cut()
 }
 
-// buildLimit bounds the building of the programs, as in the suites that use rigs.
+// buildLimit is the timeout for building the programs, as in the suites that use rigs.
 const buildLimit = 5 * time.Minute
 
-// A test that kills, freezes and cuts is worth nothing if these do not take effect.
+// Tests that kill, freeze or disconnect stand-ins prove nothing if these faults do not take effect.
 func TestStandinsDieFreezeAndComeBack(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "bin")
-	// Building the programs is not what is tested, and takes minutes on a busy machine.
+	// The build has its own timeout: it is not under test, and takes minutes on a busy machine.
 	building, built := context.WithTimeout(t.Context(), buildLimit)
 	defer built()
 	g.Expect(rig.Build(building, "../..", bin)).To(Succeed())
--- a/internal/rig/spec.go
+++ b/internal/rig/spec.go
@@ -2,65 +2,68 @@
 
 import "github.com/crocusreel/crocusreel/settings"
 
-// Spec says what to start. Dir, Bin and VMs are required.
+// Spec describes the system that a rig starts. Dir, Bin and VMs are required, except that a rig with
+// NoConfig needs no VMs.
 type Spec struct {
-	// Dir gets the settings files and logs.
+	// Dir is the directory for settings files, journals and logs.
 	Dir string
-	// Bin is the directory of the programs.
+	// Bin is the directory of the compiled programs.
 	Bin      string
 	VMs      []VMSpec
 	Engines  []EngineSpec
 	Services []ServiceSpec
-	// PlatformArgs are further arguments of the platform's stand-in.
+	// PlatformArgs are additional arguments for the stand-in of the platform.
 	PlatformArgs []string
-	// Links puts a proxy on every link; without, processes connect directly.
+	// Links adds a proxy on every link. Otherwise processes connect directly.
 	Links bool
-	// Base is TOML text that is added to the base file. The rig itself writes the
-	// endpoints, one model for each name that engines have, and the routes. Without
-	// a workspace in Base it adds the one of DefaultWorkspace.
+	// Base is TOML text that is added to the base file. The rig itself writes the endpoints,
+	// the routes, and one model for each model name of the engines that Base does not define.
+	// If Base has no workspace, the rig adds DefaultWorkspace.
 	Base string
-	// Overlays are the texts of the sites' overlays, by data centre.
+	// Overlays contains the texts of the overlays by data centre.
 	Overlays map[string]string
-	// EditGateway and EditController may change a process's settings.
+	// EditGateway and EditController, if not nil, can modify the settings of each process.
 	EditGateway    func(*settings.Gateway)
 	EditController func(*settings.Controller)
-	// NoConfig leaves the system without a configuration.
+	// NoConfig starts the system without a configuration. Start then does not wait for gateways
+	// to become ready.
 	NoConfig bool
 }
 
-// VMSpec is one VM with a gateway and a controller. Region defaults to "r1".
+// VMSpec describes one VM with a gateway and a controller. Region defaults to "r1".
 type VMSpec struct {
 	ID, DataCentre, Region string
 }
 
-// EngineSpec is one engine stand-in. Region defaults to "r1".
+// EngineSpec describes one engine stand-in. Region defaults to "r1".
 type EngineSpec struct {
 	Name, DataCentre, Region string
 	Models                   []string
 	ChecksFence              bool
-	// Args are further arguments of the stand-in.
+	// Args are additional arguments for the stand-in.
 	Args []string
 }
 
-// ServiceSpec is one plain service stand-in. Region defaults to "r1".
+// ServiceSpec describes one stand-in of a plain service. Region defaults to "r1".
 type ServiceSpec struct {
 	Name, DataCentre, Region string
-	// Prefix is the route's; services of the same prefix share a route.
+	// Prefix is the path prefix of the route. Services with the same prefix share a route.
 	Prefix string
-	// NonIdempotentMethods are the route's; empty leaves the default.
+	// NonIdempotentMethods are the non-idempotent methods of the route. If empty, the default
+	// applies.
 	NonIdempotentMethods []string
 	Args                 []string
 }
 
 const (
-	// DefaultWorkspace is the workspace that the rig adds, and DefaultKey its
-	// callers' key.
+	// DefaultWorkspace is the workspace that the rig adds if Base has none, and DefaultKey the
+	// API key of its callers.
 	DefaultWorkspace = "desk"
 	DefaultKey       = "desk-key"
-	// OperatorKey is accepted by every controller of a rig.
+	// OperatorKey is the operator key that every controller of a rig accepts.
 	OperatorKey = "operator-key"
 
-	// ModelVersion is the version of every model that the rig describes.
+	// ModelVersion is the version of every model that the rig adds to the configuration.
 	ModelVersion = "1"
 
 	defaultRegion = "r1"
--- a/internal/rig/standins.go
+++ b/internal/rig/standins.go
@@ -47,8 +47,8 @@
 	return r.startEndpoint(s, "service", append([]string{"--name", spec.Name}, spec.Args...))
 }
 
-// startEndpoint starts the stand-in with a journal, so that the list of its runs
-// outlives its process.
+// startEndpoint starts the stand-in with a journal, so that the list of its runs survives a restart
+// of its process.
 func (r *Rig) startEndpoint(e *Endpoint, kind string, args []string) error {
 	own, err := FreeAddress()
 	if err != nil {
@@ -64,8 +64,8 @@
 	return e.Start()
 }
 
-// front returns the address to tell others for a listener at own, with a link in
-// front of it if the rig has links.
+// front returns the address at which other processes reach the listener at own. If the rig has
+// links, this is the address of a new link in front of the listener; otherwise the link is nil.
 func (r *Rig) front(name, own string) (string, *Link, error) {
 	if !r.spec.Links {
 		return own, nil, nil
--- a/internal/rig/vm.go
+++ b/internal/rig/vm.go
@@ -11,15 +11,16 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// handleKey signs resume handles at every gateway of a rig.
+// handleKey is the key with which every gateway of a rig signs resume handles.
 var handleKey = "k1:" + strings.Repeat("5a", 32)
 
-// listeners are the addresses at which the processes of one VM listen.
+// listeners contains the addresses on which the processes of one VM listen, behind the links.
 type listeners struct {
 	caller, gatewayPeer, controllerPeer string
 }
 
-// prepareVM chooses addresses, puts the links in place and writes the settings.
+// prepareVM chooses the addresses of a VM, starts its links and writes its settings files. It does
+// not start the processes.
 func (r *Rig) prepareVM(spec VMSpec) error {
 	spec.Region = cmp.Or(spec.Region, defaultRegion)
 	v := &VM{VMSpec: spec}
@@ -59,8 +60,8 @@
 	return err
 }
 
-// writeVM writes both settings files. Each process reaches the platform through a
-// link of its own.
+// writeVM writes the settings files of both processes. Each process connects to the platform through
+// its own link.
 func (r *Rig) writeVM(v *VM, own listeners) error {
 	where := settings.VM{ID: v.ID, DataCentre: v.DataCentre, Region: v.Region}
 	g, err := r.gatewaySettings(v, where, own)
@@ -129,8 +130,8 @@
 	return c, nil
 }
 
-// Settings of a rig's processes, shorter than the defaults where a test waits for
-// them.
+// Settings of the processes of a rig. Timeouts and intervals are shorter than the defaults where
+// tests wait for them.
 const (
 	platformTimeoutMS = 1000
 	addressTTLMS      = 1000
@@ -142,6 +143,7 @@
 	leaseMS           = 2000
 )
 
+// daemon writes a settings file and returns the process of the program that reads it.
 func (r *Rig) daemon(name, program string, file any) (*Process, error) {
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(file); err != nil {
