--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -28,8 +28,8 @@
 type Sample struct {
 	// CPU is the user and system CPU time.
 	CPU time.Duration
-	// RSS is the resident memory in MiB.
-	RSS float64
+	// RSSMiB is the resident memory in MiB.
+	RSSMiB float64
 	// In and Out are the numbers of bytes read and written through files and sockets, without
 	// packet headers.
 	In, Out float64
@@ -47,7 +47,7 @@
 		return s, eris.Errorf("process %d: too few fields in stat: %d after the name", pid, len(fields))
 	}
 	s.CPU = time.Duration(number(fields[fieldUser])+number(fields[fieldSystem])) * clockTick
-	s.RSS = number(fields[fieldPages]) * float64(os.Getpagesize()) / (1 << 20)
+	s.RSSMiB = number(fields[fieldPages]) * float64(os.Getpagesize()) / (1 << 20)
 	io, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return s, eris.Wrap(err, "read I/O counters of process")
--- a/tests/capacity/controllers_test.go
+++ b/tests/capacity/controllers_test.go
@@ -126,7 +126,7 @@
 			cpuPercent: (after[i].CPU - before[i].CPU).Seconds() / seconds * 100,
 			in:         (after[i].In - before[i].In) / seconds / 1000,
 			out:        (after[i].Out - before[i].Out) / seconds / 1000,
-			rss:        after[i].RSS,
+			rss:        after[i].RSSMiB,
 		}
 		n := float64(len(after))
 		mean = cost{mean.cpuPercent + one.cpuPercent/n, mean.in + one.in/n, mean.out + one.out/n, mean.rss + one.rss/n}
--- a/tests/capacity/gateway_test.go
+++ b/tests/capacity/gateway_test.go
@@ -123,7 +123,7 @@
 		cancel()
 		after := read(g, pid)
 		t.Logf("%8d %12.0f %14.1f %12.1f %10d", n, float64(tokens)/took.Seconds(),
-			(after.CPU-before.CPU).Seconds()*1e6/float64(max(tokens, 1)), after.RSS, failures)
+			(after.CPU-before.CPU).Seconds()*1e6/float64(max(tokens, 1)), after.RSSMiB, failures)
 	}
 }
 
--- a/tests/node/size_test.go
+++ b/tests/node/size_test.go
@@ -29,7 +29,7 @@
 	GinkgoHelper()
 	sample, err := procstat.Read(n.PID())
 	Expect(err).NotTo(HaveOccurred())
-	return sample.RSS
+	return sample.RSSMiB
 }
 
 // badEntry returns the data of an entry that names no endpoint.
