--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -15,8 +15,8 @@
 	"github.com/crocusreel/crocusreel/peer"
 )
 
-// stopTimeout bounds the wait for in-flight requests when a server shuts down.
-const stopTimeout = 2 * time.Second
+// shutdownTimeout bounds the wait for in-flight requests when a server shuts down.
+const shutdownTimeout = 2 * time.Second
 
 // AddServer adds an actor to the group that serves HTTP on the listener. When the group ends, the
 // server is shut down within stopTimeout.
@@ -27,7 +27,7 @@
 		}
 		return nil
 	}, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		peer.Shutdown(ctx, s)
 	})
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -13,8 +13,8 @@
 
 // Exit codes of the long-running programs.
 const (
-	exitFailed   = 1
-	exitSettings = 2
+	exitFailed          = 1
+	exitInvalidSettings = 2
 )
 
 // Runner is a process that is fully built and ready to run.
@@ -48,17 +48,17 @@
 	parser := kong.Must(&cli, kong.Name(p.Name), kong.Description(p.Description))
 	if _, err := parser.Parse(args); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	s, err := p.Load(cli.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	log, err := logging.New(p.Log(s).Level, p.Name, p.VM(s).ID)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	return p.serve(s, log)
 }
--- a/internal/httponce/client.go
+++ b/internal/httponce/client.go
@@ -21,8 +21,8 @@
 	// timeouts that are common for servers, so that the client closes first: if the server closes
 	// while the client writes a request, the outcome of the request is unknown.
 	idleTimeout = 30 * time.Second
-	// maxIdle is the maximum number of idle connections, both in total and per server.
-	maxIdle = 512
+	// maxIdleConns is the maximum number of idle connections, both in total and per server.
+	maxIdleConns = 512
 )
 
 // Options configures a Client.
@@ -53,8 +53,8 @@
 	return &Client{transport: &http.Transport{
 		DialContext:         d.dial,
 		Protocols:           protocols,
-		MaxIdleConns:        maxIdle,
-		MaxIdleConnsPerHost: maxIdle,
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}}
@@ -88,10 +88,10 @@
 // Do sends a request made by NewRequest. It does not follow redirects. If it returns an error and
 // sent is false, no byte of the request has left or will leave this process.
 func (c *Client) Do(req *http.Request) (resp *http.Response, sent bool, err error) {
-	var conns []mark
+	var uses []connUse
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if t, ok := info.Conn.(*trackedConn); ok {
-			conns = append(conns, mark{t, t.written()})
+			uses = append(uses, connUse{t, t.writeCount()})
 		}
 	}}
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
@@ -99,14 +99,14 @@
 	if err == nil {
 		return resp, true, nil
 	}
-	for _, m := range conns {
-		sent = m.conn.seal(m.writes) || sent
+	for _, m := range uses {
+		sent = m.conn.abort(m.writesBefore) || sent
 	}
 	return nil, sent, err
 }
 
-// mark is a connection and its write count before the request.
-type mark struct {
-	conn   *trackedConn
-	writes int64
+// connUse is a connection and its write count before the request.
+type connUse struct {
+	conn         *trackedConn
+	writesBefore int64
 }
--- a/internal/httponce/client_test.go
+++ b/internal/httponce/client_test.go
@@ -38,9 +38,9 @@
 
 func (s *breakingServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	lines := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(lines)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -128,11 +128,11 @@
 	// The caller gives up while the write goroutine of the transport is about to write. The
 	// request is reported as not sent, but the write could still reach the endpoint afterwards.
 	It("stays no: an aborted connection accepts no more writes", func() {
-		near, far := net.Pipe()
-		DeferCleanup(far.Close)
-		conn := &trackedConn{Conn: near}
-		Expect(conn.seal(conn.written())).To(BeFalse())
+		local, remote := net.Pipe()
+		DeferCleanup(remote.Close)
+		conn := &trackedConn{Conn: local}
+		Expect(conn.abort(conn.writeCount())).To(BeFalse())
 		_, err := conn.Write([]byte("x"))
-		Expect(err).To(MatchError(errSealed))
+		Expect(err).To(MatchError(errAborted))
 	})
 })
--- a/internal/httponce/conn.go
+++ b/internal/httponce/conn.go
@@ -9,7 +9,7 @@
 )
 
 var (
-	errSealed      = eris.New("write rejected: connection aborted after a failed request")
+	errAborted     = eris.New("write rejected: connection aborted after a failed request")
 	errSelfConnect = eris.New("connection refused: connected to itself")
 )
 
@@ -37,37 +37,37 @@
 type trackedConn struct {
 	net.Conn
 	mu sync.Mutex
-	// writes and sealed are guarded by mu.
-	writes int64
-	sealed bool
+	// writes and aborted are guarded by mu.
+	writes  int64
+	aborted bool
 }
 
 // Write implements net.Conn. The count is incremented before the write starts, so that a write in
 // progress is included.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.aborted {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errAborted
 	}
 	c.writes++
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
-func (c *trackedConn) written() int64 {
+func (c *trackedConn) writeCount() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal rejects further writes, closes the connection and reports whether it was written to since
-// its write count was before. Otherwise the write goroutine of the transport could still write a
-// request after the call had returned and reported that nothing was sent.
-func (c *trackedConn) seal(before int64) bool {
+// abort rejects further writes, closes the connection and reports whether the write count differs
+// from initialWrites. Without abort, the write goroutine of the transport could still write a
+// request after Do has returned and reported that nothing was sent.
+func (c *trackedConn) abort(initialWrites int64) bool {
 	c.mu.Lock()
-	c.sealed = true
-	sent := c.writes != before
+	c.aborted = true
+	sent := c.writes != initialWrites
 	c.mu.Unlock()
 	_ = c.Close()
 	return sent
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -32,9 +32,9 @@
 	return fmt.Sprintf("%s: %s (%s; issue %s; %s)", e.Package, e.Test, e.Seen, e.Issue, e.Command)
 }
 
-// fields is the number of parts of a line, and separator separates them.
+// partCount is the number of parts of a line, and separator separates them.
 const (
-	fields    = 4
+	partCount = 4
 	separator = "|"
 )
 
@@ -62,7 +62,7 @@
 
 func parseLine(line string) (Entry, error) {
 	parts := strings.Split(line, separator)
-	if len(parts) != fields {
+	if len(parts) != partCount {
 		return Entry{}, eris.Errorf("entry has %d parts, expected the form PACKAGE: TEST | COMMAND | SEEN | ISSUE", len(parts))
 	}
 	for i := range parts {
@@ -77,10 +77,10 @@
 	return Entry{Package: pkg, Test: test, Command: parts[1], Seen: parts[2], Issue: parts[3]}, nil
 }
 
-// goTest matches the name of a Go test. Everything else is the text of a spec.
-var goTest = regexp.MustCompile(`^(Test|Fuzz|Example)\w*$`)
+// goTestName matches the name of a Go test. Everything else is the text of a spec.
+var goTestName = regexp.MustCompile(`^(Test|Fuzz|Example)\w*$`)
 
-func (e Entry) isGoTest() bool { return goTest.MatchString(e.Test) }
+func (e Entry) isGoTest() bool { return goTestName.MatchString(e.Test) }
 
 // pattern returns a regular expression that matches the test and no other. Ginkgo matches the
 // description of the suite followed by the text of the spec, so the pattern for a spec may start
@@ -92,9 +92,9 @@
 	return "(^| )" + regexp.QuoteMeta(e.Test) + "$"
 }
 
-// skip returns the flags of "go test" that skip the given tests of one package. Only the flags
+// skipFlags returns the flags of "go test" that skip the given tests of one package. Only the flags
 // that are needed are set, because a package without specs does not accept the flags of Ginkgo.
-func skip(entries []Entry) []string {
+func skipFlags(entries []Entry) []string {
 	var tests, specs []string
 	for _, e := range entries {
 		if e.isGoTest() {
@@ -113,8 +113,8 @@
 	return flags
 }
 
-// only returns the flag of "go test" that runs this test alone.
-func (e Entry) only() string {
+// focusFlag returns the flag of "go test" that runs this test alone.
+func (e Entry) focusFlag() string {
 	if e.isGoTest() {
 		return "-run=" + e.pattern()
 	}
--- a/internal/knownred/run.go
+++ b/internal/knownred/run.go
@@ -28,13 +28,13 @@
 // the state of the fault that it lists is then unknown. Entries of packages that do not match
 // patterns are ignored.
 func (r *Runner) Run(ctx context.Context, entries []Entry, patterns ...string) (passed bool, err error) {
-	packages, err := r.list(ctx, patterns...)
+	packages, err := r.goList(ctx, patterns...)
 	if err != nil {
 		return false, err
 	}
 	listed := make(map[string][]Entry)
 	for _, e := range entries {
-		names, err := r.list(ctx, e.Package)
+		names, err := r.goList(ctx, e.Package)
 		if err != nil {
 			return false, err
 		}
@@ -45,42 +45,42 @@
 			listed[names[0]] = append(listed[names[0]], e)
 		}
 	}
-	passed = r.decide(ctx, packages, listed)
-	return passed, r.show(ctx, listed)
+	passed = r.runUnlisted(ctx, packages, listed)
+	return passed, r.runListed(ctx, listed)
 }
 
-// decide runs all tests that are not listed and reports whether they passed.
-func (r *Runner) decide(ctx context.Context, packages []string, listed map[string][]Entry) bool {
-	var plain, some []string
+// runUnlisted runs all tests that are not listed and reports whether they passed.
+func (r *Runner) runUnlisted(ctx context.Context, packages []string, listed map[string][]Entry) bool {
+	var withoutEntries, withEntries []string
 	for _, p := range packages {
 		if len(listed[p]) == 0 {
-			plain = append(plain, p)
+			withoutEntries = append(withoutEntries, p)
 		} else {
-			some = append(some, p)
+			withEntries = append(withEntries, p)
 		}
 	}
-	passed := len(plain) == 0 || r.test(ctx, r.Out, plain...) == nil
-	for _, p := range some {
+	passed := len(withoutEntries) == 0 || r.goTest(ctx, r.Out, withoutEntries...) == nil
+	for _, p := range withEntries {
 		for _, e := range listed[p] {
 			fmt.Fprintln(r.Out, "known red, skipped:", e)
 		}
-		passed = r.test(ctx, r.Out, append([]string{p}, skip(listed[p])...)...) == nil && passed
+		passed = r.goTest(ctx, r.Out, append([]string{p}, skipFlags(listed[p])...)...) == nil && passed
 	}
 	return passed
 }
 
-// nothingRan matches the output of a run whose -run or -ginkgo.focus flag matched no test.
-var nothingRan = regexp.MustCompile(`no tests to run|Ran\D+0\D+of`)
+// noTestsRan matches the output of a run whose -run or -ginkgo.focus flag matched no test.
+var noTestsRan = regexp.MustCompile(`no tests to run|Ran\D+0\D+of`)
 
-// show runs the listed tests one by one and prints their results. It returns an error if an entry
-// does not match any test.
-func (r *Runner) show(ctx context.Context, listed map[string][]Entry) error {
+// runListed runs the listed tests one by one and prints their results. It returns an error if an
+// entry does not match any test.
+func (r *Runner) runListed(ctx context.Context, listed map[string][]Entry) error {
 	for p, entries := range listed {
 		for _, e := range entries {
 			fmt.Fprintln(r.Out, "known red, not deciding:", e)
 			var printed bytes.Buffer
-			err := r.test(ctx, io.MultiWriter(r.Out, &printed), p, "-v", e.only())
-			if nothingRan.Match(printed.Bytes()) {
+			err := r.goTest(ctx, io.MultiWriter(r.Out, &printed), p, "-v", e.focusFlag())
+			if noTestsRan.Match(printed.Bytes()) {
 				return eris.Errorf("%s has no test %q", e.Package, e.Test)
 			}
 			fmt.Fprintf(r.Out, "known red, passed this time: %t\n", err == nil)
@@ -89,15 +89,15 @@
 	return ctx.Err()
 }
 
-// test runs "go test" with the flags of the runner and the given arguments.
-func (r *Runner) test(ctx context.Context, out io.Writer, args ...string) error {
+// goTest runs "go test" with the flags of the runner and the given arguments.
+func (r *Runner) goTest(ctx context.Context, out io.Writer, args ...string) error {
 	cmd := exec.CommandContext(ctx, "go", slices.Concat([]string{"test"}, r.Flags, args)...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = r.Dir, out, out
 	return cmd.Run()
 }
 
-// list returns the import paths of the packages that match patterns.
-func (r *Runner) list(ctx context.Context, patterns ...string) ([]string, error) {
+// goList returns the import paths of the packages that match patterns.
+func (r *Runner) goList(ctx context.Context, patterns ...string) ([]string, error) {
 	cmd := exec.CommandContext(ctx, "go", append([]string{"list"}, patterns...)...)
 	cmd.Dir, cmd.Stderr = r.Dir, r.Out
 	out, err := cmd.Output()
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// queuedLines is the maximum number of queued lines: about the output of one second at the
+	// maxQueuedLines is the maximum number of queued lines: about the output of one second at the
 	// highest log rate of a node.
-	queuedLines = 2048
+	maxQueuedLines = 2048
 	// syncTimeout bounds the time for which Sync waits for queued lines when the process exits.
 	syncTimeout = 500 * time.Millisecond
 )
@@ -29,12 +29,12 @@
 }
 
 func newAsyncWriter(out io.Writer) *asyncWriter {
-	return &asyncWriter{out: out, lines: make(chan []byte, queuedLines)}
+	return &asyncWriter{out: out, lines: make(chan []byte, maxQueuedLines)}
 }
 
 // Write implements zapcore.WriteSyncer. It never blocks, and reports success for dropped lines.
 func (w *asyncWriter) Write(p []byte) (int, error) {
-	w.start.Do(func() { go w.run() })
+	w.start.Do(func() { go w.writeLoop() })
 	line := append([]byte(nil), p...)
 	w.pending.Add(1)
 	select {
@@ -46,7 +46,7 @@
 	return len(p), nil
 }
 
-func (w *asyncWriter) run() {
+func (w *asyncWriter) writeLoop() {
 	for line := range w.lines {
 		if _, err := w.out.Write(line); err != nil {
 			metrics.Count("log_write_failed")
@@ -58,7 +58,7 @@
 // Sync implements zapcore.WriteSyncer. It waits at most syncTimeout until the queued lines are
 // written, and returns nil in any case.
 func (w *asyncWriter) Sync() error {
-	for until := time.Now().Add(syncTimeout); w.pending.Load() > 0 && time.Now().Before(until); {
+	for deadline := time.Now().Add(syncTimeout); w.pending.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	return nil
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -28,7 +28,7 @@
 	g := gomega.NewWithT(t)
 	stuck := &stuckWriter{release: make(chan struct{})}
 	w := newAsyncWriter(stuck)
-	for range queuedLines + 100 {
+	for range maxQueuedLines + 100 {
 		n, err := w.Write([]byte("line\n"))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(n).To(gomega.Equal(5))
@@ -37,5 +37,5 @@
 	g.Expect(w.Sync()).To(gomega.Succeed())
 	stuck.mu.Lock()
 	defer stuck.mu.Unlock()
-	g.Expect(bytes.Count(stuck.Bytes(), []byte("line\n"))).To(gomega.BeNumerically(">=", queuedLines))
+	g.Expect(bytes.Count(stuck.Bytes(), []byte("line\n"))).To(gomega.BeNumerically(">=", maxQueuedLines))
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -19,12 +19,12 @@
 	gauges   = newMap("gauges")
 )
 
-// registerOnce serializes newMap. Registering a name twice would make expvar terminate the process.
-var registerOnce sync.Mutex
+// registerMu serializes newMap. Registering a name twice would make expvar terminate the process.
+var registerMu sync.Mutex
 
 func newMap(name string) *expvar.Map {
-	registerOnce.Lock()
-	defer registerOnce.Unlock()
+	registerMu.Lock()
+	defer registerMu.Unlock()
 	if m, ok := expvar.Get(name).(*expvar.Map); ok {
 		return m
 	}
@@ -53,9 +53,9 @@
 // GaugeFunc publishes a gauge whose value f computes on each read.
 func GaugeFunc(name string, f func() any) { gauges.Set(name, expvar.Func(f)) }
 
-// histogramBounds are the upper bounds of the latency buckets in milliseconds. They are a factor of
-// 2 to 2.5 apart and range from a call within a data centre to the longest generation.
-var histogramBounds = []int64{5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 20000, 40000}
+// histogramBoundsMS are the upper bounds of the latency buckets in milliseconds. They are a factor
+// of 2 to 2.5 apart and range from a call within a data centre to the longest generation.
+var histogramBoundsMS = []int64{5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 20000, 40000}
 
 var latencies = newMap("latencies")
 
@@ -64,7 +64,7 @@
 func Observe(name string, d time.Duration) {
 	ms := d.Milliseconds()
 	label := "inf"
-	for _, bound := range histogramBounds {
+	for _, bound := range histogramBoundsMS {
 		if ms <= bound {
 			label = strconv.FormatInt(bound, 10)
 			break
--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -19,9 +19,9 @@
 
 // Indexes of the fields in /proc/PID/stat, counted from the field after the process name.
 const (
-	fieldUser   = 11
-	fieldSystem = 12
-	fieldPages  = 21
+	fieldUserTime   = 11
+	fieldSystemTime = 12
+	fieldRSSPages   = 21
 )
 
 // Sample is the resource usage of a process since its start, and its current memory.
@@ -43,11 +43,11 @@
 		return s, eris.Wrap(err, "read CPU time and memory of process")
 	}
 	fields := strings.Fields(afterName(stat))
-	if len(fields) <= fieldPages {
+	if len(fields) <= fieldRSSPages {
 		return s, eris.Errorf("process %d: too few fields in stat: %d after the name", pid, len(fields))
 	}
-	s.CPU = time.Duration(number(fields[fieldUser])+number(fields[fieldSystem])) * clockTick
-	s.RSSMiB = number(fields[fieldPages]) * float64(os.Getpagesize()) / (1 << 20)
+	s.CPU = time.Duration(parseNumber(fields[fieldUserTime])+parseNumber(fields[fieldSystemTime])) * clockTick
+	s.RSSMiB = parseNumber(fields[fieldRSSPages]) * float64(os.Getpagesize()) / (1 << 20)
 	io, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return s, eris.Wrap(err, "read I/O counters of process")
@@ -56,9 +56,9 @@
 		name, value, _ := strings.Cut(line, ": ")
 		switch name {
 		case "rchar":
-			s.In = number(value)
+			s.In = parseNumber(value)
 		case "wchar":
-			s.Out = number(value)
+			s.Out = parseNumber(value)
 		}
 	}
 	return s, nil
@@ -88,9 +88,9 @@
 	return strings.TrimSpace(text[strings.LastIndexByte(text, ')')+1:])
 }
 
-// number parses a number from /proc. Errors are ignored, because the kernel writes well-formed
+// parseNumber parses a number from /proc. Errors are ignored, because the kernel writes well-formed
 // numbers.
-func number(text string) float64 {
+func parseNumber(text string) float64 {
 	n, _ := strconv.ParseFloat(text, 64)
 	return n
 }
--- a/internal/rig/document.go
+++ b/internal/rig/document.go
@@ -28,7 +28,7 @@
 	r.writeModels(&b)
 	for _, e := range r.Engines {
 		fmt.Fprintf(&b, "[[endpoints]]\nname = %q\nkind = \"engine\"\naddress = %q\ndata_centre = %q\nregion = %q\nmodels = %s\nchecks_fence = %t\n",
-			e.Name, e.Address, e.DataCentre, e.Region, list(e.Models), e.ChecksFence)
+			e.Name, e.Address, e.DataCentre, e.Region, tomlList(e.Models), e.ChecksFence)
 	}
 	for _, s := range r.Services {
 		fmt.Fprintf(&b, "[[endpoints]]\nname = %q\nkind = \"service\"\naddress = %q\ndata_centre = %q\nregion = %q\n",
@@ -59,14 +59,14 @@
 		methods[s.Prefix] = append(methods[s.Prefix], s.NonIdempotentMethods...)
 	}
 	for prefix := range names {
-		fmt.Fprintf(b, "[[routes]]\nname = %q\nprefix = %q\nendpoints = %s\n", strings.Trim(prefix, "/"), prefix, list(names[prefix]))
+		fmt.Fprintf(b, "[[routes]]\nname = %q\nprefix = %q\nendpoints = %s\n", strings.Trim(prefix, "/"), prefix, tomlList(names[prefix]))
 		if m := methods[prefix]; len(m) > 0 {
-			fmt.Fprintf(b, "non_idempotent_methods = %s\n", list(m))
+			fmt.Fprintf(b, "non_idempotent_methods = %s\n", tomlList(m))
 		}
 	}
 }
 
-func list(names []string) string {
+func tomlList(names []string) string {
 	quoted := make([]string, len(names))
 	for i, n := range names {
 		quoted[i] = fmt.Sprintf("%q", n)
--- a/internal/rig/link.go
+++ b/internal/rig/link.go
@@ -21,7 +21,7 @@
 	Downstream Direction = "downstream"
 )
 
-var quietLog = sync.OnceFunc(func() { logrus.SetLevel(logrus.FatalLevel) })
+var silenceProxyLog = sync.OnceFunc(func() { logrus.SetLevel(logrus.FatalLevel) })
 
 // Link is a fault-injecting proxy in front of one listener. It is safe for concurrent use.
 type Link struct {
@@ -35,7 +35,7 @@
 
 // NewLink starts a proxy that listens at the address listen and connects to target.
 func NewLink(name, listen, target string) (*Link, error) {
-	quietLog()
+	silenceProxyLog()
 	l := &Link{name: name, listen: listen, target: target}
 	return l, l.startProxy()
 }
@@ -93,15 +93,15 @@
 
 // Stall stops all traffic in one direction. Connections stay open.
 func (l *Link) Stall(d Direction) error {
-	return l.toxic("timeout", d, map[string]any{"timeout": 0})
+	return l.addToxic("timeout", d, map[string]any{"timeout": 0})
 }
 
 // Delay adds latency with the given jitter to the traffic in one direction.
 func (l *Link) Delay(d Direction, latency, jitter time.Duration) error {
-	return l.toxic("latency", d, map[string]any{"latency": latency.Milliseconds(), "jitter": jitter.Milliseconds()})
+	return l.addToxic("latency", d, map[string]any{"latency": latency.Milliseconds(), "jitter": jitter.Milliseconds()})
 }
 
-func (l *Link) toxic(kind string, d Direction, attributes map[string]any) error {
+func (l *Link) addToxic(kind string, d Direction, attributes map[string]any) error {
 	text, err := json.Marshal(map[string]any{"type": kind, "stream": d, "toxicity": 1, "attributes": attributes})
 	if err != nil {
 		return eris.Wrap(err, "encode fault of link")
--- a/internal/rig/ports.go
+++ b/internal/rig/ports.go
@@ -14,9 +14,9 @@
 // Ports are chosen below the ephemeral port range of the kernel, so that no outgoing connection
 // occupies a port between its choice and its use.
 const (
-	firstPort = 12000
-	lastPort  = 32000
-	portTries = 500
+	firstPort    = 12000
+	lastPort     = 32000
+	maxPortTries = 500
 )
 
 // Host is the loopback address of the rigs of this process. A link that is cut closes its listener
@@ -28,8 +28,8 @@
 // nearby PIDs get different addresses. The third octet stays below 100: higher values are reserved
 // for nodes, each of which needs the same ports on its own address.
 func HostOf(pid int) string {
-	const most = 250
-	return fmt.Sprintf("127.%d.%d.1", 1+pid%most, pid/most%100)
+	const octetRange = 250
+	return fmt.Sprintf("127.%d.%d.1", 1+pid%octetRange, pid/octetRange%100)
 }
 
 // portsUsed contains the ports that FreeAddress has returned. It is guarded by portMu.
@@ -43,7 +43,7 @@
 func FreeAddress() (string, error) {
 	portMu.Lock()
 	defer portMu.Unlock()
-	for range portTries {
+	for range maxPortTries {
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		if portsUsed[port] {
 			continue
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -49,9 +49,9 @@
 	return p
 }
 
-// starts returns the channel of the functions that the starter goroutine runs, and starts that
-// goroutine on the first call.
-var starts = sync.OnceValue(func() chan func() {
+// startRequests returns the channel of the functions that the starter goroutine runs. The first call
+// starts that goroutine.
+var startRequests = sync.OnceValue(func() chan func() {
 	ch := make(chan func())
 	go func() {
 		// The kernel sends the parent-death signal when the thread that started the child
@@ -67,7 +67,7 @@
 
 func startCommand(cmd *exec.Cmd) error {
 	result := make(chan error)
-	starts() <- func() { result <- cmd.Start() }
+	startRequests() <- func() { result <- cmd.Start() }
 	return <-result
 }
 
@@ -138,10 +138,10 @@
 	return p.cmd.Process.Pid
 }
 
-// Freeze checks every freezePoll whether the process has stopped, for at most 2 s in total.
+// Freeze checks every freezePollInterval whether the process has stopped, for at most 2 s in total.
 const (
-	freezePoll  = 2 * time.Millisecond
-	freezePolls = 1000
+	freezePollInterval = 2 * time.Millisecond
+	maxFreezePolls     = 1000
 )
 
 // Kill sends SIGKILL to the process and waits until it has ended.
@@ -155,11 +155,11 @@
 // sent after the signal. Thaw continues the process.
 func (p *Process) Freeze() {
 	p.signal(syscall.SIGSTOP)
-	for range freezePolls {
+	for range maxFreezePolls {
 		if procstat.Stopped(p.PID()) {
 			return
 		}
-		time.Sleep(freezePoll)
+		time.Sleep(freezePollInterval)
 	}
 }
 
@@ -197,11 +197,12 @@
 	return p.code, nil
 }
 
-// stop requests a graceful shutdown, and kills the process if it has not ended within limit.
-func (p *Process) stop(limit time.Duration) {
+// stop requests a graceful shutdown, and kills the process if it has not ended within the
+// timeout.
+func (p *Process) stop(timeout time.Duration) {
 	p.Thaw()
 	p.Terminate()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if _, err := p.Wait(ctx); err != nil {
 		p.Kill()
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -14,8 +14,8 @@
 	"github.com/crocusreel/crocusreel/platform"
 )
 
-// stopLimit is the time that each process has for a graceful shutdown when a rig is closed.
-const stopLimit = 3 * time.Second
+// stopTimeout is the time that each process has for a graceful shutdown when a rig is closed.
+const stopTimeout = 3 * time.Second
 
 // Rig is a running system of stand-ins, VMs and links.
 type Rig struct {
@@ -213,7 +213,7 @@
 }
 
 // Close stops every process, gateways first. It requests a graceful shutdown and kills processes that
-// have not ended within stopLimit.
+// have not ended within stopTimeout.
 func (r *Rig) Close() {
 	var gateways, others []*Process
 	for _, v := range r.VMs {
@@ -238,7 +238,7 @@
 	for _, p := range processes {
 		// Processes can be nil if the start of the rig failed.
 		if p != nil {
-			wg.Go(func() { p.stop(stopLimit) })
+			wg.Go(func() { p.stop(stopTimeout) })
 		}
 	}
 	wg.Wait()
@@ -265,7 +265,7 @@
 	return newProcess(name, filepath.Join(r.spec.Dir, name+".log"), filepath.Join(r.spec.Bin, program), args...)
 }
 
-func (r *Rig) write(name string, data []byte) (string, error) {
+func (r *Rig) writeFile(name string, data []byte) (string, error) {
 	path := filepath.Join(r.spec.Dir, name)
 	return path, eris.Wrap(os.WriteFile(path, data, 0o600), "write settings file")
 }
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -35,8 +35,8 @@
 	link.Cut()
 }
 
-// buildLimit is the timeout for building the programs, as in the suites that use rigs.
-const buildLimit = 5 * time.Minute
+// buildTimeout is the timeout for building the programs, as in the suites that use rigs.
+const buildTimeout = 5 * time.Minute
 
 // Tests that kill, freeze or disconnect stand-ins prove nothing if these faults do not take effect.
 func TestStandinsDieFreezeAndComeBack(t *testing.T) {
@@ -44,9 +44,9 @@
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "bin")
 	// The build has its own timeout: it is not under test, and takes minutes on a busy machine.
-	building, built := context.WithTimeout(t.Context(), buildLimit)
-	defer built()
-	g.Expect(rig.Build(building, "../..", bin)).To(Succeed())
+	buildCtx, cancelBuild := context.WithTimeout(t.Context(), buildTimeout)
+	defer cancelBuild()
+	g.Expect(rig.Build(buildCtx, "../..", bin)).To(Succeed())
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	r, err := rig.Start(ctx, rig.Spec{
@@ -64,19 +64,19 @@
 		g.Expect(r.WaitHealthy(ctx, e.Address)).To(Succeed())
 
 		e.Freeze()
-		g.Expect(healthySoon(ctx, r, e.Address)).NotTo(Succeed())
+		g.Expect(waitHealthyBriefly(ctx, r, e.Address)).NotTo(Succeed())
 		e.Thaw()
 		g.Expect(r.WaitHealthy(ctx, e.Address)).To(Succeed())
 
 		g.Expect(e.Link.Stall(rig.Downstream)).To(Succeed())
-		g.Expect(healthySoon(ctx, r, e.Address)).NotTo(Succeed())
+		g.Expect(waitHealthyBriefly(ctx, r, e.Address)).NotTo(Succeed())
 		g.Expect(e.Link.Heal()).To(Succeed())
 		g.Expect(r.WaitHealthy(ctx, e.Address)).To(Succeed())
 	}
 	g.Expect(r.Platform.Admin.SetFaults(ctx, admin.PlatformFaults{Down: true})).To(Succeed())
 }
 
-func healthySoon(ctx context.Context, r *rig.Rig, address string) error {
+func waitHealthyBriefly(ctx context.Context, r *rig.Rig, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
 	return r.WaitHealthy(ctx, address)
--- a/internal/rig/standins.go
+++ b/internal/rig/standins.go
@@ -50,30 +50,31 @@
 // startEndpoint starts the stand-in with a journal, so that the list of its runs survives a restart
 // of its process.
 func (r *Rig) startEndpoint(e *Endpoint, kind string, args []string) error {
-	own, err := FreeAddress()
+	listen, err := FreeAddress()
 	if err != nil {
 		return err
 	}
 	journal := filepath.Join(r.spec.Dir, e.Name+".journal")
-	args = append([]string{kind, "--listen", own, "--journal", journal}, args...)
+	args = append([]string{kind, "--listen", listen, "--journal", journal}, args...)
 	e.Process = r.process(e.Name, programStandin, args...)
-	e.Admin = admin.NewClient(own)
-	if e.Address, e.Link, err = r.front(e.Name, own); err != nil {
+	e.Admin = admin.NewClient(listen)
+	if e.Address, e.Link, err = r.exposeListener(e.Name, listen); err != nil {
 		return err
 	}
 	return e.Start()
 }
 
-// front returns the address at which other processes reach the listener at own. If the rig has
-// links, this is the address of a new link in front of the listener; otherwise the link is nil.
-func (r *Rig) front(name, own string) (string, *Link, error) {
+// exposeListener returns the address at which other processes reach the listener at the address
+// listen. If the rig has links, this is the address of a new link in front of the listener; otherwise
+// the link is nil.
+func (r *Rig) exposeListener(name, listen string) (string, *Link, error) {
 	if !r.spec.Links {
-		return own, nil, nil
+		return listen, nil, nil
 	}
 	address, err := FreeAddress()
 	if err != nil {
 		return "", nil, err
 	}
-	link, err := NewLink(name, address, own)
+	link, err := NewLink(name, address, listen)
 	return address, link, err
 }
--- a/internal/rig/vm.go
+++ b/internal/rig/vm.go
@@ -14,8 +14,8 @@
 // handleKey is the key with which every gateway of a rig signs resume handles.
 var handleKey = "k1:" + strings.Repeat("5a", 32)
 
-// listeners contains the addresses on which the processes of one VM listen, behind the links.
-type listeners struct {
+// listenAddrs are the addresses on which the processes of one VM listen, behind the links.
+type listenAddrs struct {
 	caller, gatewayPeer, controllerPeer string
 }
 
@@ -25,75 +25,75 @@
 	spec.Region = cmp.Or(spec.Region, defaultRegion)
 	v := &VM{VMSpec: spec}
 	r.VMs = append(r.VMs, v)
-	own, err := chooseListeners(v)
+	listen, err := chooseAddresses(v)
 	if err != nil {
 		return err
 	}
-	if err := r.linkVM(v, own); err != nil {
+	if err := r.startLinks(v, listen); err != nil {
 		return err
 	}
-	return r.writeVM(v, own)
+	return r.writeSettings(v, listen)
 }
 
-func chooseListeners(v *VM) (listeners, error) {
-	var own listeners
-	for _, address := range []*string{&own.caller, &own.gatewayPeer, &own.controllerPeer, &v.OperatorAddress} {
+func chooseAddresses(v *VM) (listenAddrs, error) {
+	var listen listenAddrs
+	for _, address := range []*string{&listen.caller, &listen.gatewayPeer, &listen.controllerPeer, &v.OperatorAddress} {
 		free, err := FreeAddress()
 		if err != nil {
-			return own, err
+			return listen, err
 		}
 		*address = free
 	}
-	v.GatewayVars, v.ControllerVars = own.gatewayPeer, own.controllerPeer
-	return own, nil
+	v.GatewayVars, v.ControllerVars = listen.gatewayPeer, listen.controllerPeer
+	return listen, nil
 }
 
-func (r *Rig) linkVM(v *VM, own listeners) error {
+func (r *Rig) startLinks(v *VM, listen listenAddrs) error {
 	var err error
-	if v.CallerAddress, v.Callers, err = r.front(v.ID+"-callers", own.caller); err != nil {
+	if v.CallerAddress, v.Callers, err = r.exposeListener(v.ID+"-callers", listen.caller); err != nil {
 		return err
 	}
-	if v.GatewayPeerAddress, v.GatewayPeers, err = r.front(v.ID+"-gateway-peers", own.gatewayPeer); err != nil {
+	if v.GatewayPeerAddress, v.GatewayPeers, err = r.exposeListener(v.ID+"-gateway-peers", listen.gatewayPeer); err != nil {
 		return err
 	}
-	v.ControllerPeerAddress, v.ControllerPeers, err = r.front(v.ID+"-controller-peers", own.controllerPeer)
+	v.ControllerPeerAddress, v.ControllerPeers, err = r.exposeListener(v.ID+"-controller-peers", listen.controllerPeer)
 	return err
 }
 
-// writeVM writes the settings files of both processes. Each process connects to the platform through
-// its own link.
-func (r *Rig) writeVM(v *VM, own listeners) error {
-	where := settings.VM{ID: v.ID, DataCentre: v.DataCentre, Region: v.Region}
-	g, err := r.gatewaySettings(v, where, own)
+// writeSettings writes the settings files of both processes and sets the processes of v. Each process
+// connects to the platform through its own link.
+func (r *Rig) writeSettings(v *VM, listen listenAddrs) error {
+	vmSettings := settings.VM{ID: v.ID, DataCentre: v.DataCentre, Region: v.Region}
+	g, err := r.gatewaySettings(v, vmSettings, listen)
 	if err != nil {
 		return err
 	}
-	c, err := r.controllerSettings(v, where, own)
+	c, err := r.controllerSettings(v, vmSettings, listen)
 	if err != nil {
 		return err
 	}
-	if v.Gateway, err = r.daemon(v.ID+"-gateway", programGateway, g); err != nil {
+	if v.Gateway, err = r.newDaemonProcess(v.ID+"-gateway", programGateway, g); err != nil {
 		return err
 	}
-	v.Controller, err = r.daemon(v.ID+"-controller", programController, c)
+	v.Controller, err = r.newDaemonProcess(v.ID+"-controller", programController, c)
 	return err
 }
 
-func (r *Rig) gatewaySettings(v *VM, where settings.VM, own listeners) (*settings.Gateway, error) {
-	address, link, err := r.front(v.ID+"-gateway-platform", r.Platform.Address)
+func (r *Rig) gatewaySettings(v *VM, vmSettings settings.VM, listen listenAddrs) (*settings.Gateway, error) {
+	address, link, err := r.exposeListener(v.ID+"-gateway-platform", r.Platform.Address)
 	if err != nil {
 		return nil, err
 	}
 	v.GatewayPlatform = link
 	g := &settings.Gateway{
-		VM:                where,
+		VM:                vmSettings,
 		Platform:          settings.Platform{Address: address, TimeoutMS: platformTimeoutMS},
 		Log:               settings.Log{Level: "debug"},
 		CallerAddress:     v.CallerAddress,
-		CallerListen:      own.caller,
+		CallerListen:      listen.caller,
 		PeerAddress:       v.GatewayPeerAddress,
-		PeerListen:        own.gatewayPeer,
-		ControllerAddress: own.controllerPeer,
+		PeerListen:        listen.gatewayPeer,
+		ControllerAddress: listen.controllerPeer,
 		HandleKeys:        []string{handleKey},
 		AddressTTLMS:      addressTTLMS,
 		DrainLimitMS:      drainLimitMS,
@@ -106,18 +106,18 @@
 	return g, nil
 }
 
-func (r *Rig) controllerSettings(v *VM, where settings.VM, own listeners) (*settings.Controller, error) {
-	address, link, err := r.front(v.ID+"-controller-platform", r.Platform.Address)
+func (r *Rig) controllerSettings(v *VM, vmSettings settings.VM, listen listenAddrs) (*settings.Controller, error) {
+	address, link, err := r.exposeListener(v.ID+"-controller-platform", r.Platform.Address)
 	if err != nil {
 		return nil, err
 	}
 	v.ControllerPlatform = link
 	c := &settings.Controller{
-		VM:                where,
+		VM:                vmSettings,
 		Platform:          settings.Platform{Address: address, TimeoutMS: platformTimeoutMS},
 		Log:               settings.Log{Level: "debug"},
 		PeerAddress:       v.ControllerPeerAddress,
-		PeerListen:        own.controllerPeer,
+		PeerListen:        listen.controllerPeer,
 		OperatorAddress:   v.OperatorAddress,
 		OperatorKeySHA256: []string{Digest(OperatorKey)},
 		ProbeIntervalMS:   probeIntervalMS,
@@ -143,13 +143,13 @@
 	leaseMS           = 2000
 )
 
-// daemon writes a settings file and returns the process of the program that reads it.
-func (r *Rig) daemon(name, program string, file any) (*Process, error) {
+// newDaemonProcess writes a settings file and returns the process of the program that reads it.
+func (r *Rig) newDaemonProcess(name, program string, processSettings any) (*Process, error) {
 	var text bytes.Buffer
-	if err := toml.NewEncoder(&text).Encode(file); err != nil {
+	if err := toml.NewEncoder(&text).Encode(processSettings); err != nil {
 		return nil, eris.Wrap(err, "encode settings")
 	}
-	path, err := r.write(name+".toml", text.Bytes())
+	path, err := r.writeFile(name+".toml", text.Bytes())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -19,9 +19,9 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// lifetime is how long certificates are valid after they are issued. NotBefore lies the same
+// validity is how long certificates are valid after they are issued. NotBefore lies the same
 // time before the issue.
-const lifetime = time.Hour
+const validity = time.Hour
 
 // Authority is a certificate authority that signs certificates.
 type Authority struct {
@@ -51,8 +51,8 @@
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    time.Now().Add(-lifetime),
-		NotAfter:     time.Now().Add(lifetime),
+		NotBefore:    time.Now().Add(-validity),
+		NotAfter:     time.Now().Add(validity),
 	}
 }
 
@@ -86,10 +86,10 @@
 	}
 	var pool []byte
 	for _, t := range trusted {
-		pool = append(pool, block("CERTIFICATE", t.cert.Raw)...)
+		pool = append(pool, pemBlock("CERTIFICATE", t.cert.Raw)...)
 	}
 	for path, data := range map[string][]byte{
-		files.CertFile: block("CERTIFICATE", der), files.KeyFile: block("EC PRIVATE KEY", keyDER), files.CAFile: pool,
+		files.CertFile: pemBlock("CERTIFICATE", der), files.KeyFile: pemBlock("EC PRIVATE KEY", keyDER), files.CAFile: pool,
 	} {
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			return eris.Wrap(err, "write certificate file")
@@ -98,6 +98,6 @@
 	return nil
 }
 
-func block(kind string, der []byte) []byte {
+func pemBlock(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
--- a/internal/tlsreload/source.go
+++ b/internal/tlsreload/source.go
@@ -27,22 +27,22 @@
 	// mu guards the fields below.
 	mu        sync.Mutex
 	checkedAt time.Time
-	stamps    [3]stamp
-	current   *material
+	stamps    [3]fileStamp
+	current   *credentials
 }
 
-// stamp is the modification time and size of a file. A different stamp means that the file has
-// changed.
-type stamp struct {
+// fileStamp is the modification time and size of a file. A different fileStamp means that the file
+// has changed.
+type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-// material is the parsed content of the files. It is immutable. authority is nil if there is no CA
+// credentials is the parsed content of the files. It is immutable. caPool is nil if there is no CA
 // file.
-type material struct {
+type credentials struct {
 	certificate tls.Certificate
-	authority   *x509.CertPool
+	caPool      *x509.CertPool
 	server      *tls.Config
 }
 
@@ -52,11 +52,11 @@
 		return nil, nil
 	}
 	s := &Source{files: files}
-	stamps, err := s.stat()
+	stamps, err := s.statFiles()
 	if err != nil {
 		return nil, err
 	}
-	s.current, err = s.read()
+	s.current, err = s.readFiles()
 	if err != nil {
 		return nil, err
 	}
@@ -64,23 +64,23 @@
 	return s, nil
 }
 
-// get returns the current material and reloads the files first if they have changed. If they cannot
-// be read, for example while they are being replaced, the previous material stays in use and the
-// next check tries again.
-func (s *Source) get() *material {
+// currentCredentials returns the current credentials and reloads the files first if they have
+// changed. If they cannot be read, for example while they are being replaced, the previous
+// credentials stay in use and the next check tries again.
+func (s *Source) currentCredentials() *credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Since(s.checkedAt) < checkInterval {
 		return s.current
 	}
 	s.checkedAt = time.Now()
-	stamps, err := s.stat()
+	stamps, err := s.statFiles()
 	if err == nil && stamps == s.stamps {
 		return s.current
 	}
-	var next *material
+	var next *credentials
 	if err == nil {
-		next, err = s.read()
+		next, err = s.readFiles()
 	}
 	if err != nil {
 		metrics.Count("tls_reload_failed")
@@ -91,8 +91,8 @@
 	return next
 }
 
-func (s *Source) stat() ([3]stamp, error) {
-	var stamps [3]stamp
+func (s *Source) statFiles() ([3]fileStamp, error) {
+	var stamps [3]fileStamp
 	for i, path := range []string{s.files.CertFile, s.files.KeyFile, s.files.CAFile} {
 		if path == "" {
 			continue
@@ -101,27 +101,27 @@
 		if err != nil {
 			return stamps, eris.Wrap(err, "stat TLS file")
 		}
-		stamps[i] = stamp{modified: info.ModTime(), size: info.Size()}
+		stamps[i] = fileStamp{modified: info.ModTime(), size: info.Size()}
 	}
 	return stamps, nil
 }
 
-func (s *Source) read() (*material, error) {
+func (s *Source) readFiles() (*credentials, error) {
 	certificate, err := tls.LoadX509KeyPair(s.files.CertFile, s.files.KeyFile)
 	if err != nil {
 		return nil, eris.Wrap(err, "read certificate and key")
 	}
-	m := &material{certificate: certificate}
+	creds := &credentials{certificate: certificate}
 	if s.files.CAFile != "" {
 		pem, err := os.ReadFile(s.files.CAFile)
 		if err != nil {
 			return nil, eris.Wrap(err, "read authority")
 		}
-		m.authority = x509.NewCertPool()
-		if !m.authority.AppendCertsFromPEM(pem) {
+		creds.caPool = x509.NewCertPool()
+		if !creds.caPool.AppendCertsFromPEM(pem) {
 			return nil, eris.Errorf("%s holds no certificate", s.files.CAFile)
 		}
 	}
-	m.server = m.serverConfig()
-	return m, nil
+	creds.server = creds.serverConfig()
+	return creds, nil
 }
--- a/internal/tlsreload/tlsreload_test.go
+++ b/internal/tlsreload/tlsreload_test.go
@@ -29,9 +29,9 @@
 
 func newFiles() settings.TLS { return testcert.Files(GinkgoT().TempDir()) }
 
-// serve starts a server that returns the name of the authority of the client in the header Client.
-// It returns the URL of the server.
-func serve(s *tlsreload.Source) string {
+// startServer starts a server that returns the name of the authority of the client certificate in
+// the header Client. It returns the URL of the server.
+func startServer(s *tlsreload.Source) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	server := peer.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +42,7 @@
 	return "https://" + l.Addr().String()
 }
 
-func source(files settings.TLS) *tlsreload.Source {
+func newSource(files settings.TLS) *tlsreload.Source {
 	s, err := tlsreload.New(files)
 	Expect(err).NotTo(HaveOccurred())
 	return s
@@ -66,14 +66,14 @@
 		Expect(a.Issue(serverFiles, "127.0.0.1", a)).To(Succeed())
 		Expect(a.Issue(clientFiles, "127.0.0.1", a)).To(Succeed())
 		Expect(b.Issue(strangerFiles, "127.0.0.1", a)).To(Succeed())
-		url := serve(source(serverFiles))
+		url := startServer(newSource(serverFiles))
 
-		res, err := call(source(clientFiles), url)
+		res, err := call(newSource(clientFiles), url)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.ProtoMajor).To(Equal(2))
 		Expect(res.Header.Get("Client")).To(Equal("a"))
 
-		_, err = call(source(strangerFiles), url)
+		_, err = call(newSource(strangerFiles), url)
 		Expect(err).To(HaveOccurred())
 	})
 
@@ -84,7 +84,7 @@
 		serverFiles, clientFiles := newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.9", a)).To(Succeed())
 		Expect(a.Issue(clientFiles, "127.0.0.1", a)).To(Succeed())
-		_, err := call(source(clientFiles), serve(source(serverFiles)))
+		_, err := call(newSource(clientFiles), startServer(newSource(serverFiles)))
 		Expect(err).To(MatchError(ContainSubstring("127.0.0.9")))
 	})
 
@@ -95,8 +95,8 @@
 		serverFiles, clientFiles := newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.1", a)).To(Succeed())
 		Expect(a.Issue(clientFiles, "127.0.0.1", a)).To(Succeed())
-		server, client := source(serverFiles), source(clientFiles)
-		url := serve(server)
+		server, client := newSource(serverFiles), newSource(clientFiles)
+		url := startServer(server)
 		_, err := call(client, url)
 		Expect(err).NotTo(HaveOccurred())
 
@@ -116,8 +116,8 @@
 		serverFiles, clientFiles := newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.1", a)).To(Succeed())
 		Expect(a.Issue(clientFiles, "127.0.0.1", a)).To(Succeed())
-		client := source(clientFiles)
-		url := serve(source(serverFiles))
+		client := newSource(clientFiles)
+		url := startServer(newSource(serverFiles))
 		Expect(os.WriteFile(serverFiles.CertFile, nil, 0o600)).To(Succeed())
 		time.Sleep(1200 * time.Millisecond)
 		_, err := call(client, url)
--- a/internal/tlsreload/use.go
+++ b/internal/tlsreload/use.go
@@ -11,17 +11,17 @@
 	"github.com/crocusreel/crocusreel/peer"
 )
 
-// protocolsOffered are the ALPN protocols that a listener offers.
-var protocolsOffered = []string{"h2", "http/1.1"}
+// alpnProtocols are the ALPN protocols that a listener offers.
+var alpnProtocols = []string{"h2", "http/1.1"}
 
-func (m *material) serverConfig() *tls.Config {
+func (creds *credentials) serverConfig() *tls.Config {
 	c := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
-		Certificates: []tls.Certificate{m.certificate},
-		NextProtos:   protocolsOffered,
+		Certificates: []tls.Certificate{creds.certificate},
+		NextProtos:   alpnProtocols,
 	}
-	if m.authority != nil {
-		c.ClientCAs, c.ClientAuth = m.authority, tls.RequireAndVerifyClientCert
+	if creds.caPool != nil {
+		c.ClientCAs, c.ClientAuth = creds.caPool, tls.RequireAndVerifyClientCert
 	}
 	return c
 }
@@ -34,10 +34,10 @@
 	}
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS12,
-		NextProtos: protocolsOffered,
+		NextProtos: alpnProtocols,
 		// Session ticket keys belong to the inner configuration, which is replaced on each
 		// reload: a session that began before a change of the authority cannot be resumed.
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return s.get().server, nil },
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return s.currentCredentials().server, nil },
 	})
 }
 
@@ -68,14 +68,14 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "parse peer address")
 	}
-	m := s.get()
+	creds := s.currentCredentials()
 	d := tls.Dialer{
 		NetDialer: &net.Dialer{Timeout: peer.DialTimeout},
 		Config: &tls.Config{
 			MinVersion:   tls.VersionTLS12,
 			ServerName:   host,
-			RootCAs:      m.authority,
-			Certificates: []tls.Certificate{m.certificate},
+			RootCAs:      creds.caPool,
+			Certificates: []tls.Certificate{creds.certificate},
 			NextProtos:   []string{"h2"},
 		},
 	}
--- a/internal/tomlcheck/fill.go
+++ b/internal/tomlcheck/fill.go
@@ -32,7 +32,7 @@
 		sub, _ := value.(Table)
 		f.table(path, sub, v)
 	case !present:
-		f.missing(path, field, v)
+		f.fillMissing(path, field, v)
 	case field.Type.Kind() == reflect.Slice:
 		f.list(path, value, field, v)
 	case scalarProblem(value, field.Type, field.Tag) == "":
@@ -40,8 +40,8 @@
 	}
 }
 
-// missing sets the default of a key that is absent, or reports the key if it is required.
-func (f *filler) missing(path string, field reflect.StructField, v reflect.Value) {
+// fillMissing sets the default of a key that is absent, or reports the key if it is required.
+func (f *filler) fillMissing(path string, field reflect.StructField, v reflect.Value) {
 	if field.Tag.Get("required") != "" {
 		f.problems.Add(f.file, path, "nothing", ruleText(field))
 		return
--- a/internal/tomlcheck/scalar.go
+++ b/internal/tomlcheck/scalar.go
@@ -40,7 +40,7 @@
 		}
 		return rangeProblem(float64(n), tag)
 	case reflect.Float64:
-		f, ok := number(v)
+		f, ok := toFloat(v)
 		if !ok {
 			return "a number" + rangeText(tag)
 		}
@@ -51,7 +51,7 @@
 	return ""
 }
 
-func number(v any) (float64, bool) {
+func toFloat(v any) (float64, bool) {
 	switch n := v.(type) {
 	case int64:
 		return float64(n), true
@@ -62,8 +62,8 @@
 }
 
 func rangeProblem(f float64, tag reflect.StructTag) string {
-	low, hasLow := bound(tag, "min")
-	high, hasHigh := bound(tag, "max")
+	low, hasLow := tagBound(tag, "min")
+	high, hasHigh := tagBound(tag, "max")
 	// The comparisons are negated so that NaN is out of range.
 	if (hasLow && !(f >= low)) || (hasHigh && !(f <= high)) {
 		return "a number" + rangeText(tag)
@@ -71,8 +71,8 @@
 	return ""
 }
 
-// bound returns the value of a min or max tag, and whether the tag is present.
-func bound(tag reflect.StructTag, name string) (float64, bool) {
+// tagBound returns the value of a min or max tag, and whether the tag is present.
+func tagBound(tag reflect.StructTag, name string) (float64, bool) {
 	text, ok := tag.Lookup(name)
 	if !ok {
 		return 0, false
@@ -136,13 +136,13 @@
 // describe formats a value for Problem.Found. The value of a field with a secret tag is not shown,
 // because the text is written to logs.
 func describe(v any, tag reflect.StructTag) string {
-	const longest = 80
+	const maxShownBytes = 80
 	if tag.Get("secret") != "" {
 		return "a secret value (not shown)"
 	}
 	switch x := v.(type) {
 	case string:
-		if len(x) > longest {
+		if len(x) > maxShownBytes {
 			return fmt.Sprintf("a string of %d bytes", len(x))
 		}
 		return strconv.Quote(x)
