--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -48,10 +48,10 @@
 	GatewayVars, ControllerVars string
 	// OperatorAddress is the address of the administration API of the controller.
 	OperatorAddress string
-	// Callers, GatewayPeers and ControllerPeers are the inbound links of this VM.
-	Callers, GatewayPeers, ControllerPeers *Link
-	// GatewayPlatform and ControllerPlatform are the outbound links of this VM to the platform.
-	GatewayPlatform, ControllerPlatform *Link
+	// CallerLink, GatewayPeerLink and ControllerPeerLink are the inbound links of this VM.
+	CallerLink, GatewayPeerLink, ControllerPeerLink *Link
+	// GatewayPlatformLink and ControllerPlatformLink are the outbound links of this VM to the platform.
+	GatewayPlatformLink, ControllerPlatformLink *Link
 }
 
 // Endpoint is one stand-in for an engine or a plain service.
@@ -247,7 +247,7 @@
 func (r *Rig) links() []*Link {
 	var all []*Link
 	for _, v := range r.VMs {
-		all = append(all, v.Callers, v.GatewayPeers, v.ControllerPeers, v.GatewayPlatform, v.ControllerPlatform)
+		all = append(all, v.CallerLink, v.GatewayPeerLink, v.ControllerPeerLink, v.GatewayPlatformLink, v.ControllerPlatformLink)
 	}
 	for _, e := range append(r.Engines, r.Services...) {
 		all = append(all, e.Link)
--- a/internal/rig/vm.go
+++ b/internal/rig/vm.go
@@ -50,13 +50,13 @@
 
 func (r *Rig) startLinks(v *VM, listen listenAddrs) error {
 	var err error
-	if v.CallerAddress, v.Callers, err = r.exposeListener(v.ID+"-callers", listen.caller); err != nil {
+	if v.CallerAddress, v.CallerLink, err = r.exposeListener(v.ID+"-callers", listen.caller); err != nil {
 		return err
 	}
-	if v.GatewayPeerAddress, v.GatewayPeers, err = r.exposeListener(v.ID+"-gateway-peers", listen.gatewayPeer); err != nil {
+	if v.GatewayPeerAddress, v.GatewayPeerLink, err = r.exposeListener(v.ID+"-gateway-peers", listen.gatewayPeer); err != nil {
 		return err
 	}
-	v.ControllerPeerAddress, v.ControllerPeers, err = r.exposeListener(v.ID+"-controller-peers", listen.controllerPeer)
+	v.ControllerPeerAddress, v.ControllerPeerLink, err = r.exposeListener(v.ID+"-controller-peers", listen.controllerPeer)
 	return err
 }
 
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v.GatewayPlatform = link
+	v.GatewayPlatformLink = link
 	g := &settings.Gateway{
 		VM:                vmSettings,
 		Platform:          settings.Platform{Address: address, TimeoutMS: platformTimeoutMS},
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v.ControllerPlatform = link
+	v.ControllerPlatformLink = link
 	c := &settings.Controller{
 		VM:                vmSettings,
 		Platform:          settings.Platform{Address: address, TimeoutMS: platformTimeoutMS},
--- a/tests/configuration_test.go
+++ b/tests/configuration_test.go
@@ -169,11 +169,11 @@
 		apply(ctx, r.VMs[0], "before-cut")
 		expectInForce(ctx, r, "before-cut")
 		cut := r.VMs[1]
-		cut.ControllerPeers.Cut()
-		cut.ControllerPlatform.Cut()
-		cut.GatewayPlatform.Cut()
-		r.VMs[0].ControllerPeers.Cut()
-		r.VMs[2].ControllerPeers.Cut()
+		cut.ControllerPeerLink.Cut()
+		cut.ControllerPlatformLink.Cut()
+		cut.GatewayPlatformLink.Cut()
+		r.VMs[0].ControllerPeerLink.Cut()
+		r.VMs[2].ControllerPeerLink.Cut()
 		apply(ctx, r.VMs[0], "during-cut-1")
 		apply(ctx, r.VMs[0], "during-cut-2")
 		Eventually(func() bool { return inForce(ctx, r.VMs[0], "during-cut-2") }).Should(BeTrue())
@@ -204,9 +204,9 @@
 		expectInForce(ctx, r, "older")
 		behind := r.VMs[1]
 		for _, v := range r.VMs {
-			v.ControllerPeers.Cut()
+			v.ControllerPeerLink.Cut()
 		}
-		behind.ControllerPlatform.Cut()
+		behind.ControllerPlatformLink.Cut()
 		apply(ctx, r.VMs[0], "newer")
 		for _, v := range []*rig.VM{r.VMs[0], r.VMs[2]} {
 			Eventually(func() bool { return inForce(ctx, v, "newer") }).Should(BeTrue())
@@ -215,7 +215,7 @@
 		r.VMs[0].Controller.Kill()
 		r.VMs[2].Controller.Kill()
 		for _, v := range r.VMs {
-			Expect(v.ControllerPeers.Heal()).To(Succeed())
+			Expect(v.ControllerPeerLink.Heal()).To(Succeed())
 		}
 		Expect(r.VMs[0].Controller.Start()).To(Succeed())
 		Consistently(func() bool { return inForce(ctx, r.VMs[0], "newer") }).
--- a/tests/partition_test.go
+++ b/tests/partition_test.go
@@ -26,11 +26,11 @@
 	It("that is cut off goes on with generations and refuses bookings truthfully", func(ctx SpecContext) {
 		cut := r.VMs[1]
 		for _, v := range r.VMs {
-			v.GatewayPeers.Cut()
-			v.ControllerPeers.Cut()
+			v.GatewayPeerLink.Cut()
+			v.ControllerPeerLink.Cut()
 		}
-		cut.GatewayPlatform.Cut()
-		cut.ControllerPlatform.Cut()
+		cut.GatewayPlatformLink.Cut()
+		cut.ControllerPlatformLink.Cut()
 		r.Engines[0].Link.Cut()
 
 		Eventually(func() bool { return send(ctx, generation(cut.CallerAddress, "cut off", 20)).done }).Should(BeTrue())
--- a/tests/restore_test.go
+++ b/tests/restore_test.go
@@ -24,7 +24,7 @@
 		faults(ctx, admin.ServiceFaults{}, s)
 	}
 	for _, v := range r.VMs {
-		for _, l := range []*rig.Link{v.Callers, v.GatewayPeers, v.ControllerPeers, v.GatewayPlatform, v.ControllerPlatform} {
+		for _, l := range []*rig.Link{v.CallerLink, v.GatewayPeerLink, v.ControllerPeerLink, v.GatewayPlatformLink, v.ControllerPlatformLink} {
 			if l != nil {
 				Expect(l.Heal()).To(Succeed())
 			}
--- a/tests/soak/chaos_test.go
+++ b/tests/soak/chaos_test.go
@@ -198,9 +198,9 @@
 func (c *chaos) links() []link {
 	var all []link
 	for _, v := range c.rig.VMs {
-		all = append(all, link{v.ID + " callers", v.Callers}, link{v.ID + " gateway peers", v.GatewayPeers},
-			link{v.ID + " controller peers", v.ControllerPeers}, link{v.ID + " gateway to platform", v.GatewayPlatform},
-			link{v.ID + " controller to platform", v.ControllerPlatform})
+		all = append(all, link{v.ID + " callers", v.CallerLink}, link{v.ID + " gateway peers", v.GatewayPeerLink},
+			link{v.ID + " controller peers", v.ControllerPeerLink}, link{v.ID + " gateway to platform", v.GatewayPlatformLink},
+			link{v.ID + " controller to platform", v.ControllerPlatformLink})
 	}
 	for _, e := range append(c.rig.Engines, c.rig.Services...) {
 		all = append(all, link{e.Process.Name, e.Link})
