--- a/cmd/crocusreel/demo.go
+++ b/cmd/crocusreel/demo.go
@@ -225,7 +225,7 @@
 // counters prints what the gateways counted.
 func (d *demo) counters(ctx context.Context) error {
 	for _, vm := range d.rig.VMs {
-		vars, err := d.rig.Vars(ctx, vm.GatewayVars)
+		vars, err := d.rig.Vars(ctx, vm.GatewayVarsAddress)
 		if err != nil {
 			return err
 		}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -43,9 +43,9 @@
 	// CallerAddress, GatewayPeerAddress and ControllerPeerAddress are the addresses that the
 	// processes advertise. In a rig with links, each is the address of a link.
 	CallerAddress, GatewayPeerAddress, ControllerPeerAddress string
-	// GatewayVars and ControllerVars are the addresses (IP:port) that serve /debug/vars. They
+	// GatewayVarsAddress and ControllerVarsAddress are the addresses (IP:port) that serve /debug/vars. They
 	// bypass the links.
-	GatewayVars, ControllerVars string
+	GatewayVarsAddress, ControllerVarsAddress string
 	// OperatorAddress is the address of the administration API of the controller.
 	OperatorAddress string
 	// CallerLink, GatewayPeerLink and ControllerPeerLink are the inbound links of this VM.
--- a/internal/rig/vm.go
+++ b/internal/rig/vm.go
@@ -44,7 +44,7 @@
 		}
 		*address = free
 	}
-	v.GatewayVars, v.ControllerVars = listen.gatewayPeer, listen.controllerPeer
+	v.GatewayVarsAddress, v.ControllerVarsAddress = listen.gatewayPeer, listen.controllerPeer
 	return listen, nil
 }
 
--- a/tests/hostile_test.go
+++ b/tests/hostile_test.go
@@ -43,7 +43,7 @@
 
 	refusals := func(ctx context.Context, reason crocusreel.Reason) float64 {
 		GinkgoHelper()
-		vars, err := r.Vars(ctx, r.VMs[0].GatewayVars)
+		vars, err := r.Vars(ctx, r.VMs[0].GatewayVarsAddress)
 		Expect(err).NotTo(HaveOccurred())
 		return vars["refusals"][string(reason)]
 	}
--- a/tests/retries_test.go
+++ b/tests/retries_test.go
@@ -61,7 +61,7 @@
 	retries := func(ctx SpecContext) map[string]int {
 		all := make(map[string]int)
 		for _, vm := range r.VMs {
-			vars, err := r.Vars(ctx, vm.GatewayVars)
+			vars, err := r.Vars(ctx, vm.GatewayVarsAddress)
 			Expect(err).NotTo(HaveOccurred())
 			for reason, n := range vars["retries"] {
 				all[reason] += int(n)
