--- a/internal/rig/link.go
+++ b/internal/rig/link.go
@@ -47,10 +47,10 @@
 	return eris.Wrapf(p.Start(), "start proxy %s", l.name)
 }
 
-// Renew closes all connections and replaces the proxy by a new one without faults. Unlike Heal it
+// Recreate closes all connections and replaces the proxy by a new one without faults. Unlike Heal it
 // never waits for a connection: the function of the proxy that removes faults blocks for ever on a
 // connection that is stalled while its reader is frozen.
-func (l *Link) Renew() error {
+func (l *Link) Recreate() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.cut {
--- a/internal/rig/ports.go
+++ b/internal/rig/ports.go
@@ -19,15 +19,15 @@
 	maxPortTries = 500
 )
 
-// Host is the loopback address of the rigs of this process. A link that is cut closes its listener
+// LoopbackIP is the loopback address of the rigs of this process. A link that is cut closes its listener
 // until it is healed. If several processes shared an address, a rig of another process could take
 // the port in the meantime, and the link could not be healed.
-var Host = HostOf(os.Getpid())
+var LoopbackIP = LoopbackIPOf(os.Getpid())
 
-// HostOf returns the loopback address of the rigs of the process with the given PID. Processes with
+// LoopbackIPOf returns the loopback address of the rigs of the process with the given PID. Processes with
 // nearby PIDs get different addresses. The third octet stays below 100: higher values are reserved
 // for nodes, each of which needs the same ports on its own address.
-func HostOf(pid int) string {
+func LoopbackIPOf(pid int) string {
 	const octetRange = 250
 	return fmt.Sprintf("127.%d.%d.1", 1+pid%octetRange, pid/octetRange%100)
 }
@@ -48,7 +48,7 @@
 		if portsUsed[port] {
 			continue
 		}
-		address := net.JoinHostPort(Host, strconv.Itoa(port))
+		address := net.JoinHostPort(LoopbackIP, strconv.Itoa(port))
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -100,7 +100,7 @@
 	if err := r.waitEndpoints(ctx); err != nil {
 		return err
 	}
-	if err := r.ListVMs(ctx); err != nil {
+	if err := r.PublishVMs(ctx); err != nil {
 		return err
 	}
 	for _, v := range r.VMs {
@@ -124,8 +124,8 @@
 	return v.Gateway.Start()
 }
 
-// ListVMs sets the list of VMs in the stand-in of the platform to the VMs of the rig.
-func (r *Rig) ListVMs(ctx context.Context) error {
+// PublishVMs sets the list of VMs in the stand-in of the platform to the VMs of the rig.
+func (r *Rig) PublishVMs(ctx context.Context) error {
 	vms := make([]platform.VM, len(r.VMs))
 	for i, v := range r.VMs {
 		vms[i] = platform.VM{ID: v.ID, DataCentre: v.DataCentre, Region: v.Region, PeerAddress: v.ControllerPeerAddress}
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -28,7 +28,7 @@
 	link.Cut()
 	_, port, err := net.SplitHostPort(listen)
 	g.Expect(err).NotTo(HaveOccurred())
-	other, err := net.Listen("tcp", net.JoinHostPort(rig.HostOf(os.Getpid()+1), port))
+	other, err := net.Listen("tcp", net.JoinHostPort(rig.LoopbackIPOf(os.Getpid()+1), port))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = other.Close() }()
 	g.Expect(link.Heal()).To(Succeed())
--- a/tests/node/soak_test.go
+++ b/tests/node/soak_test.go
@@ -181,7 +181,7 @@
 		s.healing.Go(func() {
 			defer GinkgoRecover()
 			time.Sleep(length)
-			Expect(link.Renew()).To(Succeed())
+			Expect(link.Recreate()).To(Succeed())
 			s.disturbs(link, false)
 		})
 	}
--- a/tests/partition_test.go
+++ b/tests/partition_test.go
@@ -71,6 +71,6 @@
 			}).Should(ConsistOf(r.CallerAddresses()), v.ID)
 			expectWhole(send(ctx, generation(v.CallerAddress, "stale list", 5)), 5)
 		}
-		Expect(r.ListVMs(ctx)).To(Succeed())
+		Expect(r.PublishVMs(ctx)).To(Succeed())
 	}, SpecTimeout(time.Minute))
 })
--- a/tests/tls_test.go
+++ b/tests/tls_test.go
@@ -34,7 +34,7 @@
 		callers: testcert.Files(GinkgoT().TempDir()), operators: testcert.Files(GinkgoT().TempDir()),
 	}
 	for _, files := range []settings.TLS{s.peers, s.callers, s.operators} {
-		Expect(authority.Issue(files, rig.Host, authority)).To(Succeed())
+		Expect(authority.Issue(files, rig.LoopbackIP, authority)).To(Succeed())
 	}
 	return s
 }
@@ -98,11 +98,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		// Each step waits until every process has looked at the files.
 		const looked = 2500 * time.Millisecond
-		Expect(s.authority.Issue(s.peers, rig.Host, s.authority, next)).To(Succeed())
+		Expect(s.authority.Issue(s.peers, rig.LoopbackIP, s.authority, next)).To(Succeed())
 		time.Sleep(looked)
-		Expect(next.Issue(s.peers, rig.Host, s.authority, next)).To(Succeed())
+		Expect(next.Issue(s.peers, rig.LoopbackIP, s.authority, next)).To(Succeed())
 		time.Sleep(looked)
-		Expect(next.Issue(s.peers, rig.Host, next)).To(Succeed())
+		Expect(next.Issue(s.peers, rig.LoopbackIP, next)).To(Succeed())
 		time.Sleep(looked)
 		expectAnswers(ctx, r)
 		// A restarted gateway makes all its connections anew.
