--- a/caller/server.go
+++ b/caller/server.go
@@ -132,7 +132,7 @@
 
 // countRefusal writes the log line and the counter of a refusal.
 func (s *server) countRefusal(c echo.Context, r *crocusreel.Refusal) {
-	metrics.Refused(r.Reason)
+	metrics.CountRefusal(r.Reason)
 	s.opts.Log.Info("request refused",
 		zap.String("request", requestID(c)),
 		zap.String("workspace", workspaceName(c)),
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -248,7 +248,7 @@
 }
 
 func (h *Handler) refuse(s *sink, refusal *crocusreel.Refusal) {
-	metrics.Refused(refusal.Reason)
+	metrics.CountRefusal(refusal.Reason)
 	header := s.w.Header()
 	header.Set("Content-Type", "application/json")
 	if refusal.RetryAfter > 0 {
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -97,7 +97,7 @@
 			res.refusal = c.g.endClaim(ctx, c.claim, tries.add(refusal))
 			return res
 		}
-		metrics.Retried(res.refusal.Reason)
+		metrics.CountRetry(res.refusal.Reason)
 		c.track.step("retry", "", res.refusal.Error())
 	}
 }
--- a/gateway/enginerun.go
+++ b/gateway/enginerun.go
@@ -128,7 +128,7 @@
 		if ctx.Err() != nil {
 			return u.abandon(ctx)
 		}
-		metrics.Retried("resume")
+		metrics.CountRetry("resume")
 		stream, cause = u.engine.Resume(ctx, u.id, u.next)
 		if cause != nil {
 			stream = nil
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -101,7 +101,7 @@
 			metrics.Count("retry_denied")
 			return r.g.endClaim(ctx, r.claim, v.refusal)
 		}
-		metrics.Retried(v.refusal.Reason)
+		metrics.CountRetry(v.refusal.Reason)
 		r.track.step("retry", "", v.refusal.Error())
 	}
 }
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -104,6 +104,6 @@
 	}
 	c.excluded = append(c.excluded, spec.Name)
 	c.track.step("hedged", spec.Name, "")
-	metrics.Retried("hedge")
+	metrics.CountRetry("hedge")
 	return spec, true
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -31,11 +31,11 @@
 	return expvar.NewMap(name)
 }
 
-// Refused increments the refusal counter of a reason.
-func Refused(reason crocusreel.Reason) { refusals.Add(string(reason), 1) }
+// CountRefusal increments the refusal counter of a reason.
+func CountRefusal(reason crocusreel.Reason) { refusals.Add(string(reason), 1) }
 
-// Retried increments the retry counter of a reason.
-func Retried(reason crocusreel.Reason) { retries.Add(string(reason), 1) }
+// CountRetry increments the retry counter of a reason.
+func CountRetry(reason crocusreel.Reason) { retries.Add(string(reason), 1) }
 
 // Count increments the named event counter by one.
 func Count(event string) { events.Add(event, 1) }
--- a/operator/server.go
+++ b/operator/server.go
@@ -170,7 +170,7 @@
 // fail writes the error body and counts the refusal.
 func (s *server) fail(err error, c echo.Context) {
 	status, body := describe(err)
-	metrics.Refused(crocusreel.Reason("operator_" + body.Code))
+	metrics.CountRefusal(crocusreel.Reason("operator_" + body.Code))
 	s.log.Info("operator request refused", zap.String("code", body.Code), zap.String("path", c.Path()), zap.Int("status", status))
 	if !c.Response().Committed {
 		_ = c.JSON(status, body)
--- a/relay/call.go
+++ b/relay/call.go
@@ -105,7 +105,7 @@
 		metrics.Count("retry_denied")
 		return false
 	}
-	metrics.Retried(crocusreel.Reason(got.cause))
+	metrics.CountRetry(crocusreel.Reason(got.cause))
 	return true
 }
 
--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -34,7 +34,7 @@
 			if err == nil || isFinal(ctx, err) {
 				return p, finalError(ctx, err)
 			}
-			metrics.Retried(crocusreel.ReasonSchedulerLost)
+			metrics.CountRetry(crocusreel.ReasonSchedulerLost)
 			m.opts.Log.Warn("scheduler_failed", zap.String("model", req.Model),
 				zap.String("request", req.RequestID), zap.Error(err))
 		}
