--- a/endpoint/h1/client.go
+++ b/endpoint/h1/client.go
@@ -97,7 +97,7 @@
 		idle:   make(map[string][]*conn),
 		Opened: func() {},
 	}
-	sockopt.Watch(&c.dialer, userTimeout)
+	sockopt.DetectDeadPeer(&c.dialer, userTimeout)
 	return c
 }
 
--- a/internal/httponce/client.go
+++ b/internal/httponce/client.go
@@ -48,7 +48,7 @@
 	protocols.SetHTTP1(true)
 	d := &dialer{net.Dialer{Timeout: o.ConnectTimeout}}
 	if o.UserTimeout > 0 {
-		sockopt.Watch(&d.Dialer, o.UserTimeout)
+		sockopt.DetectDeadPeer(&d.Dialer, o.UserTimeout)
 	}
 	return &Client{transport: &http.Transport{
 		DialContext:         d.dial,
