--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -30,9 +30,9 @@
 	CPU time.Duration
 	// RSSMiB is the resident memory in MiB.
 	RSSMiB float64
-	// In and Out are the numbers of bytes read and written through files and sockets, without
+	// BytesRead and BytesWritten are the numbers of bytes read and written through files and sockets, without
 	// packet headers.
-	In, Out float64
+	BytesRead, BytesWritten float64
 }
 
 // Read returns a sample of the process with the given PID.
@@ -56,9 +56,9 @@
 		name, value, _ := strings.Cut(line, ": ")
 		switch name {
 		case "rchar":
-			s.In = parseNumber(value)
+			s.BytesRead = parseNumber(value)
 		case "wchar":
-			s.Out = parseNumber(value)
+			s.BytesWritten = parseNumber(value)
 		}
 	}
 	return s, nil
--- a/tests/capacity/controllers_test.go
+++ b/tests/capacity/controllers_test.go
@@ -124,8 +124,8 @@
 	for i := range after {
 		one := cost{
 			cpuPercent: (after[i].CPU - before[i].CPU).Seconds() / seconds * 100,
-			in:         (after[i].In - before[i].In) / seconds / 1000,
-			out:        (after[i].Out - before[i].Out) / seconds / 1000,
+			in:         (after[i].BytesRead - before[i].BytesRead) / seconds / 1000,
+			out:        (after[i].BytesWritten - before[i].BytesWritten) / seconds / 1000,
 			rss:        after[i].RSSMiB,
 		}
 		n := float64(len(after))
