--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -30,8 +30,8 @@
 	CPU time.Duration
 	// RSSMiB is the resident memory in MiB.
 	RSSMiB float64
-	// BytesRead and BytesWritten are the numbers of bytes read and written through files and sockets, without
-	// packet headers.
+	// BytesRead and BytesWritten are the numbers of bytes read and written through files and
+	// sockets, without packet headers.
 	BytesRead, BytesWritten float64
 }
 
--- a/internal/rig/link.go
+++ b/internal/rig/link.go
@@ -60,7 +60,7 @@
 	return l.startProxy()
 }
 
-// Cut closes all connections and refuses new ones until Heal or Renew is called.
+// Cut closes all connections and refuses new ones until Heal or Recreate is called.
 func (l *Link) Cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// Heal removes all faults of the link. It can block, see Renew.
+// Heal removes all faults of the link. It can block, see Recreate.
 func (l *Link) Heal() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rig/ports.go
+++ b/internal/rig/ports.go
@@ -19,14 +19,14 @@
 	maxPortTries = 500
 )
 
-// LoopbackIP is the loopback address of the rigs of this process. A link that is cut closes its listener
-// until it is healed. If several processes shared an address, a rig of another process could take
-// the port in the meantime, and the link could not be healed.
+// LoopbackIP is the loopback address of the rigs of this process. A link that is cut closes its
+// listener until it is healed. If several processes shared an address, a rig of another process
+// could take the port in the meantime, and the link could not be healed.
 var LoopbackIP = LoopbackIPOf(os.Getpid())
 
-// LoopbackIPOf returns the loopback address of the rigs of the process with the given PID. Processes with
-// nearby PIDs get different addresses. The third octet stays below 100: higher values are reserved
-// for nodes, each of which needs the same ports on its own address.
+// LoopbackIPOf returns the loopback address of the rigs of the process with the given PID. Processes
+// with nearby PIDs get different addresses. The third octet stays below 100: values of 100 and above
+// are reserved for nodes, each of which needs the same ports on its own address.
 func LoopbackIPOf(pid int) string {
 	const octetRange = 250
 	return fmt.Sprintf("127.%d.%d.1", 1+pid%octetRange, pid/octetRange%100)
@@ -38,7 +38,7 @@
 	portsUsed = map[int]bool{}
 )
 
-// FreeAddress returns an IP:port on Host on which nothing listens and that it has not returned
+// FreeAddress returns an IP:port on LoopbackIP on which nothing listens and that it has not returned
 // before in this process. It is safe for concurrent use.
 func FreeAddress() (string, error) {
 	portMu.Lock()
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -43,14 +43,15 @@
 	// CallerAddress, GatewayPeerAddress and ControllerPeerAddress are the addresses that the
 	// processes advertise. In a rig with links, each is the address of a link.
 	CallerAddress, GatewayPeerAddress, ControllerPeerAddress string
-	// GatewayVarsAddress and ControllerVarsAddress are the addresses (IP:port) that serve /debug/vars. They
-	// bypass the links.
+	// GatewayVarsAddress and ControllerVarsAddress are the addresses (IP:port) that serve
+	// /debug/vars. They bypass the links.
 	GatewayVarsAddress, ControllerVarsAddress string
 	// OperatorAddress is the address of the administration API of the controller.
 	OperatorAddress string
 	// CallerLink, GatewayPeerLink and ControllerPeerLink are the inbound links of this VM.
 	CallerLink, GatewayPeerLink, ControllerPeerLink *Link
-	// GatewayPlatformLink and ControllerPlatformLink are the outbound links of this VM to the platform.
+	// GatewayPlatformLink and ControllerPlatformLink are the outbound links of this VM to the
+	// platform.
 	GatewayPlatformLink, ControllerPlatformLink *Link
 }
 
@@ -124,7 +125,7 @@
 	return v.Gateway.Start()
 }
 
-// PublishVMs sets the list of VMs in the stand-in of the platform to the VMs of the rig.
+// PublishVMs replaces the list of VMs in the stand-in of the platform by the VMs of the rig.
 func (r *Rig) PublishVMs(ctx context.Context) error {
 	vms := make([]platform.VM, len(r.VMs))
 	for i, v := range r.VMs {
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -13,9 +13,9 @@
 // keepAliveProbes is the number of keep-alive probes that fit into the timeout.
 const keepAliveProbes = 3
 
-// DetectDeadPeer configures the dialer so that its connections fail when the peer acknowledges nothing for
-// the timeout, whether or not there is traffic. It replaces the KeepAliveConfig and Control fields
-// of the dialer.
+// DetectDeadPeer configures the dialer so that its connections fail when the peer acknowledges
+// nothing for the timeout, whether or not there is traffic. It replaces the KeepAliveConfig and
+// Control fields of the dialer.
 //
 // A peer that lost power or its network sends no reset. Without keep-alive probes, a connection that
 // waits for a response would wait for ever. Without TCP_USER_TIMEOUT, a connection that has sent a
