--- a/gateway/struck.go
+++ b/gateway/struck.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		metrics.CountN("strike_not_told", int64(len(strikes)))
 		g.log.Warn("strikes not told to a gateway", zap.String("gateway", m.GetId()), zap.Int("strikes", len(strikes)),
-			zap.String("service", strikes[0].GetService()), logging.Fingerprint(strikes[0].GetContent()), zap.Error(err))
+			zap.String("service", strikes[0].GetService()), logging.FingerprintField(strikes[0].GetContent()), zap.Error(err))
 	}
 }
 
@@ -119,6 +119,6 @@
 }
 
 func (g *Gateway) logStrike(strike *peerv1.ServiceStrike, strikes int, reporter string) {
-	g.log.Info("service died of a call", zap.String("service", strike.GetService()), logging.Fingerprint(strike.GetContent()),
+	g.log.Info("service died of a call", zap.String("service", strike.GetService()), logging.FingerprintField(strike.GetContent()),
 		zap.Int("strikes", strikes), zap.String("gateway", reporter))
 }
--- a/relay/death.go
+++ b/relay/death.go
@@ -43,7 +43,7 @@
 	strikes := j.Strikes.Add(j.r.Fingerprint, uint32(in.Incarnation().Key()))
 	metrics.Count("endpoint_died")
 	j.Log.Warn("endpoint died of a request", zap.String("request", j.r.ID), zap.String("endpoint", in.ID),
-		logging.Fingerprint(uint64(j.r.Fingerprint)), zap.String("address", in.Address), zap.Int("strikes", strikes))
+		logging.FingerprintField(uint64(j.r.Fingerprint)), zap.String("address", in.Address), zap.Int("strikes", strikes))
 }
 
 // strikeAfterCut does the same for a stream that was cut off and may be resumed from a copy. The
--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -206,7 +206,7 @@
 	// second.
 	if err != nil {
 		m.opts.Log.Warn("loss not told to the scheduler", zap.String("pool", key), zap.String("scheduler", pv.schedulerID),
-			zap.String("permit", r.Permit.ID), logging.Fingerprint(r.Permit.Fingerprint), zap.Error(err))
+			zap.String("permit", r.Permit.ID), logging.FingerprintField(r.Permit.Fingerprint), zap.Error(err))
 	}
 	for _, delay := range strikeReportDelays {
 		time.AfterFunc(delay, func() { signal(m.fullReportDue) })
--- a/scheduler/logging.go
+++ b/scheduler/logging.go
@@ -22,13 +22,13 @@
 func (c *core) logGrant(w *queuedRequest, p *Permit, now time.Duration) {
 	c.hooks.log.Info("permit granted", zap.String("request", w.req.RequestID), zap.String("gateway", w.req.Gateway),
 		zap.String("permit", p.ID), zap.String("endpoint", p.Endpoint), zap.String("incarnation", p.Incarnation),
-		logging.Fingerprint(p.Fingerprint), zap.Int("strikes", c.suspects.Count(p.Fingerprint, now)),
+		logging.FingerprintField(p.Fingerprint), zap.Int("strikes", c.suspects.Count(p.Fingerprint, now)),
 		zap.Duration("waited", now-w.item.Enqueued))
 }
 
 func (c *core) logRefused(w *queuedRequest, r *crocusreel.Refusal) {
 	c.hooks.log.Info("permit refused", zap.String("request", w.req.RequestID), zap.String("gateway", w.req.Gateway),
-		logging.Fingerprint(w.req.Fingerprint), zap.String("reason", string(r.Reason)), zap.Duration("retry_after", r.RetryAfter))
+		logging.FingerprintField(w.req.Fingerprint), zap.String("reason", string(r.Reason)), zap.Duration("retry_after", r.RetryAfter))
 }
 
 // Both log functions for held-back requests are called at every attempt to place the request; only
@@ -50,17 +50,17 @@
 	}
 	w.holdLogged = true
 	c.hooks.log.Info(event, append(cause, zap.String("request", w.req.RequestID), zap.String("gateway", w.req.Gateway),
-		logging.Fingerprint(w.req.Fingerprint))...)
+		logging.FingerprintField(w.req.Fingerprint))...)
 }
 
 func (c *core) logLoss(e *engine, p *Permit) {
-	c.hooks.log.Info("answer lost", zap.String("permit", p.ID), logging.Fingerprint(p.Fingerprint), zap.String("endpoint", p.Endpoint),
+	c.hooks.log.Info("answer lost", zap.String("permit", p.ID), logging.FingerprintField(p.Fingerprint), zap.String("endpoint", p.Endpoint),
 		zap.String("incarnation", p.Incarnation), zap.String("known_incarnation", e.incarnation))
 }
 
 // logLossDismissed logs a loss that leads to no strike, because the engine outlived it.
 func (c *core) logLossDismissed(e *engine, l *loss, pollStartedAt time.Duration) {
-	c.hooks.log.Info("engine outlived a lost answer", zap.String("permit", l.permit.ID), logging.Fingerprint(l.permit.Fingerprint),
+	c.hooks.log.Info("engine outlived a lost answer", zap.String("permit", l.permit.ID), logging.FingerprintField(l.permit.Fingerprint),
 		zap.String("endpoint", l.permit.Endpoint), zap.String("incarnation", l.permit.Incarnation),
 		zap.String("known_incarnation", e.incarnation), zap.Duration("poll_began_after", pollStartedAt-l.at))
 }
@@ -71,7 +71,7 @@
 }
 
 func (c *core) logStrike(p *Permit, now time.Duration) {
-	c.hooks.log.Info("strike", zap.String("permit", p.ID), logging.Fingerprint(p.Fingerprint), zap.String("endpoint", p.Endpoint),
+	c.hooks.log.Info("strike", zap.String("permit", p.ID), logging.FingerprintField(p.Fingerprint), zap.String("endpoint", p.Endpoint),
 		deathField(p.deathID()), zap.Int("strikes", c.suspects.Count(p.Fingerprint, now)))
 }
 
@@ -82,7 +82,7 @@
 		before := c.suspects.Count(s.Fingerprint, now)
 		c.suspects.Merge(s, now)
 		if n := c.suspects.Count(s.Fingerprint, now); n != before {
-			c.hooks.log.Info("strike learned", zap.String("gateway", gateway), logging.Fingerprint(s.Fingerprint), deathField(s.Death),
+			c.hooks.log.Info("strike learned", zap.String("gateway", gateway), logging.FingerprintField(s.Fingerprint), deathField(s.Death),
 				zap.Int("strikes", n), zap.Duration("age", now-s.At))
 		}
 	}
