--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -23,9 +23,9 @@
 	return zap.New(core).With(zap.String("program", program), zap.String("vm", vm)), nil
 }
 
-// FingerprintField returns the log field with the fingerprint of the content of a request. The fingerprint
-// does not depend on the idempotency key, so that it stays the same when a caller sends the same
-// content again under another key.
+// FingerprintField returns the log field with the fingerprint of the content of a request. The
+// fingerprint does not depend on the idempotency key, so that it stays the same when a caller sends
+// the same content again under another key.
 func FingerprintField(fingerprint uint64) zap.Field {
 	return zap.String("work", strconv.FormatUint(fingerprint, 16))
 }
