--- a/caller/server.go
+++ b/caller/server.go
@@ -134,7 +134,7 @@
 
 // recordRefusal counts and logs a refusal.
 func (s *server) recordRefusal(c echo.Context, r *crocusreel.Refusal) {
-	metrics.Refused(r.Reason)
+	metrics.CountRefusal(r.Reason)
 	s.opts.Log.Info("request refused",
 		zap.String("request", requestID(c)),
 		zap.String("workspace", workspaceName(c)),
--- a/cmd/crocusreel/demo.go
+++ b/cmd/crocusreel/demo.go
@@ -228,7 +228,7 @@
 // counters prints the event, refusal and retry counters of every gateway.
 func (d *demo) counters(ctx context.Context) error {
 	for _, vm := range d.rig.VMs {
-		vars, err := d.rig.Vars(ctx, vm.GatewayVars)
+		vars, err := d.rig.Vars(ctx, vm.GatewayVarsAddress)
 		if err != nil {
 			return err
 		}
--- a/endpoint/h1/client.go
+++ b/endpoint/h1/client.go
@@ -101,7 +101,7 @@
 		idle:   make(map[string][]*conn),
 		OnOpen: func() {},
 	}
-	sockopt.Watch(&c.dialer, userTimeout)
+	sockopt.DetectDeadPeer(&c.dialer, userTimeout)
 	return c
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -256,7 +256,7 @@
 
 // writeRefusal writes a refusal as the answer.
 func (h *Handler) writeRefusal(s *responseSink, refusal *crocusreel.Refusal) {
-	metrics.Refused(refusal.Reason)
+	metrics.CountRefusal(refusal.Reason)
 	header := s.w.Header()
 	header.Set("Content-Type", "application/json")
 	if refusal.RetryAfter > 0 {
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -13,13 +13,14 @@
 
 // Exit codes of the long-running programs.
 const (
-	exitFailed   = 1
-	exitSettings = 2
+	exitFailed          = 1
+	exitInvalidSettings = 2
 )
 
-// Runner is a built process.
+// Runner is a process that is fully built and ready to run.
 type Runner interface {
-	// Run serves until a signal, at which it returns nil, or until it fails.
+	// Run serves until a termination signal arrives, in which case it returns nil, or until it
+	// fails.
 	Run() error
 }
 
@@ -28,10 +29,13 @@
 	Name string
 	// Description is printed by --help.
 	Description string
-	Load        func(path string) (S, error)
-	Log         func(S) settings.Log
-	VM          func(S) settings.VM
-	Build       func(S, *zap.Logger) (Runner, error)
+	// Load reads the settings file.
+	Load func(path string) (S, error)
+	// Log and VM return the parts of the settings that configure the logger.
+	Log func(S) settings.Log
+	VM  func(S) settings.VM
+	// Build constructs the process but does not start it.
+	Build func(S, *zap.Logger) (Runner, error)
 }
 
 type commandLine struct {
@@ -44,17 +48,17 @@
 	parser := kong.Must(&cli, kong.Name(p.Name), kong.Description(p.Description))
 	if _, err := parser.Parse(args); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	s, err := p.Load(cli.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	log, err := logging.New(p.Log(s).Level, p.Name, p.VM(s).ID)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	return p.serve(s, log)
 }
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait to be written: about a second's worth at
-	// the highest rate of a node.
-	queuedLines = 2048
-	// syncTimeout bounds the wait for queued lines at the end of the process.
+	// maxQueuedLines is the maximum number of queued lines: about the output of one second at the
+	// highest log rate of a node.
+	maxQueuedLines = 2048
+	// syncTimeout bounds the time for which Sync waits for queued lines when the process exits.
 	syncTimeout = 500 * time.Millisecond
 )
 
-// asyncWriter writes lines from a goroutine of its own. A reader of the log that
-// stalls would otherwise stall every request that logs. Lines that do not fit into the
-// queue are dropped and counted.
+// asyncWriter writes lines in a separate goroutine, since a stalled reader of the log would
+// otherwise block every request that logs. Lines that do not fit into the queue are dropped and
+// counted.
 type asyncWriter struct {
-	out     io.Writer
-	lines   chan []byte
+	out   io.Writer
+	lines chan []byte
+	// pending is the number of lines that are queued or being written.
 	pending atomic.Int64
 	start   sync.Once
 }
 
 func newAsyncWriter(out io.Writer) *asyncWriter {
-	return &asyncWriter{out: out, lines: make(chan []byte, queuedLines)}
+	return &asyncWriter{out: out, lines: make(chan []byte, maxQueuedLines)}
 }
 
-// Write implements zapcore.WriteSyncer. It never blocks.
+// Write implements zapcore.WriteSyncer. It never blocks, and reports success for dropped lines.
 func (w *asyncWriter) Write(p []byte) (int, error) {
-	w.start.Do(func() { go w.run() })
+	w.start.Do(func() { go w.writeLoop() })
 	line := append([]byte(nil), p...)
 	w.pending.Add(1)
 	select {
@@ -45,7 +46,7 @@
 	return len(p), nil
 }
 
-func (w *asyncWriter) run() {
+func (w *asyncWriter) writeLoop() {
 	for line := range w.lines {
 		if _, err := w.out.Write(line); err != nil {
 			metrics.Count("log_write_failed")
@@ -54,9 +55,10 @@
 	}
 }
 
-// Sync implements zapcore.WriteSyncer. It waits a bounded time for queued lines.
+// Sync implements zapcore.WriteSyncer. It waits at most syncTimeout until the queued lines are
+// written, and returns nil in any case.
 func (w *asyncWriter) Sync() error {
-	for until := time.Now().Add(syncTimeout); w.pending.Load() > 0 && time.Now().Before(until); {
+	for deadline := time.Now().Add(syncTimeout); w.pending.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	return nil
--- a/internal/rig/document.go
+++ b/internal/rig/document.go
@@ -10,14 +10,15 @@
 	"github.com/crocusreel/crocusreel/config"
 )
 
-// Digest is the hex SHA-256 digest by which a key stands in configuration and
-// settings.
+// Digest returns the hex SHA-256 digest of a key, which represents the key in the configuration and
+// in settings.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Document is the configuration that fits what the rig runs.
+// Document returns a configuration that describes the engines and services of the rig, together
+// with the Base and Overlays of its Spec.
 func (r *Rig) Document() config.Document {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[service]\nname = \"rig\"\n%s\n", r.spec.Base)
@@ -27,7 +28,7 @@
 	r.writeModels(&b)
 	for _, e := range r.Engines {
 		fmt.Fprintf(&b, "[[endpoints]]\nname = %q\nkind = \"engine\"\naddress = %q\ndata_centre = %q\nregion = %q\nmodels = %s\nchecks_fence = %t\n",
-			e.Name, e.Address, e.DataCentre, e.Region, list(e.Models), e.ChecksFence)
+			e.Name, e.Address, e.DataCentre, e.Region, tomlList(e.Models), e.ChecksFence)
 	}
 	for _, s := range r.Services {
 		fmt.Fprintf(&b, "[[endpoints]]\nname = %q\nkind = \"service\"\naddress = %q\ndata_centre = %q\nregion = %q\n",
@@ -37,7 +38,7 @@
 	return config.Document{Base: b.String(), Overlays: r.spec.Overlays}
 }
 
-// writeModels adds each model of an engine that Base does not describe.
+// writeModels adds an entry for each model of an engine that Base does not define.
 func (r *Rig) writeModels(b *strings.Builder) {
 	var names []string
 	for _, e := range r.Engines {
@@ -58,14 +59,14 @@
 		methods[s.Prefix] = append(methods[s.Prefix], s.NonIdempotentMethods...)
 	}
 	for prefix := range names {
-		fmt.Fprintf(b, "[[routes]]\nname = %q\nprefix = %q\nendpoints = %s\n", strings.Trim(prefix, "/"), prefix, list(names[prefix]))
+		fmt.Fprintf(b, "[[routes]]\nname = %q\nprefix = %q\nendpoints = %s\n", strings.Trim(prefix, "/"), prefix, tomlList(names[prefix]))
 		if m := methods[prefix]; len(m) > 0 {
-			fmt.Fprintf(b, "non_idempotent_methods = %s\n", list(m))
+			fmt.Fprintf(b, "non_idempotent_methods = %s\n", tomlList(m))
 		}
 	}
 }
 
-func list(names []string) string {
+func tomlList(names []string) string {
 	quoted := make([]string, len(names))
 	for i, n := range names {
 		quoted[i] = fmt.Sprintf("%q", n)
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -14,9 +14,9 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Several suites run side by side, each with links that are cut and healed. While one is cut
-// its port is free; a rig of another process that takes it keeps the link from being healed,
-// and a run of random faults ends with "address already in use" although nothing is wrong.
+// Several suites run in parallel, each with links that are cut and healed. If the rig of another
+// process takes the port of a link while it is cut, the link cannot be healed, and a run of random
+// faults fails with "address already in use" although the system is correct.
 func TestRigsOfOtherProcessesDoNotTakeThePortsOfCutLinks(t *testing.T) {
 	g := NewWithT(t)
 	listen, err := rig.FreeAddress()
@@ -28,25 +28,25 @@
 	link.Cut()
 	_, port, err := net.SplitHostPort(listen)
 	g.Expect(err).NotTo(HaveOccurred())
-	other, err := net.Listen("tcp", net.JoinHostPort(rig.HostOf(os.Getpid()+1), port))
+	other, err := net.Listen("tcp", net.JoinHostPort(rig.LoopbackIPOf(os.Getpid()+1), port))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = other.Close() }()
 	g.Expect(link.Heal()).To(Succeed())
 	link.Cut()
 }
 
-// buildLimit bounds the building of the programs, as in the suites that use rigs.
-const buildLimit = 5 * time.Minute
+// buildTimeout is the timeout for building the programs, as in the suites that use rigs.
+const buildTimeout = 5 * time.Minute
 
-// A test that kills, freezes and cuts is worth nothing if these do not take effect.
+// Tests that kill, freeze or disconnect stand-ins prove nothing if these faults do not take effect.
 func TestStandinsDieFreezeAndComeBack(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "bin")
-	// Building the programs is not what is tested, and takes minutes on a busy machine.
-	building, built := context.WithTimeout(t.Context(), buildLimit)
-	defer built()
-	g.Expect(rig.Build(building, "../..", bin)).To(Succeed())
+	// The build has its own timeout: it is not under test, and takes minutes on a busy machine.
+	buildCtx, cancelBuild := context.WithTimeout(t.Context(), buildTimeout)
+	defer cancelBuild()
+	g.Expect(rig.Build(buildCtx, "../..", bin)).To(Succeed())
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	r, err := rig.Start(ctx, rig.Spec{
@@ -64,19 +64,19 @@
 		g.Expect(r.WaitHealthy(ctx, e.Address)).To(Succeed())
 
 		e.Freeze()
-		g.Expect(healthySoon(ctx, r, e.Address)).NotTo(Succeed())
+		g.Expect(waitHealthyBriefly(ctx, r, e.Address)).NotTo(Succeed())
 		e.Thaw()
 		g.Expect(r.WaitHealthy(ctx, e.Address)).To(Succeed())
 
 		g.Expect(e.Link.Stall(rig.Downstream)).To(Succeed())
-		g.Expect(healthySoon(ctx, r, e.Address)).NotTo(Succeed())
+		g.Expect(waitHealthyBriefly(ctx, r, e.Address)).NotTo(Succeed())
 		g.Expect(e.Link.Heal()).To(Succeed())
 		g.Expect(r.WaitHealthy(ctx, e.Address)).To(Succeed())
 	}
 	g.Expect(r.Platform.Admin.SetFaults(ctx, admin.PlatformFaults{Down: true})).To(Succeed())
 }
 
-func healthySoon(ctx context.Context, r *rig.Rig, address string) error {
+func waitHealthyBriefly(ctx context.Context, r *rig.Rig, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
 	return r.WaitHealthy(ctx, address)
--- a/internal/tlsreload/tlsreload_test.go
+++ b/internal/tlsreload/tlsreload_test.go
@@ -29,8 +29,9 @@
 
 func newFiles() settings.TLS { return testcert.Files(GinkgoT().TempDir()) }
 
-// serve answers with the protocol and the name of the client's authority.
-func serve(s *tlsreload.Source) string {
+// startServer starts a server that returns the name of the authority of the client certificate in
+// the header Client. It returns the URL of the server.
+func startServer(s *tlsreload.Source) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	server := peer.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -41,13 +42,13 @@
 	return "https://" + l.Addr().String()
 }
 
-func source(files settings.TLS) *tlsreload.Source {
+func newSource(files settings.TLS) *tlsreload.Source {
 	s, err := tlsreload.New(files)
 	Expect(err).NotTo(HaveOccurred())
 	return s
 }
 
-// call makes one request on a fresh connection.
+// call makes one request on a new connection.
 func call(s *tlsreload.Source, url string) (*http.Response, error) {
 	client := s.HTTPClient()
 	defer client.CloseIdleConnections()
@@ -59,43 +60,43 @@
 }
 
 var _ = Describe("Certificates of peers", func() {
-	It("are demanded on both sides, and carry HTTP/2", func() {
+	It("are required on both sides, and HTTP/2 is negotiated", func() {
 		a, b := newAuthority("a"), newAuthority("b")
 		serverFiles, clientFiles, strangerFiles := newFiles(), newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.1", a)).To(Succeed())
 		Expect(a.Issue(clientFiles, "127.0.0.1", a)).To(Succeed())
 		Expect(b.Issue(strangerFiles, "127.0.0.1", a)).To(Succeed())
-		url := serve(source(serverFiles))
+		url := startServer(newSource(serverFiles))
 
-		res, err := call(source(clientFiles), url)
+		res, err := call(newSource(clientFiles), url)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.ProtoMajor).To(Equal(2))
 		Expect(res.Header.Get("Client")).To(Equal("a"))
 
-		_, err = call(source(strangerFiles), url)
+		_, err = call(newSource(strangerFiles), url)
 		Expect(err).To(HaveOccurred())
 	})
 
-	// A peer's certificate was issued for another VM. Accepted here, whoever took
-	// one VM could pose as all.
-	It("count only for the address that is dialled", func() {
+	// The certificate of a peer was issued for another VM. If it were accepted, an attacker who
+	// controls one VM could impersonate every other one.
+	It("are accepted only for the address that is dialled", func() {
 		a := newAuthority("a")
 		serverFiles, clientFiles := newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.9", a)).To(Succeed())
 		Expect(a.Issue(clientFiles, "127.0.0.1", a)).To(Succeed())
-		_, err := call(source(clientFiles), serve(source(serverFiles)))
+		_, err := call(newSource(clientFiles), startServer(newSource(serverFiles)))
 		Expect(err).To(MatchError(ContainSubstring("127.0.0.9")))
 	})
 
-	// Certificates expire and authorities are replaced while the processes run.
-	// Read once at start, they would need a restart of every VM on the same day.
-	It("are read again when the files change, on both sides and with the authority", func() {
+	// Certificates expire and authorities are replaced while the processes run. If they were read
+	// only at startup, every VM would have to be restarted on the same day.
+	It("are reloaded when the files change, on both sides and with the authority", func() {
 		a, b := newAuthority("a"), newAuthority("b")
 		serverFiles, clientFiles := newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.1", a)).To(Succeed())
 		Expect(a.Issue(clientFiles, "127.0.0.1", a)).To(Succeed())
-		server, client := source(serverFiles), source(clientFiles)
-		url := serve(server)
+		server, client := newSource(serverFiles), newSource(clientFiles)
+		url := startServer(server)
 		_, err := call(client, url)
 		Expect(err).NotTo(HaveOccurred())
 
@@ -108,15 +109,15 @@
 		}).WithTimeout(20 * time.Second).WithPolling(200 * time.Millisecond).Should(Succeed())
 	})
 
-	// A renewal tool truncates the file before it writes it. A handshake in between
-	// must not fail, nor stop the process.
+	// A renewal tool truncates the file before it writes the new content. A handshake in between
+	// must neither fail nor terminate the process.
 	It("stay in use while a file is broken", func() {
 		a := newAuthority("a")
 		serverFiles, clientFiles := newFiles(), newFiles()
 		Expect(a.Issue(serverFiles, "127.0.0.1", a)).To(Succeed())
 		Expect(a.Issue(clientFiles, "127.0.0.1", a)).To(Succeed())
-		client := source(clientFiles)
-		url := serve(source(serverFiles))
+		client := newSource(clientFiles)
+		url := startServer(newSource(serverFiles))
 		Expect(os.WriteFile(serverFiles.CertFile, nil, 0o600)).To(Succeed())
 		time.Sleep(1200 * time.Millisecond)
 		_, err := call(client, url)
--- a/operator/server.go
+++ b/operator/server.go
@@ -174,7 +174,7 @@
 // unless the response has already started.
 func (s *server) handleError(err error, c echo.Context) {
 	status, body := errorResponse(err)
-	metrics.Refused(crocusreel.Reason("operator_" + body.Code))
+	metrics.CountRefusal(crocusreel.Reason("operator_" + body.Code))
 	s.log.Info("operator request refused", zap.String("code", body.Code), zap.String("path", c.Path()), zap.Int("status", status))
 	if !c.Response().Committed {
 		_ = c.JSON(status, body)
--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -34,7 +34,7 @@
 			if err == nil || isFinal(ctx, err) {
 				return p, finalError(ctx, err)
 			}
-			metrics.Retried(crocusreel.ReasonSchedulerUnreachable)
+			metrics.CountRetry(crocusreel.ReasonSchedulerUnreachable)
 			m.opts.Log.Warn("scheduler_failed", zap.String("model", req.Model),
 				zap.String("request", req.RequestID), zap.Error(err))
 		}
@@ -206,7 +206,7 @@
 	// second.
 	if err != nil {
 		m.opts.Log.Warn("loss not told to the scheduler", zap.String("pool", key), zap.String("scheduler", pv.schedulerID),
-			zap.String("permit", r.Permit.ID), logging.Work(r.Permit.Fingerprint), zap.Error(err))
+			zap.String("permit", r.Permit.ID), logging.FingerprintField(r.Permit.Fingerprint), zap.Error(err))
 	}
 	for _, delay := range strikeReportDelays {
 		time.AfterFunc(delay, func() { signal(m.fullReportDue) })
