--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -50,7 +50,8 @@
 	return p != nil
 }
 
-// equalShareSender gives each node an equal share of the rate; an unused permission is kept.
+// equalShareSender gives each node an equal share of the rate. A node may send at any time once its
+// interval has passed, so that an unused send does not expire.
 type equalShareSender struct {
 	every, next time.Duration
 }
@@ -63,7 +64,8 @@
 	return true
 }
 
-// ownerSender lets only a few nodes send. All nodes agree on these by a hash of the node names.
+// ownerSender lets only a few nodes send, the owners. All nodes select the same owners by a hash of
+// the node names.
 type ownerSender struct {
 	equalShareSender
 	owns bool
--- a/fleet/evacuation_test.go
+++ b/fleet/evacuation_test.go
@@ -20,8 +20,8 @@
 		w.addEngine("far", "dc2")
 	})
 
-	// Guards against new work on endpoints that are being emptied, even if no other endpoint has
-	// room.
+	// Guards against new work on endpoints that are being drained, even if no other endpoint has
+	// capacity.
 	It("gets no new work, however full the other data centres are", func() {
 		w.Evacuate([]string{"dc1"})
 		for range 8 {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -48,7 +48,7 @@
 	return p
 }
 
-// placeRunning places a generation and marks its prompt as read.
+// placeRunning places a generation and marks its prefill as complete.
 func (w *fixture) placeRunning(want fleet.Work) *fleet.Placement {
 	GinkgoHelper()
 	p := w.mustPlace(want)
--- a/fleet/health.go
+++ b/fleet/health.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// health tracks the recent failures of an endpoint. Its health check may pass all the while.
+// health tracks the recent failures of an endpoint. An endpoint may fail requests while its health
+// check passes.
 type health struct {
 	// failures and successes decay over healthDecayTime.
 	failures, successes float64
@@ -11,7 +12,8 @@
 	// service.
 	ejectedUntil time.Duration
 	ejections    int
-	// reported is set from when the ejection was reported until the endpoint has recovered.
+	// reported is set once the exclusion of the endpoint has been reported through OnExclusion, and
+	// reset when its readmission is reported.
 	reported bool
 }
 
--- a/fleet/holding.go
+++ b/fleet/holding.go
@@ -27,7 +27,8 @@
 	// reserved for answers before no more backups are made. When memory limits the number of
 	// answers that are on time, backups cost more than they save.
 	maxReservedShareForBackups = 0.5
-	// backupCostJitter is the range of the random part of the cost, as moveCostJitter is for moves.
+	// backupCostJitter is the range of the random part of the cost. It corresponds to
+	// moveCostJitter for moves.
 	backupCostJitter = 0.1
 )
 
@@ -122,7 +123,7 @@
 }
 
 // Release releases the reservation after the given time: an engine keeps the backup for some time
-// if the run has not ended well.
+// if the run was not completed.
 func (h *BackupReservation) Release(after time.Duration) {
 	if after > 0 {
 		time.AfterFunc(after, func() { h.Release(0) })
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -52,7 +52,7 @@
 
 	// Guards against wrong loads when another node reports its work on the new incarnation before
 	// the entry arrives here: only loads of that incarnation count.
-	It("takes only the load that other nodes reported for the new incarnation", func() {
+	It("counts only the load that other nodes reported for the new incarnation", func() {
 		w := newFixture()
 		w.Update(incarnationEntry(1000))
 		w.SetRemote("node2", []fleet.Load{{Key: incarnationEntry(1000).Incarnation().Key(), Count: 20, Tokens: 30_000}}, nil)
@@ -110,7 +110,7 @@
 	// Guards against a caller that expects 10 tokens and may get 2000. If that counted as a short
 	// answer, its stream would use the memory reserved for short ones, and would be lost with its
 	// engine because it has no backup.
-	It("takes answers whose maximum length is short, not answers that a caller expects to be short", func() {
+	It("holds answers whose maximum length is short, not answers that a caller expects to be short", func() {
 		want := generation(1000, 10)
 		Expect(want.Short()).To(BeTrue())
 		want.MaxOutput = 2000
@@ -144,7 +144,7 @@
 	})
 })
 
-var _ = Describe("room for backups", func() {
+var _ = Describe("memory for backups", func() {
 	backed := *pool.Engine
 	backed.CanBackUp = true
 	want := fleet.Work{Service: &routing.Service{Name: "pool", Engine: &backed}, Demand: fleet.Demand{Prompt: 3000, Output: 2000}}
--- a/fleet/missing_test.go
+++ b/fleet/missing_test.go
@@ -56,7 +56,7 @@
 		Expect(w.UnconfirmedEndpoints(service, "dc1")).To(BeEmpty())
 	})
 
-	// Guards against reinstating an endpoint that has withdrawn.
+	// Guards against reinstating a missing endpoint that has reported that it is leaving.
 	It("is not reinstated once it reports that it is leaving, and is dropped with the other missing endpoints", func() {
 		in := missing("dc1")
 		Expect(w.MarkUnhealthy(in.Incarnation().Key())).To(BeTrue())
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -137,8 +137,9 @@
 	return before != known.ownLimit
 }
 
-// setLeavingLocked records that an incarnation has announced that it is about to stop, and reports
-// whether this is new to the fleet: the other nodes also learn it from the endpoint's entry. The
+// setLeavingLocked records that an incarnation has announced that it is about to stop. It reports
+// whether the announcement is new and has to be broadcast; it returns false if the incarnation is
+// not in service, or if its entry, which the other nodes receive too, has already announced it. The
 // record is permanent, because the entry and the health check may be out of date.
 func (f *Fleet) setLeavingLocked(key EndpointKey, n *noticeRecord) bool {
 	if n.leaving {
--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -12,7 +12,8 @@
 	endpoint *Endpoint
 	demand   Demand
 	produced int
-	// prefilling is set until the prompt has been read, that is, until the first event.
+	// prefilling is set until the prefill of the prompt is complete, that is, until the first
+	// event.
 	prefilling bool
 	released   bool
 	// incomingTokens is the memory, in tokens, that is being copied to the endpoint for this run.
@@ -89,8 +90,8 @@
 	return !p.endpoint.isEvacuated && !p.fleet.pausedLocked(p.endpoint)
 }
 
-// expectedTokens returns the memory, in tokens, that the run is expected to need. An answer
-// that exceeds its expected length is assumed to continue for a while.
+// expectedTokens returns the memory, in tokens, that the run is expected to need. The output is
+// assumed to become at least outgrownFactor times as long as what has been produced so far.
 func (p *Placement) expectedTokens() int {
 	if p.demand.Prompt == 0 {
 		return 0
@@ -197,8 +198,8 @@
 	Failures float64
 }
 
-// reportExclusionLocked reports an endpoint that is excluded from now on, and one that is healthy
-// again. The results in between are not reported, as they would give a log line for each request.
+// reportExclusionLocked reports when an endpoint becomes excluded, and when it is healthy again.
+// The results in between are not reported, as they would give a log line for each request.
 func (f *Fleet) reportExclusionLocked(e *Endpoint, r Result, now time.Duration) {
 	h := &e.health
 	excluded := now < h.ejectedUntil
--- a/fleet/queue.go
+++ b/fleet/queue.go
@@ -19,7 +19,8 @@
 	turn turn
 }
 
-// waitResult is the outcome of a wait: a placement, or a refusal once no endpoint can run the work.
+// waitResult is the outcome of a wait: a placement, or a refusal if no endpoint can run the work in
+// time.
 type waitResult struct {
 	place   *Placement
 	refusal *crocusreel.Refusal
--- a/fleet/turn_test.go
+++ b/fleet/turn_test.go
@@ -183,8 +183,9 @@
 		Expect(c.waiting()).To(BeZero())
 	})
 
-	// The same with a waiting request on each of 64 nodes, as in a long burst. The limit on the
-	// time for which a node lets others go first must not make the last forty claim together.
+	// Guards against the same with a waiting request on each of 64 nodes, as in a long burst. The
+	// limit on the time for which a node waits for its turn (maxTurnWait) must not make the last
+	// forty nodes claim together.
 	It("is not granted more than once while work waits on every node", func() {
 		c := newCluster(clusterNodes)
 		for i, n := range c.nodes {
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -21,8 +21,8 @@
 	LimitErr error
 	// Leaving is set if the endpoint is about to stop.
 	Leaving bool
-	// Pause is how long an endpoint that refused a request wants no further requests from this VM;
-	// 0 for no pause.
+	// Pause is how long an endpoint that refused a request asks this VM to send no further
+	// requests; 0 for no pause.
 	Pause time.Duration
 	// PauseErr is the error in parsing the pause; nil if there is none.
 	PauseErr error
@@ -50,12 +50,12 @@
 // headerRetryAfter is the standard header for a retry delay in seconds (RFC 9110, 10.2.3).
 const headerRetryAfter = "Retry-After"
 
-// maxPause is the longest pause that is accepted. A longer one is taken for a mistake of the
+// maxPause is the longest pause that is accepted. A longer one is treated as an error of the
 // endpoint.
 const maxPause = 24 * time.Hour
 
-// ParsePause returns how long an endpoint that refused a request with status 429 or 503 wants no
-// further requests from this VM. The number of seconds may have a fraction.
+// ParsePause returns how long an endpoint that refused a request with status 429 or 503 asks this
+// VM to send no further requests. The number of seconds may have a fraction.
 func ParsePause(status int, h http.Header) (time.Duration, error) {
 	value := h.Get(headerRetryAfter)
 	refused := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
--- a/relay/call.go
+++ b/relay/call.go
@@ -91,8 +91,8 @@
 	causeTruncated = "answer_truncated"
 )
 
-// shouldRetryStatus reports whether another endpoint may give a better answer than one with this
-// status.
+// shouldRetryStatus reports whether a request whose answer has this status should be sent to
+// another endpoint: the request is repeatable and the status is a server error.
 func (j *job) shouldRetryStatus(status int) bool {
 	return j.r.Route.Kind.Repeatable() && status >= http.StatusInternalServerError
 }
@@ -109,8 +109,8 @@
 	return true
 }
 
-// exhausted ends a request that cannot be sent again. It delivers the error answer of an endpoint
-// if there is one, and the refusal otherwise.
+// exhausted ends a request that cannot be sent again. It delivers errorAnswer, the error answer of
+// an endpoint, if there is one, and the refusal otherwise.
 func (j *job) exhausted(ctx context.Context, held *answer, refusal *crocusreel.Refusal) Result {
 	if held != nil {
 		return j.deliver(held)
--- a/relay/claims.go
+++ b/relay/claims.go
@@ -17,8 +17,8 @@
 )
 
 // An endpoint's death counts against the work that ran on it only once the death is known. Copies
-// of that work that are sent concurrently may already be running on several endpoints before that,
-// and if the work is deadly, all of these endpoints die: nine copies sent to three nodes after the
+// of that work that were sent concurrently may already run on several endpoints at that time, and
+// if the work is deadly, all of these endpoints die: nine copies sent to three nodes after the
 // first death killed nine more engines, although the limit was three. Work that has a strike is
 // therefore claimed before it is placed, and the nodes broadcast their claims to each other: the
 // work runs on no more endpoints at once than it is still allowed to kill. Harmless work that
@@ -29,10 +29,10 @@
 // that do not receive each other's broadcasts.
 
 const (
-	// claimSettleTime is how long a new claim is broadcast before it is acted upon. By then every
-	// reachable node knows of it, and if two claims are made at the same time, both nodes agree on
-	// which comes first. A datagram between data centres takes a few milliseconds, and is sent with
-	// a delay of up to 2 ms.
+	// claimSettleTime is the time between the first broadcast of a new claim and its first use. It
+	// is long enough for the claim to reach every reachable node, so that two nodes that claim at
+	// the same time agree on which claim comes first. A datagram between data centres takes a few
+	// milliseconds, and is sent with a delay of up to 2 ms.
 	claimSettleTime = 25 * time.Millisecond
 	// maxClaims is the maximum number of claims that a node broadcasts, in the order of their
 	// turns. Further claims count on this node only. Each claim takes 15 bytes of a datagram of
--- a/relay/copies.go
+++ b/relay/copies.go
@@ -15,7 +15,7 @@
 )
 
 // A long answer has a backup as long as spare memory is available: its engine sends the run's KV
-// cache to another engine as it grows. When the engine goes away, announced or not, the run is
+// cache to another engine as it grows. When the engine stops, with or without notice, the run is
 // resumed from the backup, and its caller sees a pause of a few steps. Without backups, an engine
 // that crashes loses all of its streams, and an engine that leaves at short notice must move all of
 // its runs over a link that is too slow for that.
@@ -40,8 +40,8 @@
 	copyMargin = 2 * time.Second
 )
 
-// holdBackup reserves room for the backup of a long answer on an endpoint that is not in except. It
-// returns nil for short answers and if no endpoint has room.
+// reserveBackup reserves memory for the backup of a long answer on an endpoint that is not in
+// except. It returns nil for short answers and if no endpoint has memory to spare.
 func (j *job) holdBackup(p *fleet.Placement, except ...string) *fleet.BackupReservation {
 	w := j.want()
 	w.Exclude = except
@@ -55,8 +55,8 @@
 	return h
 }
 
-// dropBackup releases the reservation of a backup: at once if freed is set, because the engine has
-// freed the backup or never made it, and after copyLifetime otherwise.
+// releaseBackup releases the reservation of a backup: at once if freed is set, because the engine
+// has freed the backup or never made it, and after copyLifetime otherwise.
 func (j *job) dropBackup(h *fleet.BackupReservation, freed bool) {
 	switch {
 	case h == nil:
--- a/relay/death.go
+++ b/relay/death.go
@@ -46,11 +46,11 @@
 		logging.Work(uint64(j.r.Fingerprint)), zap.String("address", in.Address), zap.Int("strikes", strikes))
 }
 
-// strikeAfterCut does the same for a stream that was cut off and may be resumed from a copy. The
-// check runs in the background so that it does not delay the resumption, and the returned function
-// waits for it. If this death would reach strikeLimit, the check is finished before strikeAfterCut
-// returns. A caller that learns of the loss may send the request again immediately, and the strike
-// must be recorded before that.
+// strikeAfterCut calls strikeIfDead for a stream that was cut off and may be resumed from a copy.
+// The check runs in the background so that it does not delay the resumption, and the returned
+// function waits for it. If this death would reach strikeLimit, the check is finished before
+// strikeAfterCut returns. A caller that learns of the loss may send the request again immediately,
+// and the strike must be recorded before that.
 func (j *job) strikeAfterCut(ctx context.Context, p *fleet.Placement) (wait func()) {
 	if j.Strikes.Count(j.r.Fingerprint)+1 >= strikeLimit {
 		j.strikeIfDead(ctx, p)
--- a/relay/decisions_test.go
+++ b/relay/decisions_test.go
@@ -88,7 +88,7 @@
 		Eventually(done, 30*time.Millisecond).Should(BeClosed())
 	}, SpecTimeout(5*time.Second))
 
-	// The node of the first run is gone, or its copy goes to another data centre. The other runs
+	// The node of the first run has failed, or its copy goes to another data centre. The other runs
 	// must not wait until the engine has left.
 	It("come after a timeout if nothing is reported of the earlier runs", func(ctx SpecContext) {
 		d := relay.NewDeparture(relay.NewVacatedRuns(now), runs, spec)
@@ -100,9 +100,9 @@
 		Expect(d.Await(ctx, "c")).To(BeNumerically("~", slack(2000), 40*time.Millisecond))
 	}, SpecTimeout(5*time.Second))
 
-	// A run moves to an engine that soon leaves as well. The report that it has left the first engine
-	// must not count for the second.
-	It("count a run as gone from one engine only", func(ctx SpecContext) {
+	// A run moves to an engine that soon leaves as well. The report that it has left the first
+	// engine must not count for the second.
+	It("count a run as moved from one engine only", func(ctx SpecContext) {
 		here := relay.NewVacatedRuns(now)
 		d := relay.NewDeparture(here, runs, spec)
 		d.Leave("a")
--- a/relay/export_test.go
+++ b/relay/export_test.go
@@ -8,7 +8,7 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Names for tests of decisions that need no endpoint.
+// Exports for tests that need no endpoint.
 var (
 	MigrationOrder = migrationOrder
 	MoveTime       = moveTime
--- a/relay/latenews_test.go
+++ b/relay/latenews_test.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// leavingStream is a stream whose engine leaves while another one has room.
+// leavingStream is a stream whose engine leaves while another one has capacity.
 type leavingStream struct {
 	*testRelay
 	req           *relay.Request
@@ -69,8 +69,8 @@
 		Entry("the cut long before", worker.CopyCrash{CutAfter: time.Millisecond, AnswerAfter: 400 * time.Millisecond}),
 	)
 
-	// The engine dies before it sends the answer. Nobody knows the copy's handle, and the caller
-	// must learn at once that the stream is not complete.
+	// The engine dies before it sends the answer. No node knows the copy's handle, and the stream
+	// must be reported as broken at once.
 	It("is given up as soon as the answer is known to be lost", func() {
 		s := startLeaving(worker.Options{
 			CrashAfterCopy: &worker.CopyCrash{CutAfter: time.Millisecond, AnswerAfter: 40 * time.Millisecond, AnswerLost: true},
@@ -94,9 +94,9 @@
 
 var _ = Describe("a stream whose copy is made without an answer", func() {
 	// The connection of the order to copy breaks although the engine lives. The copy exists; a
-	// second order sends only what is new and returns the handle. A node that goes to another
+	// second order sends only the new part and returns the handle. A node that goes to another
 	// target instead sends all of the memory again over a link on which other runs wait, and the
-	// engine is gone before the last of them.
+	// engine exits before the last of them is copied.
 	It("asks the same target again", func() {
 		s := startLeaving(worker.Options{LostMoveAnswers: 1})
 		s.engine("third", longStreamEvents, nil)
--- a/relay/migration.go
+++ b/relay/migration.go
@@ -33,8 +33,8 @@
 
 // Runs of a leaving engine are moved one after another: their copies share the engine's link, and
 // copies that are made concurrently all finish late, or too late. Each node asks the engine once
-// for its runs, derives the same order from the answer, and tells the other nodes when one of its
-// runs has moved.
+// for its runs, derives the same order from the answer, and notifies the other nodes when one of
+// its runs has moved.
 const (
 	// reportTimeout limits the request for the engine's runs. Without an answer, each run is moved
 	// as if it were the only one.
@@ -44,9 +44,9 @@
 	// moveOverhead is the duration of a move without its copy: three calls, and the delivery of the
 	// message that the run has moved.
 	moveOverhead = 25 * time.Millisecond
-	// turnSlackFactor is the multiple of the expected time that a run is given before the next one
-	// stops waiting for it. A copy to another data centre takes twice as long, and the run's node
-	// may be gone.
+	// turnSlackFactor is the multiple of the expected time of a run's move after which the next run
+	// stops waiting for it. A copy to another data centre takes twice as long, and the node that
+	// moves the run may have failed.
 	turnSlackFactor = 2.2
 )
 
@@ -73,8 +73,8 @@
 	return spec.CopyTime(tokens) + moveOverhead
 }
 
-// migration is the departure of one engine and the order in which its runs move. order, spec and
-// engine are written before ready is closed.
+// migration holds the order in which the runs of one leaving engine move. order, spec and engine
+// are written before ready is closed.
 type migration struct {
 	ready chan struct{}
 	// began is when the first run requested the order.
@@ -96,13 +96,13 @@
 	return m.order
 }
 
-// migrations holds the current departures by endpoint incarnation.
+// migrations holds the current migrations by endpoint incarnation.
 type migrations struct {
 	mu  sync.Mutex
 	all map[fleet.Incarnation]*migration
 }
 
-// maxMigrations is the maximum number of departures kept; when it is reached, all are dropped. Only
+// maxMigrations is the maximum number of migrations kept; when it is reached, all are dropped. Only
 // a few endpoints that run work of this node leave at a time.
 const maxMigrations = 64
 
--- a/relay/migration_sim_test.go
+++ b/relay/migration_sim_test.go
@@ -16,8 +16,8 @@
 // The simulated load: an engine with three to ten long generations is reclaimed. The figures are
 // those of the users' deployments: 18,432 bytes a token over a link of 2,700 Mbit/s, prompts of
 // 3,000 tokens on average and answers of up to 2,200, a notice of 1.54 to 2.1 s, and 100 new tokens
-// a second for each run. A quarter of the runs find room in another data centre only, where a copy
-// takes twice as long. Copies queue on the link in the order in which they are requested.
+// a second for each run. A quarter of the runs find a target in another data centre only, where a
+// copy takes twice as long. Copies queue on the link in the order in which they are requested.
 const (
 	// stallLimit is the pause from which a caller's answer counts as stalled.
 	stallLimit = 180 * time.Millisecond
@@ -33,7 +33,7 @@
 	reportDelay = 15 * time.Millisecond
 )
 
-// run is a run on a leaving engine. far is set if it finds room in another data centre only.
+// run is a run on a leaving engine. far is set if it finds a target in another data centre only.
 type run struct {
 	relay.EngineRun
 	far bool
@@ -110,7 +110,7 @@
 func noMoves(d departure) outcome { return outcome{lost: len(d.runs)} }
 
 // inTurn is the implemented policy: a run is copied, and the next one starts when that is reported
-// or its wait times out. When the engine is gone, each run is resumed from its copy, where the last
+// or its wait times out. When the engine exits, each run is resumed from its copy, where the last
 // tokens are recomputed.
 func inTurn(delay time.Duration) policy {
 	return func(d departure) (o outcome) {
@@ -140,7 +140,7 @@
 }
 
 // stopAndCopy starts each run's move at its given time, and stops the run once a small copy took
-// less than 40 ms, or 0.25 s before the engine is gone.
+// less than 40 ms, or 0.25 s before the engine exits.
 func stopAndCopy(starts func(d departure) []time.Duration) policy {
 	return func(d departure) (o outcome) {
 		var steps []step
@@ -197,7 +197,7 @@
 var _ = Describe("moves in turn, on a model of the link", func() {
 	// Two seeds, so that the comparison does not depend on one.
 	for _, seed := range []uint64{1, 2} {
-		It(fmt.Sprintf("let more streams go on smoothly than other ways, seed %d", seed), func() {
+		It(fmt.Sprintf("let more streams continue smoothly than the alternatives, seed %d", seed), func() {
 			all := randomDepartures(seed)
 			built, slots, once := simulate(all, inTurn(reportDelay)), simulate(all, stopAndCopy(spaced)), simulate(all, stopAndCopy(atOnce))
 			none, best := simulate(all, noMoves), simulate(all, inTurn(0))
--- a/relay/mover.go
+++ b/relay/mover.go
@@ -11,10 +11,10 @@
 )
 
 // migrator copies the KV cache of a running generation away from an engine that is about to leave.
-// The run is not stopped: it continues on its engine until that is gone, and is then resumed from
-// the copy, where the engine recomputes the tokens generated since the last refresh of the copy.
-// The caller sees a pause of a few steps. Without a copy, every stream on a leaving engine is lost,
-// because a stream must not be run twice.
+// The run is not stopped: it continues on its engine until the engine exits, and is then resumed
+// from the copy, where the engine recomputes the tokens generated since the last refresh of the
+// copy. The caller sees a pause of a few steps. Without a copy, every stream on a leaving engine is
+// lost, because a stream must not be run twice.
 //
 // Stopping the run first would avoid the recomputation, but its last part would wait behind
 // everything that is queued on the links of source and target, and so would its caller: half a
@@ -27,7 +27,7 @@
 	begun     chan struct{}
 	beginOnce sync.Once
 
-	// refused holds the IDs of engines that had no room for the run.
+	// refused holds the IDs of engines to which no copy of the run could be made.
 	refused []string
 
 	mu sync.Mutex
@@ -41,7 +41,7 @@
 const (
 	// maxMoveTries is the maximum number of targets that are tried for one run.
 	maxMoveTries = 12
-	// moveRetryPause is the pause before the next search for a target when no engine had room.
+	// moveRetryPause is the pause before the next search for a target when no engine had capacity.
 	moveRetryPause = 60 * time.Millisecond
 )
 
@@ -75,14 +75,14 @@
 
 func (m *migrator) markBegun() { m.beginOnce.Do(func() { close(m.begun) }) }
 
-// watch waits until the engine is leaving and then has the run copied when its turn comes.
+// watch waits until the engine is leaving, and copies the run when its turn comes.
 func (m *migrator) watch(ctx context.Context) {
 	s := m.segment
 	if !await(ctx, s.p.Leaving()) || s.p.EndpointContext().Err() != nil {
 		return
 	}
 	if s.backupUsable() {
-		// The run will be resumed from its backup, which leaves the link to runs without a backup.
+		// The run will be resumed from its backup, so that the link is free for runs without one.
 		s.Vacated.markVacated(s.runKey())
 		if !await(ctx, s.backup.Unusable()) {
 			return
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -89,7 +89,7 @@
 type Protocol interface {
 	// AttemptHeader returns the request headers of one attempt.
 	AttemptHeader(r *Request, a *Attempt) http.Header
-	// Mine reports whether an answer with the header h belongs to the request.
+	// MatchAnswer reports whether an answer with the header h belongs to the request.
 	Mine(r *Request, h http.Header) bool
 	// Reply parses the status and header of an answer.
 	Reply(status int, h http.Header) Reply
@@ -218,11 +218,10 @@
 }
 
 const (
-	// promptTokensPerSecond is the rate at which a busy engine processes a prompt beside its other
-	// work.
+	// prefillTokensPerSecond is the prefill rate of a busy engine in prompt tokens per second.
 	promptTokensPerSecond = 7500.0
-	// startMargin is the time that a generation needs until its first event, in addition to
-	// processing its own prompt: the rest of another prompt, and the network latency.
+	// startMargin is the time that a generation needs until its first event, in addition to the
+	// prefill of its own prompt: the rest of another prefill, and the network latency.
 	startMargin = 300 * time.Millisecond
 )
 
@@ -281,7 +280,7 @@
 	return remaining
 }
 
-// send sends the request to the endpoint of p and returns the head of its answer.
+// send sends the request to the endpoint of p and returns its answer once the header has arrived.
 func (j *job) send(ctx context.Context, p *fleet.Placement, resume *Resume, backup *fleet.BackupReservation) (*h1.Response, error) {
 	attempt := Attempt{Instance: p.Instance(), Remaining: time.Until(j.r.Deadline), Resume: resume}
 	if backup != nil {
@@ -317,8 +316,8 @@
 	j.Fleet.RecordNotice(in, reply.Notice, j.r.ID)
 }
 
-// limitedCounter returns the name of the counter of answers that name a rate limit. First attempts
-// and retries are counted separately.
+// limitedCounter returns the name of the counter of answers that report a request limit. First
+// attempts and retries are counted separately.
 func (j *job) limitedCounter() string {
 	if j.result.Attempts > 1 {
 		return "answers_naming_limit_again"
@@ -340,7 +339,7 @@
 	lostRetryAfter = 200 * time.Millisecond
 )
 
-// lostRefusal is the answer to a request of which it is unknown whether it was executed.
+// lostRefusal is the answer to a request that may or may not have been executed.
 func lostRefusal(format string, args ...any) *crocusreel.Refusal {
 	return crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetryAfter, format, args...)
 }
@@ -362,8 +361,9 @@
 }
 
 const (
-	// maxFirstEventTime and maxTimePerToken are the longest times on a crowded engine: until the
-	// first event, when the prompt waits for others to be processed, and for each token.
+	// maxFirstEventTime is the longest time until the first event on a crowded engine, where the
+	// prefill waits for that of other prompts. maxTimePerToken is the longest time for each token
+	// there.
 	maxFirstEventTime = 2 * time.Second
 	maxTimePerToken   = 12 * time.Millisecond
 )
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -171,7 +171,7 @@
 }
 
 var _ = Describe("a call to a plain service", func() {
-	It("brings back the answer unchanged", func() {
+	It("returns the answer unchanged", func() {
 		r := newTestRelay()
 		w := r.service("i1", worker.None)
 		req := r.request(routing.NonIdempotent)
@@ -187,8 +187,8 @@
 		Expect(run.Header.Get("Crocusreel-Deadline-Ms")).To(MatchRegexp(`^2\d\d\d$`))
 	})
 
-	// Work that may have run is not sent again: a bed would be booked twice. Its caller must not be
-	// told that it has not run either.
+	// Work that may have run must not be sent again, or a bed is booked twice. The refusal must not
+	// claim that the work has not run either.
 	DescribeTable("that may run only once is not retried after a fault that leaves its outcome unknown",
 		func(fault worker.Fault) {
 			r := newTestRelay()
@@ -208,9 +208,8 @@
 		Entry("crash", worker.Crash),
 	)
 
-	// The same faults cost a caller of idempotent work nothing as long as another endpoint does the
-	// work.
-	DescribeTable("that may be repeated is given to another endpoint",
+	// Idempotent work must succeed despite the same faults as long as another endpoint can run it.
+	DescribeTable("that may be repeated is retried on another endpoint",
 		func(fault worker.Fault) {
 			r := newTestRelay()
 			bad := r.service("bad", fault)
@@ -224,7 +223,7 @@
 					return
 				}
 			}
-			Fail("the endpoint at fault was never chosen")
+			Fail("the faulty endpoint was not chosen in 20 requests")
 		},
 		Entry("failure of the endpoint", worker.Fail),
 		Entry("lost answer", worker.LoseAnswer),
@@ -325,7 +324,7 @@
 }
 
 var _ = Describe("a stream", func() {
-	It("brings every event once and in order", func() {
+	It("delivers every event once and in order", func() {
 		r := newTestRelay()
 		r.engine("e1", 20, nil)
 		req := r.request(routing.Streaming)
@@ -337,7 +336,7 @@
 
 	// Engines are reclaimed at short notice in the middle of long answers, and an answer must not
 	// be run twice. The caller sees one uninterrupted stream.
-	It("goes on at another engine when its engine is about to leave", func() {
+	It("continues on another engine when its engine is about to stop", func() {
 		r := newTestRelay()
 		first := r.engine("first", 100, nil)
 		req := r.request(routing.Streaming)
@@ -359,8 +358,9 @@
 		Expect(second.Runs()[0].Resumed).To(BeTrue())
 	})
 
-	// A leaving engine takes its time to exit. The stream needs no other engine as long as it runs.
-	It("stays at an engine that leaves until that is gone", func() {
+	// A leaving engine may run for some time before it exits. The stream needs no other engine
+	// during that time.
+	It("stays on a leaving engine until the engine exits", func() {
 		r := newTestRelay()
 		first := r.engine("first", 60, nil)
 		req := r.request(routing.Streaming)
@@ -379,7 +379,8 @@
 	})
 
 	// The engine's process exits in the middle of a stream without a length, which looks like the
-	// end of the answer to the node. The caller must not take what it has for the complete answer.
+	// end of the answer to the node. The caller must not mistake the partial answer for a complete
+	// one.
 	It("is reported as broken when its engine exits and the answer has no length", func() {
 		r := newTestRelay()
 		first := r.engine("first", 100, always(worker.Unframed))
@@ -394,7 +395,7 @@
 
 	// An engine dies without notice in the middle of a long answer. Another engine has received the
 	// run's memory as it grew.
-	It("goes on from its backup when its engine dies", func() {
+	It("continues from its backup when its engine dies", func() {
 		r := newTestRelay()
 		r.backups = true
 		engines := map[string]*worker.Worker{"e1": r.engine("e1", 100, nil), "e2": r.engine("e2", 100, nil)}
@@ -478,9 +479,9 @@
 		Entry("caller gone", true),
 	)
 
-	// An engine leaves and no other has room. The stream continues there and may end before the
-	// engine does.
-	It("stays where it is when there is no other engine", func() {
+	// An engine leaves and no other has capacity. The stream continues there and may end before the
+	// engine exits.
+	It("stays on its engine when there is no other engine", func() {
 		r := newTestRelay()
 		r.engine("only", 60, nil)
 		req := r.request(routing.Streaming)
@@ -493,9 +494,9 @@
 		Expect(a.text()).To(Equal(events(req.ID, 1, 60)))
 	})
 
-	// An engine dies in the middle of an event. Nobody has the run's memory and it must not be run
-	// again, so the caller must see that the stream is not complete.
-	DescribeTable("is visibly broken off when it cannot be completed, and never run again",
+	// An engine dies in the middle of an event. There is no copy of the run's memory and it must
+	// not be run again, so the caller must see that the stream is not complete.
+	DescribeTable("is reported as broken when it cannot be completed, and is never run again",
 		func(fault worker.Fault) {
 			r := newTestRelay()
 			one, two := r.engine("e1", 20, always(fault)), r.engine("e2", 20, always(fault))
@@ -511,7 +512,7 @@
 	)
 
 	// A caller leaves. Without cancellation its engine would spend seconds on unwanted work.
-	It("ends at the engine when its caller leaves", func() {
+	It("is stopped on its engine when its caller leaves", func() {
 		r := newTestRelay()
 		e := r.engine("e1", 400, nil)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -525,7 +526,7 @@
 		Eventually(done).Should(Receive())
 	})
 
-	It("is sent to another engine when one refuses it unrun", func() {
+	It("is sent to another engine when one refuses it without running it", func() {
 		r := newTestRelay()
 		full := r.engine("full", 10, always(worker.Shed))
 		r.engine("good", 10, nil)
@@ -556,7 +557,7 @@
 
 	// After its first death a request is sent several times at once. All copies run before their
 	// deaths are known, and each would kill an engine of its own.
-	It("runs at no more engines at once than it may still kill", func() {
+	It("runs on no more engines at once than it may still kill", func() {
 		r := newTestRelay()
 		var engines []*worker.Worker
 		for i := range 8 {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -122,8 +122,8 @@
 	return sendErrorResult(err)
 }
 
-// silentThreshold is the time without the head of an answer after which an engine counts as silent.
-// The head is sent with the first event, which takes a second on a full engine.
+// silentThreshold is the time without the header of an answer after which an engine counts as
+// silent. The header is sent with the first event, which takes a second on a full engine.
 const silentThreshold = 2 * time.Second
 
 // deliverNonStream delivers an endpoint's answer that is not a stream.
@@ -152,7 +152,7 @@
 	return end, next
 }
 
-// forward sends the head of the answer and the events to the caller until the segment ends, and
+// forward sends the header of the answer and the events to the caller until the segment ends, and
 // then resumes the stream on another endpoint if the segment was cut.
 func (s *segment) forward(ctx context.Context, prog *progress) (segmentEnd, *segment) {
 	if !s.sink.Begun() {
--- a/relay/strikes.go
+++ b/relay/strikes.go
@@ -75,7 +75,7 @@
 	return s.suspects.TimeUntilBelow(uint64(work), limit, s.now())
 }
 
-// Add records a death seen by this node and returns the number of strikes against the work.
+// Add records a death observed by this node and returns the number of strikes against the work.
 func (s *Strikes) Add(work Fingerprint, endpoint uint32) int {
 	defer s.Broadcast()
 	s.mu.Lock()
--- a/relay/transfer.go
+++ b/relay/transfer.go
@@ -39,9 +39,9 @@
 	copyUncertain bool
 }
 
-// copy copies what is new while the run continues, and reports success. It is not cancelled when
-// the stream ends: the engine would make the copy anyway, and its handle, which is needed to free
-// it, would be unknown.
+// copy sends the part of the KV cache that the target does not have yet, while the run continues,
+// and reports success. It is not cancelled when the stream ends: the engine would make the copy
+// anyway, and its handle, which is needed to free it, would be unknown.
 func (t *transfer) copy(ctx context.Context) bool {
 	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	return err == nil && !got.Refused && ctx.Err() == nil
 }
 
-// refresh copies what is new at regular intervals until the segment ends or a copy fails.
+// refresh repeats copy at regular intervals until the segment ends or a copy fails.
 func (t *transfer) refresh(ctx context.Context) {
 	for {
 		retry.Sleep(ctx, refreshInterval)
@@ -63,10 +63,10 @@
 	}
 }
 
-// moveWithRetry orders the copy, and repeats the order while its answer is lost, until the context
-// until ends. The engine makes the copy even if the answer is lost, and only a second order, which
-// sends just what is new, returns its handle. Without it, the whole KV cache would be sent again to
-// another target, over a link that other runs of the leaving engine wait for.
+// moveWithRetry orders the copy, and repeats the order while its answer is lost, until streamCtx
+// ends. The engine makes the copy even if the answer is lost, and only a second order, which sends
+// just the new part of the KV cache, returns its handle. Without it, the whole KV cache would be
+// sent again to another target, over a link that other runs of the leaving engine wait for.
 func (t *transfer) moveWithRetry(ctx, until context.Context) (MoveResult, error) {
 	pause := copyRetryPause
 	for try := 1; ; try++ {
@@ -100,8 +100,8 @@
 
 // abandon gives up the target in the background. A copy occupies memory and a slot on the target
 // until it is freed. If it is not certain that it was freed, the placement is kept for as long as
-// the engine may keep the copy. Otherwise the engine would be given work that it has no room for,
-// and that work would wait there until its deadline.
+// the engine may keep the copy. Otherwise the engine would be given work for which it has no
+// memory, and that work would wait there until its deadline.
 func (t *transfer) abandon() {
 	go func() {
 		if !t.free() {
--- a/relay/vacated.go
+++ b/relay/vacated.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// evictExpired drops entries older than after once m has maxVacated entries, and all entries if it
-// is still full then.
+// evictExpired drops entries older than ttl once m has maxVacated entries, and all entries if it is
+// still full then.
 func evictExpired(m map[RunKey]time.Duration, now, after time.Duration) {
 	if len(m) < maxVacated {
 		return
@@ -119,7 +119,8 @@
 	v.ended[run] = v.now()
 }
 
-// announceEnded tells the other nodes which of the runs that an engine still reports have ended.
+// announceEnded broadcasts to the other nodes which of the runs that an engine still reports have
+// ended.
 func (v *VacatedRuns) announceEnded(runs []EngineRun, engine fleet.EndpointKey) {
 	v.mu.Lock()
 	announced := false
--- a/retry/window.go
+++ b/retry/window.go
@@ -10,14 +10,15 @@
 // a token bucket that has accumulated tokens would exceed it.
 type Window struct {
 	mu sync.Mutex
-	// Each element counts one slice of the window; the newest is at head modulo windowSlices.
+	// attempts and retries hold one count per slice of the window. The newest slice is at index
+	// head modulo windowSlices.
 	attempts, retries [windowSlices]float64
 	head              int64
 	set               *Windows
 }
 
-// windowSlices is the number of slices in a window. A retry is forgotten up to one slice too late,
-// never too early.
+// windowSlices is the number of slices in a window. Counts expire by whole slices, up to
+// one slice before they are Length old.
 const windowSlices = 10
 
 // Windows holds one window per name, and the limits that all of them share.
