--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -55,10 +55,10 @@
 	return f.coldUntilLocked(e, s, now) != 0
 }
 
-// takesColdLocked reports whether this node may send a request to the endpoint now under the limit
-// for cold endpoints. If not, it schedules a dispatch of waiting work for the time at which that
-// changes.
-func (f *Fleet) takesColdLocked(e *Endpoint, s *routing.Service, load *Load, now time.Duration) bool {
+// coldLimitAllowsLocked reports whether this node may send a request to the endpoint now under the
+// limit for cold endpoints. If not, it schedules a dispatch of waiting work for the time at which
+// that changes.
+func (f *Fleet) coldLimitAllowsLocked(e *Endpoint, s *routing.Service, load *Load, now time.Duration) bool {
 	until := f.coldUntilLocked(e, s, now)
 	if until == 0 {
 		return true
--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -109,7 +109,7 @@
 
 // peak simulates the case. It returns the largest number of requests that the endpoint gets within
 // one second, and the number that it gets in the first second.
-func (c coldCase) peak(random *rand.Rand, newSender func(name string, all []string, heard int) sender) (most, first int) {
+func (c coldCase) peak(random *rand.Rand, newSender func(name string, all []string, assumedNodes int) sender) (most, first int) {
 	names := []string{}
 	for i := range c.nodes {
 		names = append(names, fmt.Sprintf("10.0.%d.%d-%d", i/250, i%250, random.Uint32()))
@@ -193,11 +193,11 @@
 func TestWaysToBoundColdEndpoints(t *testing.T) {
 	methods := []struct {
 		name string
-		make func(name string, all []string, heard int) sender
+		make func(name string, all []string, assumedNodes int) sender
 	}{
 		{"no limit", func(string, []string, int) sender { return unlimitedSender{} }},
-		{"equal shares", func(_ string, _ []string, heard int) sender {
-			return &equalShareSender{every: time.Duration(float64(heard) / coldRate * float64(time.Second))}
+		{"equal shares", func(_ string, _ []string, assumedNodes int) sender {
+			return &equalShareSender{every: time.Duration(float64(assumedNodes) / coldRate * float64(time.Second))}
 		}},
 		{"three owners", func(name string, all []string, _ int) sender { return newOwnerSender(name, all) }},
 		{"turns", newTurnMethodSender},
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -96,15 +96,15 @@
 	// answeredAt is the time of the last answer without a notice to this node, before the instance
 	// has sent any notice.
 	answeredAt time.Duration
-	// noticed holds the notices that the instance has sent, or nil if there are none.
-	noticed *noticeRecord
+	// noticeRecord holds the notices that the instance has sent, or nil if there are none.
+	noticeRecord *noticeRecord
 	// missingSince is the time at which the store entry disappeared although the instance may be
 	// alive, or 0 if the entry exists.
 	missingSince time.Duration
-	// confirmedAlive is set once the instance has confirmed at a health check, while its store
+	// confirmedHealthy is set once the instance has confirmed at a health check, while its store
 	// entry was missing, that it is not about to stop.
-	confirmedAlive bool
-	own            Load
+	confirmedHealthy bool
+	own              Load
 	// remote holds the load from each other node, and remoteTotal is their sum.
 	remote      map[string]Load
 	remoteTotal Load
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -149,8 +149,8 @@
 	}
 	if !known {
 		e = newEndpoint(in)
-		e.noticed = f.notices[e.key]
-		if e.noticed != nil && e.noticed.leaving {
+		e.noticeRecord = f.notices[e.key]
+		if e.noticeRecord != nil && e.noticeRecord.leaving {
 			e.markLeavingByAnswer(f.now())
 		}
 		if _, evacuated := f.evacuated[in.DataCentre]; evacuated {
@@ -191,7 +191,7 @@
 		return
 	}
 	if tentative {
-		e.missingSince, e.confirmedAlive = f.now(), false
+		e.missingSince, e.confirmedHealthy = f.now(), false
 		f.unconfirmed[e] = struct{}{}
 		return
 	}
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -55,7 +55,7 @@
 }
 
 // limited reports whether the endpoint has a request limit in force.
-func (e *Endpoint) limited() bool { return e.noticed != nil && e.noticed.limit.isSet }
+func (e *Endpoint) limited() bool { return e.noticeRecord != nil && e.noticeRecord.limit.isSet }
 
 // nextSlotLocked returns when this node may send the next request to an endpoint with a limit:
 // now, while the current slot of this node lasts. Known is false if the node may not send any
@@ -65,7 +65,7 @@
 	if roster == nil {
 		return 0, false
 	}
-	n := e.noticed
+	n := e.noticeRecord
 	if n.roster != roster {
 		n.rank, n.roster = pace.Rank(f.Name, roster.Names, uint32(e.key)), roster
 	}
@@ -92,7 +92,7 @@
 	if !e.limited() {
 		return
 	}
-	e.noticed.lastSentAt = now
+	e.noticeRecord.lastSentAt = now
 	metrics.Count("limit_turns_used")
 }
 
@@ -101,10 +101,10 @@
 // If this node does not know which nodes share the limit, it returns unknownRosterRetryDelay from
 // now and unknownShareRate.
 func (f *Fleet) availableFromLocked(e *Endpoint, now time.Duration) (at time.Duration, perSecond float64) {
-	if e.noticed == nil {
+	if e.noticeRecord == nil {
 		return now, math.Inf(1)
 	}
-	at, perSecond = max(now, e.noticed.pausedUntil), math.Inf(1)
+	at, perSecond = max(now, e.noticeRecord.pausedUntil), math.Inf(1)
 	if !e.limited() {
 		return at, perSecond
 	}
@@ -112,7 +112,7 @@
 	if !known {
 		return now + unknownRosterRetryDelay, unknownShareRate
 	}
-	return slot, e.noticed.limit.rate() / float64(len(f.Roster().Names))
+	return slot, e.noticeRecord.limit.rate() / float64(len(f.Roster().Names))
 }
 
 // unknownRosterRetryDelay is the time after which callers may retry at a node that does not know
--- a/fleet/mechanism.go
+++ b/fleet/mechanism.go
@@ -49,15 +49,15 @@
 // ParseDisabledMechanisms converts names of mechanisms to a set. It returns an error for an unknown
 // name.
 func ParseDisabledMechanisms(names []string) (DisabledMechanisms, error) {
-	w := make(DisabledMechanisms, len(names))
+	disabled := make(DisabledMechanisms, len(names))
 	for _, name := range names {
 		m := Mechanism(name)
 		if !slices.Contains(Mechanisms, m) {
 			return nil, eris.Errorf("unknown mechanism %q, known mechanisms are %s", name, mechanismNames())
 		}
-		w[m] = true
+		disabled[m] = true
 	}
-	return w, nil
+	return disabled, nil
 }
 
 func mechanismNames() string {
--- a/fleet/missing.go
+++ b/fleet/missing.go
@@ -51,7 +51,7 @@
 	var unconfirmed []Instance
 	now := f.now()
 	for e := range f.unconfirmed {
-		missing := e.missingSince != 0 && !e.confirmedAlive && e.Service == service && e.DataCentre == dataCentre
+		missing := e.missingSince != 0 && !e.confirmedHealthy && e.Service == service && e.DataCentre == dataCentre
 		if missing && f.takeHealthCheckLocked(e, now) {
 			unconfirmed = append(unconfirmed, e.Instance)
 		}
@@ -64,6 +64,6 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e := f.byKey[key]; e != nil {
-		e.confirmedAlive = true
+		e.confirmedHealthy = true
 	}
 }
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -76,15 +76,15 @@
 // noticeRecordLocked returns the record of an incarnation, or nil if there is none. With create
 // set, it creates a missing record.
 func (f *Fleet) noticeRecordLocked(key EndpointKey, create bool) *noticeRecord {
-	known := f.notices[key]
-	if known == nil && create {
-		known = &noticeRecord{createdAt: f.now()}
-		f.notices[key] = known
+	record := f.notices[key]
+	if record == nil && create {
+		record = &noticeRecord{createdAt: f.now()}
+		f.notices[key] = record
 		if e := f.byKey[key]; e != nil {
-			e.noticed, known.limitAt = known, e.answeredAt
+			e.noticeRecord, record.limitAt = record, e.answeredAt
 		}
 	}
-	return known
+	return record
 }
 
 // RecordNotice records the notice in an answer that an incarnation has just given. Request is the
@@ -93,8 +93,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := in.Incarnation().Key()
-	known := f.noticeRecordLocked(key, !n.Empty())
-	if known == nil {
+	record := f.noticeRecordLocked(key, !n.Empty())
+	if record == nil {
 		// Record the time, so that an older limit reported by another node is not applied to an
 		// endpoint that no longer reports one.
 		if e := f.byKey[key]; e != nil {
@@ -102,20 +102,20 @@
 		}
 		return
 	}
-	before := notice.Notice{Limited: known.limit.isSet, Limit: known.limit.perSecond, Leaving: known.leaving}
-	changed := n.Leaving && f.setLeavingLocked(key, known)
+	before := notice.Notice{Limited: record.limit.isSet, Limit: record.limit.perSecond, Leaving: record.leaving}
+	changed := n.Leaving && f.setLeavingLocked(key, record)
 	if changed {
-		known.announcedAt = f.now()
+		record.announcedAt = f.now()
 	}
 	if n.LimitErr == nil {
 		// If the limit cannot be parsed, the previous one stays in force.
-		changed = f.setOwnLimitLocked(key, known, n) || changed
+		changed = f.setOwnLimitLocked(key, record, n) || changed
 	}
 	faulty := n.Err() != nil
-	unread := faulty && !known.unreadable
-	known.unreadable = faulty
-	paused := f.startPauseLocked(in.Service, known, n.Pause)
-	if changed || unread || paused {
+	newlyUnreadable := faulty && !record.unreadable
+	record.unreadable = faulty
+	pauseStarted := f.startPauseLocked(in.Service, record, n.Pause)
+	if changed || newlyUnreadable || pauseStarted {
 		f.OnNotice(NoticeChange{Instance: in, Notice: n, Before: before, Request: request})
 	}
 	if changed {
@@ -125,16 +125,16 @@
 
 // setOwnLimitLocked records the limit, or the end of the limit, in an answer to this node, and
 // reports whether that changes the known limit.
-func (f *Fleet) setOwnLimitLocked(key EndpointKey, known *noticeRecord, n notice.Notice) bool {
-	before := known.limit
-	if !n.Limited && !known.everLimited {
-		known.limitAt = f.now()
+func (f *Fleet) setOwnLimitLocked(key EndpointKey, record *noticeRecord, n notice.Notice) bool {
+	before := record.limit
+	if !n.Limited && !record.everLimited {
+		record.limitAt = f.now()
 		return false
 	}
-	known.ownReported = true
-	known.ownLimit, known.ownLimitAt = limit{isSet: n.Limited, perSecond: n.Limit}, f.now()
-	f.setLimitLocked(key, known, known.ownLimit, known.ownLimitAt)
-	return before != known.ownLimit
+	record.ownReported = true
+	record.ownLimit, record.ownLimitAt = limit{isSet: n.Limited, perSecond: n.Limit}, f.now()
+	f.setLimitLocked(key, record, record.ownLimit, record.ownLimitAt)
+	return before != record.ownLimit
 }
 
 // setLeavingLocked records that an incarnation has announced that it is about to stop. It reports
@@ -185,11 +185,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, key := range keys {
-		known := f.noticeRecordLocked(key, true)
-		if !f.setLeavingLocked(key, known) {
+		record := f.noticeRecordLocked(key, true)
+		if !f.setLeavingLocked(key, record) {
 			continue
 		}
-		known.remoteAnnouncedAt = f.now()
+		record.remoteAnnouncedAt = f.now()
 		f.OnNotice(NoticeChange{Instance: f.byKey[key].Instance, Notice: notice.Notice{Leaving: true}, Node: node})
 	}
 }
@@ -250,10 +250,10 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	for _, l := range reports {
-		known := f.noticeRecordLocked(l.Key, true)
-		before := known.limit
+		record := f.noticeRecordLocked(l.Key, true)
+		before := record.limit
 		reported := limit{isSet: l.Limited, perSecond: l.Limit}
-		if !f.setLimitLocked(l.Key, known, reported, now-l.Age) || before == reported {
+		if !f.setLimitLocked(l.Key, record, reported, now-l.Age) || before == reported {
 			continue
 		}
 		if e := f.byKey[l.Key]; e != nil {
--- a/fleet/notice_model_test.go
+++ b/fleet/notice_model_test.go
@@ -251,12 +251,12 @@
 			in := pick()
 			age := time.Duration(rapid.IntRange(0, 2000).Draw(t, "age")) * time.Millisecond
 			limited := rapid.Bool().Draw(t, "limited")
-			news := fleet.LimitReport{Key: in.Incarnation().Key(), Limited: limited, Age: age}
+			report := fleet.LimitReport{Key: in.Incarnation().Key(), Limited: limited, Age: age}
 			if limited {
-				news.Limit = rate.Draw(t, "rate")
+				report.Limit = rate.Draw(t, "rate")
 			}
-			m.RecordRemoteLimits("10.0.0.2", []fleet.LimitReport{news})
-			m.recordReport(*in).setLimit(news.Limited, news.Limit, m.now-age)
+			m.RecordRemoteLimits("10.0.0.2", []fleet.LimitReport{report})
+			m.recordReport(*in).setLimit(report.Limited, report.Limit, m.now-age)
 		},
 		"another node reports a leaving engine": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "seldom") > 0 {
--- a/fleet/pause.go
+++ b/fleet/pause.go
@@ -25,7 +25,7 @@
 
 // pausedLocked reports whether a pause that the endpoint requested from this node is in effect.
 func (f *Fleet) pausedLocked(e *Endpoint) bool {
-	return e.noticed != nil && f.now() < e.noticed.pausedUntil
+	return e.noticeRecord != nil && f.now() < e.noticeRecord.pausedUntil
 }
 
 // deferForPauseLocked reports whether the endpoint's pause is in effect. If so, it schedules
@@ -34,6 +34,6 @@
 	if !f.pausedLocked(e) {
 		return false
 	}
-	f.scheduleTickLocked(now, e.noticed.pausedUntil-now)
+	f.scheduleTickLocked(now, e.noticeRecord.pausedUntil-now)
 	return true
 }
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -111,23 +111,23 @@
 				continue
 			}
 			load := e.total()
-			if !f.fitsLocked(e, w, &load) || !f.takesColdLocked(e, w.Service, &load, now) || !f.limitAllowsLocked(e, now) {
+			if !f.fitsLocked(e, w, &load) || !f.coldLimitAllowsLocked(e, w.Service, &load, now) || !f.limitAllowsLocked(e, now) {
 				continue
 			}
 			if cost := f.costLocked(e, w, &load, now); best == nil || cost < bestCost {
 				best, bestCost = e, cost
 			}
 		}
-		if best != nil || f.anyInServiceLocked(w, now) {
+		if best != nil || f.anyNotEjectedLocked(w, now) {
 			return best
 		}
 	}
 	return best
 }
 
-// anyInServiceLocked reports whether some eligible endpoint is not ejected. If all are ejected,
+// anyNotEjectedLocked reports whether some eligible endpoint is not ejected. If all are ejected,
 // ejection is ignored, as it no longer helps to choose among them.
-func (f *Fleet) anyInServiceLocked(w *Work, now time.Duration) bool {
+func (f *Fleet) anyNotEjectedLocked(w *Work, now time.Duration) bool {
 	for _, e := range f.services[w.Service.Name] {
 		if f.eligibleLocked(e, w) && !f.ejectedLocked(e, now) {
 			return true
--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -203,8 +203,8 @@
 func (f *Fleet) reportExclusionLocked(e *Endpoint, r Result, now time.Duration) {
 	h := &e.health
 	excluded := now < h.ejectedUntil
-	back := r == Good && !excluded
-	if (excluded && !h.reported) || (back && h.reported) {
+	healthy := r == Good && !excluded
+	if (excluded && !h.reported) || (healthy && h.reported) {
 		h.reported = excluded
 		f.OnExclusion(Exclusion{
 			Instance: e.Instance, Excluded: excluded, Cause: r, Duration: max(h.ejectedUntil-now, 0), Failures: h.failures,
--- a/fleet/queue.go
+++ b/fleet/queue.go
@@ -22,8 +22,8 @@
 // waitResult is the outcome of a wait: a placement, or a refusal if no endpoint can run the work in
 // time.
 type waitResult struct {
-	place   *Placement
-	refusal *crocusreel.Refusal
+	placement *Placement
+	refusal   *crocusreel.Refusal
 }
 
 // lateRankPenalty is added to the rank of work that can no longer start in time, so that such work
@@ -115,10 +115,10 @@
 	defer timer.Stop()
 	select {
 	case end := <-w.done:
-		if end.place != nil {
-			end.place.Waited = f.now() - w.enqueuedAt
+		if end.placement != nil {
+			end.placement.Waited = f.now() - w.enqueuedAt
 		}
-		return end.place, end.refusal
+		return end.placement, end.refusal
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -131,10 +131,10 @@
 	select {
 	case end := <-w.done:
 		// The placement was granted while the wait ended.
-		if end.place == nil || ctx.Err() == nil {
-			return end.place, end.refusal
+		if end.placement == nil || ctx.Err() == nil {
+			return end.placement, end.refusal
 		}
-		go end.place.Release(Neutral)
+		go end.placement.Release(Neutral)
 	default:
 	}
 	return nil, f.refuseLocked(w.work)
@@ -241,7 +241,7 @@
 		return
 	}
 	q.remove(w)
-	w.done <- waitResult{place: f.placeLocked(e, w.work.Demand)}
+	w.done <- waitResult{placement: f.placeLocked(e, w.work.Demand)}
 }
 
 // Bounds of the retry-after time in refusals.
@@ -256,23 +256,23 @@
 )
 
 func (f *Fleet) refuseLocked(w *Work) *crocusreel.Refusal {
-	alive := 0
+	inService := 0
 	for _, e := range f.services[w.Service.Name] {
 		if !e.isLeaving && f.inRegionsLocked(e, w) {
-			alive++
+			inService++
 		}
 	}
-	if alive == 0 && w.RegionBound {
+	if inService == 0 && w.RegionBound {
 		return refuseNoneInRegions(w)
 	}
-	if alive == 0 {
+	if inService == 0 {
 		return crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, noEndpointRetry,
 			"no endpoint of service %q is in service", w.Service.Name)
 	}
 	waiting := f.waitingLocked(w.Service.Name)
 	retry := min(minRetryAfter+time.Duration(waiting)*waitPerRequest, maxRetryAfter)
 	return crocusreel.Refuse(crocusreel.ReasonQueueFull, crocusreel.OutcomeNotRun, retry,
-		"%d endpoints of service %q have no room, %d requests wait here", alive, w.Service.Name, waiting)
+		"%d endpoints of service %q have no room, %d requests wait here", inService, w.Service.Name, waiting)
 }
 
 // Waiting returns the number of requests that wait for a service on this node.
--- a/fleet/remote_test.go
+++ b/fleet/remote_test.go
@@ -41,7 +41,7 @@
 					}
 				},
 			}
-			tell := func() {
+			report := func() {
 				var loads []fleet.Load
 				for range random.IntN(6) {
 					loads = append(loads, fleet.Load{
@@ -53,12 +53,12 @@
 			}
 			for range 400 {
 				if random.IntN(2) == 0 {
-					tell()
+					report()
 				} else {
 					steps[random.IntN(len(steps))]()
 				}
-				kept, counted := w.Totals()
-				Expect(kept).To(Equal(counted))
+				maintained, recomputed := w.Totals()
+				Expect(maintained).To(Equal(recomputed))
 			}
 		})
 	}
--- a/relay/call.go
+++ b/relay/call.go
@@ -51,11 +51,11 @@
 // call serves a request whose answer is a single message.
 func (j *job) call(ctx context.Context) Result {
 	runs := 0
-	var held *answer
+	var errorAnswer *answer
 	for {
 		p, refusal := j.place(ctx)
 		if refusal != nil {
-			return j.exhausted(ctx, held, refusal)
+			return j.exhausted(ctx, errorAnswer, refusal)
 		}
 		got := j.sendOnce(ctx, p, runs)
 		p.Release(got.health)
@@ -65,10 +65,10 @@
 			return j.deliver(got.answer)
 		}
 		if got.answer != nil {
-			if held != nil {
-				held.closeExchange()
+			if errorAnswer != nil {
+				errorAnswer.closeExchange()
 			}
-			held = got.answer
+			errorAnswer = got.answer
 		}
 		if !got.notRun {
 			runs++
@@ -78,7 +78,7 @@
 			j.strikeIfDead(ctx, p)
 		}
 		if ctx.Err() != nil || !j.mayRetry(got, runs) || j.strikeLimitReached() {
-			return j.exhausted(ctx, held, j.failureRefusal(got))
+			return j.exhausted(ctx, errorAnswer, j.failureRefusal(got))
 		}
 		j.result.Detail = got.cause
 	}
@@ -111,9 +111,9 @@
 
 // exhausted ends a request that cannot be sent again. It delivers errorAnswer, the error answer of
 // an endpoint, if there is one, and the refusal otherwise.
-func (j *job) exhausted(ctx context.Context, held *answer, refusal *crocusreel.Refusal) Result {
-	if held != nil {
-		return j.deliver(held)
+func (j *job) exhausted(ctx context.Context, errorAnswer *answer, refusal *crocusreel.Refusal) Result {
+	if errorAnswer != nil {
+		return j.deliver(errorAnswer)
 	}
 	if ctx.Err() != nil {
 		return j.end(j.deadlineRefusal(), j.result.Detail)
@@ -235,9 +235,9 @@
 		source = io.MultiReader(source, a.resp.Body)
 	}
 	if _, err := io.Copy(sinkWriter{j.sink}, source); err != nil {
-		v := j.end(nil, "answer interrupted: "+err.Error())
-		v.Broken = true
-		return v
+		result := j.end(nil, "answer interrupted: "+err.Error())
+		result.Broken = true
+		return result
 	}
 	return j.result
 }
--- a/relay/claims.go
+++ b/relay/claims.go
@@ -129,12 +129,12 @@
 
 // countAhead returns the number of other claims to the same work whose turn comes before this one,
 // and a channel that is closed at the next change of any claim.
-func (c *Claims) countAhead(mine Claim) (int, <-chan struct{}) {
+func (c *Claims) countAhead(claim Claim) (int, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	count := func(other Claim) {
-		if other.Work == mine.Work && other.ID != mine.ID && other.precedes(mine) {
+		if other.Work == claim.Work && other.ID != claim.ID && other.precedes(claim) {
 			n++
 		}
 	}
--- a/relay/copies.go
+++ b/relay/copies.go
@@ -42,8 +42,8 @@
 
 // reserveBackup reserves memory for the backup of a long answer on an endpoint that is not in
 // except. It returns nil for short answers and if no endpoint has memory to spare.
-func (j *job) holdBackup(p *fleet.Placement, except ...string) *fleet.BackupReservation {
-	w := j.want()
+func (j *job) reserveBackup(p *fleet.Placement, except ...string) *fleet.BackupReservation {
+	w := j.work()
 	w.Exclude = except
 	if w.Short() {
 		return nil
@@ -57,7 +57,7 @@
 
 // releaseBackup releases the reservation of a backup: at once if freed is set, because the engine
 // has freed the backup or never made it, and after copyLifetime otherwise.
-func (j *job) dropBackup(h *fleet.BackupReservation, freed bool) {
+func (j *job) releaseBackup(h *fleet.BackupReservation, freed bool) {
 	switch {
 	case h == nil:
 	case freed:
@@ -158,15 +158,15 @@
 		s.setClaim(true)
 	}
 	for i := range copies {
-		place := copies[i].take()
-		if place == nil {
+		placement := copies[i].take()
+		if placement == nil {
 			continue
 		}
-		if next := s.resume(ctx, place, &copies[i].resume, prog); next != nil {
+		if next := s.resume(ctx, placement, &copies[i].resume, prog); next != nil {
 			metrics.Count("stream_from_copy")
 			return next
 		}
-		place.Release(fleet.Neutral)
+		placement.Release(fleet.Neutral)
 	}
 	return nil
 }
--- a/relay/latenews_test.go
+++ b/relay/latenews_test.go
@@ -51,7 +51,7 @@
 	// the copy exists arrives slightly earlier or later on another connection. A node that looks
 	// for copies only at the cut gives the stream up; its log has a broken "request ended" right
 	// before "memory copied".
-	DescribeTable("goes on from the copy whichever comes first, the cut or the answer",
+	DescribeTable("continues from the copy whichever comes first, the cut or the answer",
 		func(dying worker.CopyCrash) {
 			s := startLeaving(worker.Options{CrashAfterCopy: &dying})
 			var v relay.Result
--- a/relay/migration.go
+++ b/relay/migration.go
@@ -111,8 +111,8 @@
 func (l *Relay) migrationFor(ctx context.Context, p *fleet.Placement, spec *routing.EngineSpec) *migration {
 	id := p.Instance().Incarnation()
 	l.migrations.mu.Lock()
-	e, known := l.migrations.all[id]
-	if known && time.Since(e.began) > orderLifetime {
+	m, known := l.migrations.all[id]
+	if known && time.Since(m.began) > orderLifetime {
 		// The endpoint did not stop after its previous notice and is leaving again.
 		known = false
 	}
@@ -120,23 +120,23 @@
 		if l.migrations.all == nil || len(l.migrations.all) >= maxMigrations {
 			l.migrations.all = make(map[fleet.Incarnation]*migration)
 		}
-		e = &migration{ready: make(chan struct{}), began: time.Now()}
-		l.migrations.all[id] = e
+		m = &migration{ready: make(chan struct{}), began: time.Now()}
+		l.migrations.all[id] = m
 	}
 	l.migrations.mu.Unlock()
 	if !known {
-		l.planMigration(e, p, spec)
-		close(e.ready)
+		l.planMigration(m, p, spec)
+		close(m.ready)
 	}
 	select {
-	case <-e.ready:
+	case <-m.ready:
 	case <-ctx.Done():
 	}
-	return e
+	return m
 }
 
-func (l *Relay) planMigration(e *migration, p *fleet.Placement, spec *routing.EngineSpec) {
-	e.spec = spec
+func (l *Relay) planMigration(m *migration, p *fleet.Placement, spec *routing.EngineSpec) {
+	m.spec = spec
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	report, err := l.Mover.Report(ctx, p.Instance().Address)
@@ -145,21 +145,21 @@
 		l.Log.Warn("cannot get the runs of a leaving endpoint", zap.String("endpoint", p.Instance().ID), zap.Error(err))
 		return
 	}
-	if born := p.Instance().StartedAtMS; report.Born != 0 && report.Born != born {
+	if startedAt := p.Instance().StartedAtMS; report.Born != 0 && report.Born != startedAt {
 		metrics.Count("report_of_another_start")
 		l.Log.Warn("leaving endpoint has restarted, its runs are lost", zap.String("endpoint", p.Instance().ID),
-			zap.Int64("born", born), zap.Int64("reported_born", report.Born))
+			zap.Int64("born", startedAt), zap.Int64("reported_born", report.Born))
 		return
 	}
-	e.order = migrationOrder(report.Runs, spec)
-	e.engine = p.Instance().Incarnation().Key()
-	l.Vacated.announceEnded(e.order, e.engine)
+	m.order = migrationOrder(report.Runs, spec)
+	m.engine = p.Instance().Incarnation().Key()
+	l.Vacated.announceEnded(m.order, m.engine)
 	l.Log.Info("runs of a leaving endpoint migrate", zap.String("endpoint", p.Instance().ID), zap.Int("runs", len(report.Runs)),
 		zap.Duration("leaves_in", report.LeavesIn), zap.Duration("since_notice", p.Departure().Since))
 }
 
 // awaitTurn waits until the runs ahead of the given one have moved or have used up their time.
-func (l *Relay) awaitTurn(ctx context.Context, e *migration, runID string) {
+func (l *Relay) awaitTurn(ctx context.Context, m *migration, runID string) {
 	if l.Fleet.Disabled[fleet.MoveTurns] {
 		return
 	}
@@ -167,12 +167,12 @@
 	pending := math.MaxInt
 	for ctx.Err() == nil {
 		changed := l.Vacated.changes()
-		var left time.Duration
+		var remaining time.Duration
 		count := 0
-		for _, run := range e.runsAhead(runID) {
-			if !l.Vacated.has(newRunKey(run.ID, e.engine)) {
+		for _, run := range m.runsAhead(runID) {
+			if !l.Vacated.has(newRunKey(run.ID, m.engine)) {
 				count++
-				left += moveTime(run.Tokens, e.spec)
+				remaining += moveTime(run.Tokens, m.spec)
 			}
 		}
 		if count == 0 {
@@ -181,7 +181,7 @@
 		if count < pending {
 			pending, since = count, time.Now()
 		}
-		wait := time.Until(since.Add(time.Duration(turnSlackFactor * float64(left))))
+		wait := time.Until(since.Add(time.Duration(turnSlackFactor * float64(remaining))))
 		if wait <= 0 {
 			metrics.Count("move_turn_overdue")
 			return
--- a/relay/migration_sim_test.go
+++ b/relay/migration_sim_test.go
@@ -27,8 +27,8 @@
 	departureCount = 500
 	farShare       = 0.25
 	farFactor      = 2
-	// promptTokensPerSec is the number of prompt tokens that an engine processes in a second.
-	promptTokensPerSec = 7500
+	// prefillTokensPerSec is the number of prompt tokens that an engine prefills in a second.
+	prefillTokensPerSec = 7500
 	// reportDelay is the latency of the message that a run has moved.
 	reportDelay = 15 * time.Millisecond
 )
@@ -118,7 +118,7 @@
 		at := time.Duration(0)
 		for _, r := range d.ordered() {
 			copied := l.copy(at, r.Tokens, r.far)
-			recomputed := float64(newTokens(relay.RefreshInterval)) / promptTokensPerSec
+			recomputed := float64(newTokens(relay.RefreshInterval)) / prefillTokensPerSec
 			o.add(copied, time.Duration(recomputed*float64(time.Second)), d.notice)
 			maxWait := time.Duration(relay.TurnSlackFactor * float64(relay.MoveTime(r.Tokens, spec)))
 			at = min(copied+delay, at+maxWait)
@@ -199,15 +199,15 @@
 	for _, seed := range []uint64{1, 2} {
 		It(fmt.Sprintf("let more streams continue smoothly than the alternatives, seed %d", seed), func() {
 			all := randomDepartures(seed)
-			built, slots, once := simulate(all, inTurn(reportDelay)), simulate(all, stopAndCopy(spaced)), simulate(all, stopAndCopy(atOnce))
+			inTurnResult, spacedResult, atOnceResult := simulate(all, inTurn(reportDelay)), simulate(all, stopAndCopy(spaced)), simulate(all, stopAndCopy(atOnce))
 			none, best := simulate(all, noMoves), simulate(all, inTurn(0))
 			AddReportEntry("smooth, stalled, lost", fmt.Sprintf("in turn %v, spaced %v, at once %v, no moves %v, without report delay %v",
-				built, slots, once, none, best))
+				inTurnResult, spacedResult, atOnceResult, none, best))
 			Expect(none.smooth).To(BeZero())
-			Expect(built.smooth).To(BeNumerically(">", slots.smooth))
-			Expect(built.smooth).To(BeNumerically(">", once.smooth))
-			Expect(built.lost).To(BeNumerically("<", slots.lost))
-			Expect(built.smooth).To(BeNumerically(">=", best.smooth*9/10))
+			Expect(inTurnResult.smooth).To(BeNumerically(">", spacedResult.smooth))
+			Expect(inTurnResult.smooth).To(BeNumerically(">", atOnceResult.smooth))
+			Expect(inTurnResult.lost).To(BeNumerically("<", spacedResult.lost))
+			Expect(inTurnResult.smooth).To(BeNumerically(">=", best.smooth*9/10))
 		})
 	}
 })
--- a/relay/mover.go
+++ b/relay/mover.go
@@ -119,9 +119,9 @@
 // if no further try is useful.
 func (m *migrator) try(ctx context.Context) bool {
 	s := m.segment
-	want := s.want()
-	want.Exclude = m.refused
-	target := s.Fleet.ReserveMoveTarget(s.p, want)
+	work := s.work()
+	work.Exclude = m.refused
+	target := s.Fleet.ReserveMoveTarget(s.p, work)
 	if target == nil {
 		metrics.Count("move_no_target")
 		m.refused = nil
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -202,7 +202,7 @@
 	ran bool
 }
 
-func (j *job) want() fleet.Work {
+func (j *job) work() fleet.Work {
 	regions, bound := routing.Regions(j.r.Route, j.r.Workspace)
 	return fleet.Work{
 		RegionBound: bound,
@@ -219,7 +219,7 @@
 
 const (
 	// prefillTokensPerSecond is the prefill rate of a busy engine in prompt tokens per second.
-	promptTokensPerSecond = 7500.0
+	prefillTokensPerSecond = 7500.0
 	// startMargin is the time that a generation needs until its first event, in addition to the
 	// prefill of its own prompt: the rest of another prefill, and the network latency.
 	startMargin = 300 * time.Millisecond
@@ -232,8 +232,8 @@
 	if target <= 0 || j.r.Size.Prompt == 0 {
 		return 0
 	}
-	reading := time.Duration(float64(j.r.Size.Prompt) / promptTokensPerSecond * float64(time.Second))
-	return max(target-startMargin-reading-time.Since(j.r.Received), time.Nanosecond)
+	prefill := time.Duration(float64(j.r.Size.Prompt) / prefillTokensPerSecond * float64(time.Second))
+	return max(target-startMargin-prefill-time.Since(j.r.Received), time.Nanosecond)
 }
 
 // expectedOutput returns the number of output tokens for which memory is reserved. Without an
@@ -250,7 +250,7 @@
 	if refusal := j.awaitClaim(ctx); refusal != nil {
 		return nil, refusal
 	}
-	p, refusal := j.Fleet.Acquire(ctx, j.want(), j.maxWait())
+	p, refusal := j.Fleet.Acquire(ctx, j.work(), j.maxWait())
 	if refusal != nil {
 		return nil, refusal
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -256,11 +256,11 @@
 	// is not the intended endpoint.
 	It("does not run at another endpoint that has the address now", func() {
 		r := newTestRelay()
-		stranger := r.service("new", worker.None)
+		other := r.service("new", worker.None)
 		r.Fleet.Remove("new", false)
-		r.Fleet.Update(fleet.Instance{ID: "old", Service: "app", Address: stranger.Address(), DataCentre: "dc1", Slots: 8})
+		r.Fleet.Update(fleet.Instance{ID: "old", Service: "app", Address: other.Address(), DataCentre: "dc1", Slots: 8})
 		v, _ := r.serve(r.request(routing.NonIdempotent))
-		Expect(stranger.Runs()).To(BeEmpty())
+		Expect(other.Runs()).To(BeEmpty())
 		Expect(v.Refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 	})
 
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -46,13 +46,13 @@
 		return result
 	}
 	if s.resp.StatusCode != http.StatusOK {
-		j.dropBackup(s.backup, false)
+		j.releaseBackup(s.backup, false)
 		return j.deliverNonStream(s.p, s.resp)
 	}
 	prog := &progress{}
 	for {
 		end, next := s.run(ctx, prog)
-		j.dropBackup(s.backup, end == segmentComplete)
+		j.releaseBackup(s.backup, end == segmentComplete)
 		if next == nil {
 			return j.streamEnded(ctx, end, prog)
 		}
@@ -90,10 +90,10 @@
 		if refusal != nil {
 			return nil, j.exhausted(ctx, nil, refusal)
 		}
-		backup := j.holdBackup(p)
-		quiet := time.AfterFunc(silentThreshold, func() { p.RecordResult(fleet.Silent) })
+		backup := j.reserveBackup(p)
+		silenceTimer := time.AfterFunc(silentThreshold, func() { p.RecordResult(fleet.Silent) })
 		resp, err := j.send(ctx, p, nil, backup)
-		quiet.Stop()
+		silenceTimer.Stop()
 		got := startErrorResult(err)
 		if err == nil {
 			refused := false
@@ -102,7 +102,7 @@
 			}
 		}
 		p.Release(got.health)
-		j.dropBackup(backup, got.notRun)
+		j.releaseBackup(backup, got.notRun)
 		j.tried = append(j.tried, p.Instance().ID)
 		j.result.Detail = got.cause
 		j.ran = j.ran || !got.notRun
@@ -283,22 +283,22 @@
 
 // resume sends the request to an engine that has a copy of the run's KV cache. It returns nil if
 // the engine does not accept it.
-func (s *segment) resume(ctx context.Context, place *fleet.Placement, resume *Resume, prog *progress) *segment {
-	backup := s.holdBackup(place, s.p.Instance().ID)
-	resp, err := s.send(ctx, place, resume, backup)
+func (s *segment) resume(ctx context.Context, placement *fleet.Placement, resume *Resume, prog *progress) *segment {
+	backup := s.reserveBackup(placement, s.p.Instance().ID)
+	resp, err := s.send(ctx, placement, resume, backup)
 	if err == nil {
 		_, refused := s.refusedResult(resp)
 		if !refused && resp.StatusCode == http.StatusOK {
 			s.result.Moves++
 			metrics.Count("stream_moved")
-			s.Log.Info("stream goes on", zap.String("request", s.r.ID), zap.String("endpoint", place.Instance().ID),
+			s.Log.Info("stream goes on", zap.String("request", s.r.ID), zap.String("endpoint", placement.Instance().ID),
 				zap.Int64("last_event", prog.last), zap.Duration("pause", time.Since(prog.lastAt)))
-			return &segment{job: s.job, p: place, resp: resp, backup: backup}
+			return &segment{job: s.job, p: placement, resp: resp, backup: backup}
 		}
 		resp.Close()
 	}
-	s.dropBackup(backup, false)
-	s.Log.Warn("stream not resumed", zap.String("request", s.r.ID), zap.String("endpoint", place.Instance().ID),
+	s.releaseBackup(backup, false)
+	s.Log.Warn("stream not resumed", zap.String("request", s.r.ID), zap.String("endpoint", placement.Instance().ID),
 		zap.NamedError("cause", err))
 	return nil
 }
@@ -310,15 +310,15 @@
 	if end == segmentComplete {
 		return j.result
 	}
-	v := j.end(nil, j.result.Detail)
-	v.Broken = true
+	result := j.end(nil, j.result.Detail)
+	result.Broken = true
 	switch {
 	case end == segmentCallerGone || errors.Is(ctx.Err(), context.Canceled):
-		v.Detail = "caller gone"
+		result.Detail = "caller gone"
 	case ctx.Err() != nil:
-		v.Detail = "time over"
+		result.Detail = "time over"
 	case end == segmentCorrupt:
-		v.Detail = "event missing"
+		result.Detail = "event missing"
 	}
-	return v
+	return result
 }
--- a/relay/transfer.go
+++ b/relay/transfer.go
@@ -43,9 +43,9 @@
 // and reports success. It is not cancelled when the stream ends: the engine would make the copy
 // anyway, and its handle, which is needed to free it, would be unknown.
 func (t *transfer) copy(ctx context.Context) bool {
-	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
 	defer cancel()
-	got, err := t.moveWithRetry(call, ctx)
+	got, err := t.moveWithRetry(callCtx, ctx)
 	if got.Handle != "" {
 		t.handle = got.Handle
 	}
@@ -67,15 +67,15 @@
 // ends. The engine makes the copy even if the answer is lost, and only a second order, which sends
 // just the new part of the KV cache, returns its handle. Without it, the whole KV cache would be
 // sent again to another target, over a link that other runs of the leaving engine wait for.
-func (t *transfer) moveWithRetry(ctx, until context.Context) (MoveResult, error) {
+func (t *transfer) moveWithRetry(ctx, streamCtx context.Context) (MoveResult, error) {
 	pause := copyRetryPause
 	for try := 1; ; try++ {
 		got, err := t.move(ctx)
-		if !answerLost(err) || try == maxCopyTries || until.Err() != nil {
+		if !answerLost(err) || try == maxCopyTries || streamCtx.Err() != nil {
 			return got, err
 		}
 		metrics.Count("copy_ordered_again")
-		retry.Sleep(until, pause)
+		retry.Sleep(streamCtx, pause)
 		pause *= 2
 	}
 }
--- a/relay/vacated.go
+++ b/relay/vacated.go
@@ -83,12 +83,12 @@
 
 // evictExpired drops entries older than ttl once m has maxVacated entries, and all entries if it is
 // still full then.
-func evictExpired(m map[RunKey]time.Duration, now, after time.Duration) {
+func evictExpired(m map[RunKey]time.Duration, now, ttl time.Duration) {
 	if len(m) < maxVacated {
 		return
 	}
 	for run, at := range m {
-		if now-at > after {
+		if now-at > ttl {
 			delete(m, run)
 		}
 	}
@@ -140,8 +140,8 @@
 func (v *VacatedRuns) has(run RunKey) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	_, left := v.all[run]
-	return left
+	_, vacated := v.all[run]
+	return vacated
 }
 
 // changes returns a channel that is closed when another run has left its engine.
