--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -137,6 +137,6 @@
 }
 
 func refuseNoneInRegions(w *Work) *crocusreel.Refusal {
-	return crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, noEndpointRetry,
+	return crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, noEndpointRetryDelay,
 		"no endpoint of service %q is in service in regions %q", w.Service.Name, w.Regions)
 }
--- a/fleet/holding.go
+++ b/fleet/holding.go
@@ -66,10 +66,10 @@
 	if best == nil {
 		return nil
 	}
-	h := &BackupReservation{fleet: f, endpoint: best, demand: Demand{Prompt: p.demand.Prompt, Output: need - p.demand.Prompt}, produced: p.produced}
+	r := &BackupReservation{fleet: f, endpoint: best, demand: Demand{Prompt: p.demand.Prompt, Output: need - p.demand.Prompt}, produced: p.produced}
 	f.used[best] = struct{}{}
 	best.own.BackupTokens += need
-	return h
+	return r
 }
 
 // reservedShareLocked returns the share of the memory of a service's engines that is reserved for
@@ -87,58 +87,58 @@
 }
 
 // Instance returns the endpoint that holds the backup.
-func (h *BackupReservation) Instance() Instance { return h.endpoint.Instance }
+func (r *BackupReservation) Instance() Instance { return r.endpoint.Instance }
 
 // EndpointContext returns a context that is cancelled once the endpoint is known to have died, and
 // the backup is lost with it.
-func (h *BackupReservation) EndpointContext() context.Context { return h.endpoint.ctx }
+func (r *BackupReservation) EndpointContext() context.Context { return r.endpoint.ctx }
 
 // Unusable returns a channel that is closed once the endpoint is about to stop or its data centre
 // is evacuated.
-func (h *BackupReservation) Unusable() <-chan struct{} {
-	h.fleet.mu.Lock()
-	defer h.fleet.mu.Unlock()
-	return h.endpoint.unusable
+func (r *BackupReservation) Unusable() <-chan struct{} {
+	r.fleet.mu.Lock()
+	defer r.fleet.mu.Unlock()
+	return r.endpoint.unusable
 }
 
 // Promote turns the reservation into the placement of the run, which resumes there with the given
 // number of tokens produced. It returns nil if the reservation was released, the endpoint is
 // leaving or does not accept a request now, or its data centre is evacuated.
-func (h *BackupReservation) Promote(produced int) *Placement {
-	f := h.fleet
+func (r *BackupReservation) Promote(produced int) *Placement {
+	f := r.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if h.released || h.endpoint.isLeaving || h.endpoint.isEvacuated ||
-		f.pausedLocked(h.endpoint) || !f.limitAllowsLocked(h.endpoint, f.now()) {
+	if r.released || r.endpoint.isLeaving || r.endpoint.isEvacuated ||
+		f.pausedLocked(r.endpoint) || !f.limitAllowsLocked(r.endpoint, f.now()) {
 		return nil
 	}
-	h.releaseLocked()
-	p := f.placeLocked(h.endpoint, h.demand)
-	h.endpoint.own.PendingPrefill -= p.pendingPrefill()
+	r.releaseLocked()
+	p := f.placeLocked(r.endpoint, r.demand)
+	r.endpoint.own.PendingPrefill -= p.pendingPrefill()
 	p.prefilling = false
-	h.endpoint.own.Tokens -= p.expectedTokens()
+	r.endpoint.own.Tokens -= p.expectedTokens()
 	p.produced = produced
-	h.endpoint.own.Tokens += p.expectedTokens()
+	r.endpoint.own.Tokens += p.expectedTokens()
 	return p
 }
 
 // Release releases the reservation after the given time: an engine keeps the backup for some time
 // if the run was not completed.
-func (h *BackupReservation) Release(after time.Duration) {
+func (r *BackupReservation) Release(after time.Duration) {
 	if after > 0 {
-		time.AfterFunc(after, func() { h.Release(0) })
+		time.AfterFunc(after, func() { r.Release(0) })
 		return
 	}
-	f := h.fleet
+	f := r.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h.releaseLocked()
+	r.releaseLocked()
 }
 
-func (h *BackupReservation) releaseLocked() {
-	if h.released {
+func (r *BackupReservation) releaseLocked() {
+	if r.released {
 		return
 	}
-	h.released = true
-	h.endpoint.own.BackupTokens -= h.demand.Tokens()
+	r.released = true
+	r.endpoint.own.BackupTokens -= r.demand.Tokens()
 }
--- a/fleet/mechanism.go
+++ b/fleet/mechanism.go
@@ -20,12 +20,12 @@
 	Backups Mechanism = "backups"
 	// Turns serves waiting work in order across all nodes.
 	Turns Mechanism = "turns"
-	// ShortLine gives short answers their own queue and their own share of memory.
-	ShortLine Mechanism = "short-line"
-	// LateBehind serves work that is already late after work that can still start in time.
-	LateBehind Mechanism = "late-behind"
-	// UnreadBound keeps prompts away from engines with many prompt tokens pending prefill.
-	UnreadBound Mechanism = "unread-bound"
+	// ShortQueue gives short answers their own queue and their own share of memory.
+	ShortQueue Mechanism = "short-line"
+	// LateWorkLast serves work that is already late after work that can still start in time.
+	LateWorkLast Mechanism = "late-behind"
+	// PrefillBound keeps prompts away from engines with many prompt tokens pending prefill.
+	PrefillBound Mechanism = "unread-bound"
 	// Ejection keeps work away from endpoints that fail.
 	Ejection Mechanism = "ejection"
 	// HealthChecks asks engines whether they are leaving while the store is unavailable.
@@ -40,7 +40,7 @@
 
 // Mechanisms lists all mechanisms that can be disabled.
 var Mechanisms = []Mechanism{
-	Moves, MoveTurns, Backups, Turns, ShortLine, LateBehind, UnreadBound, Ejection, HealthChecks, OneReader, ColdTurns, Retries,
+	Moves, MoveTurns, Backups, Turns, ShortQueue, LateWorkLast, PrefillBound, Ejection, HealthChecks, OneReader, ColdTurns, Retries,
 }
 
 // DisabledMechanisms is a set of disabled mechanisms. It must not be changed while it is in use.
--- a/fleet/pick.go
+++ b/fleet/pick.go
@@ -166,7 +166,7 @@
 	}
 	need := float64(load.Tokens + load.BackupTokens + w.Demand.Tokens())
 	return (need <= f.memoryShareFor(w)*float64(spec.CacheTokens) || load.Count == 0) &&
-		(w.moveSource != nil || load.PendingPrefill <= maxPendingPrefillTokens || f.Disabled[UnreadBound])
+		(w.moveSource != nil || load.PendingPrefill <= maxPendingPrefillTokens || f.Disabled[PrefillBound])
 }
 
 // costLocked returns the cost of placing one more run on the endpoint.
--- a/fleet/queue.go
+++ b/fleet/queue.go
@@ -150,7 +150,7 @@
 	if len(q.waiting) >= maxQueueLength {
 		return nil, f.refuseLocked(w)
 	}
-	if f.Disabled[LateBehind] {
+	if f.Disabled[LateWorkLast] {
 		w.StartWithin = 0
 	}
 	now := f.now()
@@ -248,9 +248,9 @@
 const (
 	minRetryAfter = 300 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
-	// noEndpointRetry applies to a service without any endpoint: new endpoints register within
+	// noEndpointRetryDelay applies to a service without any endpoint: new endpoints register within
 	// seconds.
-	noEndpointRetry = time.Second
+	noEndpointRetryDelay = time.Second
 	// waitPerRequest is the approximate time in which one placement becomes free.
 	waitPerRequest = 100 * time.Millisecond
 )
@@ -266,7 +266,7 @@
 		return refuseNoneInRegions(w)
 	}
 	if inService == 0 {
-		return crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, noEndpointRetry,
+		return crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, noEndpointRetryDelay,
 			"no endpoint of service %q is in service", w.Service.Name)
 	}
 	waiting := f.waitingLocked(w.Service.Name)
--- a/fleet/turn.go
+++ b/fleet/turn.go
@@ -40,7 +40,7 @@
 }
 
 func (f *Fleet) queueIDFor(w *Work) queueID {
-	return queueID{service: w.Service.Name, short: w.Service.Engine != nil && w.Short() && !f.Disabled[ShortLine]}
+	return queueID{service: w.Service.Name, short: w.Service.Engine != nil && w.Short() && !f.Disabled[ShortQueue]}
 }
 
 // Short reports whether the answer is short.
--- a/relay/copies.go
+++ b/relay/copies.go
@@ -48,22 +48,22 @@
 	if w.Short() {
 		return nil
 	}
-	h := j.Fleet.ReserveBackup(p, w)
-	if h == nil {
+	reservation := j.Fleet.ReserveBackup(p, w)
+	if reservation == nil {
 		metrics.Count("stream_without_backup")
 	}
-	return h
+	return reservation
 }
 
 // releaseBackup releases the reservation of a backup: at once if freed is set, because the engine
 // has freed the backup or never made it, and after copyLifetime otherwise.
-func (j *job) releaseBackup(h *fleet.BackupReservation, freed bool) {
+func (j *job) releaseBackup(reservation *fleet.BackupReservation, freed bool) {
 	switch {
-	case h == nil:
+	case reservation == nil:
 	case freed:
-		h.Release(0)
+		reservation.Release(0)
 	default:
-		h.Release(j.copyLifetime())
+		reservation.Release(j.copyLifetime())
 	}
 }
 
--- a/relay/migration.go
+++ b/relay/migration.go
@@ -17,8 +17,8 @@
 
 // EngineReport is an engine's report on itself. It is a few hundred milliseconds old.
 type EngineReport struct {
-	// Born is the start time of the engine in Unix milliseconds, 0 if unknown.
-	Born int64
+	// StartedAtMS is the start time of the engine in Unix milliseconds, 0 if unknown.
+	StartedAtMS int64
 	// LeavesIn is the time until the engine stops, 0 if the engine does not know.
 	LeavesIn time.Duration
 	Runs     []EngineRun
@@ -145,10 +145,10 @@
 		l.Log.Warn("cannot get the runs of a leaving endpoint", zap.String("endpoint", p.Instance().ID), zap.Error(err))
 		return
 	}
-	if startedAt := p.Instance().StartedAtMS; report.Born != 0 && report.Born != startedAt {
+	if startedAt := p.Instance().StartedAtMS; report.StartedAtMS != 0 && report.StartedAtMS != startedAt {
 		metrics.Count("report_of_another_start")
 		l.Log.Warn("leaving endpoint has restarted, its runs are lost", zap.String("endpoint", p.Instance().ID),
-			zap.Int64("born", startedAt), zap.Int64("reported_born", report.Born))
+			zap.Int64("born", startedAt), zap.Int64("reported_born", report.StartedAtMS))
 		return
 	}
 	m.order = migrationOrder(report.Runs, spec)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -90,7 +90,7 @@
 	// AttemptHeader returns the request headers of one attempt.
 	AttemptHeader(r *Request, a *Attempt) http.Header
 	// MatchAnswer reports whether an answer with the header h belongs to the request.
-	Mine(r *Request, h http.Header) bool
+	MatchAnswer(r *Request, h http.Header) bool
 	// Reply parses the status and header of an answer.
 	Reply(status int, h http.Header) Reply
 	// AnswerHeader returns the headers that are passed on to the caller.
@@ -294,7 +294,7 @@
 		Host:            j.r.Host,
 		Header:          j.Protocol.AttemptHeader(j.r, &attempt),
 		Body:            j.r.Body,
-		MatchAnswer:     func(h http.Header) bool { return j.Protocol.Mine(j.r, h) },
+		MatchAnswer:     func(h http.Header) bool { return j.Protocol.MatchAnswer(j.r, h) },
 		EndpointContext: p.EndpointContext(),
 	})
 	if err == nil {
