--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -90,8 +90,9 @@
 	return !p.endpoint.isEvacuated && !p.fleet.pausedLocked(p.endpoint)
 }
 
-// expectedTokens returns the memory, in tokens, that the run is expected to need. The output is
-// assumed to become at least outgrownFactor times as long as what has been produced so far.
+// expectedTokens returns the memory, in tokens, that the run is expected to need. An answer
+// that outgrows its expected length is assumed to continue for a while: its output counts as
+// outgrownFactor times what has been produced so far.
 func (p *Placement) expectedTokens() int {
 	if p.demand.Prompt == 0 {
 		return 0
--- a/retry/window.go
+++ b/retry/window.go
@@ -17,8 +17,8 @@
 	set               *Windows
 }
 
-// windowSlices is the number of slices in a window. Counts expire by whole slices, up to
-// one slice before they are Length old.
+// windowSlices is the number of slices in a window. Counts expire by whole slices, up to one slice
+// before they are Length old.
 const windowSlices = 10
 
 // Windows holds one window per name, and the limits that all of them share.
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -12,8 +12,8 @@
 
 // Guards against more retries in a window than the ratio allows, when all requests are retried at
 // once after an outage. Endpoints count over a sliding window; a budget that accumulates over quiet
-// minutes would be spent within a second. First attempts are counted over the window and the slice
-// before it.
+// minutes would be spent within a second. Counts expire by whole slices: retries are checked over
+// the window without its oldest slice, first attempts over the window and the slice before it.
 func TestRetriesAreLimitedInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
