--- a/relay/copies.go
+++ b/relay/copies.go
@@ -15,7 +15,7 @@
 )
 
 // A long answer has a backup as long as spare memory is available: its engine sends the run's KV
-// cache to another engine as it grows. When the engine goes away, announced or not, the run is
+// cache to another engine as it grows. When the engine stops, with or without notice, the run is
 // resumed from the backup, and its caller sees a pause of a few steps. Without backups, an engine
 // that crashes loses all of its streams, and an engine that leaves at short notice must move all of
 // its runs over a link that is too slow for that.
@@ -40,30 +40,30 @@
 	copyMargin = 2 * time.Second
 )
 
-// holdBackup reserves room for the backup of a long answer on an endpoint that is not in except. It
-// returns nil for short answers and if no endpoint has room.
-func (j *job) holdBackup(p *fleet.Placement, except ...string) *fleet.BackupReservation {
-	w := j.want()
+// reserveBackup reserves memory for the backup of a long answer on an endpoint that is not in
+// except. It returns nil for short answers and if no endpoint has memory to spare.
+func (j *job) reserveBackup(p *fleet.Placement, except ...string) *fleet.BackupReservation {
+	w := j.work()
 	w.Exclude = except
 	if w.Short() {
 		return nil
 	}
-	h := j.Fleet.ReserveBackup(p, w)
-	if h == nil {
+	reservation := j.Fleet.ReserveBackup(p, w)
+	if reservation == nil {
 		metrics.Count("stream_without_backup")
 	}
-	return h
+	return reservation
 }
 
-// dropBackup releases the reservation of a backup: at once if freed is set, because the engine has
-// freed the backup or never made it, and after copyLifetime otherwise.
-func (j *job) dropBackup(h *fleet.BackupReservation, freed bool) {
+// releaseBackup releases the reservation of a backup: at once if freed is set, because the engine
+// has freed the backup or never made it, and after copyLifetime otherwise.
+func (j *job) releaseBackup(reservation *fleet.BackupReservation, freed bool) {
 	switch {
-	case h == nil:
+	case reservation == nil:
 	case freed:
-		h.Release(0)
+		reservation.Release(0)
 	default:
-		h.Release(j.copyLifetime())
+		reservation.Release(j.copyLifetime())
 	}
 }
 
@@ -158,15 +158,15 @@
 		s.setClaim(true)
 	}
 	for i := range copies {
-		place := copies[i].take()
-		if place == nil {
+		placement := copies[i].take()
+		if placement == nil {
 			continue
 		}
-		if next := s.resume(ctx, place, &copies[i].resume, prog); next != nil {
+		if next := s.resume(ctx, placement, &copies[i].resume, prog); next != nil {
 			metrics.Count("stream_from_copy")
 			return next
 		}
-		place.Release(fleet.Neutral)
+		placement.Release(fleet.Neutral)
 	}
 	return nil
 }
--- a/relay/migration.go
+++ b/relay/migration.go
@@ -17,8 +17,8 @@
 
 // EngineReport is an engine's report on itself. It is a few hundred milliseconds old.
 type EngineReport struct {
-	// Born is the start time of the engine in Unix milliseconds, 0 if unknown.
-	Born int64
+	// StartedAtMS is the start time of the engine in Unix milliseconds, 0 if unknown.
+	StartedAtMS int64
 	// LeavesIn is the time until the engine stops, 0 if the engine does not know.
 	LeavesIn time.Duration
 	Runs     []EngineRun
@@ -33,8 +33,8 @@
 
 // Runs of a leaving engine are moved one after another: their copies share the engine's link, and
 // copies that are made concurrently all finish late, or too late. Each node asks the engine once
-// for its runs, derives the same order from the answer, and tells the other nodes when one of its
-// runs has moved.
+// for its runs, derives the same order from the answer, and notifies the other nodes when one of
+// its runs has moved.
 const (
 	// reportTimeout limits the request for the engine's runs. Without an answer, each run is moved
 	// as if it were the only one.
@@ -44,9 +44,9 @@
 	// moveOverhead is the duration of a move without its copy: three calls, and the delivery of the
 	// message that the run has moved.
 	moveOverhead = 25 * time.Millisecond
-	// turnSlackFactor is the multiple of the expected time that a run is given before the next one
-	// stops waiting for it. A copy to another data centre takes twice as long, and the run's node
-	// may be gone.
+	// turnSlackFactor is the multiple of the expected time of a run's move after which the next run
+	// stops waiting for it. A copy to another data centre takes twice as long, and the node that
+	// moves the run may have failed.
 	turnSlackFactor = 2.2
 )
 
@@ -73,8 +73,8 @@
 	return spec.CopyTime(tokens) + moveOverhead
 }
 
-// migration is the departure of one engine and the order in which its runs move. order, spec and
-// engine are written before ready is closed.
+// migration holds the order in which the runs of one leaving engine move. order, spec and engine
+// are written before ready is closed.
 type migration struct {
 	ready chan struct{}
 	// began is when the first run requested the order.
@@ -96,13 +96,13 @@
 	return m.order
 }
 
-// migrations holds the current departures by endpoint incarnation.
+// migrations holds the current migrations by endpoint incarnation.
 type migrations struct {
 	mu  sync.Mutex
 	all map[fleet.Incarnation]*migration
 }
 
-// maxMigrations is the maximum number of departures kept; when it is reached, all are dropped. Only
+// maxMigrations is the maximum number of migrations kept; when it is reached, all are dropped. Only
 // a few endpoints that run work of this node leave at a time.
 const maxMigrations = 64
 
@@ -111,8 +111,8 @@
 func (l *Relay) migrationFor(ctx context.Context, p *fleet.Placement, spec *routing.EngineSpec) *migration {
 	id := p.Instance().Incarnation()
 	l.migrations.mu.Lock()
-	e, known := l.migrations.all[id]
-	if known && time.Since(e.began) > orderLifetime {
+	m, known := l.migrations.all[id]
+	if known && time.Since(m.began) > orderLifetime {
 		// The endpoint did not stop after its previous notice and is leaving again.
 		known = false
 	}
@@ -120,23 +120,23 @@
 		if l.migrations.all == nil || len(l.migrations.all) >= maxMigrations {
 			l.migrations.all = make(map[fleet.Incarnation]*migration)
 		}
-		e = &migration{ready: make(chan struct{}), began: time.Now()}
-		l.migrations.all[id] = e
+		m = &migration{ready: make(chan struct{}), began: time.Now()}
+		l.migrations.all[id] = m
 	}
 	l.migrations.mu.Unlock()
 	if !known {
-		l.planMigration(e, p, spec)
-		close(e.ready)
+		l.planMigration(m, p, spec)
+		close(m.ready)
 	}
 	select {
-	case <-e.ready:
+	case <-m.ready:
 	case <-ctx.Done():
 	}
-	return e
+	return m
 }
 
-func (l *Relay) planMigration(e *migration, p *fleet.Placement, spec *routing.EngineSpec) {
-	e.spec = spec
+func (l *Relay) planMigration(m *migration, p *fleet.Placement, spec *routing.EngineSpec) {
+	m.spec = spec
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	report, err := l.Mover.Report(ctx, p.Instance().Address)
@@ -145,21 +145,21 @@
 		l.Log.Warn("cannot get the runs of a leaving endpoint", zap.String("endpoint", p.Instance().ID), zap.Error(err))
 		return
 	}
-	if born := p.Instance().StartedAtMS; report.Born != 0 && report.Born != born {
+	if startedAt := p.Instance().StartedAtMS; report.StartedAtMS != 0 && report.StartedAtMS != startedAt {
 		metrics.Count("report_of_another_start")
 		l.Log.Warn("leaving endpoint has restarted, its runs are lost", zap.String("endpoint", p.Instance().ID),
-			zap.Int64("born", born), zap.Int64("reported_born", report.Born))
+			zap.Int64("born", startedAt), zap.Int64("reported_born", report.StartedAtMS))
 		return
 	}
-	e.order = migrationOrder(report.Runs, spec)
-	e.engine = p.Instance().Incarnation().Key()
-	l.Vacated.announceEnded(e.order, e.engine)
+	m.order = migrationOrder(report.Runs, spec)
+	m.engine = p.Instance().Incarnation().Key()
+	l.Vacated.announceEnded(m.order, m.engine)
 	l.Log.Info("runs of a leaving endpoint migrate", zap.String("endpoint", p.Instance().ID), zap.Int("runs", len(report.Runs)),
 		zap.Duration("leaves_in", report.LeavesIn), zap.Duration("since_notice", p.Departure().Since))
 }
 
 // awaitTurn waits until the runs ahead of the given one have moved or have used up their time.
-func (l *Relay) awaitTurn(ctx context.Context, e *migration, runID string) {
+func (l *Relay) awaitTurn(ctx context.Context, m *migration, runID string) {
 	if l.Fleet.Disabled[fleet.MoveTurns] {
 		return
 	}
@@ -167,12 +167,12 @@
 	pending := math.MaxInt
 	for ctx.Err() == nil {
 		changed := l.Vacated.changes()
-		var left time.Duration
+		var remaining time.Duration
 		count := 0
-		for _, run := range e.runsAhead(runID) {
-			if !l.Vacated.has(newRunKey(run.ID, e.engine)) {
+		for _, run := range m.runsAhead(runID) {
+			if !l.Vacated.has(newRunKey(run.ID, m.engine)) {
 				count++
-				left += moveTime(run.Tokens, e.spec)
+				remaining += moveTime(run.Tokens, m.spec)
 			}
 		}
 		if count == 0 {
@@ -181,7 +181,7 @@
 		if count < pending {
 			pending, since = count, time.Now()
 		}
-		wait := time.Until(since.Add(time.Duration(turnSlackFactor * float64(left))))
+		wait := time.Until(since.Add(time.Duration(turnSlackFactor * float64(remaining))))
 		if wait <= 0 {
 			metrics.Count("move_turn_overdue")
 			return
