--- a/tests/atmostonce_test.go
+++ b/tests/atmostonce_test.go
@@ -15,8 +15,8 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// holdAfterClaim sends a booking and returns once the platform has recorded its
-// claim, while the answer to the claim is still on its way.
+// holdAfterClaim sends a booking and returns once the platform has applied its claim, while the
+// platform's response to the claim is still delayed.
 func holdAfterClaim(ctx context.Context, r *rig.Rig, key string) <-chan seen {
 	GinkgoHelper()
 	platformFaults(ctx, r, admin.PlatformFaults{SlowAnswerMS: 800})
@@ -25,7 +25,7 @@
 	return result
 }
 
-// claimed tells whether the platform applied a write to the key's record.
+// claimed reports whether the platform has applied a write to the run record of the key.
 func claimed(ctx context.Context, r *rig.Rig, key string) bool {
 	GinkgoHelper()
 	history, err := r.Platform.Admin.History(ctx)
@@ -43,7 +43,8 @@
 	return false
 }
 
-// Each promise is kept with services that drop repeats and with those that don't.
+// Each guarantee holds both with services that deduplicate repeated calls and with services that
+// don't.
 var _ = DescribeTableSubtree("Non-idempotent work", Ordered, ContinueOnFailure, func(serviceArgs ...string) {
 	var r *rig.Rig
 	var beds *rig.Endpoint
@@ -55,9 +56,8 @@
 
 	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
 
-	// A caller sends the same booking through two gateways at the same moment. Both
-	// find no record; were the record not written by compare-and-set, both would
-	// book.
+	// A caller sends the same booking through two gateways at the same time. Neither finds a run
+	// record; if the record were not written by compare-and-set, both would book.
 	It("runs once when two gateways race on one key", func(ctx SpecContext) {
 		for i := range 10 {
 			key := uuid.NewString()
@@ -77,9 +77,9 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// The gateway freezes right after its claim took effect, sleeps past every lease
-	// and wakes. Had another gateway taken the run over meanwhile, the sleeper would
-	// book the bed a second time.
+	// The gateway freezes right after its claim is applied, stays frozen past every lease and
+	// resumes. If another gateway took over the run meanwhile, the resumed one would book the bed a
+	// second time.
 	It("runs once when the holder of the claim freezes and wakes", func(ctx SpecContext) {
 		key := uuid.NewString()
 		first := holdAfterClaim(ctx, r, key)
@@ -98,8 +98,8 @@
 		Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
 	}, SpecTimeout(time.Minute))
 
-	// The gateway is killed between its claim and its answer. Nobody can know whether
-	// it sent the work, so nobody may send it again, not even the restarted gateway.
+	// The gateway is killed between its claim and its response. Nobody can know whether it sent the
+	// work, so no gateway may send it again, including the restarted one.
 	It("is not run again after the holder of its claim died", func(ctx SpecContext) {
 		key := uuid.NewString()
 		faults(ctx, admin.ServiceFaults{SlowAnswerMS: 2000}, beds)
@@ -118,9 +118,9 @@
 		Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
 	}, SpecTimeout(time.Minute))
 
-	// The platform applies writes and loses the answers, while services lose answers
-	// too and callers send everything again through the other gateway. A lost answer
-	// taken for a failure books twice; taken for a success it claims another's run.
+	// The platform applies writes but loses responses, services lose responses too, and callers
+	// retry everything through the other gateway. Treating a lost response as a failure books
+	// twice; treating it as a success claims a run that belongs to another gateway.
 	It("runs at most once under lost answers of platform and service", func(ctx SpecContext) {
 		platformFaults(ctx, r, admin.PlatformFaults{LoseAnswers: 0.3, LoseRequests: 0.1})
 		faults(ctx, admin.ServiceFaults{LoseAnswers: 0.2}, beds)
@@ -142,7 +142,7 @@
 	Entry("at a service that does not"),
 )
 
-// bookRepeatedly makes four attempts, whatever they answer.
+// bookRepeatedly sends four attempts through alternating gateways, whatever their results.
 func bookRepeatedly(ctx context.Context, r *rig.Rig, key string, offset int) []seen {
 	var all []seen
 	for attempt := 1; attempt <= 4; attempt++ {
@@ -151,7 +151,8 @@
 	return all
 }
 
-// expectTrueOutcomes compares what a caller was told with what the endpoint ran.
+// expectTrueOutcomes compares the responses that a caller received, in order of attempts, with the
+// runs at the endpoint.
 func expectTrueOutcomes(told []seen, runs []admin.Run) {
 	GinkgoHelper()
 	Expect(len(runs)).To(BeNumerically("<=", 1))
@@ -161,7 +162,7 @@
 		case s.status == http.StatusOK:
 			Expect(runs).To(HaveLen(1), what)
 		case s.refusal != nil && s.refusal.Outcome == crocusreel.OutcomeNotRun:
-			Expect(i).To(BeZero(), "not_run told to a later attempt; %s", what)
+			Expect(i).To(BeZero(), "not_run returned to a later attempt; %s", what)
 		default:
 			Expect(s.refusal).NotTo(BeNil(), what)
 		}
--- a/tests/caller_test.go
+++ b/tests/caller_test.go
@@ -17,8 +17,8 @@
 	"github.com/crocusreel/crocusreel/internal/rig"
 )
 
-// request is one HTTP request as a caller without any library sends it: to one
-// gateway, once, with no retry.
+// request is one HTTP request that is sent to one gateway without a client library and without
+// retries.
 type request struct {
 	gateway string
 	method  string // default POST
@@ -26,19 +26,19 @@
 	body    any
 	key     string // idempotency key
 	attempt int    // 0 leaves the header out
-	// once marks work that may run at most once.
+	// once marks non-idempotent work, which may run at most once.
 	once      bool
 	callerKey string // default rig.DefaultKey
 	header    map[string]string
-	// onStart is called with the endpoint's name before the first token of a stream.
+	// onStart is called with the endpoint's name before the first token of a stream is read.
 	onStart func(endpoint string)
-	// onToken is called for each token of a stream; false closes the connection.
+	// onToken is called for each token of a stream; returning false closes the connection.
 	onToken func(index int) bool
 }
 
-// seen is what the caller saw.
+// seen is the response as the caller received it.
 type seen struct {
-	// err is set if the connection broke without a typed answer.
+	// err is set if the connection broke without a typed error.
 	err     error
 	status  int
 	header  http.Header
@@ -48,12 +48,12 @@
 	handle  string
 	// done is set if a stream ended with [DONE].
 	done bool
-	// refusal is set if the answer is a typed error.
+	// refusal is set if the response is a typed error or a stream ended with one.
 	refusal *api.ErrorBody
 }
 
-// transport keeps no connection open, so that each request meets the links as they
-// are now.
+// transport keeps no connections alive, so that each request is subject to the current state of the
+// links.
 var transport = &http.Transport{DisableKeepAlives: true}
 
 func send(ctx context.Context, q request) seen {
@@ -149,11 +149,11 @@
 		}
 	}
 	if !s.done && s.refusal == nil {
-		s.err = fmt.Errorf("stream broke after %d tokens: %v", len(s.indexes), lines.Err())
+		s.err = fmt.Errorf("stream ended without [DONE] or error event after %d tokens: %v", len(s.indexes), lines.Err())
 	}
 }
 
-// readEvent returns false at the end of the stream.
+// readEvent processes one event and returns false once no more events are to be read.
 func (s *seen) readEvent(data string, failed bool, onToken func(int) bool) bool {
 	if failed {
 		s.refusal = new(api.ErrorBody)
@@ -179,7 +179,7 @@
 	return onToken == nil || onToken(c.Extension.Index)
 }
 
-// completion is the body of a generation.
+// completion is the request body of a generation.
 type completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -187,7 +187,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// generation asks for a stream of n tokens from the model m.
+// generation returns a request for a stream of n tokens from model m.
 func generation(gateway, prompt string, n int) request {
 	return request{
 		gateway: gateway, path: "/v1/completions",
@@ -195,7 +195,7 @@
 	}
 }
 
-// booking is a call that may run at most once.
+// booking returns a non-idempotent call that books a bed.
 func booking(gateway, key string, attempt int) request {
 	return request{gateway: gateway, path: "/services/beds/book", body: "bed 7", key: key, attempt: attempt}
 }
@@ -204,31 +204,31 @@
 	return request{gateway: gateway, path: "/v1/resume", body: map[string]any{"handle": handle, "next_index": next}}
 }
 
-// later runs a request in the background.
+// later sends a request in the background.
 func later(ctx context.Context, q request) <-chan seen {
 	result := make(chan seen, 1)
 	go func() { result <- send(ctx, q) }()
 	return result
 }
 
-// expectContiguous checks that tokens are one run of one generation from index
-// first on, without gap or repeat. Each token's text names its generation and index.
+// expectContiguous checks that the tokens belong to one generation and are contiguous from index
+// first on, without gap or repeat. The text of each token names its generation and index.
 func expectContiguous(s seen, first int) {
 	generation := ""
 	for i, text := range s.texts {
 		want := first + i
-		Expect(s.indexes[i]).To(Equal(want), "token %d of %v", i, s.indexes)
+		Expect(s.indexes[i]).To(Equal(want), "index of token %d in %v", i, s.indexes)
 		id, index, found := strings.Cut(strings.TrimSpace(text), ".")
-		Expect(found).To(BeTrue(), "token text %q", text)
-		Expect(index).To(Equal(strconv.Itoa(want)), "text %q at index %d", text, want)
+		Expect(found).To(BeTrue(), "token text %q does not have the form GENERATION.INDEX", text)
+		Expect(index).To(Equal(strconv.Itoa(want)), "token text %q at index %d", text, want)
 		if generation == "" {
 			generation = id
 		}
-		Expect(id).To(Equal(generation), "two generations in one answer")
+		Expect(id).To(Equal(generation), "tokens of two generations in one response")
 	}
 }
 
-// expectWhole checks for the whole answer of n tokens from one generation.
+// expectWhole checks that the response is complete and consists of n tokens of one generation.
 func expectWhole(s seen, n int) {
 	Expect(s.err).NotTo(HaveOccurred())
 	Expect(s.refusal).To(BeNil())
@@ -237,7 +237,7 @@
 	Expect(s.texts).To(HaveLen(n))
 }
 
-// generationOf is the generation that the tokens' texts name.
+// generationOf returns the generation named in the text of the first token.
 func generationOf(s seen) string {
 	Expect(s.texts).NotTo(BeEmpty())
 	id, _, _ := strings.Cut(s.texts[0], ".")
--- a/tests/capacity/controllers_test.go
+++ b/tests/capacity/controllers_test.go
@@ -27,15 +27,16 @@
 )
 
 const (
-	// controllerWindow is the time over which controllers are measured.
+	// controllerWindow is the duration of one measurement of the controllers.
 	controllerWindow = 20 * time.Second
-	// settleTime lets start-up work end before a measurement.
+	// settleTime is the pause before a measurement, in which start-up work ends.
 	settleTime = 10 * time.Second
-	// configEndpoints gives the document about the size of a deployment's.
+	// configEndpoints is the number of endpoints in the document, which gives it about the size of
+	// a real deployment's.
 	configEndpoints = 24
 )
 
-// controllers are controllers without gateways, with a platform.
+// controllers is a system of controllers and a platform stand-in, without gateways.
 type controllers struct {
 	pids      []int
 	operators []*operator.Client
@@ -84,7 +85,7 @@
 		status, _ := c.operators[0].Status(t.Context())
 		return len(status.Members)
 	}).WithTimeout(90 * time.Second).WithPolling(time.Second).Should(gomega.Equal(count))
-	t.Logf("%d controllers known at one of them after %v", count, time.Since(began).Round(time.Second))
+	t.Logf("first controller lists all %d members after %v", count, time.Since(began).Round(time.Second))
 	return c
 }
 
@@ -105,7 +106,8 @@
 	}).WithTimeout(10 * time.Second).Should(gomega.Succeed())
 }
 
-// cost is what one process used over a window.
+// cost is the resource usage of one process over a measurement: processor share in percent, I/O in
+// kB/s and resident memory in MiB.
 type cost struct{ cpuPercent, in, out, rss float64 }
 
 func (c *controllers) measure(t *testing.T, name string) {
@@ -143,7 +145,7 @@
 			ExpectedVersion: version, EditID: fmt.Sprint(version), Document: config.Document{Base: document(version)},
 		})
 		if err != nil && ctx.Err() == nil {
-			t.Errorf("edit of version %d: %v", version, err)
+			t.Errorf("apply edit on version %d: %v", version, err)
 			return
 		}
 		select {
@@ -163,8 +165,8 @@
 	return b.String()
 }
 
-// The cost of a controller at several numbers of VMs, at rest and with an edit of
-// the configuration every second.
+// TestControllers measures the resource usage of a controller with several numbers of VMs, first
+// idle and then with an edit of the configuration every second.
 func TestControllers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	bin := filepath.Join(t.TempDir(), "bin")
--- a/tests/capacity/gateway_test.go
+++ b/tests/capacity/gateway_test.go
@@ -22,12 +22,12 @@
 
 const (
 	engines = 4
-	// window is the time over which one size is measured.
+	// window is the duration of one measurement.
 	window = 6 * time.Second
 )
 
-// start runs one VM, so that all cost falls on one gateway, and engines whose memory
-// does not run out.
+// start runs the given number of VMs, one of them if all cost is to fall on one gateway, and
+// engines whose memory does not run out.
 func start(t *testing.T, vms int) *rig.Rig {
 	g := gomega.NewWithT(t)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -64,8 +64,9 @@
 	return c
 }
 
-// generate runs n answers of the given length at once until ctx ends and returns the
-// number of tokens that came within the window.
+// generate keeps n generations of the given length in flight until ctx ends. It returns the number
+// of tokens received, including those of incomplete responses, and the numbers of complete
+// responses and of failures.
 func generate(ctx context.Context, c *client.Client, n, length int, class crocusreel.Class) (tokens, answers int64, failures int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -105,8 +106,8 @@
 	}
 }
 
-// The cost of streaming: processor time for each token and memory for each open
-// stream, at several numbers of streams.
+// TestStreams measures the cost of streaming: processor time per token and resident memory of a
+// gateway, at several numbers of concurrent streams.
 func TestStreams(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := start(t, 1)
@@ -127,8 +128,8 @@
 	}
 }
 
-// The cost of a request: processor time of the gateway that takes it and of the
-// scheduler, at several rates. Answers have one token.
+// TestRequests measures the cost of a request: processor time of the gateway that accepts it and of
+// the scheduler, at several levels of concurrency. Responses have one token.
 func TestRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := start(t, 2)
--- a/tests/commandline_test.go
+++ b/tests/commandline_test.go
@@ -14,7 +14,7 @@
 	"github.com/crocusreel/crocusreel/internal/rig"
 )
 
-// program runs one of the programs to its end.
+// program runs one of the binaries to completion and returns its exit code and combined output.
 func program(ctx context.Context, name string, args ...string) (code int, output string) {
 	GinkgoHelper()
 	cmd := exec.CommandContext(ctx, filepath.Join(bin, name), args...)
@@ -38,9 +38,9 @@
 		}
 	}, NodeTimeout(waitLimit))
 
-	// A daemon is started with settings that hold several mistakes. Named one at a
-	// time, each restart of a VM would end at the next.
-	It("of a daemon refuses bad settings with exit code 2 and names every mistake", func(ctx SpecContext) {
+	// A daemon is started with settings that contain several mistakes. If each start reported only
+	// the first one, the operator would have to restart the VM once per mistake.
+	It("of a daemon refuses bad settings with exit code 2 and reports every mistake", func(ctx SpecContext) {
 		file := filepath.Join(GinkgoT().TempDir(), "bad.toml")
 		Expect(os.WriteFile(file, []byte("caler_address = 1\npeer_address = \"nowhere\"\n[vm]\nid = \"\"\n"), 0o600)).To(Succeed())
 		for _, name := range []string{"crocusreel-gateway", "crocusreel-controller"} {
@@ -52,7 +52,7 @@
 		}
 	}, NodeTimeout(waitLimit))
 
-	It("for operators tells the kinds of failure apart by exit code", func(ctx SpecContext) {
+	It("for operators distinguishes the kinds of failure by exit code", func(ctx SpecContext) {
 		r := start(twoSites())
 		dir := GinkgoT().TempDir()
 		write := func(text string) {
--- a/tests/configuration_test.go
+++ b/tests/configuration_test.go
@@ -18,34 +18,34 @@
 	"github.com/crocusreel/crocusreel/operator"
 )
 
-// keyOf is a caller key that only the edit with this name makes valid, so that a
-// caller sees which edit is in force.
+// keyOf returns a caller key that is valid only under the given edit, so that a caller can observe
+// which edit is in force.
 func keyOf(edit string) string { return "key-of-" + edit }
 
-// document is the rig's configuration with the key of one edit.
+// document returns the rig's configuration extended by the caller key of an edit.
 func document(r *rig.Rig, edit string) config.Document {
 	doc := r.Document()
 	doc.Base += fmt.Sprintf("[[workspaces]]\nname = \"probe\"\nkey_sha256 = [%q]\n", rig.Digest(keyOf(edit)))
 	return doc
 }
 
-// inForce tells whether a gateway accepts the key of an edit.
+// inForce reports whether a gateway accepts the caller key of an edit.
 func inForce(ctx context.Context, v *rig.VM, edit string) bool {
 	s := send(ctx, request{gateway: v.CallerAddress, method: http.MethodGet, path: "/v1/models", callerKey: keyOf(edit)})
 	return s.status == http.StatusOK
 }
 
-// expectInForce waits until an edit is in force at every gateway that runs.
+// expectInForce waits until an edit is in force at every running gateway.
 func expectInForce(ctx context.Context, r *rig.Rig, edit string) {
 	GinkgoHelper()
 	for _, v := range r.VMs {
 		if v.Gateway.Running() {
-			Eventually(func() bool { return inForce(ctx, v, edit) }).Should(BeTrue(), "edit %s at %s", edit, v.ID)
+			Eventually(func() bool { return inForce(ctx, v, edit) }).Should(BeTrue(), "edit %s is not in force at %s", edit, v.ID)
 		}
 	}
 }
 
-// expectNeverAgain checks for a while that no gateway goes back to an old edit.
+// expectNeverAgain checks for 2 s that no running gateway reverts to an old edit.
 func expectNeverAgain(ctx context.Context, r *rig.Rig, edit string) {
 	GinkgoHelper()
 	Consistently(func() bool {
@@ -55,7 +55,7 @@
 			}
 		}
 		return false
-	}).WithTimeout(2*time.Second).WithPolling(50*time.Millisecond).Should(BeFalse(), "edit %s is back", edit)
+	}).WithTimeout(2*time.Second).WithPolling(50*time.Millisecond).Should(BeFalse(), "a gateway reverted to edit %s", edit)
 }
 
 var _ = Describe("An accepted configuration", Ordered, ContinueOnFailure, func() {
@@ -71,7 +71,7 @@
 
 	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
 
-	// apply makes an edit on the version in force, whatever edits came before.
+	// apply applies an edit on top of the current version, whichever edits the earlier specs made.
 	apply := func(ctx context.Context, v *rig.VM, edit string) {
 		GinkgoHelper()
 		next, err := r.Apply(ctx, v, version, document(r, edit))
@@ -80,10 +80,10 @@
 		version = next
 	}
 
-	// Twelve operators edit at once through three controllers, all on the same
-	// version. Were the version not written by compare-and-set, two would believe
-	// that theirs is in force, and sites would differ.
-	It("is one of several racing edits; the others change nothing and name the conflict", func(ctx SpecContext) {
+	// Twelve operators send edits concurrently through three controllers, all based on the same
+	// version. If the version were not written by compare-and-set, two operators would see success
+	// and the data centres would diverge.
+	It("is exactly one of several racing edits; the others change nothing and report the conflict", func(ctx SpecContext) {
 		const operators = 12
 		errs := make([]error, operators)
 		var wg sync.WaitGroup
@@ -121,9 +121,9 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// The platform applies the edit and loses its answer. Told that it failed, the
-	// operator edits again, in conflict with the own first edit.
-	It("is reported as such although the platform's answer was lost", func(ctx SpecContext) {
+	// The platform applies the edit but its response is lost. If the edit were reported as failed,
+	// the operator would edit again and conflict with its own first edit.
+	It("is reported as accepted although the platform's response was lost", func(ctx SpecContext) {
 		platformFaults(ctx, r, admin.PlatformFaults{LoseNext: 1})
 		accepted, err := r.Operator(r.VMs[0]).Apply(ctx, operator.Edit{
 			ExpectedVersion: version, EditID: uuid.NewString(), Document: document(r, "answer-lost"),
@@ -134,10 +134,9 @@
 		expectInForce(ctx, r, "answer-lost")
 	}, SpecTimeout(time.Minute))
 
-	// The platform is away. The edit can't be made durable, so it must be refused and
-	// change nothing; were it spread to some sites all the same, it would revert when
-	// they are replaced.
-	It("is not what was refused during an outage", func(ctx SpecContext) {
+	// The platform is down, so the edit can't be made durable: it must be refused and change
+	// nothing. If it still spread to some VMs, it would be lost when these are replaced.
+	It("does not contain an edit that was refused during an outage", func(ctx SpecContext) {
 		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		_, err := r.Operator(r.VMs[1]).Apply(ctx, operator.Edit{
 			ExpectedVersion: version, EditID: uuid.NewString(), Document: document(r, "outage"),
@@ -149,8 +148,8 @@
 		expectNeverAgain(ctx, r, "outage")
 	}, SpecTimeout(time.Minute))
 
-	// A VM is replaced while the platform is away. Its fresh processes know nothing;
-	// with no configuration, or an old one, they would refuse callers or revert.
+	// A VM is replaced while the platform is down. Its new processes start without state; with no
+	// configuration or an old one they would refuse callers or revert the edit.
 	It("is in force at processes that start during an outage", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "before-outage")
 		expectInForce(ctx, r, "before-outage")
@@ -163,9 +162,9 @@
 		expectInForce(ctx, r, "before-outage")
 	}, SpecTimeout(time.Minute))
 
-	// A site is cut off from all others and from the platform while two edits are
-	// made. Healed, it must take the latest and never show the others an old one.
-	It("reaches a site that was cut off, and does not revert elsewhere", func(ctx SpecContext) {
+	// A VM is cut off from all others and from the platform while two edits are made. Once healed,
+	// it must adopt the latest one and must not spread its old configuration.
+	It("reaches a VM that was cut off, and does not revert elsewhere", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "before-cut")
 		expectInForce(ctx, r, "before-cut")
 		cut := r.VMs[1]
@@ -177,15 +176,15 @@
 		apply(ctx, r.VMs[0], "during-cut-1")
 		apply(ctx, r.VMs[0], "during-cut-2")
 		Eventually(func() bool { return inForce(ctx, r.VMs[0], "during-cut-2") }).Should(BeTrue())
-		Expect(inForce(ctx, cut, "before-cut")).To(BeTrue(), "the cut site goes on with what it had")
+		Expect(inForce(ctx, cut, "before-cut")).To(BeTrue(), "the VM that is cut off does not keep its configuration")
 		restore(ctx, r)
 		expectInForce(ctx, r, "during-cut-2")
 		expectNeverAgain(ctx, r, "before-cut")
 	}, SpecTimeout(time.Minute))
 
-	// A controller freezes with an old configuration, sleeps through an edit and
-	// wakes. Others, and its own gateway, must not take the old one from it.
-	It("does not revert when a frozen controller wakes", func(ctx SpecContext) {
+	// A controller freezes with an old configuration, misses an edit and resumes. Neither the other
+	// controllers nor its own gateway may adopt the old configuration from it.
+	It("does not revert when a frozen controller resumes", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "before-freeze")
 		expectInForce(ctx, r, "before-freeze")
 		r.VMs[1].Controller.Freeze()
@@ -196,10 +195,10 @@
 		expectNeverAgain(ctx, r, "before-freeze")
 	}, SpecTimeout(time.Minute))
 
-	// The platform is away, a controller restarts, and the only peer that it finds was
-	// cut off and knows an older configuration. The gateway beside it knows the
-	// newest, and must not go back.
-	It("does not revert when a controller restarts among peers that know less", func(ctx SpecContext) {
+	// The platform is down and a controller restarts; the only peer that it finds was cut off and
+	// has an older configuration. The gateway on the same VM has the latest one and must not
+	// revert.
+	It("does not revert when a controller restarts among peers with an older configuration", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "older")
 		expectInForce(ctx, r, "older")
 		behind := r.VMs[1]
--- a/tests/deadly_test.go
+++ b/tests/deadly_test.go
@@ -15,10 +15,10 @@
 	"github.com/crocusreel/crocusreel/internal/rig"
 )
 
-// strikes is the number of engine deaths after which a request is refused.
+// strikes is the configured number of engine deaths after which a request is refused.
 const strikes = 3
 
-// reviver restarts engines that died, as their supervisor does, and counts deaths.
+// reviver restarts engines that have died, as a process supervisor does, and counts the deaths.
 type reviver struct {
 	mu     sync.Mutex
 	deaths int
@@ -35,7 +35,7 @@
 			k.mu.Unlock()
 			e.Kill()
 			time.Sleep(200 * time.Millisecond)
-			// The next round tries again if the start fails.
+			// If the start fails, the next iteration retries it.
 			_ = e.Restart()
 		}
 		time.Sleep(pollEvery)
@@ -49,11 +49,10 @@
 }
 
 var _ = Describe("A request that kills each engine that runs it", Ordered, func() {
-	// A caller's request crashes the engine that runs it. The caller sends it again
-	// under new keys and through other gateways, for minutes. Unbounded, it takes
-	// down one engine after the other, and all answers beside it are lost again and
-	// again.
-	It("is stopped at the bound, and the innocents beside it get their answers", func(ctx SpecContext) {
+	// A request crashes every engine that runs it, and its caller retries it under new keys and
+	// through other gateways. Without a bound it would take down one engine after the other, each
+	// time losing the streams of all other requests there.
+	It("is stopped at the bound, and the requests beside it are answered", func(ctx SpecContext) {
 		spec := twoSites()
 		spec.Base = fmt.Sprintf("[limits]\nstrikes = %d\n", strikes)
 		for i := range 2 {
@@ -62,8 +61,8 @@
 			})
 		}
 		r := start(spec)
-		// Until the gateways know each other there can be two schedulers, each with a
-		// count of its own; docs/PROOFS.md lists that bound as not proved.
+		// Until the gateways have discovered each other there can be two schedulers, each with its
+		// own count of deaths; docs/PROOFS.md lists that bound as not proved.
 		for _, v := range r.VMs {
 			Eventually(func() []string {
 				addresses, _ := addressAnswer(ctx, v.CallerAddress)
@@ -99,8 +98,8 @@
 	}, SpecTimeout(90*time.Second))
 })
 
-// innocentLoad sends harmless generations until the context ends, lets the last
-// ones end, and then tells the errors that their callers saw.
+// innocentLoad sends harmless generations until the context ends, waits for the ones in flight and
+// then delivers the errors that their callers received.
 func innocentLoad(ctx context.Context, r *rig.Rig) <-chan []error {
 	GinkgoHelper()
 	c, err := client.New(client.Options{
--- a/tests/deadlycall_test.go
+++ b/tests/deadlycall_test.go
@@ -13,9 +13,9 @@
 )
 
 var _ = Describe("A call that kills each plain service that runs it", func() {
-	// Its caller sends it again through one gateway after the other. Were each gateway to
-	// count only the deaths that it saw, three gateways would let it kill nine services, and
-	// a registry that stands on four application workers would be gone at its second try.
+	// A call kills every service that runs it, and its caller retries it through one gateway after
+	// the other. If each gateway counted only the deaths that it saw, three gateways would let the
+	// call kill nine services, and a service with four workers would be down at the second gateway.
 	It("is stopped at the bound wherever it is sent next", func(ctx SpecContext) {
 		spec := twoSites()
 		spec.VMs = append(spec.VMs, rig.VMSpec{ID: "vm3", DataCentre: "dc1"})
--- a/tests/hostile_test.go
+++ b/tests/hostile_test.go
@@ -35,8 +35,8 @@
 
 	AfterEach(func(ctx SpecContext) {
 		for _, v := range r.VMs {
-			Expect(v.Gateway.Running()).To(BeTrue(), "a gateway died")
-			Expect(v.Controller.Running()).To(BeTrue(), "a controller died")
+			Expect(v.Gateway.Running()).To(BeTrue(), "the gateway process is not running")
+			Expect(v.Controller.Running()).To(BeTrue(), "the controller process is not running")
 		}
 		expectWhole(send(ctx, generation(gateway, "still there", 3)), 3)
 	})
@@ -48,8 +48,8 @@
 		return vars["refusals"][string(reason)]
 	}
 
-	// Somebody without a key, with a guessed one or with an operator's tries every
-	// route. Each must be refused, and counted, so that operators see the attempt.
+	// Requests with a wrong key, a malformed key or an operator's key are sent to every route. Each
+	// must be refused and counted, so that operators can see the attempts.
 	It("with a wrong key is refused and counted at every route", func(ctx SpecContext) {
 		before := refusals(ctx, crocusreel.ReasonUnauthorized)
 		sent := 0
@@ -61,7 +61,7 @@
 				}
 				s := send(ctx, q)
 				if s.err != nil {
-					// The client itself refuses to send a header with a control character.
+					// The HTTP client itself refuses to send a header with a control character.
 					continue
 				}
 				sent++
@@ -72,8 +72,8 @@
 		Expect(sent).To(BeNumerically(">=", 18))
 	}, SpecTimeout(time.Minute))
 
-	// A handle is changed, cut, made up, or used by another customer. Accepted, it
-	// shows one customer's words to another.
+	// A handle is modified, truncated, forged or used by another workspace. If it were accepted,
+	// one customer would read the text of another.
 	It("as a forged or foreign handle is refused and counted", func(ctx SpecContext) {
 		q := generation(gateway, "private", 60)
 		q.onToken = func(index int) bool { return index < 5 }
@@ -99,9 +99,8 @@
 		Expect(after).To(BeNumerically(">=", before+float64(len(forged))+1))
 	}, SpecTimeout(time.Minute))
 
-	// Two customers use the same idempotency key, by chance or to read what the other
-	// booked. Each must get its own run; and a customer must not see the other's
-	// recent requests.
+	// Two customers use the same idempotency key, by chance or to read the other's booking. Each
+	// must get its own run, and neither may see the other's recent requests.
 	It("cannot reach another workspace's records", func(ctx SpecContext) {
 		key := uuid.NewString()
 		own := send(ctx, booking(gateway, key, 1))
@@ -119,8 +118,8 @@
 		Expect(send(ctx, record).status).To(Equal(http.StatusNotFound))
 	}, SpecTimeout(time.Minute))
 
-	// Broken, oversized and endless input arrives at every listener. None of it may
-	// stop a process or be answered with success.
+	// Malformed and oversized input is sent to every listener. None of it may stop a process or be
+	// answered with success.
 	It("that is malformed is refused at every listener", func(ctx SpecContext) {
 		bodies := []string{
 			"", "{", "[]", `{"model":7}`, `{"model":"m","max_tokens":-1}`, strings.Repeat("[", 100_000),
@@ -152,7 +151,7 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// An edit comes with a wrong key, or its text is broken. It must change nothing.
+	// An edit has a wrong key or its document is malformed. It must change nothing.
 	It("to operators' listeners changes nothing", func(ctx SpecContext) {
 		intruder := operator.NewClient("http://"+r.VMs[0].OperatorAddress, rig.DefaultKey, nil)
 		edit := operator.Edit{ExpectedVersion: 1, EditID: uuid.NewString(), Document: r.Document()}
@@ -168,7 +167,7 @@
 	}, SpecTimeout(time.Minute))
 })
 
-// flip changes one character of a handle.
+// flip replaces the character of a handle at the given position.
 func flip(text string, at int) string {
 	changed := byte('A')
 	if text[at] == changed {
@@ -177,7 +176,7 @@
 	return text[:at] + string(changed) + text[at+1:]
 }
 
-// raw sends bytes to a listener and reads what comes back for a moment.
+// raw sends bytes to a listener and reads the response, for at most 200 ms after it has connected.
 func raw(address, text string) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
--- a/tests/leaving_test.go
+++ b/tests/leaving_test.go
@@ -17,14 +17,14 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// leavingBound is the time after which a leaving endpoint must get no new work. It
-// is made of one read of the configuration by each data centre's reader (0.2 s
-// here), its spread among controllers and to gateways, and requests that were
-// granted their place before; each of these takes well under a second.
+// leavingBound is the time after which a leaving endpoint must not start new work. It covers one
+// read of the configuration by the reader of each data centre (every 0.2 s here), the propagation
+// among controllers and to gateways, and requests that were placed before that; each of these takes
+// well under a second.
 const leavingBound = 3 * time.Second
 
-// work sends short requests through all gateways, one after the other at each,
-// until the context ends.
+// work sends requests through all gateways until the context ends, from three workers per gateway,
+// each of which has one request in flight.
 func work(ctx context.Context, r *rig.Rig, make func(v *rig.VM, i int) request) *sync.WaitGroup {
 	wg := new(sync.WaitGroup)
 	for _, v := range r.VMs {
@@ -39,7 +39,7 @@
 	return wg
 }
 
-// startsAfter counts an endpoint's runs that started after a moment.
+// startsAfter counts the runs that an endpoint started after the given time.
 func startsAfter(ctx context.Context, e *rig.Endpoint, moment time.Time) int {
 	GinkgoHelper()
 	n := 0
@@ -60,9 +60,9 @@
 		r = start(spec)
 	})
 
-	// An operator takes an engine and a service out of service by an edit. Work that
-	// is still sent to them is lost when they stop; work that runs there may finish.
-	It("gets no new work within the bound after the edit; what runs there ends whole", func(ctx SpecContext) {
+	// An operator drains an engine and a service by an edit. New work that is still sent to them is
+	// lost when they stop; work that already runs there may finish.
+	It("gets no new work later than the bound after the edit; running work completes", func(ctx SpecContext) {
 		loadCtx, stop := context.WithCancel(ctx)
 		defer stop()
 		wg := work(loadCtx, r, func(v *rig.VM, i int) request {
@@ -96,9 +96,9 @@
 		restore(ctx, r)
 	}, SpecTimeout(time.Minute))
 
-	// The platform reclaims an engine at short notice, which only the engine itself
-	// announces, in its load reports. New work there would be lost with it.
-	It("gets no new work within the bound after its own notice", func(ctx SpecContext) {
+	// The platform reclaims an engine at short notice, and only the engine announces this, in its
+	// load reports. New work that is placed there would be lost with it.
+	It("gets no new work later than the bound after its own notice", func(ctx SpecContext) {
 		loadCtx, stop := context.WithCancel(ctx)
 		defer stop()
 		wg := work(loadCtx, r, func(v *rig.VM, i int) request {
@@ -117,8 +117,8 @@
 	}, SpecTimeout(time.Minute))
 })
 
-// startAt streams an answer that runs at the given engine, and returns once its
-// first token has come.
+// startAt starts a stream that runs at the given engine and returns once the response headers name
+// that engine. It makes up to 50 tries and fails the spec if none is placed there.
 func startAt(ctx context.Context, r *rig.Rig, engine *rig.Endpoint, length int) <-chan seen {
 	GinkgoHelper()
 	for range 50 {
@@ -136,7 +136,8 @@
 	return nil
 }
 
-// addressAnswer asks a gateway for addresses.
+// addressAnswer queries a gateway for the caller addresses and the lifetime of that response. Both
+// are zero if the query fails.
 func addressAnswer(ctx context.Context, gateway string) (addresses []string, lifetime time.Duration) {
 	s := send(ctx, request{gateway: gateway, method: http.MethodGet, path: "/v1/addresses"})
 	var answer struct {
@@ -149,9 +150,10 @@
 	return answer.Addresses, time.Duration(answer.TTLMS) * time.Millisecond
 }
 
-// watchLeaving polls the address answers of all gateways and the service of the
-// leaving one. It returns when an answer last named the leaving gateway, with the
-// answer's lifetime, and when that gateway first failed a request.
+// watchLeaving polls the address responses of all gateways and sends generations to the leaving
+// gateway until its process ends. It returns the latest expiry of a response that listed the
+// leaving gateway, the time of the first generation that it failed, and the number of responses in
+// which it listed itself.
 func watchLeaving(ctx context.Context, r *rig.Rig, leaving *rig.VM) (expiry, refused time.Time, ownAnswers int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -183,10 +185,10 @@
 	return expiry, refused, ownAnswers
 }
 
-var _ = DescribeTable("A gateway that is leaving is out of address answers and serves until the last has expired",
-	// Callers keep an address answer for its lifetime and then connect by themselves.
-	// A gateway that still stands in new answers, or that closes before old answers
-	// have expired, makes them run into a closed door.
+var _ = DescribeTable("A leaving gateway is not listed in new address responses and serves until the old ones have expired",
+	// Callers cache an address response for its lifetime and then connect directly. If a leaving
+	// gateway is still listed in new responses, or closes before old responses have expired, their
+	// connections are refused.
 	func(ctx SpecContext, before func(r *rig.Rig)) {
 		r := start(twoSites())
 		leaving := r.VMs[0]
@@ -203,11 +205,11 @@
 			return addresses
 		}).Should(Equal([]string{r.VMs[1].CallerAddress}))
 		expiry, refused, own := watchLeaving(ctx, r, leaving)
-		Expect(own).To(BeZero(), "the leaving gateway named itself")
+		Expect(own).To(BeZero(), "the leaving gateway listed itself")
 		Expect(refused).To(BeTemporally(">", expiry))
 		Expect(leaving.Gateway.Wait(ctx)).To(BeZero())
 	},
-	Entry("when all is well", SpecTimeout(time.Minute), func(*rig.Rig) {}),
-	Entry("when its controller has just died", SpecTimeout(time.Minute), func(r *rig.Rig) { r.VMs[0].Controller.Kill() }),
+	Entry("without other faults", SpecTimeout(time.Minute), func(*rig.Rig) {}),
+	Entry("when its controller was just killed", SpecTimeout(time.Minute), func(r *rig.Rig) { r.VMs[0].Controller.Kill() }),
 	Entry("when its controller is frozen", SpecTimeout(time.Minute), func(r *rig.Rig) { r.VMs[0].Controller.Freeze() }),
 )
--- a/tests/linearizable_test.go
+++ b/tests/linearizable_test.go
@@ -12,30 +12,30 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// rowInput is one operation on one row.
+// rowInput is a read of a row or a conditional write to it.
 type rowInput struct {
 	key string
-	// write is set for a commit with a condition on the row.
+	// write is set for a commit, which is conditional on the row's version being expected.
 	write    bool
 	expected int64
 	value    string
 }
 
-// rowOutput is its result. After a commit, version is the row's new version.
+// rowOutput is the result of a rowInput. After an applied commit, version is the new version of the
+// row.
 type rowOutput struct {
 	applied bool
 	version int64
 	value   string
 }
 
-// rowState is a row's version and value.
 type rowState struct {
 	version int64
 	value   string
 }
 
-// rowModel is a row that changes by compare-and-set on its version. Versions number the
-// transactions of the whole store, so that those of one row rise with gaps.
+// rowModel models a row that changes by compare-and-set on its version. Versions number the
+// transactions of the whole store, so the versions of one row increase with gaps.
 var rowModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -63,8 +63,8 @@
 	},
 }
 
-// expectLinearizable checks the platform's history of the run records: each record
-// must look as if its reads and writes had come one after the other.
+// expectLinearizable checks that the platform's history of the run records is linearizable: the
+// reads and writes of each record must be consistent with some sequential order.
 func expectLinearizable(ctx context.Context, r *rig.Rig) {
 	GinkgoHelper()
 	history, err := r.Platform.Admin.History(ctx)
--- a/tests/notices_test.go
+++ b/tests/notices_test.go
@@ -12,19 +12,22 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// Figures of the bound on an endpoint that names a limit: half as much again and five requests in
-// four seconds, from when every gateway and scheduler has had an answer that says so.
+// The bound on an endpoint that announces a request limit: 1.5 times the limit plus five requests
+// in any window of four seconds. It applies once every gateway and scheduler has received a
+// response that announces the limit, for which limitKnown allows one second.
 const (
 	limitPerSecond = 3.0
 	limitWindow    = 4 * time.Second
 	limitKnown     = time.Second
 	limitAllowed   = int(1.5*limitPerSecond*4) + 5
 
-	// drainBound is the time after an answer that says that its endpoint leaves.
+	// drainBound is the time after a response announced that its endpoint is leaving, from which on
+	// the endpoint must not start new work.
 	drainBound = 2 * time.Second
 )
 
-// mostStarts returns the most runs of an endpoint that began within one window after a moment.
+// mostStarts returns the largest number of runs of an endpoint that started within one limitWindow,
+// counting only windows that begin with a run after the given time.
 func mostStarts(ctx context.Context, e *rig.Endpoint, after time.Time) int {
 	GinkgoHelper()
 	most := 0
@@ -42,7 +45,7 @@
 	return most
 }
 
-var _ = Describe("An endpoint that says in its answers what it takes", Ordered, ContinueOnFailure, func() {
+var _ = Describe("An endpoint that announces its limits in its responses", Ordered, ContinueOnFailure, func() {
 	var r *rig.Rig
 
 	BeforeAll(func() {
@@ -53,8 +56,8 @@
 
 	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
 
-	// Guards against gateways that together send a service or an engine more than it takes.
-	It("gets no more than its limit", func(ctx SpecContext) {
+	// Guards against gateways that together exceed the request limit of a service or an engine.
+	It("gets no more requests than the bound on its limit", func(ctx SpecContext) {
 		limited := admin.Notices{RequestLimit: limitPerSecond}
 		engine, service := r.Engines[0], r.Services[0]
 		faults(ctx, admin.EngineFaults{Notices: limited}, engine)
@@ -73,9 +76,9 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// Guards against new work for an endpoint that says in its answers that it is about to stop,
-	// while nothing else does.
-	It("gets no new work once it says that it leaves", func(ctx SpecContext) {
+	// Guards against new work for an endpoint that announces that it is about to stop only in its
+	// responses, and by no other means.
+	It("gets no new work once it announces that it is leaving", func(ctx SpecContext) {
 		engine, service := r.Engines[0], r.Services[0]
 		faults(ctx, admin.EngineFaults{Notices: admin.Notices{Leaving: true}}, engine)
 		faults(ctx, admin.ServiceFaults{Notices: admin.Notices{Leaving: true}}, service)
--- a/tests/notrun_test.go
+++ b/tests/notrun_test.go
@@ -15,7 +15,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// withBookings is twoSites with one plain service that books beds.
+// withBookings returns twoSites with one plain service that books beds.
 func withBookings(serviceArgs ...string) rig.Spec {
 	spec := twoSites()
 	spec.Services = []rig.ServiceSpec{{Name: "beds", DataCentre: "dc1", Prefix: "/beds", Args: serviceArgs}}
@@ -33,9 +33,9 @@
 
 	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
 
-	// The platform is away when a clerk books for the first time. The booking can't
-	// be recorded, so it must not be made, neither now nor once the platform is back.
-	It("is given for a first attempt while the platform is down, and holds", func(ctx SpecContext) {
+	// The platform is down when a caller books for the first time. The booking can't be recorded,
+	// so it must not run, neither now nor once the platform is back.
+	It("is returned for a first attempt while the platform is down, and the work never runs", func(ctx SpecContext) {
 		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		key := uuid.NewString()
 		s := send(ctx, booking(r.VMs[0].CallerAddress, key, 1))
@@ -51,10 +51,10 @@
 		Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
 	}, SpecTimeout(time.Minute))
 
-	// The first attempt books the bed, but its answer is lost; then the platform goes
-	// away, and the clerk asks again through another gateway. Told not_run, the clerk
-	// would book under a new key, and two people come for one bed.
-	It("is never given to a later attempt whose first one ran", func(ctx SpecContext) {
+	// The first attempt books the bed but its response is lost; then the platform goes down and the
+	// caller retries through another gateway. If that attempt were refused with not_run, the caller
+	// would book again under a new key and the bed would be booked twice.
+	It("is never returned to a later attempt if the first one ran", func(ctx SpecContext) {
 		faults(ctx, admin.ServiceFaults{LoseNext: 1}, beds)
 		key := uuid.NewString()
 		first := send(ctx, booking(r.VMs[0].CallerAddress, key, 1))
@@ -75,9 +75,9 @@
 		Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
 	}, SpecTimeout(time.Minute))
 
-	// As before, but now it is the service that has died by the time of the second
-	// attempt, which therefore fails before anybody looks at the run's record.
-	It("is never given to a later attempt that finds no endpoint", func(ctx SpecContext) {
+	// As in the spec before, but the service has died before the second attempt, which therefore
+	// fails before the run record is read.
+	It("is never returned to a later attempt that finds no endpoint", func(ctx SpecContext) {
 		faults(ctx, admin.ServiceFaults{LoseNext: 1}, beds)
 		key := uuid.NewString()
 		Expect(send(ctx, booking(r.VMs[0].CallerAddress, key, 1)).status).NotTo(Equal(http.StatusOK))
@@ -90,9 +90,9 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// A generation is lost with its engine, and no other engine is there to run it.
-	// The refusal comes from the second try, which ran nothing; the first one did.
-	It("is never given to a generation that an engine started", func(ctx SpecContext) {
+	// A generation is lost with its engine, and no other engine is available. The refusal comes
+	// from the second try, which ran nothing, but the first one did run.
+	It("is never returned for a generation that an engine started", func(ctx SpecContext) {
 		key := uuid.NewString()
 		q := generation(r.VMs[0].CallerAddress, "note [[crash]]", 200)
 		q.key, q.attempt = key, 1
@@ -103,7 +103,7 @@
 		for _, e := range r.Engines {
 			revive(ctx, r, e)
 			for _, run := range runsOf(ctx, e) {
-				// Work that may be repeated goes to engines without its key.
+				// Idempotent work is sent to engines without its key.
 				if strings.HasPrefix(run.PromptHead, key) {
 					started = append(started, run)
 				}
@@ -113,10 +113,10 @@
 		Expect(s.refusal.Outcome).NotTo(Equal(crocusreel.OutcomeNotRun))
 	}, SpecTimeout(time.Minute))
 
-	// A letter is generated once and printed; its engine dies over it. By the second
-	// attempt no engine is left, so that the attempt is refused for want of a place
-	// before anybody looks at the record of the first.
-	It("is never given to a later attempt that gets no place in a queue", func(ctx SpecContext) {
+	// A non-idempotent generation starts and its engine dies. At the second attempt no engine is
+	// left, so the attempt is refused for lack of an endpoint before the run record of the first
+	// one is read.
+	It("is never returned to a later attempt that gets no place in a queue", func(ctx SpecContext) {
 		key := uuid.NewString()
 		q := generation(r.VMs[0].CallerAddress, "letter", 300)
 		q.key, q.attempt, q.once = key, 1, true
--- a/tests/openai_test.go
+++ b/tests/openai_test.go
@@ -18,7 +18,7 @@
 
 const openAIModel = "m1"
 
-// openAISystem is two gateways and two engines.
+// openAISystem returns a system of two gateways and two engines in one data centre.
 func openAISystem() rig.Spec {
 	return rig.Spec{
 		VMs: []rig.VMSpec{{ID: "vm1", DataCentre: "dc1"}, {ID: "vm2", DataCentre: "dc1"}},
@@ -29,8 +29,8 @@
 	}
 }
 
-// indices are the token positions in the text of an answer of a stand-in engine; the
-// tokens must all be of one generation.
+// indices returns the token indices in the text of a stand-in engine. It fails the spec if the
+// tokens belong to different generations.
 func indices(text string) []int {
 	GinkgoHelper()
 	var out []int
@@ -58,7 +58,8 @@
 	return out
 }
 
-// The official Go library of the API, unchanged but for the address and the key.
+// Runs the official Go client library of the API against a gateway; only its base URL, API key and
+// retries are configured.
 var _ = Describe("OpenAI's client library", Ordered, func() {
 	var api openai.Client
 
@@ -152,10 +153,10 @@
 	}, SpecTimeout(waitLimit))
 })
 
-// A gateway is killed while it streams an answer. Its connections break, and a caller
-// without a way to resume would have half a letter.
+// A gateway is killed while it streams a response. Its connections break, and a caller that could
+// not resume would be left with a partial text.
 var _ = Describe("The Go client", func() {
-	It("gets its whole answer though the gateway dies in mid-stream", func(ctx SpecContext) {
+	It("gets its whole response although the gateway dies mid-stream", func(ctx SpecContext) {
 		r := start(openAISystem())
 		c, err := client.New(client.Options{Seeds: r.CallerAddresses(), Key: rig.DefaultKey})
 		Expect(err).NotTo(HaveOccurred())
@@ -188,5 +189,5 @@
 			return
 		}
 	}
-	Fail("no gateway at " + callerAddress)
+	Fail("no gateway with caller address " + callerAddress)
 }
--- a/tests/orders_test.go
+++ b/tests/orders_test.go
@@ -18,10 +18,10 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// leaseLength is the orders lease of a rig's controllers.
+// leaseLength is the duration of the controllers' lease on orders in a rig.
 const leaseLength = 2 * time.Second
 
-// placed is the rig's configuration with other models at the engines.
+// placed returns the rig's configuration with the models of each engine replaced by the given ones.
 func placed(r *rig.Rig, models map[string][]string) config.Document {
 	doc := r.Document()
 	for _, e := range r.Engines {
@@ -36,7 +36,7 @@
 	return doc
 }
 
-// holder finds the VM whose controller holds the orders lease.
+// holder returns the VM whose controller holds the orders lease, or nil if none does.
 func holder(ctx context.Context, r *rig.Rig) *rig.VM {
 	for _, v := range r.VMs {
 		status, err := r.Operator(v).Status(ctx)
@@ -60,8 +60,9 @@
 	return names
 }
 
-// watchCopies notes models that no engine has loaded. It reads the engines twice
-// over, so that a model that moves between two reads is not taken for lost.
+// watchCopies polls the engines until the context ends and records models that no engine has
+// loaded. Each round reads all engines twice, so that a model that moves between two reads is not
+// counted as lost. The returned function waits for the end and returns the records.
 func watchCopies(ctx context.Context, r *rig.Rig, names []string) func() []string {
 	var mu sync.Mutex
 	var lost []string
@@ -75,7 +76,7 @@
 			for _, name := range names {
 				if ctx.Err() == nil && !slices.Contains(found, name) {
 					mu.Lock()
-					lost = append(lost, fmt.Sprintf("%s at %s", name, time.Now().Format(time.StampMilli)))
+					lost = append(lost, fmt.Sprintf("%s not loaded at %s", name, time.Now().Format(time.StampMilli)))
 					mu.Unlock()
 				}
 			}
@@ -90,7 +91,7 @@
 	}
 }
 
-// ordersAt lists the orders that an engine carried out, in order.
+// ordersAt returns the orders that an engine carried out, in order.
 func ordersAt(ctx context.Context, e *rig.Endpoint) []admin.OrderRecord {
 	GinkgoHelper()
 	all, err := e.Admin.Orders(ctx)
@@ -98,8 +99,8 @@
 	return slices.DeleteFunc(all, func(o admin.OrderRecord) bool { return !o.Applied })
 }
 
-// expectWithinRate matches every load with a reservation of its own at the weight
-// store that had begun by then.
+// expectWithinRate checks that every load order has a reservation of its own at the weight store,
+// and that the reservation had started when the load began.
 func expectWithinRate(ctx context.Context, r *rig.Rig) {
 	GinkgoHelper()
 	granted, err := r.Platform.Admin.Reservations(ctx)
@@ -116,16 +117,16 @@
 	slices.SortFunc(loads, func(a, b time.Time) int { return a.Compare(b) })
 	Expect(len(loads)).To(BeNumerically("<=", len(granted)))
 	for i, at := range loads {
-		Expect(at).To(BeTemporally(">=", granted[i].StartAt), "load %d came before its turn", i)
+		Expect(at).To(BeTemporally(">=", granted[i].StartAt), "load %d started before its reservation", i)
 	}
 }
 
 var _ = Describe("Orders to engines", Ordered, func() {
-	// The controller that gives the orders freezes again and again in the middle of a
-	// change, past its lease; another takes over, the wishes change, and the sleeper
-	// wakes with its old orders. One engine refuses old fencing numbers and one does
-	// not. An old unload that is obeyed takes out a model that callers wait for.
-	It("never come from a holder whose lease is over, and keep a copy of each model", func(ctx SpecContext) {
+	// The controller that holds the orders lease freezes repeatedly in the middle of a change, past
+	// the end of its lease; another one takes over, the configuration changes, and the frozen one
+	// resumes with its old orders. One engine rejects old fencing tokens and one does not. If an
+	// old unload order were carried out, a model that callers wait for would be gone.
+	It("never come from a holder whose lease has expired, and keep a copy of each model", func(ctx SpecContext) {
 		spec := twoSites()
 		spec.VMs = append(spec.VMs, rig.VMSpec{ID: "vm3", DataCentre: "dc1"})
 		spec.Engines[0].ChecksFence = true
@@ -172,7 +173,7 @@
 			orders += len(applied)
 			Expect(slices.IsSortedFunc(applied, func(a, b admin.OrderRecord) int {
 				return cmp.Compare(a.Order.Fence, b.Order.Fence)
-			})).To(BeTrue(), "%s obeyed an old fence: %+v", e.Name, applied)
+			})).To(BeTrue(), "%s carried out an order with an old fencing token: %+v", e.Name, applied)
 		}
 		Expect(orders).To(BeNumerically(">", 3))
 		expectWithinRate(ctx, r)
--- a/tests/partition_test.go
+++ b/tests/partition_test.go
@@ -19,11 +19,11 @@
 
 	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
 
-	// All links between two data centres and from one of them to the platform break.
-	// Its callers still reach it. Generations go on with the engines that it reaches;
-	// bookings can't be recorded and must be refused truthfully. After the links heal
-	// nothing of what was refused may run.
-	It("that is cut off goes on with generations and refuses bookings truthfully", func(ctx SpecContext) {
+	// All links between two data centres, and from one of them to the platform, break, while
+	// callers still reach it. Generations continue on the engines that it reaches; bookings can't
+	// be recorded and must be refused with a truthful outcome. After the links heal, nothing that
+	// was refused may run.
+	It("that is cut off continues generations and refuses bookings truthfully", func(ctx SpecContext) {
 		cut := r.VMs[1]
 		for _, v := range r.VMs {
 			v.GatewayPeers.Cut()
@@ -47,17 +47,17 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// The platform's list of VMs lags: it names one that is long gone and lacks one
-	// that lives. Callers that are sent to the dead one wait for a timeout, and the one
-	// that is not named serves nobody.
-	It("is served by the VMs that live, whatever the list says", func(ctx SpecContext) {
+	// The platform's list of VMs is stale: it names one that no longer exists and lacks one that is
+	// alive. Callers that are directed to the missing one would wait for a timeout, and the
+	// unlisted one would serve nobody.
+	It("is served by the VMs that are alive, even if the list is stale", func(ctx SpecContext) {
 		ghost, err := rig.FreeAddress()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Platform.Admin.SetVMs(ctx, []platform.VM{
 			{ID: "ghost", DataCentre: "dc1", Region: "r1", PeerAddress: ghost},
 			{ID: "vm1", DataCentre: "dc1", Region: "r1", PeerAddress: r.VMs[0].ControllerPeerAddress},
 		})).To(Succeed())
-		time.Sleep(2500 * time.Millisecond) // the lag of the list itself
+		time.Sleep(2500 * time.Millisecond) // the platform stand-in shows a new list of VMs after 2 s
 		for _, v := range r.VMs {
 			v.Controller.Kill()
 			v.Gateway.Kill()
--- a/tests/popular_test.go
+++ b/tests/popular_test.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-var _ = Describe("A request that many callers send alike", Ordered, ContinueOnFailure, func() {
+var _ = Describe("An identical request from many callers", Ordered, ContinueOnFailure, func() {
 	var r *rig.Rig
 
 	BeforeAll(func() { r = start(withBookings()) })
@@ -23,9 +23,9 @@
 		return request{gateway: r.VMs[i%2].CallerAddress, method: http.MethodGet, path: "/services/beds/free"}
 	}
 
-	// Many callers send the same prompt, and the engine that runs several of them
-	// dies of something else. Were each of them counted against the prompt, it would
-	// be refused for minutes as a request that kills engines.
+	// Many callers send the same prompt, and the engine that runs several of them dies for another
+	// reason. If each of them counted against the prompt, it would be refused for minutes as a
+	// request that kills engines.
 	It("is answered after the death of an engine that ran many of them", func(ctx SpecContext) {
 		var results []<-chan seen
 		for i := range 12 {
@@ -44,9 +44,9 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// All vans ask for the free beds with the same call, and the service dies while
-	// several of these calls run. Were each counted against the call, no van would get
-	// an answer for minutes after the service is back.
+	// Many callers send the same lookup, and the service dies while several of these calls run. If
+	// each of them counted against the call, no caller would get a response for minutes after the
+	// service is back.
 	It("is answered after the death of a service that ran many of them", func(ctx SpecContext) {
 		faults(ctx, admin.ServiceFaults{SlowMS: 1000}, r.Services...)
 		var results []<-chan seen
@@ -66,8 +66,8 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// The service lives but all its answers are lost for a while. Callers ask again and
-	// again; when answers come through once more, they must come at once.
+	// The service is alive but all its responses are lost for a while, and callers retry. Once
+	// responses get through again, callers must get them without delay (10 s at most).
 	It("is answered after an outage in which all answers were lost", func(ctx SpecContext) {
 		faults(ctx, admin.ServiceFaults{LoseAnswers: 1}, r.Services...)
 		for i := range 20 {
@@ -80,9 +80,9 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// A call crashes the service that runs it, and its caller sends it again and
-	// again. Here each death is its own, so that the bound must hold.
-	It("is still refused at the bound if it is the call that kills", func(ctx SpecContext) {
+	// A call kills the service that runs it, and its caller retries it. Here only this call runs at
+	// each death, so the bound must hold.
+	It("is still refused at the bound if the call itself causes the deaths", func(ctx SpecContext) {
 		k := new(reviver)
 		service := r.Services[0]
 		for i := range 8 {
@@ -92,7 +92,7 @@
 			result := later(ctx, q)
 			select {
 			case <-result:
-				// Refused before it reached the service.
+				// The call was refused before it reached the service.
 				continue
 			case <-time.After(150 * time.Millisecond):
 			}
--- a/tests/restore_test.go
+++ b/tests/restore_test.go
@@ -10,8 +10,8 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// restore takes back every fault between two specs that share a system: it thaws
-// and restarts processes, heals links, and waits until every gateway answers.
+// restore removes every fault between two specs that share a system: it clears injected faults,
+// resumes and restarts processes, heals links, and waits until every gateway answers.
 func restore(ctx context.Context, r *rig.Rig) {
 	GinkgoHelper()
 	platformFaults(ctx, r, admin.PlatformFaults{})
--- a/tests/retries_test.go
+++ b/tests/retries_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// retryRatio is the number of retries that each request of a workspace earns.
+	// retryRatio is the number of retries that each request of a workspace adds to its budget.
 	retryRatio = 0.1
-	// retryBurst is the number of retries that a workspace can save at a gateway.
+	// retryBurst is the maximum number of retries that a workspace can accumulate at a gateway.
 	retryBurst = 20
 )
 
@@ -36,8 +36,8 @@
 
 	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
 
-	// count sends n calls that may be repeated and returns how many were started at
-	// the services, and how many callers got an answer.
+	// count sends n idempotent calls and returns the number of runs that they started at the
+	// services and the number of calls that were answered.
 	count := func(ctx SpecContext, name string, n int) (started, answered int) {
 		before := 0
 		for _, s := range r.Services {
@@ -57,7 +57,7 @@
 		return started - before, answered
 	}
 
-	// retries are the gateways' counters of work that was sent again, by reason, summed.
+	// retries returns the gateways' retry counters by reason, summed over all gateways.
 	retries := func(ctx SpecContext) map[string]int {
 		all := make(map[string]int)
 		for _, vm := range r.VMs {
@@ -70,9 +70,9 @@
 		return all
 	}
 
-	// Every service loses all of its answers for a while. Each gateway could try each
-	// request at every service and so triple the load on services that struggle
-	// already, and go on doing so when they come back.
+	// Every service loses all of its responses for a while. Without a budget each gateway could try
+	// each request at every service, which triples the load on services that already struggle, and
+	// could go on doing so after they recover.
 	It("are bounded by the budget during an outage and cease after it", func(ctx SpecContext) {
 		const calls = 300
 		faults(ctx, admin.ServiceFaults{LoseAnswers: 1}, r.Services...)
@@ -81,7 +81,7 @@
 		during := time.Since(begun)
 		Expect(answered).To(BeZero())
 		Expect(started).To(BeNumerically("<=", calls+calls*retryRatio+2*retryBurst))
-		Expect(started).To(BeNumerically(">", calls), "nothing was tried again")
+		Expect(started).To(BeNumerically(">", calls), "nothing was retried")
 		AddReportEntry("during the outage", fmt.Sprintf("%d calls started %d runs: factor %.2f, %s each",
 			calls, started, float64(started)/calls, during/calls))
 
@@ -93,10 +93,10 @@
 		before := retries(ctx)
 		started, answered = count(ctx, "after-", calls)
 		after := retries(ctx)
-		AddReportEntry("sent again", fmt.Sprintf("before: %v; after: %v", before, after))
+		AddReportEntry("retry counters", fmt.Sprintf("before the calls: %v; after the calls: %v", before, after))
 		Expect(answered).To(Equal(calls))
-		// A call that is late on a busy machine gets its second service. That is no retry, and the
-		// only reason for which a run may be beyond the calls.
+		// A call that is late on a busy machine is hedged at a second service. That is not a retry,
+		// and it is the only reason for which there may be more runs than calls.
 		hedged := after["hedge"] - before["hedge"]
 		Expect(hedged).To(BeNumerically("<=", calls*retryRatio))
 		Expect(started).To(And(BeNumerically(">=", calls), BeNumerically("<=", calls+hedged)))
@@ -105,10 +105,9 @@
 		AddReportEntry("after the outage", fmt.Sprintf("%d calls started %d runs", calls, started))
 	}, SpecTimeout(time.Minute))
 
-	// The platform is away and clerks go on booking. What can't be recorded can't be
-	// run; a clerk who waits for a timeout to learn this keeps a person waiting at the
-	// counter.
-	It("do not delay what is given up: bookings in an outage are refused at once", func(ctx SpecContext) {
+	// The platform is down and callers go on booking. What can't be recorded can't run, so the
+	// refusal must come at once; otherwise each caller would wait for a timeout to learn that.
+	It("do not delay refusals: bookings during a platform outage are refused at once", func(ctx SpecContext) {
 		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		for i := range 20 {
 			begun := time.Now()
--- a/tests/shutdown_test.go
+++ b/tests/shutdown_test.go
@@ -19,11 +19,10 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// shortLimit is the drain limit of vm2, in milliseconds.
 const shortLimit = 1500
 
-// smallEngines is withBookings with engines that hold few answers at once, so that
-// requests queue.
+// smallEngines returns withBookings with engines whose KV cache holds few generations at once, so
+// that requests queue, and with a short drain limit at vm2.
 func smallEngines() rig.Spec {
 	spec := withBookings()
 	for i := range spec.Engines {
@@ -44,10 +43,10 @@
 
 	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
 
-	// A gateway gets SIGTERM while it streams long answers, holds others in the queue
-	// and waits for a booking. Callers that still use its address send more. One that
-	// exits at once cuts all of them off.
-	It("cuts off no request, queued ones included", func(ctx SpecContext) {
+	// A gateway receives SIGTERM while it streams long responses, has others in its queue and waits
+	// for a booking; callers that still use its address send more. A gateway that exits at once
+	// would cut off all of them.
+	It("cuts off no request, including queued ones", func(ctx SpecContext) {
 		const streams, length = 14, 200
 		gateway := r.VMs[0]
 		var started atomic.Int64
@@ -81,9 +80,9 @@
 		Expect(gateway.Gateway.Wait(ctx)).To(BeZero())
 	}, SpecTimeout(90*time.Second))
 
-	// An operator cannot wait and signals twice, or the time allowed for a drain is
-	// over. Streams then end early; without a typed error their callers would take a
-	// cut connection for a broken network and not know when to come back.
+	// An operator signals twice, or the drain limit expires. Streams then end early; without a
+	// typed error callers would take the closed connection for a network fault and not know when to
+	// retry.
 	It("ends streams with typed errors at the second signal and at the limit", func(ctx SpecContext) {
 		for i, v := range r.VMs {
 			const length = 700
@@ -119,9 +118,8 @@
 		}
 	}, SpecTimeout(90*time.Second))
 
-	// Every gateway is restarted, one after the other, while callers go on sending.
-	// They use the Go client, which asks for addresses as any caller does. None of
-	// them may notice.
+	// Every gateway is restarted in turn while callers keep sending through the Go client, which
+	// queries addresses as any caller does. No call may fail.
 	It("is not noticed by callers when all gateways are restarted in turn", func(ctx SpecContext) {
 		c, err := client.New(client.Options{Seeds: r.CallerAddresses(), Key: rig.DefaultKey})
 		Expect(err).NotTo(HaveOccurred())
--- a/tests/soak/chaos_test.go
+++ b/tests/soak/chaos_test.go
@@ -12,26 +12,28 @@
 )
 
 const (
-	// lanes inject faults independently, so that they come in pairs and in threes.
+	// lanes is the number of goroutines that inject faults independently, so that up to three
+	// faults overlap.
 	lanes = 3
-	// faultLength and calmLength bound the time of a fault and the pause after it.
+	// faultLength is the maximum duration of a fault and calmLength the maximum pause after it.
 	faultLength = 3 * time.Second
 	calmLength  = 1000 * time.Millisecond
 )
 
-// chaos injects faults until its context ends.
+// chaos injects random faults until its context ends.
 type chaos struct {
 	rig *rig.Rig
 	wg  sync.WaitGroup
-	// busy keeps two lanes from steering one thing at the same time.
+	// mu guards the fields below. busy holds the targets that have a fault, so that two lanes don't
+	// inject into the same one at the same time.
 	mu     sync.Mutex
 	busy   map[string]bool
 	counts map[string]int
 	errs   []error
 }
 
-// fault is one kind of disturbance of one thing. The thing's name keeps a second
-// lane from it.
+// fault is one kind of fault at one target. The name of the target excludes other lanes while the
+// fault lasts.
 type fault struct {
 	kind, thing string
 	begin       func() error
@@ -125,7 +127,7 @@
 	}
 }
 
-// processFault kills a process, freezes it, or lets it end gracefully.
+// processFault kills a process, freezes it or terminates it gracefully; end restarts or resumes it.
 func processFault(random *rand.Rand, kind string, p *rig.Process, kill func(), restart func() error) fault {
 	nothing := func() error { return nil }
 	f := fault{thing: p.Name, begin: nothing}
@@ -189,7 +191,7 @@
 	}
 }
 
-// link is a proxied link with its name.
+// link is a proxied link and its name, by which chaos excludes other faults there.
 type link struct {
 	name string
 	*rig.Link
@@ -229,7 +231,8 @@
 	return f
 }
 
-// restore checks that every fault was taken back and waits for all processes.
+// restore returns the first error of the fault injection, if there was one, and otherwise waits
+// until all processes are healthy and the system is ready.
 func (c *chaos) restore(ctx context.Context) error {
 	for _, err := range c.errs {
 		return fmt.Errorf("fault injection failed: %w", err)
--- a/tests/soak/check_test.go
+++ b/tests/soak/check_test.go
@@ -14,8 +14,8 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// check compares what callers were told with the endpoints' own lists of runs, and
-// returns the broken promises.
+// check compares the results of the callers with the endpoints' own records of runs and describes
+// each violated guarantee.
 func check(ctx context.Context, r *rig.Rig, results []result) []string {
 	runs := map[string]int{}
 	for _, e := range append(r.Engines, r.Services...) {
@@ -34,8 +34,8 @@
 	return broken
 }
 
-// keyOf is the key of the request that a run belongs to. Work that may be repeated is
-// sent to engines without its key, but its prompt begins with it.
+// keyOf returns the key of the request that a run belongs to. Idempotent work is sent to engines
+// without its key, but its prompt begins with the key.
 func keyOf(run admin.Run) string {
 	if run.IdempotencyKey != "" {
 		return run.IdempotencyKey
@@ -44,7 +44,8 @@
 	return key
 }
 
-// broken judges one request, which endpoints started as many times as runs says.
+// broken describes the guarantee that the result violates, given the number of runs that endpoints
+// started for the request. It returns an empty string if there is none.
 func (r result) broken(runs int) string {
 	once := r.kind == kindBooking || r.kind == kindSingle || r.kind == kindLetter
 	switch {
@@ -53,19 +54,19 @@
 	case once && runs > 1:
 		return fmt.Sprintf("ran %d times", runs)
 	case r.outcome() == crocusreel.OutcomeNotRun && runs > 0:
-		return fmt.Sprintf("told not_run (%v), but ran %d times", r.err, runs)
+		return fmt.Sprintf("reported as not_run (%v), but ran %d times", r.err, runs)
 	case r.err == nil && runs == 0 && r.kind != kindLookup:
-		return "answered, but nothing ran"
+		return "answered, but no endpoint ran it"
 	default:
 		return ""
 	}
 }
 
-// summary is the table of a run.
+// summary returns the tables of requests and faults of a run, and its violations, in Markdown.
 func summary(seed int, results []result, c *chaos, broken []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\nseed %d, %d requests\n\n", seed, len(results))
-	fmt.Fprintln(&b, "| kind | requests | answered | told not_run | told unknown | told ran, not whole | gave up |")
+	fmt.Fprintln(&b, "| kind | requests | answered | refused: not_run | refused: unknown | ran, incomplete | no outcome |")
 	fmt.Fprintln(&b, "|---|---|---|---|---|---|---|")
 	for _, w := range weights {
 		fmt.Fprintln(&b, row(w.kind, results))
@@ -74,7 +75,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
 		fmt.Fprintf(&b, "| %s | %d |\n", name, c.counts[name])
 	}
-	fmt.Fprintf(&b, "\nbroken promises: %d\n", len(broken))
+	fmt.Fprintf(&b, "\nviolations: %d\n", len(broken))
 	for _, problem := range broken {
 		fmt.Fprintln(&b, "-", problem)
 	}
--- a/tests/soak/load_test.go
+++ b/tests/soak/load_test.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// workers send one request after the other.
+	// workers is the number of callers that send requests concurrently, one after the other each.
 	workers = 48
-	// patience bounds one request.
+	// patience is the timeout of one request.
 	patience = 25 * time.Second
-	// thinkTime is the longest pause between two requests of a worker.
+	// thinkTime is the maximum pause of a worker after a request.
 	thinkTime = 200 * time.Millisecond
 )
 
-// kind of request.
+// kind is the kind of a request.
 type kind string
 
 const (
@@ -38,29 +38,31 @@
 	kindLookup  kind = "lookup"
 	kindBooking kind = "booking"
 	kindLetter  kind = "letter"
-	// kindSingle is a booking that is sent once, so that each refusal reaches the
+	// kindSingle is a booking that is sent without retries, so that each refusal reaches the
 	// caller.
 	kindSingle kind = "booking, no retry"
 )
 
-// weights say how often each kind comes, out of 20. Bookings and letters are
-// non-idempotent: a call to a service and a generation.
+// weights holds the share of each kind, out of 20. Bookings and letters are non-idempotent: the
+// former are calls to a service, the latter generations.
 var weights = []struct {
 	kind   kind
 	weight int
 }{{kindStream, 8}, {kindWhole, 3}, {kindLookup, 3}, {kindBooking, 3}, {kindSingle, 2}, {kindLetter, 1}}
 
-// result is one request and what its caller saw.
+// result is one request and the result that its caller received.
 type result struct {
 	kind kind
 	key  string
-	// err is nil if the whole answer came.
+	// err is nil if the complete response was received.
 	err error
-	// wrong describes an answer that is not the right one.
+	// wrong describes how the content of the response differs from the expected one; empty if it
+	// does not.
 	wrong string
 }
 
-// outcome is what the caller was told; empty if it gave up by itself.
+// outcome returns the outcome reported to the caller, which is OutcomeRan for a complete response.
+// It is empty if the error carries none, for example after a timeout.
 func (r result) outcome() crocusreel.Outcome {
 	var refusal *crocusreel.Refusal
 	var lost *client.LostError
@@ -86,7 +88,7 @@
 	return kindLookup
 }
 
-// load sends the requests and returns what their callers saw.
+// load sends the requests and returns the results that their callers received.
 func load(ctx context.Context, r *rig.Rig, seed uint64, requests int) []result {
 	patient := newClient(r, client.Options{StallTimeout: 4 * time.Second, RetryRatio: 1, RetryBurst: 200})
 	defer patient.Close()
@@ -119,7 +121,7 @@
 	return c
 }
 
-// one sends one request.
+// one sends the request that random selects. Single bookings go through the client without retries.
 func one(ctx context.Context, c, single *client.Client, random *rand.Rand, key string) result {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
@@ -152,7 +154,8 @@
 	return r
 }
 
-// stream reads an answer token by token.
+// stream reads a response token by token and checks the tokens, also those of an incomplete
+// response.
 func (r *result) stream(ctx context.Context, c *client.Client, g client.Request, length int) {
 	s, err := c.Generate(ctx, g)
 	if err != nil {
@@ -171,7 +174,7 @@
 			break
 		}
 		if token.Index != len(texts) {
-			r.wrong = fmt.Sprintf("token %d came after %d tokens", token.Index, len(texts))
+			r.wrong = fmt.Sprintf("received token index %d after %d tokens", token.Index, len(texts))
 			return
 		}
 		texts = append(texts, strings.TrimSpace(token.Text))
@@ -182,11 +185,11 @@
 	r.wrong = wrongText(texts, length)
 }
 
-// wrongText checks that tokens are the first ones of one generation. Each token
-// names its generation and its index.
+// wrongText checks that the texts are the first length tokens of one generation and describes the
+// first mismatch. Each token names its generation and its index.
 func wrongText(texts []string, length int) string {
 	if len(texts) != length {
-		return fmt.Sprintf("%d tokens instead of %d", len(texts), length)
+		return fmt.Sprintf("received %d tokens, expected %d", len(texts), length)
 	}
 	first := ""
 	for i, text := range texts {
@@ -195,13 +198,13 @@
 			first = generation
 		}
 		if generation != first || index != strconv.Itoa(i) {
-			return fmt.Sprintf("token %d of generation %s is %q", i, first, text)
+			return fmt.Sprintf("token %d of generation %s has text %q", i, first, text)
 		}
 	}
 	return ""
 }
 
-// call makes a call to a service, whose reply repeats what it was asked.
+// call sends a call to a service, whose response echoes the query and the body.
 func (r *result) call(ctx context.Context, c *client.Client, q client.CallRequest) {
 	reply, err := c.Call(ctx, q)
 	if err != nil {
@@ -213,15 +216,15 @@
 		Body  string `json:"body"`
 	}
 	if err := json.Unmarshal(reply.Body, &echo); err != nil || reply.Status != http.StatusOK {
-		r.wrong = fmt.Sprintf("status %d, body %.100q", reply.Status, reply.Body)
+		r.wrong = fmt.Sprintf("expected the echo of the call with status 200, got status %d, body %.100q", reply.Status, reply.Body)
 		return
 	}
 	if echo.Body != r.key && echo.Query != "for="+r.key {
-		r.wrong = fmt.Sprintf("the reply belongs to another call: %.100q", reply.Body)
+		r.wrong = fmt.Sprintf("response echoes another call: %.100q", reply.Body)
 	}
 }
 
-// servesAgain waits until a system without faults answers each kind of request.
+// servesAgain waits until a system without faults answers a generation and a call to a service.
 func servesAgain(ctx context.Context, r *rig.Rig) error {
 	c, err := client.New(client.Options{Seeds: r.CallerAddresses(), Key: rig.DefaultKey})
 	if err != nil {
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -1,6 +1,6 @@
-// Package soak runs a mixed load of callers against the whole system while processes
-// are killed and frozen, links cut and the platform disturbed at random, and then
-// compares what callers were told with what the endpoints ran.
+// Package soak runs a mixed load of callers against the whole system while processes are killed and
+// frozen, links are cut and the platform is disturbed at random, and then compares the results of
+// the callers with the runs at the endpoints.
 package soak
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/crocusreel/crocusreel/internal/rig"
 )
 
-// Environment variables of a run, and their defaults.
+// Environment variables that configure a run, and their defaults.
 const (
 	envSeed     = "SEED"
 	envRequests = "REQUESTS"
@@ -26,11 +26,11 @@
 	defaultSeed     = 1
 	defaultRequests = 1000
 
-	// serviceLatencyMS is long enough for faults to hit calls in the middle.
+	// serviceLatencyMS is long enough for faults to hit calls while they run.
 	serviceLatencyMS = "150"
 )
 
-// restoreLimit bounds the time in which a system without faults must serve again.
+// restoreLimit bounds the time in which the system must serve again once all faults are removed.
 const restoreLimit = time.Minute
 
 func TestSoak(t *testing.T) {
@@ -48,8 +48,8 @@
 	return n
 }
 
-// spec is two data centres with two VMs, two engines and one service each. One of
-// the services drops repeats.
+// spec returns two data centres with two VMs, two engines and one service each. One of the services
+// deduplicates repeated calls.
 func spec() rig.Spec {
 	s := rig.Spec{
 		Links: true,
@@ -69,10 +69,10 @@
 }
 
 var _ = Describe("A mixed load under random faults", func() {
-	// Anything may fail at any moment, together or twice. Callers may be refused and
-	// told that an outcome is unknown, but must never be told something false, get
-	// another's words, or have non-idempotent work run twice.
-	It("breaks no promise", func(ctx SpecContext) {
+	// Faults hit any part at any moment, several at once or in succession. Callers may be refused
+	// or get an unknown outcome, but never a false outcome, another request's text or a second run
+	// of non-idempotent work.
+	It("violates no guarantee", func(ctx SpecContext) {
 		seed, requests := number(envSeed, defaultSeed), number(envRequests, defaultRequests)
 		dir, err := os.MkdirTemp(os.Getenv("KEEP_LOGS"), "soak-")
 		Expect(err).NotTo(HaveOccurred())
--- a/tests/suite_test.go
+++ b/tests/suite_test.go
@@ -1,6 +1,6 @@
-// Package tests runs the whole system as real processes on loopback, behind
-// fault-injecting proxies. Its checks look at what callers and endpoints saw, not
-// at what the system says of itself.
+// Package tests runs the whole system as real processes on loopback, behind fault-injecting
+// proxies. Its checks compare what callers and endpoints observed and don't rely on what the system
+// reports about itself.
 package tests
 
 import (
@@ -18,14 +18,14 @@
 )
 
 const (
-	// startLimit bounds the start of a whole system, and waitLimit any single wait.
-	// Both are generous, since the machine may be busy; a passing test ends earlier.
+	// startLimit bounds the start of a whole system and waitLimit any single wait. Both are
+	// generous because the machine may be busy; a passing test returns earlier.
 	startLimit = 60 * time.Second
 	waitLimit  = 30 * time.Second
 	pollEvery  = 20 * time.Millisecond
 )
 
-// bin is the directory of the programs under test.
+// bin is the directory that holds the binaries under test.
 var bin string
 
 func TestFaults(t *testing.T) {
@@ -43,8 +43,8 @@
 	Expect(rig.Build(ctx, "..", bin)).To(Succeed())
 }, NodeTimeout(5*time.Minute))
 
-// start runs a system until the end of the spec, or of the ordered container. Its
-// logs are kept if the environment variable KEEP_LOGS names a directory.
+// start starts a system and stops it at the end of the spec or of the ordered container. The logs
+// are kept if the environment variable KEEP_LOGS names a directory.
 func start(spec rig.Spec) *rig.Rig {
 	GinkgoHelper()
 	spec.Dir, spec.Bin = logDir(), bin
@@ -67,7 +67,7 @@
 	return dir
 }
 
-// runsWithKey lists what the endpoints started under an idempotency key.
+// runsWithKey returns the runs that the endpoints started under an idempotency key.
 func runsWithKey(ctx context.Context, key string, endpoints ...*rig.Endpoint) []admin.Run {
 	GinkgoHelper()
 	var found []admin.Run
@@ -88,7 +88,7 @@
 	return runs
 }
 
-// faults replaces the faults of stand-ins.
+// faults replaces the injected faults of engines or services.
 func faults(ctx context.Context, f any, stands ...*rig.Endpoint) {
 	GinkgoHelper()
 	for _, e := range stands {
@@ -101,7 +101,8 @@
 	Expect(r.Platform.Admin.SetFaults(ctx, f)).To(Succeed())
 }
 
-// endpointNamed finds an engine or plain service.
+// endpointNamed returns the engine or plain service with the given name and fails the spec if there
+// is none.
 func endpointNamed(r *rig.Rig, name string) *rig.Endpoint {
 	GinkgoHelper()
 	for _, e := range append(r.Engines, r.Services...) {
@@ -109,6 +110,6 @@
 			return e
 		}
 	}
-	Fail("no endpoint " + name)
+	Fail("no engine or service named " + name)
 	return nil
 }
--- a/tests/tls_test.go
+++ b/tests/tls_test.go
@@ -18,10 +18,10 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// secured makes certificates of one authority for every listener of a rig.
+// secured holds certificates of one authority for every listener of a rig.
 type secured struct {
 	authority *testcert.Authority
-	// peers, callers and operators are shared by all processes, which run on one IP.
+	// peers, callers and operators are shared by all processes, which run on one IP address.
 	peers, callers, operators settings.TLS
 }
 
@@ -39,12 +39,13 @@
 	return s
 }
 
-// serverOnly leaves out the authority, so that no client certificate is demanded.
+// serverOnly returns the settings without the authority, so that the listener does not require
+// client certificates.
 func serverOnly(t settings.TLS) settings.TLS {
 	return settings.TLS{CertFile: t.CertFile, KeyFile: t.KeyFile}
 }
 
-// trusting returns a client without a certificate of its own.
+// trusting returns a client that trusts the authority and has no certificate of its own.
 func (s *secured) trusting() *http.Client {
 	GinkgoHelper()
 	pem, err := os.ReadFile(s.callers.CAFile)
@@ -64,8 +65,8 @@
 	return spec
 }
 
-// expectAnswers sends a generation to every gateway. One of them is not the
-// scheduler, so that permits cross the links between gateways.
+// expectAnswers sends a generation to every gateway. One of them is not the scheduler, so permits
+// cross the links between gateways.
 func expectAnswers(ctx context.Context, r *rig.Rig) {
 	GinkgoHelper()
 	for _, v := range r.VMs {
@@ -78,7 +79,7 @@
 }
 
 var _ = Describe("TLS", func() {
-	It("between processes carries permits and membership, and admits nobody without a certificate", func(ctx SpecContext) {
+	It("between processes carries permits and membership, and rejects clients without a certificate", func(ctx SpecContext) {
 		s := newSecured()
 		r := start(twoSecuredSites(s))
 		expectAnswers(ctx, r)
@@ -88,15 +89,15 @@
 		}
 	}, NodeTimeout(2*startLimit))
 
-	// The authority is replaced while everything runs: first both are trusted, then
-	// new certificates come, then the old authority goes. A process that kept what it
-	// read at start would be cut off from the others.
-	It("goes on while the authority is replaced under running processes", func(ctx SpecContext) {
+	// The authority is replaced while the processes run: first both authorities are trusted, then
+	// new certificates are issued, then the old authority is removed. A process that kept the files
+	// that it read at start would be cut off from the others.
+	It("keeps working while the authority is replaced under running processes", func(ctx SpecContext) {
 		s := newSecured()
 		r := start(twoSecuredSites(s))
 		next, err := testcert.NewAuthority("second")
 		Expect(err).NotTo(HaveOccurred())
-		// Each step waits until every process has looked at the files.
+		// Each step waits until every process has checked the files for changes.
 		const looked = 2500 * time.Millisecond
 		Expect(s.authority.Issue(s.peers, rig.Host, s.authority, next)).To(Succeed())
 		time.Sleep(looked)
@@ -105,7 +106,7 @@
 		Expect(next.Issue(s.peers, rig.Host, next)).To(Succeed())
 		time.Sleep(looked)
 		expectAnswers(ctx, r)
-		// A restarted gateway makes all its connections anew.
+		// A restarted gateway opens all its connections anew.
 		r.VMs[1].Gateway.Kill()
 		Expect(r.VMs[1].Gateway.Start()).To(Succeed())
 		Expect(r.WaitHealthy(ctx, r.VMs[1].CallerAddress)).To(Succeed())
--- a/tests/tokens_test.go
+++ b/tests/tokens_test.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// twoSites is a system with one VM and one engine in each of two data centres.
+// twoSites returns a system with one VM and one engine in each of two data centres.
 func twoSites() rig.Spec {
 	return rig.Spec{
 		Links: true,
@@ -24,17 +24,17 @@
 	}
 }
 
-var _ = Describe("Tokens of one answer", Ordered, ContinueOnFailure, func() {
+var _ = Describe("Tokens of one response", Ordered, ContinueOnFailure, func() {
 	var r *rig.Rig
 
 	BeforeAll(func() { r = start(twoSites()) })
 
 	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
 
-	// Engines send frames of other requests on a stream, send frames twice, late or
-	// not at all, and cut some in the middle. Forwarded as they come, the caller
-	// would read a sentence with holes, repeats and another customer's words.
-	It("come once and in order although engines send wrong frames", func(ctx SpecContext) {
+	// Engines mix frames of other requests into a stream, send frames twice, late or not at all,
+	// and truncate some. If these were forwarded as they arrive, the caller would get a text with
+	// gaps, repeats and another customer's words.
+	It("arrive once and in order although engines send wrong frames", func(ctx SpecContext) {
 		faults(ctx, admin.EngineFaults{
 			CrossedFrames: 0.1, DuplicateFrames: 0.1, LateFrames: 0.1, MissingFrames: 0.02, TruncatedFrames: 0.02,
 		}, r.Engines...)
@@ -48,10 +48,10 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// The gateway that carries a stream is killed. The caller has half an answer and
-	// asks another gateway for the rest; started anew there, the second half would
-	// not fit the first.
-	It("go on at another gateway after the first one was killed", func(ctx SpecContext) {
+	// The gateway that relays a stream is killed. The caller has part of the response and resumes
+	// at another gateway; if the generation were restarted there, the second part would not fit the
+	// first.
+	It("continue at another gateway after the first one was killed", func(ctx SpecContext) {
 		const length, before = 80, 10
 		q := generation(r.VMs[0].CallerAddress, "summary", length)
 		q.onToken = func(index int) bool {
@@ -76,9 +76,9 @@
 		Expect(r.WaitHealthy(ctx, r.VMs[0].CallerAddress)).To(Succeed())
 	}, SpecTimeout(time.Minute))
 
-	// The engine is killed while it answers, and another one is free. The rest of the
-	// first generation is lost; the caller must be told so, and must not get a second
-	// generation's words glued on.
+	// The engine is killed during a response while another one is free. The rest of the first
+	// generation is lost; the caller must get a typed error and not the tokens of a second
+	// generation.
 	It("end in a typed error if the engine dies", func(ctx SpecContext) {
 		const length, before = 400, 10
 		gateway := r.VMs[0].CallerAddress
@@ -104,10 +104,9 @@
 		Expect(rest.texts).To(BeEmpty())
 	}, SpecTimeout(time.Minute))
 
-	// The link to the engine is reset in the middle of an answer, twice. The
-	// generation is still there; a gateway that starts it anew repeats tokens, one
-	// that gives up loses the answer.
-	It("go on after the link to the engine was reset twice", func(ctx SpecContext) {
+	// The link to the engine is reset twice during a response. The generation still exists: a
+	// gateway that restarts it repeats tokens, and one that gives up loses the response.
+	It("continue after the link to the engine was reset twice", func(ctx SpecContext) {
 		const length = 80
 		q := generation(r.VMs[0].CallerAddress, "letter", length)
 		q.onToken = func(index int) bool {
