--- a/tests/commandline_test.go
+++ b/tests/commandline_test.go
@@ -40,7 +40,7 @@
 
 	// A daemon is started with settings that contain several mistakes. If each start reported only
 	// the first one, the operator would have to restart the VM once per mistake.
-	It("of a daemon refuses bad settings with exit code 2 and reports every mistake", func(ctx SpecContext) {
+	It("of a daemon refuses bad settings with exit code 2 and names every mistake", func(ctx SpecContext) {
 		file := filepath.Join(GinkgoT().TempDir(), "bad.toml")
 		Expect(os.WriteFile(file, []byte("caler_address = 1\npeer_address = \"nowhere\"\n[vm]\nid = \"\"\n"), 0o600)).To(Succeed())
 		for _, name := range []string{"crocusreel-gateway", "crocusreel-controller"} {
@@ -52,7 +52,7 @@
 		}
 	}, NodeTimeout(waitLimit))
 
-	It("for operators distinguishes the kinds of failure by exit code", func(ctx SpecContext) {
+	It("for operators tells the kinds of failure apart by exit code", func(ctx SpecContext) {
 		r := start(twoSites())
 		dir := GinkgoT().TempDir()
 		write := func(text string) {
--- a/tests/configuration_test.go
+++ b/tests/configuration_test.go
@@ -83,7 +83,7 @@
 	// Twelve operators send edits concurrently through three controllers, all based on the same
 	// version. If the version were not written by compare-and-set, two operators would see success
 	// and the data centres would diverge.
-	It("is exactly one of several racing edits; the others change nothing and report the conflict", func(ctx SpecContext) {
+	It("is one of several racing edits; the others change nothing and name the conflict", func(ctx SpecContext) {
 		const operators = 12
 		errs := make([]error, operators)
 		var wg sync.WaitGroup
@@ -184,7 +184,7 @@
 
 	// A controller freezes with an old configuration, misses an edit and resumes. Neither the other
 	// controllers nor its own gateway may adopt the old configuration from it.
-	It("does not revert when a frozen controller resumes", func(ctx SpecContext) {
+	It("does not revert when a frozen controller wakes", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "before-freeze")
 		expectInForce(ctx, r, "before-freeze")
 		r.VMs[1].Controller.Freeze()
--- a/tests/leaving_test.go
+++ b/tests/leaving_test.go
@@ -210,6 +210,6 @@
 		Expect(leaving.Gateway.Wait(ctx)).To(BeZero())
 	},
 	Entry("without other faults", SpecTimeout(time.Minute), func(*rig.Rig) {}),
-	Entry("when its controller was just killed", SpecTimeout(time.Minute), func(r *rig.Rig) { r.VMs[0].Controller.Kill() }),
+	Entry("when its controller has just died", SpecTimeout(time.Minute), func(r *rig.Rig) { r.VMs[0].Controller.Kill() }),
 	Entry("when its controller is frozen", SpecTimeout(time.Minute), func(r *rig.Rig) { r.VMs[0].Controller.Freeze() }),
 )
--- a/tests/notrun_test.go
+++ b/tests/notrun_test.go
@@ -35,7 +35,7 @@
 
 	// The platform is down when a caller books for the first time. The booking can't be recorded,
 	// so it must not run, neither now nor once the platform is back.
-	It("is returned for a first attempt while the platform is down, and the work never runs", func(ctx SpecContext) {
+	It("is given for a first attempt while the platform is down, and the work never runs", func(ctx SpecContext) {
 		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		key := uuid.NewString()
 		s := send(ctx, booking(r.VMs[0].CallerAddress, key, 1))
@@ -54,7 +54,7 @@
 	// The first attempt books the bed but its response is lost; then the platform goes down and the
 	// caller retries through another gateway. If that attempt were refused with not_run, the caller
 	// would book again under a new key and the bed would be booked twice.
-	It("is never returned to a later attempt if the first one ran", func(ctx SpecContext) {
+	It("is never given to a later attempt whose first one ran", func(ctx SpecContext) {
 		faults(ctx, admin.ServiceFaults{LoseNext: 1}, beds)
 		key := uuid.NewString()
 		first := send(ctx, booking(r.VMs[0].CallerAddress, key, 1))
@@ -77,7 +77,7 @@
 
 	// As in the spec before, but the service has died before the second attempt, which therefore
 	// fails before the run record is read.
-	It("is never returned to a later attempt that finds no endpoint", func(ctx SpecContext) {
+	It("is never given to a later attempt that finds no endpoint", func(ctx SpecContext) {
 		faults(ctx, admin.ServiceFaults{LoseNext: 1}, beds)
 		key := uuid.NewString()
 		Expect(send(ctx, booking(r.VMs[0].CallerAddress, key, 1)).status).NotTo(Equal(http.StatusOK))
@@ -92,7 +92,7 @@
 
 	// A generation is lost with its engine, and no other engine is available. The refusal comes
 	// from the second try, which ran nothing, but the first one did run.
-	It("is never returned for a generation that an engine started", func(ctx SpecContext) {
+	It("is never given to a generation that an engine started", func(ctx SpecContext) {
 		key := uuid.NewString()
 		q := generation(r.VMs[0].CallerAddress, "note [[crash]]", 200)
 		q.key, q.attempt = key, 1
@@ -116,7 +116,7 @@
 	// A non-idempotent generation starts and its engine dies. At the second attempt no engine is
 	// left, so the attempt is refused for lack of an endpoint before the run record of the first
 	// one is read.
-	It("is never returned to a later attempt that gets no place in a queue", func(ctx SpecContext) {
+	It("is never given to a later attempt that gets no place in a queue", func(ctx SpecContext) {
 		key := uuid.NewString()
 		q := generation(r.VMs[0].CallerAddress, "letter", 300)
 		q.key, q.attempt, q.once = key, 1, true
--- a/tests/openai_test.go
+++ b/tests/openai_test.go
@@ -156,7 +156,7 @@
 // A gateway is killed while it streams a response. Its connections break, and a caller that could
 // not resume would be left with a partial text.
 var _ = Describe("The Go client", func() {
-	It("gets its whole response although the gateway dies mid-stream", func(ctx SpecContext) {
+	It("gets its whole answer though the gateway dies in mid-stream", func(ctx SpecContext) {
 		r := start(openAISystem())
 		c, err := client.New(client.Options{Seeds: r.CallerAddresses(), Key: rig.DefaultKey})
 		Expect(err).NotTo(HaveOccurred())
--- a/tests/orders_test.go
+++ b/tests/orders_test.go
@@ -126,7 +126,7 @@
 	// the end of its lease; another one takes over, the configuration changes, and the frozen one
 	// resumes with its old orders. One engine rejects old fencing tokens and one does not. If an
 	// old unload order were carried out, a model that callers wait for would be gone.
-	It("never come from a holder whose lease has expired, and keep a copy of each model", func(ctx SpecContext) {
+	It("never come from a holder whose lease is over, and keep a copy of each model", func(ctx SpecContext) {
 		spec := twoSites()
 		spec.VMs = append(spec.VMs, rig.VMSpec{ID: "vm3", DataCentre: "dc1"})
 		spec.Engines[0].ChecksFence = true
--- a/tests/partition_test.go
+++ b/tests/partition_test.go
@@ -23,7 +23,7 @@
 	// callers still reach it. Generations continue on the engines that it reaches; bookings can't
 	// be recorded and must be refused with a truthful outcome. After the links heal, nothing that
 	// was refused may run.
-	It("that is cut off continues generations and refuses bookings truthfully", func(ctx SpecContext) {
+	It("that is cut off goes on with generations and refuses bookings truthfully", func(ctx SpecContext) {
 		cut := r.VMs[1]
 		for _, v := range r.VMs {
 			v.GatewayPeers.Cut()
--- a/tests/shutdown_test.go
+++ b/tests/shutdown_test.go
@@ -46,7 +46,7 @@
 	// A gateway receives SIGTERM while it streams long responses, has others in its queue and waits
 	// for a booking; callers that still use its address send more. A gateway that exits at once
 	// would cut off all of them.
-	It("cuts off no request, including queued ones", func(ctx SpecContext) {
+	It("cuts off no request, queued ones included", func(ctx SpecContext) {
 		const streams, length = 14, 200
 		gateway := r.VMs[0]
 		var started atomic.Int64
--- a/tests/tls_test.go
+++ b/tests/tls_test.go
@@ -79,7 +79,7 @@
 }
 
 var _ = Describe("TLS", func() {
-	It("between processes carries permits and membership, and rejects clients without a certificate", func(ctx SpecContext) {
+	It("between processes carries permits and membership, and admits nobody without a certificate", func(ctx SpecContext) {
 		s := newSecured()
 		r := start(twoSecuredSites(s))
 		expectAnswers(ctx, r)
@@ -92,7 +92,7 @@
 	// The authority is replaced while the processes run: first both authorities are trusted, then
 	// new certificates are issued, then the old authority is removed. A process that kept the files
 	// that it read at start would be cut off from the others.
-	It("keeps working while the authority is replaced under running processes", func(ctx SpecContext) {
+	It("goes on while the authority is replaced under running processes", func(ctx SpecContext) {
 		s := newSecured()
 		r := start(twoSecuredSites(s))
 		next, err := testcert.NewAuthority("second")
--- a/tests/tokens_test.go
+++ b/tests/tokens_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-var _ = Describe("Tokens of one response", Ordered, ContinueOnFailure, func() {
+var _ = Describe("Tokens of one answer", Ordered, ContinueOnFailure, func() {
 	var r *rig.Rig
 
 	BeforeAll(func() { r = start(twoSites()) })
@@ -34,7 +34,7 @@
 	// Engines mix frames of other requests into a stream, send frames twice, late or not at all,
 	// and truncate some. If these were forwarded as they arrive, the caller would get a text with
 	// gaps, repeats and another customer's words.
-	It("arrive once and in order although engines send wrong frames", func(ctx SpecContext) {
+	It("come once and in order although engines send wrong frames", func(ctx SpecContext) {
 		faults(ctx, admin.EngineFaults{
 			CrossedFrames: 0.1, DuplicateFrames: 0.1, LateFrames: 0.1, MissingFrames: 0.02, TruncatedFrames: 0.02,
 		}, r.Engines...)
@@ -51,7 +51,7 @@
 	// The gateway that relays a stream is killed. The caller has part of the response and resumes
 	// at another gateway; if the generation were restarted there, the second part would not fit the
 	// first.
-	It("continue at another gateway after the first one was killed", func(ctx SpecContext) {
+	It("go on at another gateway after the first one was killed", func(ctx SpecContext) {
 		const length, before = 80, 10
 		q := generation(r.VMs[0].CallerAddress, "summary", length)
 		q.onToken = func(index int) bool {
@@ -106,7 +106,7 @@
 
 	// The link to the engine is reset twice during a response. The generation still exists: a
 	// gateway that restarts it repeats tokens, and one that gives up loses the response.
-	It("continue after the link to the engine was reset twice", func(ctx SpecContext) {
+	It("go on after the link to the engine was reset twice", func(ctx SpecContext) {
 		const length = 80
 		q := generation(r.VMs[0].CallerAddress, "letter", length)
 		q.onToken = func(index int) bool {
