--- a/tests/atmostonce_test.go
+++ b/tests/atmostonce_test.go
@@ -15,12 +15,12 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// holdAfterClaim sends a booking and returns once the platform has applied its claim, while the
+// bookAndAwaitClaim sends a booking and returns once the platform has applied its claim, while the
 // platform's response to the claim is still delayed.
-func holdAfterClaim(ctx context.Context, r *rig.Rig, key string) <-chan seen {
+func bookAndAwaitClaim(ctx context.Context, r *rig.Rig, key string) <-chan response {
 	GinkgoHelper()
-	platformFaults(ctx, r, admin.PlatformFaults{SlowAnswerMS: 800})
-	result := later(ctx, booking(r.VMs[0].CallerAddress, key, 1))
+	setPlatformFaults(ctx, r, admin.PlatformFaults{SlowAnswerMS: 800})
+	result := sendAsync(ctx, bookingRequest(r.VMs[0].CallerAddress, key, 1))
 	Eventually(func() bool { return claimed(ctx, r, key) }).Should(BeTrue())
 	return result
 }
@@ -50,29 +50,29 @@
 	var beds *rig.Endpoint
 
 	BeforeAll(func() {
-		r = start(withBookings(serviceArgs...))
+		r = startRig(withBookingService(serviceArgs...))
 		beds = r.Services[0]
 	})
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
 	// A caller sends the same booking through two gateways at the same time. Neither finds a run
 	// record; if the record were not written by compare-and-set, both would book.
 	It("runs once when two gateways race on one key", func(ctx SpecContext) {
 		for i := range 10 {
 			key := uuid.NewString()
-			a := later(ctx, booking(r.VMs[0].CallerAddress, key, 0))
-			b := later(ctx, booking(r.VMs[1].CallerAddress, key, 0))
-			won := 0
-			for _, s := range []seen{<-a, <-b} {
+			a := sendAsync(ctx, bookingRequest(r.VMs[0].CallerAddress, key, 0))
+			b := sendAsync(ctx, bookingRequest(r.VMs[1].CallerAddress, key, 0))
+			succeeded := 0
+			for _, s := range []response{<-a, <-b} {
 				if s.status == http.StatusOK {
-					won++
+					succeeded++
 					continue
 				}
 				Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 				Expect(s.refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 			}
-			Expect(won).To(BeNumerically(">=", 1), "round %d", i)
+			Expect(succeeded).To(BeNumerically(">=", 1), "round %d", i)
 			Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
 		}
 	}, SpecTimeout(time.Minute))
@@ -82,18 +82,18 @@
 	// second time.
 	It("runs once when the holder of the claim freezes and wakes", func(ctx SpecContext) {
 		key := uuid.NewString()
-		first := holdAfterClaim(ctx, r, key)
+		first := bookAndAwaitClaim(ctx, r, key)
 		r.VMs[0].Gateway.Freeze()
-		platformFaults(ctx, r, admin.PlatformFaults{})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{})
 		for attempt := 2; attempt < 8; attempt++ {
-			s := send(ctx, booking(r.VMs[1].CallerAddress, key, attempt))
+			s := send(ctx, bookingRequest(r.VMs[1].CallerAddress, key, attempt))
 			Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 			Expect(s.refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 			time.Sleep(500 * time.Millisecond)
 		}
 		r.VMs[0].Gateway.Thaw()
 		Expect((<-first).status).To(Equal(http.StatusOK))
-		again := send(ctx, booking(r.VMs[1].CallerAddress, key, 9))
+		again := send(ctx, bookingRequest(r.VMs[1].CallerAddress, key, 9))
 		Expect(again.status).To(Equal(http.StatusOK))
 		Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
 	}, SpecTimeout(time.Minute))
@@ -102,16 +102,16 @@
 	// work, so no gateway may send it again, including the restarted one.
 	It("is not run again after the holder of its claim died", func(ctx SpecContext) {
 		key := uuid.NewString()
-		faults(ctx, admin.ServiceFaults{SlowAnswerMS: 2000}, beds)
-		first := later(ctx, booking(r.VMs[0].CallerAddress, key, 1))
+		setFaults(ctx, admin.ServiceFaults{SlowAnswerMS: 2000}, beds)
+		first := sendAsync(ctx, bookingRequest(r.VMs[0].CallerAddress, key, 1))
 		Eventually(func() []admin.Run { return runsWithKey(ctx, key, beds) }).Should(HaveLen(1))
 		r.VMs[0].Gateway.Kill()
 		Expect((<-first).err).To(HaveOccurred())
-		faults(ctx, admin.ServiceFaults{}, beds)
+		setFaults(ctx, admin.ServiceFaults{}, beds)
 		Expect(r.VMs[0].Gateway.Start()).To(Succeed())
 		Expect(r.WaitHealthy(ctx, r.VMs[0].CallerAddress)).To(Succeed())
 		for attempt := 2; attempt < 6; attempt++ {
-			s := send(ctx, booking(r.VMs[attempt%2].CallerAddress, key, attempt))
+			s := send(ctx, bookingRequest(r.VMs[attempt%2].CallerAddress, key, attempt))
 			Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 			Expect(s.refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 		}
@@ -122,19 +122,19 @@
 	// retry everything through the other gateway. Treating a lost response as a failure books
 	// twice; treating it as a success claims a run that belongs to another gateway.
 	It("runs at most once under lost answers of platform and service", func(ctx SpecContext) {
-		platformFaults(ctx, r, admin.PlatformFaults{LoseAnswers: 0.3, LoseRequests: 0.1})
-		faults(ctx, admin.ServiceFaults{LoseAnswers: 0.2}, beds)
+		setPlatformFaults(ctx, r, admin.PlatformFaults{LoseAnswers: 0.3, LoseRequests: 0.1})
+		setFaults(ctx, admin.ServiceFaults{LoseAnswers: 0.2}, beds)
 		const bookings = 30
-		results := make([]chan []seen, bookings)
+		results := make([]chan []response, bookings)
 		keys := make([]string, bookings)
 		for i := range bookings {
-			keys[i], results[i] = uuid.NewString(), make(chan []seen, 1)
+			keys[i], results[i] = uuid.NewString(), make(chan []response, 1)
 			go func() { results[i] <- bookRepeatedly(ctx, r, keys[i], i) }()
 		}
 		for i := range bookings {
-			expectTrueOutcomes(<-results[i], runsWithKey(ctx, keys[i], beds))
+			expectTruthfulOutcomes(<-results[i], runsWithKey(ctx, keys[i], beds))
 		}
-		platformFaults(ctx, r, admin.PlatformFaults{})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{})
 		expectLinearizable(ctx, r)
 	}, SpecTimeout(time.Minute))
 },
@@ -143,20 +143,20 @@
 )
 
 // bookRepeatedly sends four attempts through alternating gateways, whatever their results.
-func bookRepeatedly(ctx context.Context, r *rig.Rig, key string, offset int) []seen {
-	var all []seen
+func bookRepeatedly(ctx context.Context, r *rig.Rig, key string, offset int) []response {
+	var all []response
 	for attempt := 1; attempt <= 4; attempt++ {
-		all = append(all, send(ctx, booking(r.VMs[(offset+attempt)%2].CallerAddress, key, attempt)))
+		all = append(all, send(ctx, bookingRequest(r.VMs[(offset+attempt)%2].CallerAddress, key, attempt)))
 	}
 	return all
 }
 
-// expectTrueOutcomes compares the responses that a caller received, in order of attempts, with the
-// runs at the endpoint.
-func expectTrueOutcomes(told []seen, runs []admin.Run) {
+// expectTruthfulOutcomes compares the responses that a caller received, in order of attempts, with
+// the runs at the endpoint.
+func expectTruthfulOutcomes(responses []response, runs []admin.Run) {
 	GinkgoHelper()
 	Expect(len(runs)).To(BeNumerically("<=", 1))
-	for i, s := range told {
+	for i, s := range responses {
 		what := fmt.Sprintf("attempt %d: %+v", i+1, s)
 		switch {
 		case s.status == http.StatusOK:
--- a/tests/caller_test.go
+++ b/tests/caller_test.go
@@ -26,18 +26,18 @@
 	body    any
 	key     string // idempotency key
 	attempt int    // 0 leaves the header out
-	// once marks non-idempotent work, which may run at most once.
-	once      bool
-	callerKey string // default rig.DefaultKey
-	header    map[string]string
+	// nonIdempotent marks work that may run at most once.
+	nonIdempotent bool
+	callerKey     string // default rig.DefaultKey
+	header        map[string]string
 	// onStart is called with the endpoint's name before the first token of a stream is read.
 	onStart func(endpoint string)
 	// onToken is called for each token of a stream; returning false closes the connection.
 	onToken func(index int) bool
 }
 
-// seen is the response as the caller received it.
-type seen struct {
+// response is the response as the caller received it.
+type response struct {
 	// err is set if the connection broke without a typed error.
 	err     error
 	status  int
@@ -56,10 +56,10 @@
 // links.
 var transport = &http.Transport{DisableKeepAlives: true}
 
-func send(ctx context.Context, q request) seen {
+func send(ctx context.Context, q request) response {
 	text, err := json.Marshal(q.body)
 	if err != nil {
-		return seen{err: err}
+		return response{err: err}
 	}
 	if raw, ok := q.body.(string); ok {
 		text = []byte(raw)
@@ -70,22 +70,22 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+q.gateway+q.path, bytes.NewReader(text))
 	if err != nil {
-		return seen{err: err}
+		return response{err: err}
 	}
 	q.setHeaders(req.Header)
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return seen{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	s := seen{status: resp.StatusCode, header: resp.Header}
+	s := response{status: resp.StatusCode, header: resp.Header}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		if q.onStart != nil {
 			q.onStart(resp.Header.Get(api.HeaderEndpoint))
 		}
 		s.readStream(resp.Body, q.onToken)
 	} else {
-		s.readWhole(resp.Body)
+		s.readBody(resp.Body)
 	}
 	return s
 }
@@ -103,7 +103,7 @@
 	if q.attempt > 0 {
 		h.Set(api.HeaderAttempt, strconv.Itoa(q.attempt))
 	}
-	if q.once {
+	if q.nonIdempotent {
 		h.Set(api.HeaderIdempotent, "false")
 	}
 	for name, value := range q.header {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (s *seen) readWhole(body io.Reader) {
+func (s *response) readBody(body io.Reader) {
 	s.body, s.err = io.ReadAll(body)
 	var refusal api.ErrorBody
 	if s.err == nil && s.status >= http.StatusBadRequest && json.Unmarshal(s.body, &refusal) == nil && refusal.Reason != "" {
@@ -131,7 +131,7 @@
 	} `json:"crocusreel"`
 }
 
-func (s *seen) readStream(body io.Reader, onToken func(int) bool) {
+func (s *response) readStream(body io.Reader, onToken func(int) bool) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, 1<<20)
 	failed := false
@@ -154,7 +154,7 @@
 }
 
 // readEvent processes one event and returns false once no more events are to be read.
-func (s *seen) readEvent(data string, failed bool, onToken func(int) bool) bool {
+func (s *response) readEvent(data string, failed bool, onToken func(int) bool) bool {
 	if failed {
 		s.refusal = new(api.ErrorBody)
 		s.err = json.Unmarshal([]byte(data), s.refusal)
@@ -187,33 +187,33 @@
 	Stream    bool   `json:"stream"`
 }
 
-// generation returns a request for a stream of n tokens from model m.
-func generation(gateway, prompt string, n int) request {
+// generationRequest returns a request for a stream of n tokens from model m.
+func generationRequest(gateway, prompt string, n int) request {
 	return request{
 		gateway: gateway, path: "/v1/completions",
 		body: completion{Model: "m", Prompt: fmt.Sprintf("%s [[len=%d]]", prompt, n), Stream: true},
 	}
 }
 
-// booking returns a non-idempotent call that books a bed.
-func booking(gateway, key string, attempt int) request {
+// bookingRequest returns a non-idempotent call that books a bed.
+func bookingRequest(gateway, key string, attempt int) request {
 	return request{gateway: gateway, path: "/services/beds/book", body: "bed 7", key: key, attempt: attempt}
 }
 
-func resume(gateway, handle string, next int) request {
+func resumeRequest(gateway, handle string, next int) request {
 	return request{gateway: gateway, path: "/v1/resume", body: map[string]any{"handle": handle, "next_index": next}}
 }
 
-// later sends a request in the background.
-func later(ctx context.Context, q request) <-chan seen {
-	result := make(chan seen, 1)
+// sendAsync sends a request in the background.
+func sendAsync(ctx context.Context, q request) <-chan response {
+	result := make(chan response, 1)
 	go func() { result <- send(ctx, q) }()
 	return result
 }
 
 // expectContiguous checks that the tokens belong to one generation and are contiguous from index
 // first on, without gap or repeat. The text of each token names its generation and index.
-func expectContiguous(s seen, first int) {
+func expectContiguous(s response, first int) {
 	generation := ""
 	for i, text := range s.texts {
 		want := first + i
@@ -228,8 +228,8 @@
 	}
 }
 
-// expectWhole checks that the response is complete and consists of n tokens of one generation.
-func expectWhole(s seen, n int) {
+// expectComplete checks that the response is complete and consists of n tokens of one generation.
+func expectComplete(s response, n int) {
 	Expect(s.err).NotTo(HaveOccurred())
 	Expect(s.refusal).To(BeNil())
 	Expect(s.done).To(BeTrue())
@@ -238,7 +238,7 @@
 }
 
 // generationOf returns the generation named in the text of the first token.
-func generationOf(s seen) string {
+func generationOf(s response) string {
 	Expect(s.texts).NotTo(BeEmpty())
 	id, _, _ := strings.Cut(s.texts[0], ".")
 	return id
--- a/tests/capacity/controllers_test.go
+++ b/tests/capacity/controllers_test.go
@@ -45,13 +45,13 @@
 func startControllers(t *testing.T, bin string, count int) *controllers {
 	g := gomega.NewWithT(t)
 	dir := t.TempDir()
-	address := func() string {
+	freeAddress := func() string {
 		a, err := rig.FreeAddress()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		return a
 	}
 	var processes []*exec.Cmd
-	run := func(program string, args ...string) int {
+	startProgram := func(program string, args ...string) int {
 		cmd := exec.Command(filepath.Join(bin, program), args...)
 		g.Expect(cmd.Start()).To(gomega.Succeed())
 		processes = append(processes, cmd)
@@ -65,21 +65,21 @@
 			_ = cmd.Wait()
 		}
 	})
-	platformAt := address()
-	run("crocusreel-standin", "platform", "--listen", platformAt)
+	platformAddress := freeAddress()
+	startProgram("crocusreel-standin", "platform", "--listen", platformAddress)
 	c := &controllers{}
 	var vms []platform.VM
 	for i := range count {
-		id, peerAt, operatorAt := fmt.Sprintf("vm-%03d", i), address(), address()
+		id, peerAddress, operatorAddress := fmt.Sprintf("vm-%03d", i), freeAddress(), freeAddress()
 		file := filepath.Join(dir, id+".toml")
 		g.Expect(os.WriteFile(file, fmt.Appendf(nil, "peer_address=%q\noperator_address=%q\noperator_key_sha256=[%q]\n"+
 			"[log]\nlevel=\"warn\"\n[vm]\nid=%q\ndata_centre=\"dc%d\"\nregion=\"r\"\n[platform]\naddress=%q\n",
-			peerAt, operatorAt, rig.Digest("k"), id, i%4, platformAt), 0o600)).To(gomega.Succeed())
-		vms = append(vms, platform.VM{ID: id, PeerAddress: peerAt})
-		c.pids = append(c.pids, run("crocusreel-controller", "--settings", file))
-		c.operators = append(c.operators, operator.NewClient("http://"+operatorAt, "k", nil))
+			peerAddress, operatorAddress, rig.Digest("k"), id, i%4, platformAddress), 0o600)).To(gomega.Succeed())
+		vms = append(vms, platform.VM{ID: id, PeerAddress: peerAddress})
+		c.pids = append(c.pids, startProgram("crocusreel-controller", "--settings", file))
+		c.operators = append(c.operators, operator.NewClient("http://"+operatorAddress, "k", nil))
 	}
-	putVMs(g, platformAt, vms)
+	putVMs(g, platformAddress, vms)
 	began := time.Now()
 	g.Eventually(func() int {
 		status, _ := c.operators[0].Status(t.Context())
@@ -89,11 +89,11 @@
 	return c
 }
 
-func putVMs(g *gomega.WithT, platformAt string, vms []platform.VM) {
+func putVMs(g *gomega.WithT, platformAddress string, vms []platform.VM) {
 	body, err := json.Marshal(vms)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Eventually(func() error {
-		req, err := http.NewRequest(http.MethodPut, "http://"+platformAt+"/admin/vms", bytes.NewReader(body))
+		req, err := http.NewRequest(http.MethodPut, "http://"+platformAddress+"/admin/vms", bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
@@ -106,40 +106,40 @@
 	}).WithTimeout(10 * time.Second).Should(gomega.Succeed())
 }
 
-// cost is the resource usage of one process over a measurement: processor share in percent, I/O in
+// usage is the resource usage of one process over a measurement: processor share in percent, I/O in
 // kB/s and resident memory in MiB.
-type cost struct{ cpuPercent, in, out, rss float64 }
+type usage struct{ cpuPercent, inKBPerSecond, outKBPerSecond, rssMiB float64 }
 
 func (c *controllers) measure(t *testing.T, name string) {
 	g := gomega.NewWithT(t)
 	all := func() []procstat.Sample {
 		samples := make([]procstat.Sample, len(c.pids))
 		for i, pid := range c.pids {
-			samples[i] = read(g, pid)
+			samples[i] = readSample(g, pid)
 		}
 		return samples
 	}
 	before, began := all(), time.Now()
 	time.Sleep(controllerWindow)
 	after, seconds := all(), time.Since(began).Seconds()
-	var mean, worst cost
+	var mean, worst usage
 	for i := range after {
-		one := cost{
-			cpuPercent: (after[i].CPU - before[i].CPU).Seconds() / seconds * 100,
-			in:         (after[i].In - before[i].In) / seconds / 1000,
-			out:        (after[i].Out - before[i].Out) / seconds / 1000,
-			rss:        after[i].RSS,
+		one := usage{
+			cpuPercent:     (after[i].CPU - before[i].CPU).Seconds() / seconds * 100,
+			inKBPerSecond:  (after[i].In - before[i].In) / seconds / 1000,
+			outKBPerSecond: (after[i].Out - before[i].Out) / seconds / 1000,
+			rssMiB:         after[i].RSS,
 		}
 		n := float64(len(after))
-		mean = cost{mean.cpuPercent + one.cpuPercent/n, mean.in + one.in/n, mean.out + one.out/n, mean.rss + one.rss/n}
-		worst = cost{max(worst.cpuPercent, one.cpuPercent), max(worst.in, one.in), max(worst.out, one.out), max(worst.rss, one.rss)}
+		mean = usage{mean.cpuPercent + one.cpuPercent/n, mean.inKBPerSecond + one.inKBPerSecond/n, mean.outKBPerSecond + one.outKBPerSecond/n, mean.rssMiB + one.rssMiB/n}
+		worst = usage{max(worst.cpuPercent, one.cpuPercent), max(worst.inKBPerSecond, one.inKBPerSecond), max(worst.outKBPerSecond, one.outKBPerSecond), max(worst.rssMiB, one.rssMiB)}
 	}
 	t.Logf("%4d %-8s %6.2f %6.2f %8.2f %8.2f %8.2f %8.2f %8.1f %8.1f", len(c.pids), name,
-		mean.cpuPercent, worst.cpuPercent, mean.in, worst.in, mean.out, worst.out, mean.rss, worst.rss)
+		mean.cpuPercent, worst.cpuPercent, mean.inKBPerSecond, worst.inKBPerSecond, mean.outKBPerSecond, worst.outKBPerSecond, mean.rssMiB, worst.rssMiB)
 }
 
-// edit applies a changed document every second until ctx ends.
-func (c *controllers) edit(ctx context.Context, t *testing.T) {
+// applyEdits applies a changed document every second until ctx ends.
+func (c *controllers) applyEdits(ctx context.Context, t *testing.T) {
 	for version := uint64(0); ctx.Err() == nil; version++ {
 		_, err := c.operators[0].Apply(ctx, operator.Edit{
 			ExpectedVersion: version, EditID: fmt.Sprint(version), Document: config.Document{Base: document(version)},
@@ -181,7 +181,7 @@
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				c.edit(ctx, t)
+				c.applyEdits(ctx, t)
 			}()
 			c.measure(t, "edits")
 			cancel()
--- a/tests/capacity/gateway_test.go
+++ b/tests/capacity/gateway_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	engines = 4
-	// window is the duration of one measurement.
-	window = 6 * time.Second
+	engineCount = 4
+	// measureWindow is the duration of one measurement.
+	measureWindow = 6 * time.Second
 )
 
 // start runs the given number of VMs, one of them if all cost is to fall on one gateway, and
@@ -39,7 +39,7 @@
 	for i := range vms {
 		spec.VMs = append(spec.VMs, rig.VMSpec{ID: fmt.Sprintf("vm%d", i), DataCentre: "dc1"})
 	}
-	for i := range engines {
+	for i := range engineCount {
 		spec.Engines = append(spec.Engines, rig.EngineSpec{
 			Name: fmt.Sprintf("e%d", i), DataCentre: "dc1", Models: []string{"m"},
 			Args: []string{"--kv-capacity", "4000000", "--max-batch", "512", "--max-tokens", "32768"},
@@ -52,7 +52,7 @@
 	return r
 }
 
-func read(g *gomega.WithT, pid int) procstat.Sample {
+func readSample(g *gomega.WithT, pid int) procstat.Sample {
 	s, err := procstat.Read(pid)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	return s
@@ -75,7 +75,7 @@
 		go func() {
 			defer wg.Done()
 			for ctx.Err() == nil {
-				got, err := answer(ctx, c, length, class)
+				got, err := generateOne(ctx, c, length, class)
 				mu.Lock()
 				tokens += got
 				if err == nil {
@@ -91,7 +91,7 @@
 	return tokens, answers, failures
 }
 
-func answer(ctx context.Context, c *client.Client, length int, class crocusreel.Class) (int64, error) {
+func generateOne(ctx context.Context, c *client.Client, length int, class crocusreel.Class) (int64, error) {
 	s, err := c.Generate(ctx, client.Request{Model: "m", Prompt: fmt.Sprintf("[[len=%d]]", length), Class: class})
 	if err != nil {
 		return 0, err
@@ -116,13 +116,13 @@
 	t.Logf("%8s %12s %14s %12s %10s", "streams", "tokens/s", "cpu us/token", "rss MiB", "failures")
 	for _, n := range []int{1, 32, 128, 256, 512} {
 		pid := r.VMs[0].Gateway.PID()
-		ctx, cancel := context.WithTimeout(t.Context(), window)
-		before := read(g, pid)
+		ctx, cancel := context.WithTimeout(t.Context(), measureWindow)
+		before := readSample(g, pid)
 		began := time.Now()
 		tokens, _, failures := generate(ctx, c, n, 30_000, crocusreel.ClassGeneration)
 		took := time.Since(began)
 		cancel()
-		after := read(g, pid)
+		after := readSample(g, pid)
 		t.Logf("%8d %12.0f %14.1f %12.1f %10d", n, float64(tokens)/took.Seconds(),
 			(after.CPU-before.CPU).Seconds()*1e6/float64(max(tokens, 1)), after.RSS, failures)
 	}
@@ -137,15 +137,15 @@
 	defer c.Close()
 	t.Logf("%8s %12s %18s %10s", "at once", "requests/s", "cpu us/request", "failures")
 	for _, n := range []int{4, 16, 64} {
-		before := [2]procstat.Sample{read(g, r.VMs[0].Gateway.PID()), read(g, r.VMs[1].Gateway.PID())}
-		ctx, cancel := context.WithTimeout(t.Context(), window)
+		before := [2]procstat.Sample{readSample(g, r.VMs[0].Gateway.PID()), readSample(g, r.VMs[1].Gateway.PID())}
+		ctx, cancel := context.WithTimeout(t.Context(), measureWindow)
 		began := time.Now()
 		_, answers, failures := generate(ctx, c, n, 1, crocusreel.ClassShort)
 		took := time.Since(began)
 		cancel()
 		var cpu time.Duration
 		for i, b := range before {
-			cpu += read(g, r.VMs[i].Gateway.PID()).CPU - b.CPU
+			cpu += readSample(g, r.VMs[i].Gateway.PID()).CPU - b.CPU
 		}
 		t.Logf("%8d %12.0f %18.1f %10d", n, float64(answers)/took.Seconds(),
 			cpu.Seconds()*1e6/float64(max(answers, 1)), failures)
--- a/tests/commandline_test.go
+++ b/tests/commandline_test.go
@@ -14,10 +14,10 @@
 	"github.com/crocusreel/crocusreel/internal/rig"
 )
 
-// program runs one of the binaries to completion and returns its exit code and combined output.
-func program(ctx context.Context, name string, args ...string) (code int, output string) {
+// runProgram runs one of the binaries to completion and returns its exit code and combined output.
+func runProgram(ctx context.Context, name string, args ...string) (code int, output string) {
 	GinkgoHelper()
-	cmd := exec.CommandContext(ctx, filepath.Join(bin, name), args...)
+	cmd := exec.CommandContext(ctx, filepath.Join(binDir, name), args...)
 	cmd.Env = append(os.Environ(), "CROCUSREEL_KEY="+rig.OperatorKey)
 	out, err := cmd.CombinedOutput()
 	var exit *exec.ExitError
@@ -30,13 +30,13 @@
 var _ = Describe("The command line", func() {
 	It("of every program answers --help, and refuses unknown flags with exit code 2", func(ctx SpecContext) {
 		for _, name := range []string{"crocusreel", "crocusreel-gateway", "crocusreel-controller", "crocusreel-standin"} {
-			code, output := program(ctx, name, "--help")
+			code, output := runProgram(ctx, name, "--help")
 			Expect(code).To(BeZero(), name)
 			Expect(output).To(ContainSubstring("Usage: "+name), name)
-			code, _ = program(ctx, name, "--no-such-flag")
+			code, _ = runProgram(ctx, name, "--no-such-flag")
 			Expect(code).To(Equal(2), name)
 		}
-	}, NodeTimeout(waitLimit))
+	}, NodeTimeout(waitTimeout))
 
 	// A daemon is started with settings that contain several mistakes. If each start reported only
 	// the first one, the operator would have to restart the VM once per mistake.
@@ -44,16 +44,16 @@
 		file := filepath.Join(GinkgoT().TempDir(), "bad.toml")
 		Expect(os.WriteFile(file, []byte("caler_address = 1\npeer_address = \"nowhere\"\n[vm]\nid = \"\"\n"), 0o600)).To(Succeed())
 		for _, name := range []string{"crocusreel-gateway", "crocusreel-controller"} {
-			code, output := program(ctx, name, "--settings", file)
+			code, output := runProgram(ctx, name, "--settings", file)
 			Expect(code).To(Equal(2), name)
 			for _, key := range []string{"caler_address", "peer_address", "vm.id", "vm.region", "platform.address"} {
 				Expect(output).To(ContainSubstring(file+": "+key+": found"), name)
 			}
 		}
-	}, NodeTimeout(waitLimit))
+	}, NodeTimeout(waitTimeout))
 
 	It("for operators tells the kinds of failure apart by exit code", func(ctx SpecContext) {
-		r := start(twoSites())
+		r := startRig(twoDataCentres())
 		dir := GinkgoT().TempDir()
 		write := func(text string) {
 			Expect(os.WriteFile(filepath.Join(dir, "base.toml"), []byte(text), 0o600)).To(Succeed())
@@ -61,7 +61,7 @@
 		write(r.Document().Base)
 		at := []string{"--operator", r.VMs[0].OperatorAddress}
 		config := func(verb string, more ...string) (int, string) {
-			return program(ctx, "crocusreel", append(append([]string{"config", verb, dir}, at...), more...)...)
+			return runProgram(ctx, "crocusreel", append(append([]string{"config", verb, dir}, at...), more...)...)
 		}
 
 		code, output := config("apply")
@@ -87,7 +87,7 @@
 		code, output = config("apply", "--base", "2")
 		Expect(code).To(Equal(4), output)
 		Expect(output).To(ContainSubstring("--edit-id"))
-		code, output = program(ctx, "crocusreel", "status", at[0], at[1])
+		code, output = runProgram(ctx, "crocusreel", "status", at[0], at[1])
 		Expect(code).To(Equal(4), strings.TrimSpace(output))
-	}, NodeTimeout(2*startLimit))
+	}, NodeTimeout(2*startTimeout))
 })
--- a/tests/configuration_test.go
+++ b/tests/configuration_test.go
@@ -18,20 +18,20 @@
 	"github.com/crocusreel/crocusreel/operator"
 )
 
-// keyOf returns a caller key that is valid only under the given edit, so that a caller can observe
-// which edit is in force.
-func keyOf(edit string) string { return "key-of-" + edit }
+// callerKeyFor returns a caller key that is valid only under the given edit, so that a caller can
+// observe which edit is in force.
+func callerKeyFor(edit string) string { return "key-of-" + edit }
 
-// document returns the rig's configuration extended by the caller key of an edit.
-func document(r *rig.Rig, edit string) config.Document {
+// documentForEdit returns the rig's configuration extended by the caller key of an edit.
+func documentForEdit(r *rig.Rig, edit string) config.Document {
 	doc := r.Document()
-	doc.Base += fmt.Sprintf("[[workspaces]]\nname = \"probe\"\nkey_sha256 = [%q]\n", rig.Digest(keyOf(edit)))
+	doc.Base += fmt.Sprintf("[[workspaces]]\nname = \"probe\"\nkey_sha256 = [%q]\n", rig.Digest(callerKeyFor(edit)))
 	return doc
 }
 
 // inForce reports whether a gateway accepts the caller key of an edit.
 func inForce(ctx context.Context, v *rig.VM, edit string) bool {
-	s := send(ctx, request{gateway: v.CallerAddress, method: http.MethodGet, path: "/v1/models", callerKey: keyOf(edit)})
+	s := send(ctx, request{gateway: v.CallerAddress, method: http.MethodGet, path: "/v1/models", callerKey: callerKeyFor(edit)})
 	return s.status == http.StatusOK
 }
 
@@ -45,8 +45,8 @@
 	}
 }
 
-// expectNeverAgain checks for 2 s that no running gateway reverts to an old edit.
-func expectNeverAgain(ctx context.Context, r *rig.Rig, edit string) {
+// expectNoRevert checks for 2 s that no running gateway reverts to an old edit.
+func expectNoRevert(ctx context.Context, r *rig.Rig, edit string) {
 	GinkgoHelper()
 	Consistently(func() bool {
 		for _, v := range r.VMs {
@@ -63,18 +63,18 @@
 	var version uint64
 
 	BeforeAll(func(ctx SpecContext) {
-		spec := twoSites()
+		spec := twoDataCentres()
 		spec.VMs = append(spec.VMs, rig.VMSpec{ID: "vm3", DataCentre: "dc1"})
-		r = start(spec)
+		r = startRig(spec)
 		version = 1
 	})
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
 	// apply applies an edit on top of the current version, whichever edits the earlier specs made.
 	apply := func(ctx context.Context, v *rig.VM, edit string) {
 		GinkgoHelper()
-		next, err := r.Apply(ctx, v, version, document(r, edit))
+		next, err := r.Apply(ctx, v, version, documentForEdit(r, edit))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next).To(Equal(version + 1))
 		version = next
@@ -90,7 +90,7 @@
 		for i := range operators {
 			wg.Go(func() {
 				_, errs[i] = r.Operator(r.VMs[i%len(r.VMs)]).Apply(ctx, operator.Edit{
-					ExpectedVersion: version, EditID: uuid.NewString(), Document: document(r, fmt.Sprint("race-", i)),
+					ExpectedVersion: version, EditID: uuid.NewString(), Document: documentForEdit(r, fmt.Sprint("race-", i)),
 				})
 			})
 		}
@@ -124,9 +124,9 @@
 	// The platform applies the edit but its response is lost. If the edit were reported as failed,
 	// the operator would edit again and conflict with its own first edit.
 	It("is reported as accepted although the platform's response was lost", func(ctx SpecContext) {
-		platformFaults(ctx, r, admin.PlatformFaults{LoseNext: 1})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{LoseNext: 1})
 		accepted, err := r.Operator(r.VMs[0]).Apply(ctx, operator.Edit{
-			ExpectedVersion: version, EditID: uuid.NewString(), Document: document(r, "answer-lost"),
+			ExpectedVersion: version, EditID: uuid.NewString(), Document: documentForEdit(r, "answer-lost"),
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(accepted.Version).To(Equal(version + 1))
@@ -137,15 +137,15 @@
 	// The platform is down, so the edit can't be made durable: it must be refused and change
 	// nothing. If it still spread to some VMs, it would be lost when these are replaced.
 	It("does not contain an edit that was refused during an outage", func(ctx SpecContext) {
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		_, err := r.Operator(r.VMs[1]).Apply(ctx, operator.Edit{
-			ExpectedVersion: version, EditID: uuid.NewString(), Document: document(r, "outage"),
+			ExpectedVersion: version, EditID: uuid.NewString(), Document: documentForEdit(r, "outage"),
 		})
 		var refused *operator.RemoteError
 		Expect(errors.As(err, &refused)).To(BeTrue(), "%v", err)
 		Expect(refused.Code).To(Equal(operator.CodeUnavailable))
-		platformFaults(ctx, r, admin.PlatformFaults{})
-		expectNeverAgain(ctx, r, "outage")
+		setPlatformFaults(ctx, r, admin.PlatformFaults{})
+		expectNoRevert(ctx, r, "outage")
 	}, SpecTimeout(time.Minute))
 
 	// A VM is replaced while the platform is down. Its new processes start without state; with no
@@ -153,7 +153,7 @@
 	It("is in force at processes that start during an outage", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "before-outage")
 		expectInForce(ctx, r, "before-outage")
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		v := r.VMs[1]
 		v.Gateway.Kill()
 		v.Controller.Kill()
@@ -179,7 +179,7 @@
 		Expect(inForce(ctx, cut, "before-cut")).To(BeTrue(), "the VM that is cut off does not keep its configuration")
 		restore(ctx, r)
 		expectInForce(ctx, r, "during-cut-2")
-		expectNeverAgain(ctx, r, "before-cut")
+		expectNoRevert(ctx, r, "before-cut")
 	}, SpecTimeout(time.Minute))
 
 	// A controller freezes with an old configuration, misses an edit and resumes. Neither the other
@@ -192,7 +192,7 @@
 		Eventually(func() bool { return inForce(ctx, r.VMs[2], "during-freeze") }).Should(BeTrue())
 		r.VMs[1].Controller.Thaw()
 		expectInForce(ctx, r, "during-freeze")
-		expectNeverAgain(ctx, r, "before-freeze")
+		expectNoRevert(ctx, r, "before-freeze")
 	}, SpecTimeout(time.Minute))
 
 	// The platform is down and a controller restarts; the only peer that it finds was cut off and
@@ -210,7 +210,7 @@
 		for _, v := range []*rig.VM{r.VMs[0], r.VMs[2]} {
 			Eventually(func() bool { return inForce(ctx, v, "newer") }).Should(BeTrue())
 		}
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		r.VMs[0].Controller.Kill()
 		r.VMs[2].Controller.Kill()
 		for _, v := range r.VMs {
--- a/tests/deadly_test.go
+++ b/tests/deadly_test.go
@@ -15,37 +15,37 @@
 	"github.com/crocusreel/crocusreel/internal/rig"
 )
 
-// strikes is the configured number of engine deaths after which a request is refused.
-const strikes = 3
+// strikeLimit is the configured number of engine deaths after which a request is refused.
+const strikeLimit = 3
 
-// reviver restarts engines that have died, as a process supervisor does, and counts the deaths.
-type reviver struct {
+// supervisor restarts engines that have died, as a process supervisor does, and counts the deaths.
+type supervisor struct {
 	mu     sync.Mutex
 	deaths int
 }
 
-func (k *reviver) run(ctx context.Context, engines []*rig.Endpoint) {
+func (s *supervisor) run(ctx context.Context, engines []*rig.Endpoint) {
 	for ctx.Err() == nil {
 		for _, e := range engines {
 			if e.Running() {
 				continue
 			}
-			k.mu.Lock()
-			k.deaths++
-			k.mu.Unlock()
+			s.mu.Lock()
+			s.deaths++
+			s.mu.Unlock()
 			e.Kill()
 			time.Sleep(200 * time.Millisecond)
 			// If the start fails, the next iteration retries it.
 			_ = e.Restart()
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (k *reviver) count() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.deaths
+func (s *supervisor) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.deaths
 }
 
 var _ = Describe("A request that kills each engine that runs it", Ordered, func() {
@@ -53,32 +53,32 @@
 	// through other gateways. Without a bound it would take down one engine after the other, each
 	// time losing the streams of all other requests there.
 	It("is stopped at the bound, and the requests beside it are answered", func(ctx SpecContext) {
-		spec := twoSites()
-		spec.Base = fmt.Sprintf("[limits]\nstrikes = %d\n", strikes)
+		spec := twoDataCentres()
+		spec.Base = fmt.Sprintf("[limits]\nstrikes = %d\n", strikeLimit)
 		for i := range 2 {
 			spec.Engines = append(spec.Engines, rig.EngineSpec{
 				Name: fmt.Sprint("e", i+3), DataCentre: fmt.Sprint("dc", i+1), Models: []string{"m"},
 			})
 		}
-		r := start(spec)
+		r := startRig(spec)
 		// Until the gateways have discovered each other there can be two schedulers, each with its
 		// own count of deaths; docs/PROOFS.md lists that bound as not proved.
 		for _, v := range r.VMs {
 			Eventually(func() []string {
-				addresses, _ := addressAnswer(ctx, v.CallerAddress)
+				addresses, _ := fetchAddresses(ctx, v.CallerAddress)
 				return addresses
 			}).Should(ConsistOf(r.CallerAddresses()), v.ID)
 		}
 		loadCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		k := new(reviver)
+		restarter := new(supervisor)
 		var wg sync.WaitGroup
-		wg.Go(func() { k.run(loadCtx, r.Engines) })
-		innocents := innocentLoad(loadCtx, r)
+		wg.Go(func() { restarter.run(loadCtx, r.Engines) })
+		background := backgroundLoad(loadCtx, r)
 
 		refused := 0
 		for i := range 20 {
-			q := generation(r.VMs[i%2].CallerAddress, "deadly", 50)
+			q := generationRequest(r.VMs[i%2].CallerAddress, "deadly", 50)
 			q.body = completion{Model: "m", Prompt: "deadly [[crash]] [[len=50]]"}
 			q.key, q.attempt = uuid.NewString(), 1
 			s := send(ctx, q)
@@ -88,19 +88,19 @@
 			}
 		}
 		stop()
-		for _, err := range <-innocents {
+		for _, err := range <-background {
 			Expect(err).NotTo(HaveOccurred())
 		}
 		wg.Wait()
-		Expect(k.count()).To(BeNumerically("<=", strikes))
-		Expect(k.count()).To(BeNumerically(">", 0))
-		Expect(refused).To(BeNumerically(">=", 20-strikes))
+		Expect(restarter.count()).To(BeNumerically("<=", strikeLimit))
+		Expect(restarter.count()).To(BeNumerically(">", 0))
+		Expect(refused).To(BeNumerically(">=", 20-strikeLimit))
 	}, SpecTimeout(90*time.Second))
 })
 
-// innocentLoad sends harmless generations until the context ends, waits for the ones in flight and
-// then delivers the errors that their callers received.
-func innocentLoad(ctx context.Context, r *rig.Rig) <-chan []error {
+// backgroundLoad sends harmless generations until the context ends, waits for the ones in flight
+// and then delivers the errors that their callers received.
+func backgroundLoad(ctx context.Context, r *rig.Rig) <-chan []error {
 	GinkgoHelper()
 	c, err := client.New(client.Options{
 		Seeds: r.CallerAddresses(), Key: rig.DefaultKey, Attempts: 20, RetryRatio: 2, RetryBurst: 1000,
--- a/tests/deadlycall_test.go
+++ b/tests/deadlycall_test.go
@@ -17,18 +17,18 @@
 	// the other. If each gateway counted only the deaths that it saw, three gateways would let the
 	// call kill nine services, and a service with four workers would be down at the second gateway.
 	It("is stopped at the bound wherever it is sent next", func(ctx SpecContext) {
-		spec := twoSites()
+		spec := twoDataCentres()
 		spec.VMs = append(spec.VMs, rig.VMSpec{ID: "vm3", DataCentre: "dc1"})
-		spec.Base = fmt.Sprintf("[limits]\nstrikes = %d\n", strikes)
+		spec.Base = fmt.Sprintf("[limits]\nstrikes = %d\n", strikeLimit)
 		for i := range 10 {
 			spec.Services = append(spec.Services, rig.ServiceSpec{
 				Name: fmt.Sprint("beds", i), DataCentre: fmt.Sprint("dc", i%2+1), Prefix: "/beds",
 			})
 		}
-		r := start(spec)
+		r := startRig(spec)
 		for _, v := range r.VMs {
 			Eventually(func() []string {
-				addresses, _ := addressAnswer(ctx, v.CallerAddress)
+				addresses, _ := fetchAddresses(ctx, v.CallerAddress)
 				return addresses
 			}).Should(ConsistOf(r.CallerAddresses()), v.ID)
 		}
@@ -40,7 +40,7 @@
 			}
 			return n
 		}
-		lookup := func(i int) seen {
+		lookup := func(i int) response {
 			return send(ctx, request{
 				gateway: r.VMs[i%len(r.VMs)].CallerAddress, method: http.MethodGet, path: "/services/beds/%5B%5Bcrash%5D%5D",
 			})
@@ -48,7 +48,7 @@
 		for i := range 12 {
 			Expect(lookup(i).status).NotTo(Equal(http.StatusOK))
 		}
-		Expect(dead()).To(Equal(strikes))
+		Expect(dead()).To(Equal(strikeLimit))
 		for i := range r.VMs {
 			refused := lookup(i)
 			Expect(refused.refusal).NotTo(BeNil())
--- a/tests/hostile_test.go
+++ b/tests/hostile_test.go
@@ -26,10 +26,10 @@
 	var gateway string
 
 	BeforeAll(func() {
-		spec := withBookings()
+		spec := withBookingService()
 		spec.Base = fmt.Sprintf("[[workspaces]]\nname = \"desk\"\nkey_sha256 = [%q]\n[[workspaces]]\nname = \"other\"\nkey_sha256 = [%q]\n",
 			rig.Digest(rig.DefaultKey), rig.Digest(otherKey))
-		r = start(spec)
+		r = startRig(spec)
 		gateway = r.VMs[0].CallerAddress
 	})
 
@@ -38,7 +38,7 @@
 			Expect(v.Gateway.Running()).To(BeTrue(), "the gateway process is not running")
 			Expect(v.Controller.Running()).To(BeTrue(), "the controller process is not running")
 		}
-		expectWhole(send(ctx, generation(gateway, "still there", 3)), 3)
+		expectComplete(send(ctx, generationRequest(gateway, "still there", 3)), 3)
 	})
 
 	refusals := func(ctx context.Context, reason crocusreel.Reason) float64 {
@@ -75,21 +75,21 @@
 	// A handle is modified, truncated, forged or used by another workspace. If it were accepted,
 	// one customer would read the text of another.
 	It("as a forged or foreign handle is refused and counted", func(ctx SpecContext) {
-		q := generation(gateway, "private", 60)
+		q := generationRequest(gateway, "private", 60)
 		q.onToken = func(index int) bool { return index < 5 }
 		s := send(ctx, q)
 		Expect(s.handle).NotTo(BeEmpty())
 		before := refusals(ctx, crocusreel.ReasonHandleInvalid) + refusals(ctx, crocusreel.ReasonForbidden)
 		forged := []string{
 			"", "x", s.handle[:len(s.handle)-2], s.handle + "A", strings.Repeat("A", 100_000),
-			base64.RawURLEncoding.EncodeToString([]byte(`{"endpoint":"e1"}`)), flip(s.handle, 3), flip(s.handle, len(s.handle)/2), flip(s.handle, len(s.handle)-3),
+			base64.RawURLEncoding.EncodeToString([]byte(`{"endpoint":"e1"}`)), flipChar(s.handle, 3), flipChar(s.handle, len(s.handle)/2), flipChar(s.handle, len(s.handle)-3),
 		}
 		for _, h := range forged {
-			got := send(ctx, resume(gateway, h, 0))
+			got := send(ctx, resumeRequest(gateway, h, 0))
 			Expect(got.refusal).NotTo(BeNil(), "handle %.60q: %+v", h, got)
 			Expect(got.refusal.Reason).To(Equal(crocusreel.ReasonHandleInvalid))
 		}
-		foreign := resume(gateway, s.handle, 0)
+		foreign := resumeRequest(gateway, s.handle, 0)
 		foreign.callerKey = otherKey
 		got := send(ctx, foreign)
 		Expect(got.refusal).NotTo(BeNil(), "%+v", got)
@@ -103,9 +103,9 @@
 	// must get its own run, and neither may see the other's recent requests.
 	It("cannot reach another workspace's records", func(ctx SpecContext) {
 		key := uuid.NewString()
-		own := send(ctx, booking(gateway, key, 1))
+		own := send(ctx, bookingRequest(gateway, key, 1))
 		Expect(own.status).To(Equal(http.StatusOK))
-		q := booking(gateway, key, 1)
+		q := bookingRequest(gateway, key, 1)
 		q.callerKey = otherKey
 		foreign := send(ctx, q)
 		Expect(foreign.status).To(Equal(http.StatusOK))
@@ -138,7 +138,7 @@
 			api.HeaderIdempotencyKey: strings.Repeat("k", 300), api.HeaderIdempotent: "maybe", api.HeaderClass: "urgent",
 		}
 		for name, value := range headers {
-			q := generation(gateway, "note", 1)
+			q := generationRequest(gateway, "note", 1)
 			q.header = map[string]string{name: value}
 			s := send(ctx, q)
 			Expect(s.refusal).NotTo(BeNil(), "%s: %s", name, value)
@@ -146,7 +146,7 @@
 		}
 		for _, address := range []string{gateway, r.VMs[0].GatewayPeerAddress, r.VMs[0].ControllerPeerAddress, r.VMs[0].OperatorAddress} {
 			for _, text := range []string{"\x16\x03\x01\x00\xa5", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\xff\xff", "GET / HTTP/1.1\r\nContent-Length: -5\r\n\r\n", strings.Repeat("A", 100_000)} {
-				raw(address, text)
+				sendRaw(address, text)
 			}
 		}
 	}, SpecTimeout(time.Minute))
@@ -167,8 +167,8 @@
 	}, SpecTimeout(time.Minute))
 })
 
-// flip replaces the character of a handle at the given position.
-func flip(text string, at int) string {
+// flipChar replaces the character of a handle at the given position.
+func flipChar(text string, at int) string {
 	changed := byte('A')
 	if text[at] == changed {
 		changed = 'B'
@@ -176,8 +176,9 @@
 	return text[:at] + string(changed) + text[at+1:]
 }
 
-// raw sends bytes to a listener and reads the response, for at most 200 ms after it has connected.
-func raw(address, text string) {
+// sendRaw sends bytes to a listener and reads the response, for at most 200 ms after it has
+// connected.
+func sendRaw(address, text string) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
--- a/tests/leaving_test.go
+++ b/tests/leaving_test.go
@@ -23,15 +23,15 @@
 // well under a second.
 const leavingBound = 3 * time.Second
 
-// work sends requests through all gateways until the context ends, from three workers per gateway,
-// each of which has one request in flight.
-func work(ctx context.Context, r *rig.Rig, make func(v *rig.VM, i int) request) *sync.WaitGroup {
+// runLoad sends requests through all gateways until the context ends, from three workers per
+// gateway, each of which has one request in flight.
+func runLoad(ctx context.Context, r *rig.Rig, newRequest func(v *rig.VM, i int) request) *sync.WaitGroup {
 	wg := new(sync.WaitGroup)
 	for _, v := range r.VMs {
 		for worker := range 3 {
 			wg.Go(func() {
 				for i := worker; ctx.Err() == nil; i += 3 {
-					send(ctx, make(v, i))
+					send(ctx, newRequest(v, i))
 				}
 			})
 		}
@@ -55,9 +55,9 @@
 	var r *rig.Rig
 
 	BeforeAll(func() {
-		spec := withBookings()
+		spec := withBookingService()
 		spec.Services = append(spec.Services, rig.ServiceSpec{Name: "beds2", DataCentre: "dc2", Prefix: "/beds"})
-		r = start(spec)
+		r = startRig(spec)
 	})
 
 	// An operator drains an engine and a service by an edit. New work that is still sent to them is
@@ -65,15 +65,15 @@
 	It("gets no new work later than the bound after the edit; running work completes", func(ctx SpecContext) {
 		loadCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		wg := work(loadCtx, r, func(v *rig.VM, i int) request {
+		wg := runLoad(loadCtx, r, func(v *rig.VM, i int) request {
 			if i%2 == 0 {
-				return booking(v.CallerAddress, fmt.Sprint(v.ID, "-leave-", i), 1)
+				return bookingRequest(v.CallerAddress, fmt.Sprint(v.ID, "-leave-", i), 1)
 			}
-			return generation(v.CallerAddress, fmt.Sprint("note ", i), 5)
+			return generationRequest(v.CallerAddress, fmt.Sprint("note ", i), 5)
 		})
 		const length = 300
 		engine, service := r.Engines[0], r.Services[0]
-		long := startAt(ctx, r, engine, length)
+		long := startStreamAt(ctx, r, engine, length)
 		Eventually(func() int { return startsAfter(ctx, service, time.Time{}) }).Should(BeNumerically(">", 3))
 
 		doc := r.Document()
@@ -91,7 +91,7 @@
 		Expect(startsAfter(ctx, r.Services[1], accepted.Add(leavingBound))).To(BeNumerically(">", 0))
 		stop()
 		wg.Wait()
-		expectWhole(<-long, length)
+		expectComplete(<-long, length)
 		Expect(r.Apply(ctx, r.VMs[1], 2, r.Document())).To(BeEquivalentTo(3))
 		restore(ctx, r)
 	}, SpecTimeout(time.Minute))
@@ -101,13 +101,13 @@
 	It("gets no new work later than the bound after its own notice", func(ctx SpecContext) {
 		loadCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		wg := work(loadCtx, r, func(v *rig.VM, i int) request {
-			return generation(v.CallerAddress, fmt.Sprint("note ", i), 5)
+		wg := runLoad(loadCtx, r, func(v *rig.VM, i int) request {
+			return generationRequest(v.CallerAddress, fmt.Sprint("note ", i), 5)
 		})
 		engine := r.Engines[1]
 		begun := time.Now()
 		Eventually(func() int { return startsAfter(ctx, engine, begun) }).Should(BeNumerically(">", 3))
-		faults(ctx, admin.EngineFaults{ReclaimInMS: 6000}, engine)
+		setFaults(ctx, admin.EngineFaults{ReclaimInMS: 6000}, engine)
 		noticed := time.Now()
 		time.Sleep(leavingBound + 2*time.Second)
 		Expect(startsAfter(ctx, engine, noticed.Add(leavingBound))).To(BeZero())
@@ -117,15 +117,15 @@
 	}, SpecTimeout(time.Minute))
 })
 
-// startAt starts a stream that runs at the given engine and returns once the response headers name
-// that engine. It makes up to 50 tries and fails the spec if none is placed there.
-func startAt(ctx context.Context, r *rig.Rig, engine *rig.Endpoint, length int) <-chan seen {
+// startStreamAt starts a stream that runs at the given engine and returns once the response headers
+// name that engine. It makes up to 50 tries and fails the spec if none is placed there.
+func startStreamAt(ctx context.Context, r *rig.Rig, engine *rig.Endpoint, length int) <-chan response {
 	GinkgoHelper()
 	for range 50 {
 		at := make(chan string, 1)
-		q := generation(r.VMs[0].CallerAddress, "long", length)
+		q := generationRequest(r.VMs[0].CallerAddress, "long", length)
 		q.onStart = func(name string) { at <- name }
-		result := later(ctx, q)
+		result := sendAsync(ctx, q)
 		var name string
 		Eventually(at).Should(Receive(&name))
 		if name == engine.Name {
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// addressAnswer queries a gateway for the caller addresses and the lifetime of that response. Both
+// fetchAddresses queries a gateway for the caller addresses and the lifetime of that response. Both
 // are zero if the query fails.
-func addressAnswer(ctx context.Context, gateway string) (addresses []string, lifetime time.Duration) {
+func fetchAddresses(ctx context.Context, gateway string) (addresses []string, lifetime time.Duration) {
 	s := send(ctx, request{gateway: gateway, method: http.MethodGet, path: "/v1/addresses"})
 	var answer struct {
 		Addresses []string `json:"addresses"`
@@ -161,7 +161,7 @@
 		wg.Go(func() {
 			for leaving.Gateway.Running() {
 				asked := time.Now()
-				addresses, lifetime := addressAnswer(ctx, v.CallerAddress)
+				addresses, lifetime := fetchAddresses(ctx, v.CallerAddress)
 				mu.Lock()
 				if slices.Contains(addresses, leaving.CallerAddress) {
 					if end := asked.Add(lifetime); end.After(expiry) {
@@ -172,12 +172,12 @@
 					}
 				}
 				mu.Unlock()
-				time.Sleep(pollEvery)
+				time.Sleep(pollInterval)
 			}
 		})
 	}
 	for leaving.Gateway.Running() {
-		if s := send(ctx, generation(leaving.CallerAddress, "note", 1)); !s.done && refused.IsZero() {
+		if s := send(ctx, generationRequest(leaving.CallerAddress, "note", 1)); !s.done && refused.IsZero() {
 			refused = time.Now()
 		}
 	}
@@ -190,18 +190,18 @@
 	// gateway is still listed in new responses, or closes before old responses have expired, their
 	// connections are refused.
 	func(ctx SpecContext, before func(r *rig.Rig)) {
-		r := start(twoSites())
+		r := startRig(twoDataCentres())
 		leaving := r.VMs[0]
 		for _, v := range r.VMs {
 			Eventually(func() []string {
-				addresses, _ := addressAnswer(ctx, v.CallerAddress)
+				addresses, _ := fetchAddresses(ctx, v.CallerAddress)
 				return addresses
 			}).Should(ConsistOf(r.CallerAddresses()), v.ID)
 		}
 		before(r)
 		leaving.Gateway.Terminate()
 		Eventually(func() []string {
-			addresses, _ := addressAnswer(ctx, leaving.CallerAddress)
+			addresses, _ := fetchAddresses(ctx, leaving.CallerAddress)
 			return addresses
 		}).Should(Equal([]string{r.VMs[1].CallerAddress}))
 		expiry, refused, own := watchLeaving(ctx, r, leaving)
--- a/tests/notices_test.go
+++ b/tests/notices_test.go
@@ -14,21 +14,21 @@
 
 // The bound on an endpoint that announces a request limit: 1.5 times the limit plus five requests
 // in any window of four seconds. It applies once every gateway and scheduler has received a
-// response that announces the limit, for which limitKnown allows one second.
+// response that announces the limit, for which limitPropagation allows one second.
 const (
-	limitPerSecond = 3.0
-	limitWindow    = 4 * time.Second
-	limitKnown     = time.Second
-	limitAllowed   = int(1.5*limitPerSecond*4) + 5
+	limitPerSecond   = 3.0
+	limitWindow      = 4 * time.Second
+	limitPropagation = time.Second
+	limitMaxStarts   = int(1.5*limitPerSecond*4) + 5
 
 	// drainBound is the time after a response announced that its endpoint is leaving, from which on
 	// the endpoint must not start new work.
 	drainBound = 2 * time.Second
 )
 
-// mostStarts returns the largest number of runs of an endpoint that started within one limitWindow,
-// counting only windows that begin with a run after the given time.
-func mostStarts(ctx context.Context, e *rig.Endpoint, after time.Time) int {
+// maxStartsWithinWindow returns the largest number of runs of an endpoint that started within one
+// limitWindow, counting only windows that begin with a run after the given time.
+func maxStartsWithinWindow(ctx context.Context, e *rig.Endpoint, after time.Time) int {
 	GinkgoHelper()
 	most := 0
 	runs := runsOf(ctx, e)
@@ -49,30 +49,30 @@
 	var r *rig.Rig
 
 	BeforeAll(func() {
-		spec := withBookings()
+		spec := withBookingService()
 		spec.Services = append(spec.Services, rig.ServiceSpec{Name: "beds2", DataCentre: "dc2", Prefix: "/beds"})
-		r = start(spec)
+		r = startRig(spec)
 	})
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
 	// Guards against gateways that together exceed the request limit of a service or an engine.
 	It("gets no more requests than the bound on its limit", func(ctx SpecContext) {
 		limited := admin.Notices{RequestLimit: limitPerSecond}
 		engine, service := r.Engines[0], r.Services[0]
-		faults(ctx, admin.EngineFaults{Notices: limited}, engine)
-		faults(ctx, admin.ServiceFaults{Notices: limited}, service)
+		setFaults(ctx, admin.EngineFaults{Notices: limited}, engine)
+		setFaults(ctx, admin.ServiceFaults{Notices: limited}, service)
 		began := time.Now()
-		loadCtx, stop := context.WithTimeout(ctx, limitKnown+limitWindow+time.Second)
+		loadCtx, stop := context.WithTimeout(ctx, limitPropagation+limitWindow+time.Second)
 		defer stop()
-		work(loadCtx, r, func(v *rig.VM, i int) request {
+		runLoad(loadCtx, r, func(v *rig.VM, i int) request {
 			if i%2 == 0 {
-				return booking(v.CallerAddress, fmt.Sprint(v.ID, "-limit-", i), 1)
+				return bookingRequest(v.CallerAddress, fmt.Sprint(v.ID, "-limit-", i), 1)
 			}
-			return generation(v.CallerAddress, fmt.Sprint("note ", i), 5)
+			return generationRequest(v.CallerAddress, fmt.Sprint("note ", i), 5)
 		}).Wait()
 		for _, e := range []*rig.Endpoint{engine, service} {
-			Expect(mostStarts(ctx, e, began.Add(limitKnown))).To(BeNumerically("<=", limitAllowed))
+			Expect(maxStartsWithinWindow(ctx, e, began.Add(limitPropagation))).To(BeNumerically("<=", limitMaxStarts))
 		}
 	}, SpecTimeout(time.Minute))
 
@@ -80,16 +80,16 @@
 	// responses, and by no other means.
 	It("gets no new work once it announces that it is leaving", func(ctx SpecContext) {
 		engine, service := r.Engines[0], r.Services[0]
-		faults(ctx, admin.EngineFaults{Notices: admin.Notices{Leaving: true}}, engine)
-		faults(ctx, admin.ServiceFaults{Notices: admin.Notices{Leaving: true}}, service)
+		setFaults(ctx, admin.EngineFaults{Notices: admin.Notices{Leaving: true}}, engine)
+		setFaults(ctx, admin.ServiceFaults{Notices: admin.Notices{Leaving: true}}, service)
 		began := time.Now()
 		loadCtx, stop := context.WithTimeout(ctx, drainBound+2*time.Second)
 		defer stop()
-		work(loadCtx, r, func(v *rig.VM, i int) request {
+		runLoad(loadCtx, r, func(v *rig.VM, i int) request {
 			if i%2 == 0 {
-				return booking(v.CallerAddress, fmt.Sprint(v.ID, "-word-", i), 1)
+				return bookingRequest(v.CallerAddress, fmt.Sprint(v.ID, "-word-", i), 1)
 			}
-			return generation(v.CallerAddress, fmt.Sprint("note ", i), 5)
+			return generationRequest(v.CallerAddress, fmt.Sprint("note ", i), 5)
 		}).Wait()
 		for _, e := range []*rig.Endpoint{engine, service} {
 			Expect(startsAfter(ctx, e, began.Add(drainBound))).To(BeZero())
--- a/tests/notrun_test.go
+++ b/tests/notrun_test.go
@@ -15,9 +15,9 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// withBookings returns twoSites with one plain service that books beds.
-func withBookings(serviceArgs ...string) rig.Spec {
-	spec := twoSites()
+// withBookingService returns twoDataCentres with one plain service that books beds.
+func withBookingService(serviceArgs ...string) rig.Spec {
+	spec := twoDataCentres()
 	spec.Services = []rig.ServiceSpec{{Name: "beds", DataCentre: "dc1", Prefix: "/beds", Args: serviceArgs}}
 	return spec
 }
@@ -27,26 +27,26 @@
 	var beds *rig.Endpoint
 
 	BeforeAll(func() {
-		r = start(withBookings())
+		r = startRig(withBookingService())
 		beds = r.Services[0]
 	})
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
 	// The platform is down when a caller books for the first time. The booking can't be recorded,
 	// so it must not run, neither now nor once the platform is back.
 	It("is given for a first attempt while the platform is down, and the work never runs", func(ctx SpecContext) {
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		key := uuid.NewString()
-		s := send(ctx, booking(r.VMs[0].CallerAddress, key, 1))
+		s := send(ctx, bookingRequest(r.VMs[0].CallerAddress, key, 1))
 		Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 		Expect(s.refusal.Reason).To(Equal(crocusreel.ReasonLedgerUnavailable))
 		Expect(s.refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 		Expect(s.refusal.RetryAfterMS).To(BeNumerically(">", 0))
-		platformFaults(ctx, r, admin.PlatformFaults{})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{})
 		Consistently(func() []admin.Run { return runsWithKey(ctx, key, beds) }).
 			WithTimeout(time.Second).Should(BeEmpty())
-		Eventually(func() int { return send(ctx, booking(r.VMs[1].CallerAddress, key, 2)).status }).
+		Eventually(func() int { return send(ctx, bookingRequest(r.VMs[1].CallerAddress, key, 2)).status }).
 			Should(Equal(http.StatusOK))
 		Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
 	}, SpecTimeout(time.Minute))
@@ -55,21 +55,21 @@
 	// caller retries through another gateway. If that attempt were refused with not_run, the caller
 	// would book again under a new key and the bed would be booked twice.
 	It("is never given to a later attempt whose first one ran", func(ctx SpecContext) {
-		faults(ctx, admin.ServiceFaults{LoseNext: 1}, beds)
+		setFaults(ctx, admin.ServiceFaults{LoseNext: 1}, beds)
 		key := uuid.NewString()
-		first := send(ctx, booking(r.VMs[0].CallerAddress, key, 1))
+		first := send(ctx, bookingRequest(r.VMs[0].CallerAddress, key, 1))
 		Expect(first.refusal).NotTo(BeNil(), "%+v", first)
 		Expect(first.refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 		Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
 
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		for _, v := range r.VMs {
-			s := send(ctx, booking(v.CallerAddress, key, 2))
+			s := send(ctx, bookingRequest(v.CallerAddress, key, 2))
 			Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 			Expect(s.refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 		}
-		platformFaults(ctx, r, admin.PlatformFaults{})
-		s := send(ctx, booking(r.VMs[1].CallerAddress, key, 3))
+		setPlatformFaults(ctx, r, admin.PlatformFaults{})
+		s := send(ctx, bookingRequest(r.VMs[1].CallerAddress, key, 3))
 		Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 		Expect(s.refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 		Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
@@ -78,13 +78,13 @@
 	// As in the spec before, but the service has died before the second attempt, which therefore
 	// fails before the run record is read.
 	It("is never given to a later attempt that finds no endpoint", func(ctx SpecContext) {
-		faults(ctx, admin.ServiceFaults{LoseNext: 1}, beds)
+		setFaults(ctx, admin.ServiceFaults{LoseNext: 1}, beds)
 		key := uuid.NewString()
-		Expect(send(ctx, booking(r.VMs[0].CallerAddress, key, 1)).status).NotTo(Equal(http.StatusOK))
+		Expect(send(ctx, bookingRequest(r.VMs[0].CallerAddress, key, 1)).status).NotTo(Equal(http.StatusOK))
 		Expect(runsWithKey(ctx, key, beds)).To(HaveLen(1))
 		beds.Kill()
 		for range 5 {
-			s := send(ctx, booking(r.VMs[1].CallerAddress, key, 2))
+			s := send(ctx, bookingRequest(r.VMs[1].CallerAddress, key, 2))
 			Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 			Expect(s.refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 		}
@@ -94,14 +94,14 @@
 	// from the second try, which ran nothing, but the first one did run.
 	It("is never given to a generation that an engine started", func(ctx SpecContext) {
 		key := uuid.NewString()
-		q := generation(r.VMs[0].CallerAddress, "note [[crash]]", 200)
+		q := generationRequest(r.VMs[0].CallerAddress, "note [[crash]]", 200)
 		q.key, q.attempt = key, 1
 		q.body = completion{Model: "m", Prompt: key + " [[crash]] [[len=200]]"}
 		s := send(ctx, q)
 		Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 		var started []admin.Run
 		for _, e := range r.Engines {
-			revive(ctx, r, e)
+			restoreEndpoint(ctx, r, e)
 			for _, run := range runsOf(ctx, e) {
 				// Idempotent work is sent to engines without its key.
 				if strings.HasPrefix(run.PromptHead, key) {
@@ -118,8 +118,8 @@
 	// one is read.
 	It("is never given to a later attempt that gets no place in a queue", func(ctx SpecContext) {
 		key := uuid.NewString()
-		q := generation(r.VMs[0].CallerAddress, "letter", 300)
-		q.key, q.attempt, q.once = key, 1, true
+		q := generationRequest(r.VMs[0].CallerAddress, "letter", 300)
+		q.key, q.attempt, q.nonIdempotent = key, 1, true
 		q.onToken = func(index int) bool {
 			if index == 5 {
 				for _, e := range r.Engines {
@@ -133,16 +133,16 @@
 		Expect(first.refusal.Outcome).NotTo(Equal(crocusreel.OutcomeNotRun))
 
 		for _, v := range r.VMs {
-			Eventually(func() *api.ErrorBody { return send(ctx, generation(v.CallerAddress, "other", 1)).refusal }).
+			Eventually(func() *api.ErrorBody { return send(ctx, generationRequest(v.CallerAddress, "other", 1)).refusal }).
 				Should(HaveField("Reason", crocusreel.ReasonNoEndpoint))
-			again := generation(v.CallerAddress, "letter", 300)
-			again.key, again.attempt, again.once = key, 2, true
+			again := generationRequest(v.CallerAddress, "letter", 300)
+			again.key, again.attempt, again.nonIdempotent = key, 2, true
 			s := send(ctx, again)
 			Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 			Expect(s.refusal.Outcome).NotTo(Equal(crocusreel.OutcomeNotRun), "%+v", s.refusal)
 		}
 		for _, e := range r.Engines {
-			revive(ctx, r, e)
+			restoreEndpoint(ctx, r, e)
 		}
 		Expect(runsWithKey(ctx, key, r.Engines...)).To(HaveLen(1))
 	}, SpecTimeout(time.Minute))
--- a/tests/openai_test.go
+++ b/tests/openai_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// indices returns the token indices in the text of a stand-in engine. It fails the spec if the
-// tokens belong to different generations.
-func indices(text string) []int {
+// tokenIndices returns the token indices in the text of a stand-in engine. It fails the spec
+// if the tokens belong to different generations.
+func tokenIndices(text string) []int {
 	GinkgoHelper()
 	var out []int
 	first := ""
@@ -50,7 +50,7 @@
 	return out
 }
 
-func upTo(n int) []int {
+func indicesBelow(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
@@ -64,7 +64,7 @@
 	var api openai.Client
 
 	BeforeAll(func() {
-		r := start(openAISystem())
+		r := startRig(openAISystem())
 		api = openai.NewClient(
 			option.WithBaseURL("http://"+r.VMs[0].CallerAddress+"/v1/"),
 			option.WithAPIKey(rig.DefaultKey),
@@ -77,7 +77,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(page.Data).To(HaveLen(1))
 		Expect(page.Data[0].ID).To(Equal(openAIModel))
-	}, SpecTimeout(waitLimit))
+	}, SpecTimeout(waitTimeout))
 
 	completion := openai.CompletionNewParams{
 		Model:  openAIModel,
@@ -94,10 +94,10 @@
 	It("gets whole completions", func(ctx SpecContext) {
 		answer, err := api.Completions.New(ctx, completion)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(indices(answer.Choices[0].Text)).To(Equal(upTo(40)))
+		Expect(tokenIndices(answer.Choices[0].Text)).To(Equal(indicesBelow(40)))
 		Expect(string(answer.Choices[0].FinishReason)).To(Equal("stop"))
 		Expect(answer.Usage.CompletionTokens).To(BeEquivalentTo(40))
-	}, SpecTimeout(waitLimit))
+	}, SpecTimeout(waitTimeout))
 
 	It("streams completions", func(ctx SpecContext) {
 		stream := api.Completions.NewStreaming(ctx, completion)
@@ -107,15 +107,15 @@
 			text.WriteString(stream.Current().Choices[0].Text)
 		}
 		Expect(stream.Err()).NotTo(HaveOccurred())
-		Expect(indices(text.String())).To(Equal(upTo(40)))
-	}, SpecTimeout(waitLimit))
+		Expect(tokenIndices(text.String())).To(Equal(indicesBelow(40)))
+	}, SpecTimeout(waitTimeout))
 
 	It("gets whole chat completions", func(ctx SpecContext) {
 		answer, err := api.Chat.Completions.New(ctx, chat)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(indices(answer.Choices[0].Message.Content)).To(Equal(upTo(40)))
+		Expect(tokenIndices(answer.Choices[0].Message.Content)).To(Equal(indicesBelow(40)))
 		Expect(answer.Choices[0].FinishReason).To(Equal("stop"))
-	}, SpecTimeout(waitLimit))
+	}, SpecTimeout(waitTimeout))
 
 	It("streams chat completions", func(ctx SpecContext) {
 		stream := api.Chat.Completions.NewStreaming(ctx, chat)
@@ -125,18 +125,18 @@
 			Expect(whole.AddChunk(stream.Current())).To(BeTrue())
 		}
 		Expect(stream.Err()).NotTo(HaveOccurred())
-		Expect(indices(whole.Choices[0].Message.Content)).To(Equal(upTo(40)))
+		Expect(tokenIndices(whole.Choices[0].Message.Content)).To(Equal(indicesBelow(40)))
 		Expect(whole.Choices[0].FinishReason).To(Equal("stop"))
-	}, SpecTimeout(waitLimit))
+	}, SpecTimeout(waitTimeout))
 
 	It("respects the bound on tokens", func(ctx SpecContext) {
 		bounded := completion
 		bounded.MaxTokens = openai.Int(7)
 		answer, err := api.Completions.New(ctx, bounded)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(indices(answer.Choices[0].Text)).To(Equal(upTo(7)))
+		Expect(tokenIndices(answer.Choices[0].Text)).To(Equal(indicesBelow(7)))
 		Expect(string(answer.Choices[0].FinishReason)).To(Equal("length"))
-	}, SpecTimeout(waitLimit))
+	}, SpecTimeout(waitTimeout))
 
 	It("gets typed errors", func(ctx SpecContext) {
 		unknown := completion
@@ -150,14 +150,14 @@
 		_, err = api.Models.List(ctx, option.WithAPIKey("wrong"))
 		Expect(errors.As(err, &apiErr)).To(BeTrue())
 		Expect(apiErr.StatusCode).To(Equal(401))
-	}, SpecTimeout(waitLimit))
+	}, SpecTimeout(waitTimeout))
 })
 
 // A gateway is killed while it streams a response. Its connections break, and a caller that could
 // not resume would be left with a partial text.
 var _ = Describe("The Go client", func() {
 	It("gets its whole answer though the gateway dies in mid-stream", func(ctx SpecContext) {
-		r := start(openAISystem())
+		r := startRig(openAISystem())
 		c, err := client.New(client.Options{Seeds: r.CallerAddresses(), Key: rig.DefaultKey})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(c.Close)
@@ -176,7 +176,7 @@
 		}
 		_, err = stream.Next()
 		Expect(err).To(MatchError("EOF"))
-		Expect(indices(text.String())).To(Equal(upTo(tokens)))
+		Expect(tokenIndices(text.String())).To(Equal(indicesBelow(tokens)))
 		Expect(c.Counts().Resumes).To(BeNumerically(">=", 1))
 	}, SpecTimeout(2*time.Minute))
 })
--- a/tests/orders_test.go
+++ b/tests/orders_test.go
@@ -18,11 +18,12 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// leaseLength is the duration of the controllers' lease on orders in a rig.
-const leaseLength = 2 * time.Second
+// leaseDuration is the duration of the controllers' lease on orders in a rig.
+const leaseDuration = 2 * time.Second
 
-// placed returns the rig's configuration with the models of each engine replaced by the given ones.
-func placed(r *rig.Rig, models map[string][]string) config.Document {
+// documentWithModels returns the rig's configuration with the models of each engine replaced by the
+// given ones.
+func documentWithModels(r *rig.Rig, models map[string][]string) config.Document {
 	doc := r.Document()
 	for _, e := range r.Engines {
 		entry := fmt.Sprintf("name = %q\nkind = \"engine\"\n", e.Name)
@@ -36,8 +37,8 @@
 	return doc
 }
 
-// holder returns the VM whose controller holds the orders lease, or nil if none does.
-func holder(ctx context.Context, r *rig.Rig) *rig.VM {
+// leaseHolder returns the VM whose controller holds the orders lease, or nil if none does.
+func leaseHolder(ctx context.Context, r *rig.Rig) *rig.VM {
 	for _, v := range r.VMs {
 		status, err := r.Operator(v).Status(ctx)
 		if err == nil && status.Lease.HeldHere {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-func models(ctx context.Context, e *rig.Endpoint) []string {
+func loadedModels(ctx context.Context, e *rig.Endpoint) []string {
 	state, err := endpoint.NewEngine(e.Address, endpoint.Options{}).State(ctx)
 	if err != nil {
 		return nil
@@ -60,10 +61,10 @@
 	return names
 }
 
-// watchCopies polls the engines until the context ends and records models that no engine has
+// watchModelCopies polls the engines until the context ends and records models that no engine has
 // loaded. Each round reads all engines twice, so that a model that moves between two reads is not
 // counted as lost. The returned function waits for the end and returns the records.
-func watchCopies(ctx context.Context, r *rig.Rig, names []string) func() []string {
+func watchModelCopies(ctx context.Context, r *rig.Rig, names []string) func() []string {
 	var mu sync.Mutex
 	var lost []string
 	var wg sync.WaitGroup
@@ -71,7 +72,7 @@
 		for ctx.Err() == nil {
 			var found []string
 			for _, e := range append(slices.Clone(r.Engines), r.Engines...) {
-				found = append(found, models(ctx, e)...)
+				found = append(found, loadedModels(ctx, e)...)
 			}
 			for _, name := range names {
 				if ctx.Err() == nil && !slices.Contains(found, name) {
@@ -80,7 +81,7 @@
 					mu.Unlock()
 				}
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	})
 	return func() []string {
@@ -99,9 +100,9 @@
 	return slices.DeleteFunc(all, func(o admin.OrderRecord) bool { return !o.Applied })
 }
 
-// expectWithinRate checks that every load order has a reservation of its own at the weight store,
-// and that the reservation had started when the load began.
-func expectWithinRate(ctx context.Context, r *rig.Rig) {
+// expectLoadsReserved checks that every load order has a reservation of its own at the weight
+// store, and that the reservation had started when the load began.
+func expectLoadsReserved(ctx context.Context, r *rig.Rig) {
 	GinkgoHelper()
 	granted, err := r.Platform.Admin.Reservations(ctx)
 	Expect(err).NotTo(HaveOccurred())
@@ -127,43 +128,43 @@
 	// resumes with its old orders. One engine rejects old fencing tokens and one does not. If an
 	// old unload order were carried out, a model that callers wait for would be gone.
 	It("never come from a holder whose lease is over, and keep a copy of each model", func(ctx SpecContext) {
-		spec := twoSites()
+		spec := twoDataCentres()
 		spec.VMs = append(spec.VMs, rig.VMSpec{ID: "vm3", DataCentre: "dc1"})
 		spec.Engines[0].ChecksFence = true
 		spec.Engines[0].Models = []string{"m", "n"}
 		spec.Engines[1].Models = []string{"m"}
 		spec.PlatformArgs = []string{"--weight-bytes-per-s", "4e9", "--model-bytes", "1000000000"}
-		r := start(spec)
+		r := startRig(spec)
 		watchCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		lost := watchCopies(watchCtx, r, []string{"m", "n"})
+		lost := watchModelCopies(watchCtx, r, []string{"m", "n"})
 
-		one := map[string][]string{"e1": {"m", "n"}, "e2": {"m"}}
-		two := map[string][]string{"e1": {"m"}, "e2": {"n"}}
+		placementA := map[string][]string{"e1": {"m", "n"}, "e2": {"m"}}
+		placementB := map[string][]string{"e1": {"m"}, "e2": {"n"}}
 		version := uint64(1)
-		apply := func(v *rig.VM, wish map[string][]string) {
+		apply := func(v *rig.VM, placement map[string][]string) {
 			GinkgoHelper()
-			next, err := r.Apply(ctx, v, version, placed(r, wish))
+			next, err := r.Apply(ctx, v, version, documentWithModels(r, placement))
 			Expect(err).NotTo(HaveOccurred())
 			version = next
 		}
 		for round := range 3 {
 			var frozen *rig.VM
-			Eventually(func() *rig.VM { frozen = holder(ctx, r); return frozen }).ShouldNot(BeNil())
+			Eventually(func() *rig.VM { frozen = leaseHolder(ctx, r); return frozen }).ShouldNot(BeNil())
 			other := r.VMs[(slices.Index(r.VMs, frozen)+1)%len(r.VMs)]
-			apply(frozen, two)
+			apply(frozen, placementB)
 			time.Sleep(time.Duration(round) * 400 * time.Millisecond)
 			frozen.Controller.Freeze()
-			apply(other, one)
-			time.Sleep(2 * leaseLength)
-			apply(other, two)
+			apply(other, placementA)
+			time.Sleep(2 * leaseDuration)
+			apply(other, placementB)
 			time.Sleep(200 * time.Millisecond)
 			frozen.Controller.Thaw()
-			time.Sleep(leaseLength / 2)
-			apply(other, one)
+			time.Sleep(leaseDuration / 2)
+			apply(other, placementA)
 		}
 		for _, e := range r.Engines {
-			Eventually(func() []string { return models(ctx, e) }).Should(Equal(one[e.Name]), e.Name)
+			Eventually(func() []string { return loadedModels(ctx, e) }).Should(Equal(placementA[e.Name]), e.Name)
 		}
 		stop()
 		Expect(lost()).To(BeEmpty())
@@ -176,6 +177,6 @@
 			})).To(BeTrue(), "%s carried out an order with an old fencing token: %+v", e.Name, applied)
 		}
 		Expect(orders).To(BeNumerically(">", 3))
-		expectWithinRate(ctx, r)
+		expectLoadsReserved(ctx, r)
 	}, SpecTimeout(2*time.Minute))
 })
--- a/tests/partition_test.go
+++ b/tests/partition_test.go
@@ -15,9 +15,9 @@
 var _ = Describe("A data centre", Ordered, ContinueOnFailure, func() {
 	var r *rig.Rig
 
-	BeforeAll(func() { r = start(withBookings()) })
+	BeforeAll(func() { r = startRig(withBookingService()) })
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
 	// All links between two data centres, and from one of them to the platform, break, while
 	// callers still reach it. Generations continue on the engines that it reaches; bookings can't
@@ -33,17 +33,17 @@
 		cut.ControllerPlatform.Cut()
 		r.Engines[0].Link.Cut()
 
-		Eventually(func() bool { return send(ctx, generation(cut.CallerAddress, "cut off", 20)).done }).Should(BeTrue())
-		expectWhole(send(ctx, generation(cut.CallerAddress, "cut off", 20)), 20)
+		Eventually(func() bool { return send(ctx, generationRequest(cut.CallerAddress, "cut off", 20)).done }).Should(BeTrue())
+		expectComplete(send(ctx, generationRequest(cut.CallerAddress, "cut off", 20)), 20)
 		key := uuid.NewString()
-		s := send(ctx, booking(cut.CallerAddress, key, 1))
+		s := send(ctx, bookingRequest(cut.CallerAddress, key, 1))
 		Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 		Expect(s.refusal.Outcome).To(Equal(crocusreel.OutcomeNotRun))
 		restore(ctx, r)
 		Consistently(func() int { return len(runsWithKey(ctx, key, r.Services...)) }).
 			WithTimeout(time.Second).Should(BeZero())
 		for _, v := range r.VMs {
-			expectWhole(send(ctx, generation(v.CallerAddress, "healed", 20)), 20)
+			expectComplete(send(ctx, generationRequest(v.CallerAddress, "healed", 20)), 20)
 		}
 	}, SpecTimeout(time.Minute))
 
@@ -66,10 +66,10 @@
 		}
 		for _, v := range r.VMs {
 			Eventually(func() []string {
-				addresses, _ := addressAnswer(ctx, v.CallerAddress)
+				addresses, _ := fetchAddresses(ctx, v.CallerAddress)
 				return addresses
 			}).Should(ConsistOf(r.CallerAddresses()), v.ID)
-			expectWhole(send(ctx, generation(v.CallerAddress, "stale list", 5)), 5)
+			expectComplete(send(ctx, generationRequest(v.CallerAddress, "stale list", 5)), 5)
 		}
 		Expect(r.ListVMs(ctx)).To(Succeed())
 	}, SpecTimeout(time.Minute))
--- a/tests/popular_test.go
+++ b/tests/popular_test.go
@@ -15,9 +15,9 @@
 var _ = Describe("An identical request from many callers", Ordered, ContinueOnFailure, func() {
 	var r *rig.Rig
 
-	BeforeAll(func() { r = start(withBookings()) })
+	BeforeAll(func() { r = startRig(withBookingService()) })
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
 	lookup := func(i int) request {
 		return request{gateway: r.VMs[i%2].CallerAddress, method: http.MethodGet, path: "/services/beds/free"}
@@ -27,9 +27,9 @@
 	// reason. If each of them counted against the prompt, it would be refused for minutes as a
 	// request that kills engines.
 	It("is answered after the death of an engine that ran many of them", func(ctx SpecContext) {
-		var results []<-chan seen
+		var results []<-chan response
 		for i := range 12 {
-			results = append(results, later(ctx, generation(r.VMs[i%2].CallerAddress, "popular", 300)))
+			results = append(results, sendAsync(ctx, generationRequest(r.VMs[i%2].CallerAddress, "popular", 300)))
 		}
 		engine := r.Engines[0]
 		Eventually(func() int { return len(runsOf(ctx, engine)) }).Should(BeNumerically(">=", 4))
@@ -37,9 +37,9 @@
 		for _, result := range results {
 			<-result
 		}
-		revive(ctx, r, engine)
+		restoreEndpoint(ctx, r, engine)
 		for _, v := range r.VMs {
-			Eventually(func() bool { return send(ctx, generation(v.CallerAddress, "popular", 300)).done }).
+			Eventually(func() bool { return send(ctx, generationRequest(v.CallerAddress, "popular", 300)).done }).
 				WithTimeout(10 * time.Second).Should(BeTrue())
 		}
 	}, SpecTimeout(time.Minute))
@@ -48,18 +48,18 @@
 	// each of them counted against the call, no caller would get a response for minutes after the
 	// service is back.
 	It("is answered after the death of a service that ran many of them", func(ctx SpecContext) {
-		faults(ctx, admin.ServiceFaults{SlowMS: 1000}, r.Services...)
-		var results []<-chan seen
+		setFaults(ctx, admin.ServiceFaults{SlowMS: 1000}, r.Services...)
+		var results []<-chan response
 		for i := range 12 {
-			results = append(results, later(ctx, lookup(i)))
+			results = append(results, sendAsync(ctx, lookup(i)))
 		}
 		time.Sleep(500 * time.Millisecond)
 		r.Services[0].Kill()
 		for _, result := range results {
 			Expect((<-result).status).NotTo(Equal(http.StatusOK))
 		}
-		revive(ctx, r, r.Services[0])
-		faults(ctx, admin.ServiceFaults{}, r.Services...)
+		restoreEndpoint(ctx, r, r.Services[0])
+		setFaults(ctx, admin.ServiceFaults{}, r.Services...)
 		for i := range r.VMs {
 			Eventually(func() int { return send(ctx, lookup(i)).status }).
 				WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
@@ -69,11 +69,11 @@
 	// The service is alive but all its responses are lost for a while, and callers retry. Once
 	// responses get through again, callers must get them without delay (10 s at most).
 	It("is answered after an outage in which all answers were lost", func(ctx SpecContext) {
-		faults(ctx, admin.ServiceFaults{LoseAnswers: 1}, r.Services...)
+		setFaults(ctx, admin.ServiceFaults{LoseAnswers: 1}, r.Services...)
 		for i := range 20 {
 			Expect(send(ctx, lookup(i)).status).NotTo(Equal(http.StatusOK), fmt.Sprint(i))
 		}
-		faults(ctx, admin.ServiceFaults{}, r.Services...)
+		setFaults(ctx, admin.ServiceFaults{}, r.Services...)
 		for i := range r.VMs {
 			Eventually(func() int { return send(ctx, lookup(i)).status }).
 				WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
@@ -83,13 +83,13 @@
 	// A call kills the service that runs it, and its caller retries it. Here only this call runs at
 	// each death, so the bound must hold.
 	It("is still refused at the bound if the call itself causes the deaths", func(ctx SpecContext) {
-		k := new(reviver)
+		counter := new(supervisor)
 		service := r.Services[0]
 		for i := range 8 {
-			faults(ctx, admin.ServiceFaults{SlowMS: 300}, service)
+			setFaults(ctx, admin.ServiceFaults{SlowMS: 300}, service)
 			q := lookup(0)
 			q.path = "/services/beds/deadly"
-			result := later(ctx, q)
+			result := sendAsync(ctx, q)
 			select {
 			case <-result:
 				// The call was refused before it reached the service.
@@ -97,10 +97,10 @@
 			case <-time.After(150 * time.Millisecond):
 			}
 			service.Kill()
-			k.deaths++
+			counter.deaths++
 			Expect((<-result).status).NotTo(Equal(http.StatusOK), fmt.Sprint(i))
-			revive(ctx, r, service)
+			restoreEndpoint(ctx, r, service)
 		}
-		Expect(k.count()).To(Equal(strikes))
+		Expect(counter.count()).To(Equal(strikeLimit))
 	}, SpecTimeout(time.Minute))
 })
--- a/tests/restore_test.go
+++ b/tests/restore_test.go
@@ -14,14 +14,14 @@
 // resumes and restarts processes, heals links, and waits until every gateway answers.
 func restore(ctx context.Context, r *rig.Rig) {
 	GinkgoHelper()
-	platformFaults(ctx, r, admin.PlatformFaults{})
+	setPlatformFaults(ctx, r, admin.PlatformFaults{})
 	for _, e := range r.Engines {
-		revive(ctx, r, e)
-		faults(ctx, admin.EngineFaults{}, e)
+		restoreEndpoint(ctx, r, e)
+		setFaults(ctx, admin.EngineFaults{}, e)
 	}
 	for _, s := range r.Services {
-		revive(ctx, r, s)
-		faults(ctx, admin.ServiceFaults{}, s)
+		restoreEndpoint(ctx, r, s)
+		setFaults(ctx, admin.ServiceFaults{}, s)
 	}
 	for _, v := range r.VMs {
 		for _, l := range []*rig.Link{v.Callers, v.GatewayPeers, v.ControllerPeers, v.GatewayPlatform, v.ControllerPlatform} {
@@ -39,12 +39,12 @@
 	for _, v := range r.VMs {
 		Expect(r.WaitHealthy(ctx, v.CallerAddress)).To(Succeed())
 		if len(r.Engines) > 0 {
-			Eventually(ctx, func() bool { return send(ctx, generation(v.CallerAddress, "ready?", 1)).done }).Should(BeTrue())
+			Eventually(ctx, func() bool { return send(ctx, generationRequest(v.CallerAddress, "ready?", 1)).done }).Should(BeTrue())
 		}
 	}
 }
 
-func revive(ctx context.Context, r *rig.Rig, e *rig.Endpoint) {
+func restoreEndpoint(ctx context.Context, r *rig.Rig, e *rig.Endpoint) {
 	GinkgoHelper()
 	e.Thaw()
 	if !e.Running() {
--- a/tests/retries_test.go
+++ b/tests/retries_test.go
@@ -24,27 +24,27 @@
 	var r *rig.Rig
 
 	BeforeAll(func() {
-		spec := twoSites()
+		spec := twoDataCentres()
 		spec.Base = fmt.Sprintf("[limits]\nretry_ratio = %g\n", retryRatio)
 		for i := range 3 {
 			spec.Services = append(spec.Services,
 				rig.ServiceSpec{Name: fmt.Sprint("beds", i+1), DataCentre: "dc1", Prefix: "/beds"},
 				rig.ServiceSpec{Name: fmt.Sprint("notes", i+1), DataCentre: "dc2", Prefix: "/notes", NonIdempotentMethods: []string{http.MethodDelete}})
 		}
-		r = start(spec)
+		r = startRig(spec)
 	})
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
-	// count sends n idempotent calls and returns the number of runs that they started at the
+	// sendCalls sends n idempotent calls and returns the number of runs that they started at the
 	// services and the number of calls that were answered.
-	count := func(ctx SpecContext, name string, n int) (started, answered int) {
+	sendCalls := func(ctx SpecContext, name string, n int) (started, answered int) {
 		before := 0
 		for _, s := range r.Services {
 			before += len(runsOf(ctx, s))
 		}
 		for i := range n {
-			q := booking(r.VMs[i%2].CallerAddress, fmt.Sprint(name, i), 1)
+			q := bookingRequest(r.VMs[i%2].CallerAddress, fmt.Sprint(name, i), 1)
 			q.path, q.body = "/services/notes/add", fmt.Sprint(name, i)
 			q.header = map[string]string{api.HeaderIdempotent: "true"}
 			if send(ctx, q).status == http.StatusOK {
@@ -75,9 +75,9 @@
 	// could go on doing so after they recover.
 	It("are bounded by the budget during an outage and cease after it", func(ctx SpecContext) {
 		const calls = 300
-		faults(ctx, admin.ServiceFaults{LoseAnswers: 1}, r.Services...)
+		setFaults(ctx, admin.ServiceFaults{LoseAnswers: 1}, r.Services...)
 		begun := time.Now()
-		started, answered := count(ctx, "outage-", calls)
+		started, answered := sendCalls(ctx, "outage-", calls)
 		during := time.Since(begun)
 		Expect(answered).To(BeZero())
 		Expect(started).To(BeNumerically("<=", calls+calls*retryRatio+2*retryBurst))
@@ -85,13 +85,13 @@
 		AddReportEntry("during the outage", fmt.Sprintf("%d calls started %d runs: factor %.2f, %s each",
 			calls, started, float64(started)/calls, during/calls))
 
-		faults(ctx, admin.ServiceFaults{}, r.Services...)
+		setFaults(ctx, admin.ServiceFaults{}, r.Services...)
 		Eventually(func() int {
-			_, ok := count(ctx, fmt.Sprint("heal-", time.Now().UnixNano()), 4)
+			_, ok := sendCalls(ctx, fmt.Sprint("heal-", time.Now().UnixNano()), 4)
 			return ok
 		}).Should(Equal(4))
 		before := retries(ctx)
-		started, answered = count(ctx, "after-", calls)
+		started, answered = sendCalls(ctx, "after-", calls)
 		after := retries(ctx)
 		AddReportEntry("retry counters", fmt.Sprintf("before the calls: %v; after the calls: %v", before, after))
 		Expect(answered).To(Equal(calls))
@@ -108,10 +108,10 @@
 	// The platform is down and callers go on booking. What can't be recorded can't run, so the
 	// refusal must come at once; otherwise each caller would wait for a timeout to learn that.
 	It("do not delay refusals: bookings during a platform outage are refused at once", func(ctx SpecContext) {
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		for i := range 20 {
 			begun := time.Now()
-			s := send(ctx, booking(r.VMs[i%2].CallerAddress, fmt.Sprint("down-", i), 1))
+			s := send(ctx, bookingRequest(r.VMs[i%2].CallerAddress, fmt.Sprint("down-", i), 1))
 			Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 			Expect(s.refusal.RetryAfterMS).To(BeNumerically(">", 0))
 			Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
--- a/tests/shutdown_test.go
+++ b/tests/shutdown_test.go
@@ -19,18 +19,18 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-const shortLimit = 1500
+const vm2DrainLimitMS = 1500
 
-// smallEngines returns withBookings with engines whose KV cache holds few generations at once, so
-// that requests queue, and with a short drain limit at vm2.
-func smallEngines() rig.Spec {
-	spec := withBookings()
+// smallEngineSpec returns withBookingService with engines whose KV cache holds few generations at
+// once, so that requests queue, and with a short drain limit at vm2.
+func smallEngineSpec() rig.Spec {
+	spec := withBookingService()
 	for i := range spec.Engines {
 		spec.Engines[i].Args = []string{"--kv-capacity", "1000"}
 	}
 	spec.EditGateway = func(g *settings.Gateway) {
 		if g.VM.ID == "vm2" {
-			g.DrainLimitMS = shortLimit
+			g.DrainLimitMS = vm2DrainLimitMS
 		}
 	}
 	return spec
@@ -39,9 +39,9 @@
 var _ = Describe("The shutdown of a gateway", Ordered, ContinueOnFailure, func() {
 	var r *rig.Rig
 
-	BeforeAll(func() { r = start(smallEngines()) })
+	BeforeAll(func() { r = startRig(smallEngineSpec()) })
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
 	// A gateway receives SIGTERM while it streams long responses, has others in its queue and waits
 	// for a booking; callers that still use its address send more. A gateway that exits at once
@@ -50,30 +50,30 @@
 		const streams, length = 14, 200
 		gateway := r.VMs[0]
 		var started atomic.Int64
-		var results []<-chan seen
+		var results []<-chan response
 		for i := range streams {
-			q := generation(gateway.CallerAddress, fmt.Sprint("draft ", i), length)
+			q := generationRequest(gateway.CallerAddress, fmt.Sprint("draft ", i), length)
 			q.onToken = func(index int) bool {
 				if index == 0 {
 					started.Add(1)
 				}
 				return true
 			}
-			results = append(results, later(ctx, q))
+			results = append(results, sendAsync(ctx, q))
 		}
-		faults(ctx, admin.ServiceFaults{SlowMS: 1500}, r.Services...)
+		setFaults(ctx, admin.ServiceFaults{SlowMS: 1500}, r.Services...)
 		key := uuid.NewString()
-		booked := later(ctx, booking(gateway.CallerAddress, key, 1))
+		booked := sendAsync(ctx, bookingRequest(gateway.CallerAddress, key, 1))
 		Eventually(started.Load).Should(BeNumerically(">", 0))
 
 		gateway.Gateway.Terminate()
 		time.Sleep(300 * time.Millisecond)
-		lateOne := later(ctx, generation(gateway.CallerAddress, "late", 5))
+		lateRequest := sendAsync(ctx, generationRequest(gateway.CallerAddress, "late", 5))
 		Expect(int(started.Load())).To(BeNumerically("<", streams), "nothing was queued")
 
-		expectWhole(<-lateOne, 5)
+		expectComplete(<-lateRequest, 5)
 		for _, result := range results {
-			expectWhole(<-result, length)
+			expectComplete(<-result, length)
 		}
 		Expect((<-booked).status).To(Equal(http.StatusOK))
 		Expect(runsWithKey(ctx, key, r.Services...)).To(HaveLen(1))
@@ -86,7 +86,7 @@
 	It("ends streams with typed errors at the second signal and at the limit", func(ctx SpecContext) {
 		for i, v := range r.VMs {
 			const length = 700
-			q := generation(v.CallerAddress, "long draft", length)
+			q := generationRequest(v.CallerAddress, "long draft", length)
 			begun := make(chan struct{})
 			q.onToken = func(index int) bool {
 				if index == 5 {
@@ -94,7 +94,7 @@
 				}
 				return true
 			}
-			result := later(ctx, q)
+			result := sendAsync(ctx, q)
 			Eventually(begun).Should(BeClosed())
 			v.Gateway.Terminate()
 			if i == 0 {
@@ -110,7 +110,7 @@
 			Expect(v.Gateway.Wait(ctx)).To(BeZero())
 
 			other := r.VMs[1-i]
-			rest := send(ctx, resume(other.CallerAddress, s.handle, len(s.texts)))
+			rest := send(ctx, resumeRequest(other.CallerAddress, s.handle, len(s.texts)))
 			Expect(rest.done).To(BeTrue(), "%+v", rest)
 			expectContiguous(rest, len(s.texts))
 			Expect(len(s.texts) + len(rest.texts)).To(Equal(length))
--- a/tests/soak/chaos_test.go
+++ b/tests/soak/chaos_test.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// lanes is the number of goroutines that inject faults independently, so that up to three
+	// injectors is the number of goroutines that inject faults independently, so that up to three
 	// faults overlap.
-	lanes = 3
-	// faultLength is the maximum duration of a fault and calmLength the maximum pause after it.
-	faultLength = 3 * time.Second
-	calmLength  = 1000 * time.Millisecond
+	injectors = 3
+	// maxFaultDuration is the maximum duration of a fault and maxPause the maximum pause after it.
+	maxFaultDuration = 3 * time.Second
+	maxPause         = 1000 * time.Millisecond
 )
 
 // chaos injects random faults until its context ends.
 type chaos struct {
 	rig *rig.Rig
 	wg  sync.WaitGroup
-	// mu guards the fields below. busy holds the targets that have a fault, so that two lanes don't
-	// inject into the same one at the same time.
+	// mu guards the fields below. busy holds the targets that have a fault, so that two injectors
+	// don't inject into the same one at the same time.
 	mu     sync.Mutex
 	busy   map[string]bool
 	counts map[string]int
 	errs   []error
 }
 
-// fault is one kind of fault at one target. The name of the target excludes other lanes while the
-// fault lasts.
+// fault is one kind of fault at one target. The name of the target excludes other injectors while
+// the fault lasts.
 type fault struct {
-	kind, thing string
-	begin       func() error
-	end         func() error
+	kind, target string
+	begin        func() error
+	end          func() error
 }
 
 func newChaos(ctx context.Context, r *rig.Rig, seed uint64) *chaos {
 	c := &chaos{rig: r, busy: map[string]bool{}, counts: map[string]int{}}
-	for lane := range lanes {
-		random := rand.New(rand.NewPCG(seed, 1<<32+uint64(lane)))
+	for injector := range injectors {
+		random := rand.New(rand.NewPCG(seed, 1<<32+uint64(injector)))
 		c.wg.Go(func() { c.run(ctx, random) })
 	}
 	return c
@@ -54,16 +54,16 @@
 func (c *chaos) run(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		f := c.choose(random)
-		length := time.Duration(random.Int64N(int64(faultLength)))
-		calm := time.Duration(random.Int64N(int64(calmLength)))
-		if !c.take(f) {
+		length := time.Duration(random.Int64N(int64(maxFaultDuration)))
+		pause := time.Duration(random.Int64N(int64(maxPause)))
+		if !c.acquire(f) {
 			continue
 		}
-		c.note(f.begin())
+		c.recordError(f.begin())
 		sleep(ctx, length)
-		c.note(f.end())
+		c.recordError(f.end())
 		c.release(f)
-		sleep(ctx, calm)
+		sleep(ctx, pause)
 	}
 }
 
@@ -74,13 +74,13 @@
 	}
 }
 
-func (c *chaos) take(f fault) bool {
+func (c *chaos) acquire(f fault) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy[f.thing] {
+	if c.busy[f.target] {
 		return false
 	}
-	c.busy[f.thing] = true
+	c.busy[f.target] = true
 	c.counts[f.kind]++
 	return true
 }
@@ -88,10 +88,10 @@
 func (c *chaos) release(f fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy[f.thing] = false
+	c.busy[f.target] = false
 }
 
-func (c *chaos) note(err error) {
+func (c *chaos) recordError(err error) {
 	if err == nil {
 		return
 	}
@@ -129,8 +129,8 @@
 
 // processFault kills a process, freezes it or terminates it gracefully; end restarts or resumes it.
 func processFault(random *rand.Rand, kind string, p *rig.Process, kill func(), restart func() error) fault {
-	nothing := func() error { return nil }
-	f := fault{thing: p.Name, begin: nothing}
+	noop := func() error { return nil }
+	f := fault{target: p.Name, begin: noop}
 	switch random.IntN(3) {
 	case 0:
 		f.kind = "kill " + kind
@@ -167,7 +167,7 @@
 
 func adminFault(kind string, e *rig.Endpoint, on, off any) fault {
 	return fault{
-		kind: kind, thing: e.Process.Name,
+		kind: kind, target: e.Process.Name,
 		begin: func() error { return e.Admin.SetFaults(context.Background(), on) },
 		end:   func() error { return e.Admin.SetFaults(context.Background(), off) },
 	}
@@ -185,7 +185,7 @@
 	name := names[random.IntN(len(names))]
 	set := func(f admin.PlatformFaults) error { return c.rig.Platform.Admin.SetFaults(context.Background(), f) }
 	return fault{
-		kind: name, thing: "platform",
+		kind: name, target: "platform",
 		begin: func() error { return set(kinds[name]) },
 		end:   func() error { return set(admin.PlatformFaults{}) },
 	}
@@ -213,7 +213,7 @@
 func (c *chaos) linkFault(random *rand.Rand) fault {
 	all := c.links()
 	l := all[random.IntN(len(all))]
-	f := fault{thing: l.name, end: l.Heal}
+	f := fault{target: l.name, end: l.Heal}
 	direction := rig.Upstream
 	if random.IntN(2) == 0 {
 		direction = rig.Downstream
--- a/tests/soak/check_test.go
+++ b/tests/soak/check_test.go
@@ -14,29 +14,29 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// check compares the results of the callers with the endpoints' own records of runs and describes
-// each violated guarantee.
-func check(ctx context.Context, r *rig.Rig, results []result) []string {
+// findViolations compares the results of the callers with the endpoints' own records of runs and
+// describes each violated guarantee.
+func findViolations(ctx context.Context, r *rig.Rig, results []result) []string {
 	runs := map[string]int{}
 	for _, e := range append(r.Engines, r.Services...) {
 		list, err := e.Admin.Runs(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		for _, run := range list {
-			runs[keyOf(run)]++
+			runs[requestKey(run)]++
 		}
 	}
-	var broken []string
+	var violations []string
 	for _, res := range results {
-		if problem := res.broken(runs[res.key]); problem != "" {
-			broken = append(broken, fmt.Sprintf("%s %s: %s", res.kind, res.key, problem))
+		if problem := res.violation(runs[res.key]); problem != "" {
+			violations = append(violations, fmt.Sprintf("%s %s: %s", res.kind, res.key, problem))
 		}
 	}
-	return broken
+	return violations
 }
 
-// keyOf returns the key of the request that a run belongs to. Idempotent work is sent to engines
-// without its key, but its prompt begins with the key.
-func keyOf(run admin.Run) string {
+// requestKey returns the key of the request that a run belongs to. Idempotent work is sent to
+// engines without its key, but its prompt begins with the key.
+func requestKey(run admin.Run) string {
 	if run.IdempotencyKey != "" {
 		return run.IdempotencyKey
 	}
@@ -44,13 +44,13 @@
 	return key
 }
 
-// broken describes the guarantee that the result violates, given the number of runs that endpoints
-// started for the request. It returns an empty string if there is none.
-func (r result) broken(runs int) string {
+// violation describes the guarantee that the result violates, given the number of runs that
+// endpoints started for the request. It returns an empty string if there is none.
+func (r result) violation(runs int) string {
 	once := r.kind == kindBooking || r.kind == kindSingle || r.kind == kindLetter
 	switch {
-	case r.wrong != "":
-		return r.wrong
+	case r.mismatch != "":
+		return r.mismatch
 	case once && runs > 1:
 		return fmt.Sprintf("ran %d times", runs)
 	case r.outcome() == crocusreel.OutcomeNotRun && runs > 0:
@@ -63,7 +63,7 @@
 }
 
 // summary returns the tables of requests and faults of a run, and its violations, in Markdown.
-func summary(seed int, results []result, c *chaos, broken []string) string {
+func summary(seed int, results []result, c *chaos, violations []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\nseed %d, %d requests\n\n", seed, len(results))
 	fmt.Fprintln(&b, "| kind | requests | answered | refused: not_run | refused: unknown | ran, incomplete | no outcome |")
@@ -75,8 +75,8 @@
 	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
 		fmt.Fprintf(&b, "| %s | %d |\n", name, c.counts[name])
 	}
-	fmt.Fprintf(&b, "\nviolations: %d\n", len(broken))
-	for _, problem := range broken {
+	fmt.Fprintf(&b, "\nviolations: %d\n", len(violations))
+	for _, problem := range violations {
 		fmt.Fprintln(&b, "-", problem)
 	}
 	return b.String()
--- a/tests/soak/load_test.go
+++ b/tests/soak/load_test.go
@@ -23,10 +23,10 @@
 const (
 	// workers is the number of callers that send requests concurrently, one after the other each.
 	workers = 48
-	// patience is the timeout of one request.
-	patience = 25 * time.Second
-	// thinkTime is the maximum pause of a worker after a request.
-	thinkTime = 200 * time.Millisecond
+	// requestTimeout is the timeout of one request.
+	requestTimeout = 25 * time.Second
+	// maxThinkTime is the maximum pause of a worker after a request.
+	maxThinkTime = 200 * time.Millisecond
 )
 
 // kind is the kind of a request.
@@ -56,9 +56,9 @@
 	key  string
 	// err is nil if the complete response was received.
 	err error
-	// wrong describes how the content of the response differs from the expected one; empty if it
+	// mismatch describes how the content of the response differs from the expected one; empty if it
 	// does not.
-	wrong string
+	mismatch string
 }
 
 // outcome returns the outcome reported to the caller, which is OutcomeRan for a complete response.
@@ -78,7 +78,7 @@
 	}
 }
 
-func pick(random *rand.Rand) kind {
+func pickKind(random *rand.Rand) kind {
 	n := random.IntN(20)
 	for _, w := range weights {
 		if n -= w.weight; n < 0 {
@@ -90,8 +90,8 @@
 
 // load sends the requests and returns the results that their callers received.
 func load(ctx context.Context, r *rig.Rig, seed uint64, requests int) []result {
-	patient := newClient(r, client.Options{StallTimeout: 4 * time.Second, RetryRatio: 1, RetryBurst: 200})
-	defer patient.Close()
+	retrying := newClient(r, client.Options{StallTimeout: 4 * time.Second, RetryRatio: 1, RetryBurst: 200})
+	defer retrying.Close()
 	single := newClient(r, client.Options{Attempts: 1})
 	defer single.Close()
 	results := make([]result, requests)
@@ -101,8 +101,8 @@
 		wg.Go(func() {
 			for i := range next {
 				random := rand.New(rand.NewPCG(seed, uint64(i)))
-				results[i] = one(ctx, patient, single, random, fmt.Sprintf("soak-%d-%d", seed, i))
-				time.Sleep(rand.N(thinkTime))
+				results[i] = sendOne(ctx, retrying, single, random, fmt.Sprintf("soak-%d-%d", seed, i))
+				time.Sleep(rand.N(maxThinkTime))
 			}
 		})
 	}
@@ -121,35 +121,36 @@
 	return c
 }
 
-// one sends the request that random selects. Single bookings go through the client without retries.
-func one(ctx context.Context, c, single *client.Client, random *rand.Rand, key string) result {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// sendOne sends the request that random selects. Single bookings go through the client without
+// retries.
+func sendOne(ctx context.Context, retrying, single *client.Client, random *rand.Rand, key string) result {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	r := result{kind: pick(random), key: key}
+	r := result{kind: pickKind(random), key: key}
 	length := 5 + random.IntN(60)
 	g := client.Request{Meta: client.Meta{Key: key}, Model: "m", Prompt: fmt.Sprintf("%s [[len=%d]]", key, length)}
 	switch r.kind {
 	case kindStream:
-		r.stream(ctx, c, g, length)
+		r.stream(ctx, retrying, g, length)
 	case kindWhole:
-		answer, err := c.Complete(ctx, g)
+		answer, err := retrying.Complete(ctx, g)
 		r.err = err
 		if err == nil {
-			r.wrong = wrongText(strings.Fields(answer.Text), length)
+			r.mismatch = tokenMismatch(strings.Fields(answer.Text), length)
 		}
 	case kindLetter:
 		g.NonIdempotent = true
-		answer, err := c.Complete(ctx, g)
+		answer, err := retrying.Complete(ctx, g)
 		r.err = err
 		if err == nil {
-			r.wrong = wrongText(strings.Fields(answer.Text), length)
+			r.mismatch = tokenMismatch(strings.Fields(answer.Text), length)
 		}
 	case kindLookup:
-		r.call(ctx, c, client.CallRequest{Meta: g.Meta, Method: http.MethodGet, Path: "/beds/free?for=" + key})
+		r.call(ctx, retrying, client.CallRequest{Meta: g.Meta, Method: http.MethodGet, Path: "/beds/free?for=" + key})
 	case kindSingle:
 		r.call(ctx, single, client.CallRequest{Meta: g.Meta, Method: http.MethodPost, Path: "/beds/book", Body: []byte(key)})
 	case kindBooking:
-		r.call(ctx, c, client.CallRequest{Meta: g.Meta, Method: http.MethodPost, Path: "/beds/book", Body: []byte(key)})
+		r.call(ctx, retrying, client.CallRequest{Meta: g.Meta, Method: http.MethodPost, Path: "/beds/book", Body: []byte(key)})
 	}
 	return r
 }
@@ -174,7 +175,7 @@
 			break
 		}
 		if token.Index != len(texts) {
-			r.wrong = fmt.Sprintf("received token index %d after %d tokens", token.Index, len(texts))
+			r.mismatch = fmt.Sprintf("received token index %d after %d tokens", token.Index, len(texts))
 			return
 		}
 		texts = append(texts, strings.TrimSpace(token.Text))
@@ -182,12 +183,12 @@
 	if r.err != nil {
 		length = len(texts)
 	}
-	r.wrong = wrongText(texts, length)
+	r.mismatch = tokenMismatch(texts, length)
 }
 
-// wrongText checks that the texts are the first length tokens of one generation and describes the
-// first mismatch. Each token names its generation and its index.
-func wrongText(texts []string, length int) string {
+// tokenMismatch checks that the texts are the first length tokens of one generation and describes
+// the first mismatch. Each token names its generation and its index.
+func tokenMismatch(texts []string, length int) string {
 	if len(texts) != length {
 		return fmt.Sprintf("received %d tokens, expected %d", len(texts), length)
 	}
@@ -216,29 +217,30 @@
 		Body  string `json:"body"`
 	}
 	if err := json.Unmarshal(reply.Body, &echo); err != nil || reply.Status != http.StatusOK {
-		r.wrong = fmt.Sprintf("expected the echo of the call with status 200, got status %d, body %.100q", reply.Status, reply.Body)
+		r.mismatch = fmt.Sprintf("expected the echo of the call with status 200, got status %d, body %.100q", reply.Status, reply.Body)
 		return
 	}
 	if echo.Body != r.key && echo.Query != "for="+r.key {
-		r.wrong = fmt.Sprintf("response echoes another call: %.100q", reply.Body)
+		r.mismatch = fmt.Sprintf("response echoes another call: %.100q", reply.Body)
 	}
 }
 
-// servesAgain waits until a system without faults answers a generation and a call to a service.
-func servesAgain(ctx context.Context, r *rig.Rig) error {
+// waitUntilServing waits until a system without faults answers a generation and a call to a
+// service.
+func waitUntilServing(ctx context.Context, r *rig.Rig) error {
 	c, err := client.New(client.Options{Seeds: r.CallerAddresses(), Key: rig.DefaultKey})
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	for {
-		_, generated := c.Complete(ctx, client.Request{Model: "m", Prompt: "after [[len=5]]"})
-		_, called := c.Call(ctx, client.CallRequest{Path: "/beds/free"})
-		if generated == nil && called == nil {
+		_, generateErr := c.Complete(ctx, client.Request{Model: "m", Prompt: "after [[len=5]]"})
+		_, callErr := c.Call(ctx, client.CallRequest{Path: "/beds/free"})
+		if generateErr == nil && callErr == nil {
 			return nil
 		}
 		if ctx.Err() != nil {
-			return errors.Join(generated, called)
+			return errors.Join(generateErr, callErr)
 		}
 	}
 }
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -38,19 +38,19 @@
 	RunSpecs(t, "soak")
 }
 
-func number(name string, missing int) int {
+func intFromEnv(name string, fallback int) int {
 	text := os.Getenv(name)
 	if text == "" {
-		return missing
+		return fallback
 	}
 	n, err := strconv.Atoi(text)
 	Expect(err).NotTo(HaveOccurred(), name)
 	return n
 }
 
-// spec returns two data centres with two VMs, two engines and one service each. One of the services
-// deduplicates repeated calls.
-func spec() rig.Spec {
+// systemSpec returns two data centres with two VMs, two engines and one service each. One of the
+// services deduplicates repeated calls.
+func systemSpec() rig.Spec {
 	s := rig.Spec{
 		Links: true,
 		Services: []rig.ServiceSpec{
@@ -73,33 +73,33 @@
 	// or get an unknown outcome, but never a false outcome, another request's text or a second run
 	// of non-idempotent work.
 	It("violates no guarantee", func(ctx SpecContext) {
-		seed, requests := number(envSeed, defaultSeed), number(envRequests, defaultRequests)
+		seed, requests := intFromEnv(envSeed, defaultSeed), intFromEnv(envRequests, defaultRequests)
 		dir, err := os.MkdirTemp(os.Getenv("KEEP_LOGS"), "soak-")
 		Expect(err).NotTo(HaveOccurred())
 		if os.Getenv("KEEP_LOGS") == "" {
 			DeferCleanup(os.RemoveAll, dir)
 		}
-		s := spec()
+		s := systemSpec()
 		s.Dir, s.Bin = dir, filepath.Join(dir, "bin")
 		Expect(rig.Build(ctx, "../..", s.Bin)).To(Succeed())
 		r, err := rig.Start(ctx, s)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(r.Close)
 
-		chaosCtx, calm := context.WithCancel(ctx)
-		defer calm()
+		chaosCtx, stopChaos := context.WithCancel(ctx)
+		defer stopChaos()
 		c := newChaos(chaosCtx, r, uint64(seed))
 		results := load(ctx, r, uint64(seed), requests)
-		calm()
+		stopChaos()
 		c.wait()
 		restoreCtx, cancel := context.WithTimeout(ctx, restoreLimit)
 		defer cancel()
 		Expect(c.restore(restoreCtx)).To(Succeed())
-		Expect(servesAgain(restoreCtx, r)).To(Succeed())
+		Expect(waitUntilServing(restoreCtx, r)).To(Succeed())
 
-		broken := check(ctx, r, results)
-		AddReportEntry("summary", summary(seed, results, c, broken))
-		fmt.Println(summary(seed, results, c, broken))
-		Expect(broken).To(BeEmpty())
+		violations := findViolations(ctx, r, results)
+		AddReportEntry("summary", summary(seed, results, c, violations))
+		fmt.Println(summary(seed, results, c, violations))
+		Expect(violations).To(BeEmpty())
 	}, NodeTimeout(time.Hour))
 })
--- a/tests/suite_test.go
+++ b/tests/suite_test.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// startLimit bounds the start of a whole system and waitLimit any single wait. Both are
+	// startTimeout bounds the start of a whole system and waitTimeout any single wait. Both are
 	// generous because the machine may be busy; a passing test returns earlier.
-	startLimit = 60 * time.Second
-	waitLimit  = 30 * time.Second
-	pollEvery  = 20 * time.Millisecond
+	startTimeout = 60 * time.Second
+	waitTimeout  = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-// bin is the directory that holds the binaries under test.
-var bin string
+// binDir is the directory that holds the binaries under test.
+var binDir string
 
 func TestFaults(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(waitLimit)
-	SetDefaultEventuallyPollingInterval(pollEvery)
+	SetDefaultEventuallyTimeout(waitTimeout)
+	SetDefaultEventuallyPollingInterval(pollInterval)
 	RunSpecs(t, "faults")
 }
 
@@ -39,16 +39,16 @@
 	dir, err := os.MkdirTemp("", "crocusreel-tests-")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(os.RemoveAll, dir)
-	bin = filepath.Join(dir, "bin")
-	Expect(rig.Build(ctx, "..", bin)).To(Succeed())
+	binDir = filepath.Join(dir, "bin")
+	Expect(rig.Build(ctx, "..", binDir)).To(Succeed())
 }, NodeTimeout(5*time.Minute))
 
-// start starts a system and stops it at the end of the spec or of the ordered container. The logs
-// are kept if the environment variable KEEP_LOGS names a directory.
-func start(spec rig.Spec) *rig.Rig {
+// startRig starts a system and stops it at the end of the spec or of the ordered container. The
+// logs are kept if the environment variable KEEP_LOGS names a directory.
+func startRig(spec rig.Spec) *rig.Rig {
 	GinkgoHelper()
-	spec.Dir, spec.Bin = logDir(), bin
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	spec.Dir, spec.Bin = logDir(), binDir
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	r, err := rig.Start(ctx, spec)
 	Expect(err).NotTo(HaveOccurred())
@@ -88,15 +88,15 @@
 	return runs
 }
 
-// faults replaces the injected faults of engines or services.
-func faults(ctx context.Context, f any, stands ...*rig.Endpoint) {
+// setFaults replaces the injected setFaults of engines or services.
+func setFaults(ctx context.Context, f any, endpoints ...*rig.Endpoint) {
 	GinkgoHelper()
-	for _, e := range stands {
+	for _, e := range endpoints {
 		Expect(e.Admin.SetFaults(ctx, f)).To(Succeed())
 	}
 }
 
-func platformFaults(ctx context.Context, r *rig.Rig, f admin.PlatformFaults) {
+func setPlatformFaults(ctx context.Context, r *rig.Rig, f admin.PlatformFaults) {
 	GinkgoHelper()
 	Expect(r.Platform.Admin.SetFaults(ctx, f)).To(Succeed())
 }
--- a/tests/tls_test.go
+++ b/tests/tls_test.go
@@ -18,18 +18,18 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-// secured holds certificates of one authority for every listener of a rig.
-type secured struct {
+// certificates holds certificates of one authority for every listener of a rig.
+type certificates struct {
 	authority *testcert.Authority
 	// peers, callers and operators are shared by all processes, which run on one IP address.
 	peers, callers, operators settings.TLS
 }
 
-func newSecured() *secured {
+func newCertificates() *certificates {
 	GinkgoHelper()
 	authority, err := testcert.NewAuthority("first")
 	Expect(err).NotTo(HaveOccurred())
-	s := &secured{
+	s := &certificates{
 		authority: authority, peers: testcert.Files(GinkgoT().TempDir()),
 		callers: testcert.Files(GinkgoT().TempDir()), operators: testcert.Files(GinkgoT().TempDir()),
 	}
@@ -45,29 +45,30 @@
 	return settings.TLS{CertFile: t.CertFile, KeyFile: t.KeyFile}
 }
 
-// trusting returns a client that trusts the authority and has no certificate of its own.
-func (s *secured) trusting() *http.Client {
+// clientWithoutCertificate returns a client that trusts the authority and has no certificate of its
+// own.
+func (s *certificates) clientWithoutCertificate() *http.Client {
 	GinkgoHelper()
 	pem, err := os.ReadFile(s.callers.CAFile)
 	Expect(err).NotTo(HaveOccurred())
 	pool := x509.NewCertPool()
 	Expect(pool.AppendCertsFromPEM(pem)).To(BeTrue())
 	return &http.Client{
-		Timeout:   waitLimit,
+		Timeout:   waitTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{RootCAs: pool}},
 	}
 }
 
-func twoSecuredSites(s *secured) rig.Spec {
-	spec := twoSites()
+func twoDataCentresWithTLS(s *certificates) rig.Spec {
+	spec := twoDataCentres()
 	spec.EditGateway = func(g *settings.Gateway) { g.PeerTLS = s.peers }
 	spec.EditController = func(c *settings.Controller) { c.PeerTLS = s.peers }
 	return spec
 }
 
-// expectAnswers sends a generation to every gateway. One of them is not the scheduler, so permits
-// cross the links between gateways.
-func expectAnswers(ctx context.Context, r *rig.Rig) {
+// expectGatewaysAnswer sends a generation to every gateway. One of them is not the scheduler, so
+// permits cross the links between gateways.
+func expectGatewaysAnswer(ctx context.Context, r *rig.Rig) {
 	GinkgoHelper()
 	for _, v := range r.VMs {
 		Eventually(func() int {
@@ -80,61 +81,61 @@
 
 var _ = Describe("TLS", func() {
 	It("between processes carries permits and membership, and admits nobody without a certificate", func(ctx SpecContext) {
-		s := newSecured()
-		r := start(twoSecuredSites(s))
-		expectAnswers(ctx, r)
+		s := newCertificates()
+		r := startRig(twoDataCentresWithTLS(s))
+		expectGatewaysAnswer(ctx, r)
 		for _, address := range []string{r.VMs[0].GatewayPeerAddress, r.VMs[0].ControllerPeerAddress} {
-			_, err := s.trusting().Get("https://" + address + "/healthz")
+			_, err := s.clientWithoutCertificate().Get("https://" + address + "/healthz")
 			Expect(err).To(MatchError(ContainSubstring("certificate required")))
 		}
-	}, NodeTimeout(2*startLimit))
+	}, NodeTimeout(2*startTimeout))
 
 	// The authority is replaced while the processes run: first both authorities are trusted, then
 	// new certificates are issued, then the old authority is removed. A process that kept the files
 	// that it read at start would be cut off from the others.
 	It("goes on while the authority is replaced under running processes", func(ctx SpecContext) {
-		s := newSecured()
-		r := start(twoSecuredSites(s))
+		s := newCertificates()
+		r := startRig(twoDataCentresWithTLS(s))
 		next, err := testcert.NewAuthority("second")
 		Expect(err).NotTo(HaveOccurred())
 		// Each step waits until every process has checked the files for changes.
-		const looked = 2500 * time.Millisecond
+		const reloadWait = 2500 * time.Millisecond
 		Expect(s.authority.Issue(s.peers, rig.Host, s.authority, next)).To(Succeed())
-		time.Sleep(looked)
+		time.Sleep(reloadWait)
 		Expect(next.Issue(s.peers, rig.Host, s.authority, next)).To(Succeed())
-		time.Sleep(looked)
+		time.Sleep(reloadWait)
 		Expect(next.Issue(s.peers, rig.Host, next)).To(Succeed())
-		time.Sleep(looked)
-		expectAnswers(ctx, r)
+		time.Sleep(reloadWait)
+		expectGatewaysAnswer(ctx, r)
 		// A restarted gateway opens all its connections anew.
 		r.VMs[1].Gateway.Kill()
 		Expect(r.VMs[1].Gateway.Start()).To(Succeed())
 		Expect(r.WaitHealthy(ctx, r.VMs[1].CallerAddress)).To(Succeed())
-		expectAnswers(ctx, r)
-	}, NodeTimeout(3*startLimit))
+		expectGatewaysAnswer(ctx, r)
+	}, NodeTimeout(3*startTimeout))
 
 	It("towards callers and operators works with the command line", func(ctx SpecContext) {
-		s := newSecured()
-		spec := twoSites()
+		s := newCertificates()
+		spec := twoDataCentres()
 		spec.NoConfig = true
 		spec.EditGateway = func(g *settings.Gateway) { g.CallerTLS = serverOnly(s.callers) }
 		spec.EditController = func(c *settings.Controller) { c.OperatorTLS = serverOnly(s.operators) }
-		r := start(spec)
+		r := startRig(spec)
 		dir := GinkgoT().TempDir()
 		Expect(os.WriteFile(filepath.Join(dir, "base.toml"), []byte(r.Document().Base), 0o600)).To(Succeed())
 		Eventually(func() error {
-			cmd := exec.CommandContext(ctx, filepath.Join(bin, "crocusreel"), "config", "apply", dir,
+			cmd := exec.CommandContext(ctx, filepath.Join(binDir, "crocusreel"), "config", "apply", dir,
 				"--operator", r.VMs[0].OperatorAddress, "--ca-file", s.operators.CAFile)
 			cmd.Env = append(os.Environ(), "CROCUSREEL_KEY="+rig.OperatorKey)
 			return cmd.Run()
 		}).Should(Succeed())
 		Eventually(func() int {
-			res, err := s.trusting().Get("https://" + r.VMs[1].CallerAddress + "/healthz")
+			res, err := s.clientWithoutCertificate().Get("https://" + r.VMs[1].CallerAddress + "/healthz")
 			if err != nil {
 				return 0
 			}
 			_ = res.Body.Close()
 			return res.StatusCode
 		}).Should(Equal(http.StatusOK))
-	}, NodeTimeout(2*startLimit))
+	}, NodeTimeout(2*startTimeout))
 })
--- a/tests/tokens_test.go
+++ b/tests/tokens_test.go
@@ -12,8 +12,8 @@
 	"github.com/crocusreel/crocusreel/internal/standin/admin"
 )
 
-// twoSites returns a system with one VM and one engine in each of two data centres.
-func twoSites() rig.Spec {
+// twoDataCentres returns a system with one VM and one engine in each of two data centres.
+func twoDataCentres() rig.Spec {
 	return rig.Spec{
 		Links: true,
 		VMs:   []rig.VMSpec{{ID: "vm1", DataCentre: "dc1"}, {ID: "vm2", DataCentre: "dc2"}},
@@ -27,24 +27,24 @@
 var _ = Describe("Tokens of one answer", Ordered, ContinueOnFailure, func() {
 	var r *rig.Rig
 
-	BeforeAll(func() { r = start(twoSites()) })
+	BeforeAll(func() { r = startRig(twoDataCentres()) })
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
 	// Engines mix frames of other requests into a stream, send frames twice, late or not at all,
 	// and truncate some. If these were forwarded as they arrive, the caller would get a text with
 	// gaps, repeats and another customer's words.
 	It("come once and in order although engines send wrong frames", func(ctx SpecContext) {
-		faults(ctx, admin.EngineFaults{
+		setFaults(ctx, admin.EngineFaults{
 			CrossedFrames: 0.1, DuplicateFrames: 0.1, LateFrames: 0.1, MissingFrames: 0.02, TruncatedFrames: 0.02,
 		}, r.Engines...)
 		const streams, length = 16, 50
-		var results []<-chan seen
+		var results []<-chan response
 		for i := range streams {
-			results = append(results, later(ctx, generation(r.VMs[i%2].CallerAddress, fmt.Sprint("note ", i), length)))
+			results = append(results, sendAsync(ctx, generationRequest(r.VMs[i%2].CallerAddress, fmt.Sprint("note ", i), length)))
 		}
 		for _, result := range results {
-			expectWhole(<-result, length)
+			expectComplete(<-result, length)
 		}
 	}, SpecTimeout(time.Minute))
 
@@ -53,7 +53,7 @@
 	// first.
 	It("go on at another gateway after the first one was killed", func(ctx SpecContext) {
 		const length, before = 80, 10
-		q := generation(r.VMs[0].CallerAddress, "summary", length)
+		q := generationRequest(r.VMs[0].CallerAddress, "summary", length)
 		q.onToken = func(index int) bool {
 			if index == before {
 				r.VMs[0].Gateway.Kill()
@@ -66,7 +66,7 @@
 		expectContiguous(first, 0)
 
 		next := len(first.texts)
-		rest := send(ctx, resume(r.VMs[1].CallerAddress, first.handle, next))
+		rest := send(ctx, resumeRequest(r.VMs[1].CallerAddress, first.handle, next))
 		Expect(rest.done).To(BeTrue(), "%+v", rest)
 		expectContiguous(rest, next)
 		Expect(next + len(rest.texts)).To(Equal(length))
@@ -82,7 +82,7 @@
 	It("end in a typed error if the engine dies", func(ctx SpecContext) {
 		const length, before = 400, 10
 		gateway := r.VMs[0].CallerAddress
-		q := generation(gateway, "draft", length)
+		q := generationRequest(gateway, "draft", length)
 		var engine *rig.Endpoint
 		q.onStart = func(name string) { engine = endpointNamed(r, name) }
 		q.onToken = func(index int) bool {
@@ -97,8 +97,8 @@
 		Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 		Expect(s.refusal.Outcome).NotTo(Equal(crocusreel.OutcomeNotRun))
 
-		revive(ctx, r, engine)
-		rest := send(ctx, resume(gateway, s.handle, len(s.texts)))
+		restoreEndpoint(ctx, r, engine)
+		rest := send(ctx, resumeRequest(gateway, s.handle, len(s.texts)))
 		Expect(rest.refusal).NotTo(BeNil(), "%+v", rest)
 		Expect(rest.refusal.Reason).To(Equal(crocusreel.ReasonGenerationLost))
 		Expect(rest.texts).To(BeEmpty())
@@ -108,7 +108,7 @@
 	// gateway that restarts it repeats tokens, and one that gives up loses the response.
 	It("go on after the link to the engine was reset twice", func(ctx SpecContext) {
 		const length = 80
-		q := generation(r.VMs[0].CallerAddress, "letter", length)
+		q := generationRequest(r.VMs[0].CallerAddress, "letter", length)
 		q.onToken = func(index int) bool {
 			if index == 10 || index == 30 {
 				for _, e := range r.Engines {
@@ -117,6 +117,6 @@
 			}
 			return true
 		}
-		expectWhole(send(ctx, q), length)
+		expectComplete(send(ctx, q), length)
 	}, SpecTimeout(time.Minute))
 })
