--- a/tests/soak/check_test.go
+++ b/tests/soak/check_test.go
@@ -66,7 +66,7 @@
 func summary(seed int, results []result, c *chaos, violations []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\nseed %d, %d requests\n\n", seed, len(results))
-	fmt.Fprintln(&b, "| kind | requests | answered | refused: not_run | refused: unknown | ran, incomplete | no outcome |")
+	fmt.Fprintln(&b, "| kind | requests | answered | outcome not_run | outcome unknown | outcome ran, incomplete | no outcome |")
 	fmt.Fprintln(&b, "|---|---|---|---|---|---|---|")
 	for _, w := range weights {
 		fmt.Fprintln(&b, row(w.kind, results))
