--- a/tests/configuration_test.go
+++ b/tests/configuration_test.go
@@ -18,35 +18,35 @@
 	"github.com/crocusreel/crocusreel/operator"
 )
 
-// keyOf is a caller key that only the edit with this name makes valid, so that a
-// caller sees which edit is in force.
-func keyOf(edit string) string { return "key-of-" + edit }
+// callerKeyFor returns a caller key that is valid only under the given edit, so that a caller can
+// observe which edit is in force.
+func callerKeyFor(edit string) string { return "key-of-" + edit }
 
-// document is the rig's configuration with the key of one edit.
-func document(r *rig.Rig, edit string) config.Document {
+// documentForEdit returns the rig's configuration extended by the caller key of an edit.
+func documentForEdit(r *rig.Rig, edit string) config.Document {
 	doc := r.Document()
-	doc.Base += fmt.Sprintf("[[workspaces]]\nname = \"probe\"\nkey_sha256 = [%q]\n", rig.Digest(keyOf(edit)))
+	doc.Base += fmt.Sprintf("[[workspaces]]\nname = \"probe\"\nkey_sha256 = [%q]\n", rig.Digest(callerKeyFor(edit)))
 	return doc
 }
 
-// inForce tells whether a gateway accepts the key of an edit.
+// inForce reports whether a gateway accepts the caller key of an edit.
 func inForce(ctx context.Context, v *rig.VM, edit string) bool {
-	s := send(ctx, request{gateway: v.CallerAddress, method: http.MethodGet, path: "/v1/models", callerKey: keyOf(edit)})
+	s := send(ctx, request{gateway: v.CallerAddress, method: http.MethodGet, path: "/v1/models", callerKey: callerKeyFor(edit)})
 	return s.status == http.StatusOK
 }
 
-// expectInForce waits until an edit is in force at every gateway that runs.
+// expectInForce waits until an edit is in force at every running gateway.
 func expectInForce(ctx context.Context, r *rig.Rig, edit string) {
 	GinkgoHelper()
 	for _, v := range r.VMs {
 		if v.Gateway.Running() {
-			Eventually(func() bool { return inForce(ctx, v, edit) }).Should(BeTrue(), "edit %s at %s", edit, v.ID)
+			Eventually(func() bool { return inForce(ctx, v, edit) }).Should(BeTrue(), "edit %s is not in force at %s", edit, v.ID)
 		}
 	}
 }
 
-// expectNeverAgain checks for a while that no gateway goes back to an old edit.
-func expectNeverAgain(ctx context.Context, r *rig.Rig, edit string) {
+// expectNoRevert checks for 2 s that no running gateway reverts to an old edit.
+func expectNoRevert(ctx context.Context, r *rig.Rig, edit string) {
 	GinkgoHelper()
 	Consistently(func() bool {
 		for _, v := range r.VMs {
@@ -55,7 +55,7 @@
 			}
 		}
 		return false
-	}).WithTimeout(2*time.Second).WithPolling(50*time.Millisecond).Should(BeFalse(), "edit %s is back", edit)
+	}).WithTimeout(2*time.Second).WithPolling(50*time.Millisecond).Should(BeFalse(), "a gateway reverted to edit %s", edit)
 }
 
 var _ = Describe("An accepted configuration", Ordered, ContinueOnFailure, func() {
@@ -63,26 +63,26 @@
 	var version uint64
 
 	BeforeAll(func(ctx SpecContext) {
-		spec := twoSites()
+		spec := twoDataCentres()
 		spec.VMs = append(spec.VMs, rig.VMSpec{ID: "vm3", DataCentre: "dc1"})
-		r = start(spec)
+		r = startRig(spec)
 		version = 1
 	})
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
-	// apply makes an edit on the version in force, whatever edits came before.
+	// apply applies an edit on top of the current version, whichever edits the earlier specs made.
 	apply := func(ctx context.Context, v *rig.VM, edit string) {
 		GinkgoHelper()
-		next, err := r.Apply(ctx, v, version, document(r, edit))
+		next, err := r.Apply(ctx, v, version, documentForEdit(r, edit))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next).To(Equal(version + 1))
 		version = next
 	}
 
-	// Twelve operators edit at once through three controllers, all on the same
-	// version. Were the version not written by compare-and-set, two would believe
-	// that theirs is in force, and sites would differ.
+	// Twelve operators send edits concurrently through three controllers, all based on the same
+	// version. If the version were not written by compare-and-set, two operators would see success
+	// and the data centres would diverge.
 	It("is one of several racing edits; the others change nothing and name the conflict", func(ctx SpecContext) {
 		const operators = 12
 		errs := make([]error, operators)
@@ -90,7 +90,7 @@
 		for i := range operators {
 			wg.Go(func() {
 				_, errs[i] = r.Operator(r.VMs[i%len(r.VMs)]).Apply(ctx, operator.Edit{
-					ExpectedVersion: version, EditID: uuid.NewString(), Document: document(r, fmt.Sprint("race-", i)),
+					ExpectedVersion: version, EditID: uuid.NewString(), Document: documentForEdit(r, fmt.Sprint("race-", i)),
 				})
 			})
 		}
@@ -121,12 +121,12 @@
 		}
 	}, SpecTimeout(time.Minute))
 
-	// The platform applies the edit and loses its answer. Told that it failed, the
-	// operator edits again, in conflict with the own first edit.
-	It("is reported as such although the platform's answer was lost", func(ctx SpecContext) {
-		platformFaults(ctx, r, admin.PlatformFaults{LoseNext: 1})
+	// The platform applies the edit but its response is lost. If the edit were reported as failed,
+	// the operator would edit again and conflict with its own first edit.
+	It("is reported as accepted although the platform's response was lost", func(ctx SpecContext) {
+		setPlatformFaults(ctx, r, admin.PlatformFaults{LoseNext: 1})
 		accepted, err := r.Operator(r.VMs[0]).Apply(ctx, operator.Edit{
-			ExpectedVersion: version, EditID: uuid.NewString(), Document: document(r, "answer-lost"),
+			ExpectedVersion: version, EditID: uuid.NewString(), Document: documentForEdit(r, "answer-lost"),
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(accepted.Version).To(Equal(version + 1))
@@ -134,27 +134,26 @@
 		expectInForce(ctx, r, "answer-lost")
 	}, SpecTimeout(time.Minute))
 
-	// The platform is away. The edit can't be made durable, so it must be refused and
-	// change nothing; were it spread to some sites all the same, it would revert when
-	// they are replaced.
-	It("is not what was refused during an outage", func(ctx SpecContext) {
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+	// The platform is down, so the edit can't be made durable: it must be refused and change
+	// nothing. If it still spread to some VMs, it would be lost when these are replaced.
+	It("does not contain an edit that was refused during an outage", func(ctx SpecContext) {
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		_, err := r.Operator(r.VMs[1]).Apply(ctx, operator.Edit{
-			ExpectedVersion: version, EditID: uuid.NewString(), Document: document(r, "outage"),
+			ExpectedVersion: version, EditID: uuid.NewString(), Document: documentForEdit(r, "outage"),
 		})
 		var refused *operator.RemoteError
 		Expect(errors.As(err, &refused)).To(BeTrue(), "%v", err)
 		Expect(refused.Code).To(Equal(operator.CodePlatformUnavailable))
-		platformFaults(ctx, r, admin.PlatformFaults{})
-		expectNeverAgain(ctx, r, "outage")
+		setPlatformFaults(ctx, r, admin.PlatformFaults{})
+		expectNoRevert(ctx, r, "outage")
 	}, SpecTimeout(time.Minute))
 
-	// A VM is replaced while the platform is away. Its fresh processes know nothing;
-	// with no configuration, or an old one, they would refuse callers or revert.
+	// A VM is replaced while the platform is down. Its new processes start without state; with no
+	// configuration or an old one they would refuse callers or revert the edit.
 	It("is in force at processes that start during an outage", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "before-outage")
 		expectInForce(ctx, r, "before-outage")
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		v := r.VMs[1]
 		v.Gateway.Kill()
 		v.Controller.Kill()
@@ -163,9 +162,9 @@
 		expectInForce(ctx, r, "before-outage")
 	}, SpecTimeout(time.Minute))
 
-	// A site is cut off from all others and from the platform while two edits are
-	// made. Healed, it must take the latest and never show the others an old one.
-	It("reaches a site that was cut off, and does not revert elsewhere", func(ctx SpecContext) {
+	// A VM is cut off from all others and from the platform while two edits are made. Once healed,
+	// it must adopt the latest one and must not spread its old configuration.
+	It("reaches a VM that was cut off, and does not revert elsewhere", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "before-cut")
 		expectInForce(ctx, r, "before-cut")
 		cut := r.VMs[1]
@@ -177,14 +176,14 @@
 		apply(ctx, r.VMs[0], "during-cut-1")
 		apply(ctx, r.VMs[0], "during-cut-2")
 		Eventually(func() bool { return inForce(ctx, r.VMs[0], "during-cut-2") }).Should(BeTrue())
-		Expect(inForce(ctx, cut, "before-cut")).To(BeTrue(), "the cut site goes on with what it had")
+		Expect(inForce(ctx, cut, "before-cut")).To(BeTrue(), "the VM that is cut off does not keep its configuration")
 		restore(ctx, r)
 		expectInForce(ctx, r, "during-cut-2")
-		expectNeverAgain(ctx, r, "before-cut")
+		expectNoRevert(ctx, r, "before-cut")
 	}, SpecTimeout(time.Minute))
 
-	// A controller freezes with an old configuration, sleeps through an edit and
-	// wakes. Others, and its own gateway, must not take the old one from it.
+	// A controller freezes with an old configuration, misses an edit and resumes. Neither the other
+	// controllers nor its own gateway may adopt the old configuration from it.
 	It("does not revert when a frozen controller wakes", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "before-freeze")
 		expectInForce(ctx, r, "before-freeze")
@@ -193,13 +192,13 @@
 		Eventually(func() bool { return inForce(ctx, r.VMs[2], "during-freeze") }).Should(BeTrue())
 		r.VMs[1].Controller.Thaw()
 		expectInForce(ctx, r, "during-freeze")
-		expectNeverAgain(ctx, r, "before-freeze")
+		expectNoRevert(ctx, r, "before-freeze")
 	}, SpecTimeout(time.Minute))
 
-	// The platform is away, a controller restarts, and the only peer that it finds was
-	// cut off and knows an older configuration. The gateway beside it knows the
-	// newest, and must not go back.
-	It("does not revert when a controller restarts among peers that know less", func(ctx SpecContext) {
+	// The platform is down and a controller restarts; the only peer that it finds was cut off and
+	// has an older configuration. The gateway on the same VM has the latest one and must not
+	// revert.
+	It("does not revert when a controller restarts among peers with an older configuration", func(ctx SpecContext) {
 		apply(ctx, r.VMs[0], "older")
 		expectInForce(ctx, r, "older")
 		behind := r.VMs[1]
@@ -211,7 +210,7 @@
 		for _, v := range []*rig.VM{r.VMs[0], r.VMs[2]} {
 			Eventually(func() bool { return inForce(ctx, v, "newer") }).Should(BeTrue())
 		}
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		r.VMs[0].Controller.Kill()
 		r.VMs[2].Controller.Kill()
 		for _, v := range r.VMs {
--- a/tests/retries_test.go
+++ b/tests/retries_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// retryRatio is the number of retries that each request of a workspace earns.
+	// retryRatio is the number of retries that each request of a workspace adds to its budget.
 	retryRatio = 0.1
-	// retryBurst is the number of retries that a workspace can save at a gateway.
+	// retryBurst is the maximum number of retries that a workspace can accumulate at a gateway.
 	retryBurst = 20
 )
 
@@ -24,27 +24,27 @@
 	var r *rig.Rig
 
 	BeforeAll(func() {
-		spec := twoSites()
+		spec := twoDataCentres()
 		spec.Base = fmt.Sprintf("[limits]\nretry_ratio = %g\n", retryRatio)
 		for i := range 3 {
 			spec.Services = append(spec.Services,
 				rig.ServiceSpec{Name: fmt.Sprint("beds", i+1), DataCentre: "dc1", Prefix: "/beds"},
 				rig.ServiceSpec{Name: fmt.Sprint("notes", i+1), DataCentre: "dc2", Prefix: "/notes", NonIdempotentMethods: []string{http.MethodDelete}})
 		}
-		r = start(spec)
+		r = startRig(spec)
 	})
 
-	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startLimit))
+	AfterEach(func(ctx SpecContext) { restore(ctx, r) }, NodeTimeout(startTimeout))
 
-	// count sends n calls that may be repeated and returns how many were started at
-	// the services, and how many callers got an answer.
-	count := func(ctx SpecContext, name string, n int) (started, answered int) {
+	// sendCalls sends n idempotent calls and returns the number of runs that they started at the
+	// services and the number of calls that were answered.
+	sendCalls := func(ctx SpecContext, name string, n int) (started, answered int) {
 		before := 0
 		for _, s := range r.Services {
 			before += len(runsOf(ctx, s))
 		}
 		for i := range n {
-			q := booking(r.VMs[i%2].CallerAddress, fmt.Sprint(name, i), 1)
+			q := bookingRequest(r.VMs[i%2].CallerAddress, fmt.Sprint(name, i), 1)
 			q.path, q.body = "/services/notes/add", fmt.Sprint(name, i)
 			q.header = map[string]string{api.HeaderIdempotent: "true"}
 			if send(ctx, q).status == http.StatusOK {
@@ -57,7 +57,7 @@
 		return started - before, answered
 	}
 
-	// retries are the gateways' counters of work that was sent again, by reason, summed.
+	// retries returns the gateways' retry counters by reason, summed over all gateways.
 	retries := func(ctx SpecContext) map[string]int {
 		all := make(map[string]int)
 		for _, vm := range r.VMs {
@@ -70,33 +70,33 @@
 		return all
 	}
 
-	// Every service loses all of its answers for a while. Each gateway could try each
-	// request at every service and so triple the load on services that struggle
-	// already, and go on doing so when they come back.
+	// Every service loses all of its responses for a while. Without a budget each gateway could try
+	// each request at every service, which triples the load on services that already struggle, and
+	// could go on doing so after they recover.
 	It("are bounded by the budget during an outage and cease after it", func(ctx SpecContext) {
 		const calls = 300
-		faults(ctx, admin.ServiceFaults{LoseAnswers: 1}, r.Services...)
+		setFaults(ctx, admin.ServiceFaults{LoseAnswers: 1}, r.Services...)
 		begun := time.Now()
-		started, answered := count(ctx, "outage-", calls)
+		started, answered := sendCalls(ctx, "outage-", calls)
 		during := time.Since(begun)
 		Expect(answered).To(BeZero())
 		Expect(started).To(BeNumerically("<=", calls+calls*retryRatio+2*retryBurst))
-		Expect(started).To(BeNumerically(">", calls), "nothing was tried again")
+		Expect(started).To(BeNumerically(">", calls), "nothing was retried")
 		AddReportEntry("during the outage", fmt.Sprintf("%d calls started %d runs: factor %.2f, %s each",
 			calls, started, float64(started)/calls, during/calls))
 
-		faults(ctx, admin.ServiceFaults{}, r.Services...)
+		setFaults(ctx, admin.ServiceFaults{}, r.Services...)
 		Eventually(func() int {
-			_, ok := count(ctx, fmt.Sprint("heal-", time.Now().UnixNano()), 4)
+			_, ok := sendCalls(ctx, fmt.Sprint("heal-", time.Now().UnixNano()), 4)
 			return ok
 		}).Should(Equal(4))
 		before := retries(ctx)
-		started, answered = count(ctx, "after-", calls)
+		started, answered = sendCalls(ctx, "after-", calls)
 		after := retries(ctx)
-		AddReportEntry("sent again", fmt.Sprintf("before: %v; after: %v", before, after))
+		AddReportEntry("retry counters", fmt.Sprintf("before the calls: %v; after the calls: %v", before, after))
 		Expect(answered).To(Equal(calls))
-		// A call that is late on a busy machine gets its second service. That is no retry, and the
-		// only reason for which a run may be beyond the calls.
+		// A call that is late on a busy machine is hedged at a second service. That is not a retry,
+		// and it is the only reason for which there may be more runs than calls.
 		hedged := after["hedge"] - before["hedge"]
 		Expect(hedged).To(BeNumerically("<=", calls*retryRatio))
 		Expect(started).To(And(BeNumerically(">=", calls), BeNumerically("<=", calls+hedged)))
@@ -105,14 +105,13 @@
 		AddReportEntry("after the outage", fmt.Sprintf("%d calls started %d runs", calls, started))
 	}, SpecTimeout(time.Minute))
 
-	// The platform is away and clerks go on booking. What can't be recorded can't be
-	// run; a clerk who waits for a timeout to learn this keeps a person waiting at the
-	// counter.
-	It("do not delay what is given up: bookings in an outage are refused at once", func(ctx SpecContext) {
-		platformFaults(ctx, r, admin.PlatformFaults{Down: true})
+	// The platform is down and callers go on booking. What can't be recorded can't run, so the
+	// refusal must come at once; otherwise each caller would wait for a timeout to learn that.
+	It("do not delay refusals: bookings during a platform outage are refused at once", func(ctx SpecContext) {
+		setPlatformFaults(ctx, r, admin.PlatformFaults{Down: true})
 		for i := range 20 {
 			begun := time.Now()
-			s := send(ctx, booking(r.VMs[i%2].CallerAddress, fmt.Sprint("down-", i), 1))
+			s := send(ctx, bookingRequest(r.VMs[i%2].CallerAddress, fmt.Sprint("down-", i), 1))
 			Expect(s.refusal).NotTo(BeNil(), "%+v", s)
 			Expect(s.refusal.RetryAfterMS).To(BeNumerically(">", 0))
 			Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
--- a/tests/soak/chaos_test.go
+++ b/tests/soak/chaos_test.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// lanes inject faults independently, so that they come in pairs and in threes.
-	lanes = 3
-	// faultLength and calmLength bound the time of a fault and the pause after it.
-	faultLength = 3 * time.Second
-	calmLength  = 1000 * time.Millisecond
+	// injectors is the number of goroutines that inject faults independently, so that up to three
+	// faults overlap.
+	injectors = 3
+	// maxFaultDuration is the maximum duration of a fault and maxPause the maximum pause after it.
+	maxFaultDuration = 3 * time.Second
+	maxPause         = 1000 * time.Millisecond
 )
 
-// chaos injects faults until its context ends.
+// chaos injects random faults until its context ends.
 type chaos struct {
 	rig *rig.Rig
 	wg  sync.WaitGroup
-	// busy keeps two lanes from steering one thing at the same time.
+	// mu guards the fields below. busy holds the targets that have a fault, so that two injectors
+	// don't inject into the same one at the same time.
 	mu     sync.Mutex
 	busy   map[string]bool
 	counts map[string]int
 	errs   []error
 }
 
-// fault is one kind of disturbance of one thing. The thing's name keeps a second
-// lane from it.
+// fault is one kind of fault at one target. The name of the target excludes other injectors while
+// the fault lasts.
 type fault struct {
-	kind, thing string
-	begin       func() error
-	end         func() error
+	kind, target string
+	begin        func() error
+	end          func() error
 }
 
 func newChaos(ctx context.Context, r *rig.Rig, seed uint64) *chaos {
 	c := &chaos{rig: r, busy: map[string]bool{}, counts: map[string]int{}}
-	for lane := range lanes {
-		random := rand.New(rand.NewPCG(seed, 1<<32+uint64(lane)))
+	for injector := range injectors {
+		random := rand.New(rand.NewPCG(seed, 1<<32+uint64(injector)))
 		c.wg.Go(func() { c.run(ctx, random) })
 	}
 	return c
@@ -52,16 +54,16 @@
 func (c *chaos) run(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		f := c.choose(random)
-		length := time.Duration(random.Int64N(int64(faultLength)))
-		calm := time.Duration(random.Int64N(int64(calmLength)))
-		if !c.take(f) {
+		length := time.Duration(random.Int64N(int64(maxFaultDuration)))
+		pause := time.Duration(random.Int64N(int64(maxPause)))
+		if !c.acquire(f) {
 			continue
 		}
-		c.note(f.begin())
+		c.recordError(f.begin())
 		sleep(ctx, length)
-		c.note(f.end())
+		c.recordError(f.end())
 		c.release(f)
-		sleep(ctx, calm)
+		sleep(ctx, pause)
 	}
 }
 
@@ -72,13 +74,13 @@
 	}
 }
 
-func (c *chaos) take(f fault) bool {
+func (c *chaos) acquire(f fault) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy[f.thing] {
+	if c.busy[f.target] {
 		return false
 	}
-	c.busy[f.thing] = true
+	c.busy[f.target] = true
 	c.counts[f.kind]++
 	return true
 }
@@ -86,10 +88,10 @@
 func (c *chaos) release(f fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy[f.thing] = false
+	c.busy[f.target] = false
 }
 
-func (c *chaos) note(err error) {
+func (c *chaos) recordError(err error) {
 	if err == nil {
 		return
 	}
@@ -125,10 +127,10 @@
 	}
 }
 
-// processFault kills a process, freezes it, or lets it end gracefully.
+// processFault kills a process, freezes it or terminates it gracefully; end restarts or resumes it.
 func processFault(random *rand.Rand, kind string, p *rig.Process, kill func(), restart func() error) fault {
-	nothing := func() error { return nil }
-	f := fault{thing: p.Name, begin: nothing}
+	noop := func() error { return nil }
+	f := fault{target: p.Name, begin: noop}
 	switch random.IntN(3) {
 	case 0:
 		f.kind = "kill " + kind
@@ -165,7 +167,7 @@
 
 func adminFault(kind string, e *rig.Endpoint, on, off any) fault {
 	return fault{
-		kind: kind, thing: e.Process.Name,
+		kind: kind, target: e.Process.Name,
 		begin: func() error { return e.Admin.SetFaults(context.Background(), on) },
 		end:   func() error { return e.Admin.SetFaults(context.Background(), off) },
 	}
@@ -183,13 +185,13 @@
 	name := names[random.IntN(len(names))]
 	set := func(f admin.PlatformFaults) error { return c.rig.Platform.Admin.SetFaults(context.Background(), f) }
 	return fault{
-		kind: name, thing: "platform",
+		kind: name, target: "platform",
 		begin: func() error { return set(kinds[name]) },
 		end:   func() error { return set(admin.PlatformFaults{}) },
 	}
 }
 
-// link is a proxied link with its name.
+// link is a proxied link and its name, by which chaos excludes other faults there.
 type link struct {
 	name string
 	*rig.Link
@@ -211,7 +213,7 @@
 func (c *chaos) linkFault(random *rand.Rand) fault {
 	all := c.links()
 	l := all[random.IntN(len(all))]
-	f := fault{thing: l.name, end: l.Heal}
+	f := fault{target: l.name, end: l.Heal}
 	direction := rig.Upstream
 	if random.IntN(2) == 0 {
 		direction = rig.Downstream
@@ -229,7 +231,8 @@
 	return f
 }
 
-// restore checks that every fault was taken back and waits for all processes.
+// restore returns the first error of the fault injection, if there was one, and otherwise waits
+// until all processes are healthy and the system is ready.
 func (c *chaos) restore(ctx context.Context) error {
 	for _, err := range c.errs {
 		return fmt.Errorf("fault injection failed: %w", err)
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -1,6 +1,6 @@
-// Package soak runs a mixed load of callers against the whole system while processes
-// are killed and frozen, links cut and the platform disturbed at random, and then
-// compares what callers were told with what the endpoints ran.
+// Package soak runs a mixed load of callers against the whole system while processes are killed and
+// frozen, links are cut and the platform is disturbed at random, and then compares the results of
+// the callers with the runs at the endpoints.
 package soak
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/crocusreel/crocusreel/internal/rig"
 )
 
-// Environment variables of a run, and their defaults.
+// Environment variables that configure a run, and their defaults.
 const (
 	envSeed     = "SEED"
 	envRequests = "REQUESTS"
@@ -26,11 +26,11 @@
 	defaultSeed     = 1
 	defaultRequests = 1000
 
-	// serviceLatencyMS is long enough for faults to hit calls in the middle.
+	// serviceLatencyMS is long enough for faults to hit calls while they run.
 	serviceLatencyMS = "150"
 )
 
-// restoreLimit bounds the time in which a system without faults must serve again.
+// restoreLimit bounds the time in which the system must serve again once all faults are removed.
 const restoreLimit = time.Minute
 
 func TestSoak(t *testing.T) {
@@ -38,19 +38,19 @@
 	RunSpecs(t, "soak")
 }
 
-func number(name string, missing int) int {
+func intFromEnv(name string, fallback int) int {
 	text := os.Getenv(name)
 	if text == "" {
-		return missing
+		return fallback
 	}
 	n, err := strconv.Atoi(text)
 	Expect(err).NotTo(HaveOccurred(), name)
 	return n
 }
 
-// spec is two data centres with two VMs, two engines and one service each. One of
-// the services drops repeats.
-func spec() rig.Spec {
+// systemSpec returns two data centres with two VMs, two engines and one service each. One of the
+// services deduplicates repeated calls.
+func systemSpec() rig.Spec {
 	s := rig.Spec{
 		Links: true,
 		Services: []rig.ServiceSpec{
@@ -69,37 +69,37 @@
 }
 
 var _ = Describe("A mixed load under random faults", func() {
-	// Anything may fail at any moment, together or twice. Callers may be refused and
-	// told that an outcome is unknown, but must never be told something false, get
-	// another's words, or have non-idempotent work run twice.
-	It("breaks no promise", func(ctx SpecContext) {
-		seed, requests := number(envSeed, defaultSeed), number(envRequests, defaultRequests)
+	// Faults hit any part at any moment, several at once or in succession. Callers may be refused
+	// or get an unknown outcome, but never a false outcome, another request's text or a second run
+	// of non-idempotent work.
+	It("violates no guarantee", func(ctx SpecContext) {
+		seed, requests := intFromEnv(envSeed, defaultSeed), intFromEnv(envRequests, defaultRequests)
 		dir, err := os.MkdirTemp(os.Getenv("KEEP_LOGS"), "soak-")
 		Expect(err).NotTo(HaveOccurred())
 		if os.Getenv("KEEP_LOGS") == "" {
 			DeferCleanup(os.RemoveAll, dir)
 		}
-		s := spec()
+		s := systemSpec()
 		s.Dir, s.Bin = dir, filepath.Join(dir, "bin")
 		Expect(rig.Build(ctx, "../..", s.Bin)).To(Succeed())
 		r, err := rig.Start(ctx, s)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(r.Close)
 
-		chaosCtx, calm := context.WithCancel(ctx)
-		defer calm()
+		chaosCtx, stopChaos := context.WithCancel(ctx)
+		defer stopChaos()
 		c := newChaos(chaosCtx, r, uint64(seed))
 		results := load(ctx, r, uint64(seed), requests)
-		calm()
+		stopChaos()
 		c.wait()
 		restoreCtx, cancel := context.WithTimeout(ctx, restoreLimit)
 		defer cancel()
 		Expect(c.restore(restoreCtx)).To(Succeed())
-		Expect(servesAgain(restoreCtx, r)).To(Succeed())
+		Expect(waitUntilServing(restoreCtx, r)).To(Succeed())
 
-		broken := check(ctx, r, results)
-		AddReportEntry("summary", summary(seed, results, c, broken))
-		fmt.Println(summary(seed, results, c, broken))
-		Expect(broken).To(BeEmpty())
+		violations := findViolations(ctx, r, results)
+		AddReportEntry("summary", summary(seed, results, c, violations))
+		fmt.Println(summary(seed, results, c, violations))
+		Expect(violations).To(BeEmpty())
 	}, NodeTimeout(time.Hour))
 })
