--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -13,8 +13,8 @@
 	maxEjection  = 10 * time.Second
 )
 
-// balancer chooses among a route's plain services by the number of outstanding calls. It ejects a
-// service that fails for a time that doubles with each consecutive failure, up to maxEjection.
+// balancer chooses among the plain services of a route by their outstanding calls. A service that
+// fails is ejected for baseEjection, doubled with each consecutive failure up to maxEjection.
 type balancer struct {
 	mu       sync.Mutex
 	now      func() time.Time
@@ -111,7 +111,7 @@
 	}
 }
 
-// hedgeDelay returns the time after which a call is late.
+// hedgeDelay returns the time after which a call counts as late.
 func (b *balancer) hedgeDelay() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// lostRetryAfter is the retry delay sent to callers whose work was lost or found no endpoint.
+	// lostRetryAfter is the retry delay in refusals for which no better estimate exists, such as
+	// those of work that was lost or found no endpoint.
 	lostRetryAfter = time.Second
 	// maxPrefixes bounds the number of prefix hashes sent to the scheduler with one request.
 	maxPrefixes = 32
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -12,8 +12,8 @@
 // streamLimitRetryAfter is the retry delay sent to callers of a workspace that is at its limit.
 const streamLimitRetryAfter = 500 * time.Millisecond
 
-// concurrency counts the running requests of each workspace. Without a limit, a burst from one
-// workspace would use up this gateway's memory at the expense of all others.
+// concurrency counts and limits the running requests of each workspace. Without a limit, a burst
+// from one workspace would use up this gateway's memory at the expense of all others.
 type concurrency struct {
 	mu           sync.Mutex
 	running      map[string]int
@@ -50,7 +50,7 @@
 	return c.runningTotal
 }
 
-// Enter implements caller.Core.
+// AcquireSlot implements caller.Core.
 func (g *Gateway) AcquireSlot(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal) {
 	if !g.running.enter(ws.Name, ws.MaxStreams) {
 		return nil, crocusreel.Refuse(crocusreel.ReasonStreamLimit, crocusreel.OutcomeNotRun, streamLimitRetryAfter,
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -90,8 +90,8 @@
 	return 0
 }
 
-// leavingRecheckInterval is the time between two checks whether a leaving endpoint has stopped and
-// another one has started at its address.
+// leavingRecheckInterval is the time between two checks of whether a leaving endpoint has stopped
+// and another one has started at its address.
 const leavingRecheckInterval = time.Second
 
 // leaving reports whether an endpoint has announced that it is about to stop, and whether to check
--- a/ledger/background.go
+++ b/ledger/background.go
@@ -67,7 +67,7 @@
 }
 
 // retryInBackground runs f in the background until it succeeds, at most maxEndTries times. A job
-// that is dropped or given up leaves its record in the started state. Later attempts read that as
+// that is dropped or abandoned leaves its record in the started state. Later attempts read that as
 // unknown, which is safe but blocks the key, so drops are counted.
 func (l *Ledger) retryInBackground(f func(context.Context) error) {
 	job := func(ctx context.Context) {
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -118,8 +118,8 @@
 }
 
 // withdraw ensures that the claim does not remain in the started state. It also overwrites a row
-// that the claim has not reached: a write that is still in flight then meets another version and is
-// never applied.
+// that the claim has not changed: a write that is still in flight then fails its condition on the
+// version and is never applied.
 func (a *claimAttempt) withdraw(ctx context.Context) error {
 	row, rec, err := a.ledger.readRecord(ctx, a.claim.Key)
 	if err != nil {
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// minProbability is the probability up to which a use of memory is ignored.
+// minProbability is the probability at or below which a use of memory is ignored.
 const minProbability = 1e-4
 
 // Add adds the demand of one answer.
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -68,9 +68,9 @@
 	rampInitialShare = 0.25
 )
 
-// Ramp returns the share of its memory, 0 to 1, that may be used at an endpoint that has been
-// healthy for the given time. An endpoint that joins a busy pool is the emptiest one: without the
-// ramp it would get all new work at once, while its caches are cold and before its first load
+// Ramp returns the share, 0 to 1, of an endpoint's memory that may be used once the endpoint has
+// been healthy for the given time. An endpoint that joins a busy pool is the emptiest one: without
+// the ramp it would get all new work at once, while its caches are cold and before its first load
 // reports.
 func Ramp(healthyFor time.Duration) float64 {
 	if healthyFor >= rampDuration {
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -214,7 +214,7 @@
 // divided by the number that reached it. Answers that were cut off or still run are censored: they
 // count up to the last length that is known of them.
 //
-// The sums are computed anew each time. A running total drifts away from the counts by rounding
+// The sums are recomputed each time. A running total drifts away from the counts by rounding
 // errors, and the resulting probabilities above 1 make every request seem to fit.
 func (l *lengthEstimate) rebuild() {
 	weight := float32(0)
--- a/policy/reservation.go
+++ b/policy/reservation.go
@@ -23,8 +23,8 @@
 	// Risk is the accepted probability of running out of memory.
 	Risk float64
 	// ShortReserve is the fraction of the memory that other work must leave free in the near
-	// future, so that short work finds room at once. Later it may be used: short answers that start
-	// now have ended by that time.
+	// future, so that short work can be admitted at once. Beyond the near future it may be used,
+	// because short answers that start now will have ended.
 	ShortReserve float64
 	// Share is the fraction of the memory that this scheduler may use; it is greater than 0 and at
 	// most 1.
--- a/policy/suspects.go
+++ b/policy/suspects.go
@@ -12,8 +12,8 @@
 	// maxDeathsPerFingerprint bounds the number of deaths held per fingerprint. It is above any
 	// limit on strikes that an operator would set.
 	maxDeathsPerFingerprint = 16
-	// StrikeTTL is how long a strike counts in deployments whose callers go on for several minutes
-	// to resend a request that kills endpoints.
+	// StrikeTTL is how long a strike counts in deployments whose callers keep resending a request
+	// that kills endpoints for several minutes.
 	StrikeTTL = 10 * time.Minute
 )
 
@@ -75,8 +75,8 @@
 	delete(s.deaths, fingerprint)
 }
 
-// clearTolerance is how much younger than it is a strike may look to a scheduler that receives it,
-// because of the transmission delay of the message.
+// clearTolerance allows for the transmission delay of a strike, which makes it look younger than it
+// is to the scheduler that receives it.
 const clearTolerance = 500 * time.Millisecond
 
 // Merge records a strike received from another scheduler, unless it has expired or the request was
--- a/policy/suspects_test.go
+++ b/policy/suspects_test.go
@@ -36,7 +36,7 @@
 
 // Guards against losing strikes while two gateways both act as the scheduler and each sees only
 // some deaths of a request. Each death must count exactly once: otherwise the request kills one
-// more engine, with all answers beside it.
+// more engine, with all other answers in progress there.
 func TestStrikesOfAnotherSchedulerAreTakenOver(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewSuspects(strikeLife)
--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -100,7 +100,7 @@
 	return pv.remote.acquire(call, &req, pv.key, m.now())
 }
 
-var errSchedulerUnreachable = errors.New("scheduler is unreachable: it does not answer reports")
+var errSchedulerUnreachable = errors.New("the scheduler does not answer reports")
 
 // acquireFallback requests a permit from this gateway's fallback pool, which uses only this
 // gateway's share of the engines, and waits for at most fallbackWait.
@@ -176,16 +176,17 @@
 	}
 }
 
-// lossReportTimeout bounds the wait for the scheduler to acknowledge a lost response.
+// lossReportTimeout bounds the wait for the scheduler to acknowledge a lost answer.
 const lossReportTimeout = 300 * time.Millisecond
 
-// strikeReportDelays are the times after a loss at which a full report is sent to fetch its strike.
+// strikeReportDelays are the delays after reportLoss at which full reports fetch the strike.
 var strikeReportDelays = []time.Duration{20 * time.Millisecond, 200 * time.Millisecond}
 
-// reportLoss reports a lost response to the scheduler and waits for the acknowledgement. The
-// gateway retries, or returns an error to its caller, right afterwards. If a repeated request
-// reached the scheduler before the loss did, a request that crashes engines would get one engine
-// more than the limit on strikes allows.
+// reportLoss reports a lost answer to the scheduler and waits for the acknowledgement. The gateway
+// retries, or returns an error to its caller, right afterwards. If a repeated request reached the
+// scheduler before the loss did, a request that crashes engines would get one engine more than the
+// limit on strikes allows. It returns false if the scheduler did not acknowledge the loss; the
+// caller then queues the release.
 func (m *Manager) reportLoss(key string, r Release) bool {
 	v := m.view.Load()
 	if v == nil || v.byKey[key] == nil {
@@ -201,13 +202,13 @@
 	} else {
 		_, err = pv.remote.report(ctx, report, key, m.now())
 	}
-	// The scheduler counts the strike once a poll has confirmed the engine's death. Full reports
-	// shortly afterwards fetch the strike, so that it is not lost if the scheduler moves within a
-	// second.
 	if err != nil {
 		m.opts.Log.Warn("loss not told to the scheduler", zap.String("pool", key), zap.String("scheduler", pv.schedulerID),
 			zap.String("permit", r.Permit.ID), logging.FingerprintField(r.Permit.Fingerprint), zap.Error(err))
 	}
+	// The scheduler counts the strike once a poll has confirmed the engine's death. Full reports
+	// shortly afterwards fetch the strike, so that it is not lost if the scheduler moves within a
+	// second.
 	for _, delay := range strikeReportDelays {
 		time.AfterFunc(delay, func() { signal(m.fullReportDue) })
 	}
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -48,8 +48,8 @@
 	reply          chan result
 	done           bool
 	permitID       string
-	// holdLogged is set once it was logged that the request is held back, so that this is logged
-	// only once.
+	// holdLogged is set once the first log entry about holding the request back has been written;
+	// no further ones are.
 	holdLogged bool
 }
 
@@ -253,7 +253,7 @@
 }
 
 // runningSampleInterval is the time between two samples of the running requests, which the
-// estimator of response lengths uses.
+// estimator of answer lengths uses.
 const runningSampleInterval = 200 * time.Millisecond
 
 func (c *core) sampleRunning(now time.Duration) {
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -13,7 +13,7 @@
 	// failuresToEject is the number of consecutive failed polls after which an engine gets no new
 	// requests. An unreachable engine (connection refused) reaches it with its first failure.
 	failuresToEject = 2
-	// lossResolveTimeout is how long a request is held back for a lost response that no poll has
+	// lossResolveTimeout is how long a request is held back for a lost answer that no poll has
 	// explained.
 	lossResolveTimeout = 3 * time.Second
 )
@@ -26,14 +26,14 @@
 	preemptions int64
 	failures    int
 	leaving     bool
-	// losses are responses that gateways lost at this engine and whose cause no poll has shown yet.
+	// losses are answers that gateways lost at this engine and whose cause no poll has shown yet.
 	losses []loss
 	// nextPermitAt is the earliest time of the next permit if the engine has announced a rate
 	// limit.
 	nextPermitAt time.Duration
 }
 
-// loss is a response that was cut off because the engine died or the connection to it broke.
+// loss is an answer that was cut off because the engine died or the connection to it broke.
 type loss struct {
 	permit Permit
 	at     time.Duration
@@ -116,8 +116,8 @@
 	e.updateState(now)
 }
 
-// countPreemptions passes the preemptions since the last report to the feedback. The first report
-// of an incarnation only sets the reference count.
+// countPreemptions passes the preemptions since the last report to the risk controller. The first
+// report of an incarnation only sets the reference count.
 func (c *core) countPreemptions(e *engine, r endpoint.LoadReport) {
 	n := r.Preemptions - e.preemptions
 	first := e.incarnation == ""
@@ -188,7 +188,7 @@
 	c.logStrike(p, now)
 }
 
-// recordLoss records a response that a gateway lost. The next poll shows whether the engine died.
+// recordLoss records an answer that a gateway lost. The next poll shows whether the engine died.
 // Until then the request is held back, so that one that crashes engines does not reach another
 // engine before its strike is counted. If the engine has already failed, the strike is counted at
 // once.
@@ -221,7 +221,7 @@
 // caused it. If several copies were placed at once, they could kill every engine that runs one
 // before the first of these deaths is counted: with a limit of three and six copies sent after the
 // first death, all six engines of a pool. An innocent request waits for its first complete
-// response, which clears its strikes.
+// answer, which clears its strikes.
 //
 // A request without a strike may run on any number of engines: identical prompts from many callers
 // are common, and prompts that crash engines are not.
--- a/scheduler/holdings.go
+++ b/scheduler/holdings.go
@@ -9,7 +9,7 @@
 )
 
 // maxReleases bounds the releases kept for an unreachable scheduler. If some are discarded, the
-// scheduler notices the end of their permits from the next full report.
+// scheduler learns of the end of their permits from the next full report.
 const maxReleases = 4096
 
 // heldPermit is a permit that this gateway holds.
@@ -28,7 +28,8 @@
 }
 
 // permitStore holds the gateway's open permits, the releases still to be sent, and the known
-// strikes and losses. Request goroutines write to it; the reporting goroutine reads and drains it.
+// strikes and losses. It is safe for concurrent use: request goroutines record permits, releases
+// and losses in it, and the reporter reads and drains it.
 type permitStore struct {
 	open sync.Map // permit ID to *heldPermit
 
@@ -36,11 +37,11 @@
 	releases map[string][]Release // by pool key
 	// strikes are those last received from each pool's scheduler.
 	strikes map[string][]policy.Strike
-	// losses are the responses that this gateway lost, by fingerprint.
+	// losses are the answers that this gateway lost, by fingerprint.
 	losses map[uint64][]lostPermit
 }
 
-// lostPermit is a permit whose response was lost, with the time of the loss.
+// lostPermit is a permit whose answer was lost, with the time of the loss.
 type lostPermit struct {
 	Permit
 	at time.Duration
@@ -51,7 +52,7 @@
 	// time for which schedulers remember ended permits, so that no scheduler counts a loss twice.
 	lossTTL = tombstoneTTL
 	// maxLossFingerprints bounds the fingerprints with losses. The death of one engine loses some
-	// tens of responses.
+	// tens of answers.
 	maxLossFingerprints = 1024
 	// maxLossesPerFingerprint bounds the losses kept for one fingerprint.
 	maxLossesPerFingerprint = 8
@@ -64,7 +65,7 @@
 	}
 }
 
-// recordLoss records a response that was lost together with its endpoint.
+// recordLoss records an answer that was lost together with its endpoint.
 func (h *permitStore) recordLoss(p Permit, now time.Duration) {
 	if p.Fingerprint == 0 {
 		return
@@ -132,7 +133,8 @@
 	h.open.Store(p.ID, &heldPermit{permit: p, pool: pool, fallback: fallback})
 }
 
-// update records the tokens produced. It is called for every token and has to be cheap.
+// update records the tokens produced. It is called every few tokens of each answer and has to be
+// cheap.
 func (h *permitStore) update(id string, produced int) {
 	if x, ok := h.open.Load(id); ok {
 		x.(*heldPermit).produced.Store(int64(produced))
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -10,10 +10,10 @@
 	"github.com/crocusreel/crocusreel/notice"
 )
 
-var _ = Describe("an engine that names a limit", func() {
+var _ = Describe("an engine that announces a rate limit", func() {
 	// Guards against granting permits beyond an engine's rate limit, with and without another
 	// engine that has no limit.
-	DescribeTable("gets no more permits", func(engines int) {
+	DescribeTable("gets no permits beyond it", func(engines int) {
 		const perSecond = 3.0
 		c := newMultiEngineCore(engines)
 		c.hooks.notice = func(e config.EndpointSpec) notice.Notice {
@@ -45,7 +45,7 @@
 			Expect(within).To(BeNumerically("<=", int(1.5*perSecond*4)+5))
 		}
 	},
-		Entry("beside another", 2),
-		Entry("as the only one", 1),
+		Entry("next to an engine without a limit", 2),
+		Entry("as the only engine", 1),
 	)
 })
--- a/scheduler/manager.go
+++ b/scheduler/manager.go
@@ -36,7 +36,7 @@
 }
 
 // Snapshot is the cluster membership and configuration that a Manager works with. It must not be
-// modified after it was passed to Apply.
+// modified after it has been passed to Apply.
 type Snapshot struct {
 	Members []*peerv1.Member
 	Config  *config.Config
@@ -127,7 +127,7 @@
 	return &http.Client{Transport: t}
 }
 
-// Apply replaces the view by one for the given members and configuration. A snapshot without a
+// Apply replaces the view with one for the given members and configuration. A snapshot without a
 // configuration is ignored.
 func (m *Manager) Apply(s Snapshot) {
 	m.mu.Lock()
--- a/scheduler/permits.go
+++ b/scheduler/permits.go
@@ -37,7 +37,7 @@
 // been measured.
 const defaultTokensPerSecond = 20
 
-// expectedDuration returns the time that a response of this many tokens takes at the engine.
+// expectedDuration returns the time that an answer of this many tokens takes at the engine.
 func (c *core) expectedDuration(e *engine, tokens float64) time.Duration {
 	rate := e.view.Rate
 	if rate <= 0 {
@@ -62,8 +62,8 @@
 
 // needsIsolation reports whether the request has at least one strike and one more would cause its
 // refusal. From then on it shares no engine with another such request, so that the death of an
-// engine leads only to the refusal of the request that caused it. With earlier isolation, every
-// request that one common engine death interrupted would have to wait for its turn to run alone.
+// engine leads only to the refusal of the request that caused it. With earlier isolation, all
+// requests that one common engine death interrupted would have to run one after the other.
 func (c *core) needsIsolation(fingerprint uint64, now time.Duration) bool {
 	return c.suspects.Count(fingerprint, now) >= max(1, c.pc.cfg.Limits.Strikes-1)
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// observeFinished updates length estimates, strikes and fair shares after a complete response.
+// observeFinished updates length estimates, strikes and fair shares after a complete answer.
 func (c *core) observeFinished(p *Permit, g *grant, now time.Duration) {
 	c.estimator.Observe(lengthKey(p), p.Produced)
 	c.suspects.Clear(p.Fingerprint, now)
@@ -193,8 +193,8 @@
 	e.view.Rate += rateSampleWeight * (sample - e.view.Rate)
 }
 
-// expire drops the permits of gateways that have not reported within the limit. Such a gateway has
-// died, and engines cancel requests without an attached stream.
+// expire drops the permits of gateways that have not reported within the limit. Such a gateway is
+// considered dead, and engines cancel requests without an attached stream.
 func (c *core) expire(limit, now time.Duration) {
 	for id, g := range c.permits {
 		last := max(c.lastReports[g.gateway], g.grantedAt)
--- a/scheduler/permits_test.go
+++ b/scheduler/permits_test.go
@@ -173,9 +173,9 @@
 })
 
 var _ = Describe("a request that kills engines", func() {
-	// A gateway loses a response and immediately requests the same work again. If the scheduler
+	// A gateway loses an answer and immediately requests the same work again. If the scheduler
 	// learned of the loss only afterwards, it would grant the request one more engine each time.
-	It("is refused at the bound however fast it comes again", func() {
+	It("is refused at the limit on strikes however soon it is repeated", func() {
 		var engines []*fakeEngine
 		for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
 			engines = append(engines, newFakeEngine(name, 100000))
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -87,8 +87,8 @@
 	return gateways
 }
 
-// schedulerOf chooses the scheduler of a pool by rendezvous hashing, or nil if there is no gateway.
-// When a gateway is lost, only its own pools move.
+// schedulerOf returns the scheduler of a pool, which it chooses by rendezvous hashing, or nil if
+// there is no gateway. When a gateway is lost, only its own pools move.
 func schedulerOf(gateways []*peerv1.Member, key string) *peerv1.Member {
 	if len(gateways) == 0 {
 		return nil
--- a/scheduler/poller.go
+++ b/scheduler/poller.go
@@ -113,8 +113,8 @@
 // state that they would update expires by itself.
 func (f *cacheFeed) fetch(ctx context.Context, p *pool, eng endpoint.Engine, incarnation string) {
 	if incarnation != f.incarnation {
-		// A restarted engine numbers its events from the start. Asked for events after the old
-		// number, it would return none.
+		// A restarted engine numbers its events from the start, and would return none after the old
+		// number.
 		f.incarnation, f.lastSeq = incarnation, 0
 	}
 	if f.polls++; f.polls%pollsPerCacheFetch != 0 {
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -136,7 +136,7 @@
 }
 
 // handleTick does the periodic work of an active pool. lastExpiry is the time of the last check for
-// silent gateways.
+// gateways that stopped reporting.
 func (p *pool) handleTick(lastExpiry *time.Duration) {
 	now := p.opts.now()
 	p.setActive(now)
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -118,8 +118,8 @@
 	return time.Duration(float64(ahead+1) / (perSecond * share) * float64(time.Second))
 }
 
-// shed refuses queued requests of the same class, least valued first, while the queue is longer
-// than the configured limit per model of the pool.
+// shed refuses queued requests of the same class, in the order of the queue's drop candidates,
+// while the queue is longer than the configured limit per model of the pool.
 func (c *core) shed(w *queuedRequest, now time.Duration) {
 	q := c.queue(w.req.Class)
 	limit := c.pc.cfg.Limits.QueueLength
@@ -304,8 +304,8 @@
 	return true
 }
 
-// allExcluded reports whether the request has already failed at every healthy endpoint. It may then
-// be tried at any of them again.
+// allExcluded reports whether the request excludes every healthy endpoint. The exclusions are then
+// ignored, so that it may be tried again at endpoints at which it has failed.
 func (c *core) allExcluded(endpoints []*policy.Endpoint, excluded []string) bool {
 	if len(excluded) == 0 {
 		return false
--- a/scheduler/queueing_test.go
+++ b/scheduler/queueing_test.go
@@ -29,7 +29,7 @@
 	return w
 }
 
-// finishRequest ends a granted request with a complete response.
+// finishRequest ends a granted request with a complete answer.
 func finishRequest(c *core, w *queuedRequest, now time.Duration) {
 	p := c.permits[w.permitID].Permit
 	p.Produced = 100
@@ -86,7 +86,7 @@
 		Expect(r.refusal.RetryAfter).To(BeNumerically("~", 21*time.Second, 7*time.Second), fmt.Sprint(r.refusal))
 	})
 
-	It("give up the least valued when there are too many", func() {
+	It("are refused as queue_full, least urgent first, when there are too many", func() {
 		c := newTestCore(250)
 		submit(c, time.Hour, 0)
 		for range c.pc.cfg.Limits.QueueLength {
--- a/scheduler/remote.go
+++ b/scheduler/remote.go
@@ -72,13 +72,13 @@
 	}
 	resp, err := r.client.Acquire(ctx, connect.NewRequest(requestToWire(req, pool, timeLeft, now)))
 	if err != nil {
-		return Permit{}, eris.Wrapf(err, "acquire permit from scheduler %s", r.id)
+		return Permit{}, eris.Wrapf(err, "scheduler %s", r.id)
 	}
 	if f := resp.Msg.GetRefusal(); f != nil {
 		return Permit{}, refusalFromWire(f)
 	}
 	if resp.Msg.GetPermit() == nil {
-		return Permit{}, eris.Errorf("scheduler %s returned neither a permit nor a refusal", r.id)
+		return Permit{}, eris.Errorf("scheduler %s answered neither permit nor refusal", r.id)
 	}
 	return permitFromWire(resp.Msg.GetPermit()), nil
 }
@@ -94,7 +94,7 @@
 	msg.Strikes = strikesToWire(rep.Strikes, now)
 	resp, err := r.client.Report(ctx, connect.NewRequest(msg))
 	if err != nil {
-		return nil, eris.Wrapf(err, "send report to scheduler %s", r.id)
+		return nil, eris.Wrapf(err, "scheduler %s", r.id)
 	}
 	return strikesFromWire(resp.Msg.GetStrikes(), now), nil
 }
--- a/scheduler/reporting.go
+++ b/scheduler/reporting.go
@@ -38,7 +38,7 @@
 }
 
 // reportLoop sends full reports periodically, after each change of the view and after lost
-// responses, and sends releases shortly after they are queued.
+// answers, and sends releases shortly after they are queued.
 func (m *Manager) reportLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -23,18 +23,21 @@
 	Class        crocusreel.Class
 	Priority     crocusreel.Priority
 	PromptTokens int
-	// MaxTokens is the caller's limit on the response length in tokens; 0 means none.
+	// MaxTokens is the limit on the length of the answer in tokens; 0 means none.
 	MaxTokens int
 	// Prefixes are hashes of the prompt's leading blocks, longest last.
 	Prefixes []uint64
-	// Excluded are endpoints at which this request has already failed.
+	// Excluded are the endpoints at which this request has already failed, and the engines that
+	// asked the gateway for a pause. The scheduler ignores them if they include every healthy
+	// endpoint that serves the model.
 	Excluded []string
-	// Fingerprint is a hash over workspace, model and body; 0 means none.
+	// Fingerprint is a hash of workspace, model and prompt; 0 means none. It identifies repeats of
+	// a request under different idempotency keys.
 	Fingerprint uint64
-	// LengthHint is the response length in tokens that the caller expects; 0 means none. Only the
-	// oracle policy uses it.
+	// LengthHint is the length of the answer in tokens that the caller expects; 0 means none. Only
+	// the oracle policy uses it.
 	LengthHint int
-	// Losses are permits for this fingerprint whose responses the gateway lost recently, and
+	// Losses are permits for this fingerprint whose answers the gateway lost recently, and
 	// Strikes are the strikes that it knows against the fingerprint. They are sent with the request
 	// so that any scheduler has them before it grants another engine.
 	Losses  []Permit
@@ -60,7 +63,7 @@
 	Incarnation string
 }
 
-// deathID identifies the death of the permit's engine. It is the same for all responses that one
+// deathID identifies the death of the permit's engine. It is the same for all answers that one
 // engine death interrupted, so that identical prompts from many callers count that death once and
 // not many times.
 func (p *Permit) deathID() uint64 {
@@ -77,7 +80,7 @@
 type EndReason string
 
 const (
-	// EndFinished means that the response is complete, so that its length is known.
+	// EndFinished means that the answer is complete, so that its length is known.
 	EndFinished EndReason = "finished"
 	// EndCancelled means that the caller cancelled, so that the length is a censored observation.
 	EndCancelled EndReason = "cancelled"
--- a/scheduler/suspects_test.go
+++ b/scheduler/suspects_test.go
@@ -60,14 +60,14 @@
 	return w
 }
 
-// loseResponse reports the lost response of a granted request.
+// loseResponse reports the lost answer of a granted request.
 func (c *multiEngineCore) loseResponse(w *queuedRequest) {
 	c.now += time.Millisecond
 	c.release(&Release{Permit: c.permits[w.permitID].Permit, End: EndEndpointLost}, c.now)
 	c.dispatch(c.now)
 }
 
-// killEngineOf restarts the engine that runs a request, with the lost response and the poll that
+// killEngineOf restarts the engine that runs a request, with the lost answer and the poll that
 // follow.
 func (c *multiEngineCore) killEngineOf(w *queuedRequest) {
 	name := c.permits[w.permitID].Endpoint
@@ -110,9 +110,9 @@
 	const deadly, innocent = 13, 14
 
 	// A request crashes each engine that runs it, and its caller repeats it under new keys. Without
-	// a limit it takes down the engines of the region one after the other, and every response
-	// running there is lost.
-	It("is refused after the bound, and the requests beside it are not", func() {
+	// a limit it takes down the engines of the region one after the other, and every answer
+	// in progress there is lost.
+	It("is refused at the limit on strikes, and the requests that ran next to it are not", func() {
 		e1, e2 := newFakeEngine("e1", 100000), newFakeEngine("e2", 100000)
 		r := newTestRegion([]string{"a"}, e1, e2)
 		m := r.managers["a"]
@@ -138,9 +138,9 @@
 		Eventually(strikesOf(m, innocent), specTimeout).Should(BeZero())
 	})
 
-	// The connection to an engine breaks and its responses are lost, but the engine lives on. No
+	// The connection to an engine breaks and its answers are lost, but the engine lives on. No
 	// request may be refused because of that.
-	It("is not suspected when only the link broke", func() {
+	It("is not suspected when only the connection broke", func() {
 		e := newFakeEngine("e1", 100000)
 		r := newTestRegion([]string{"a"}, e)
 		m := r.managers["a"]
@@ -202,7 +202,7 @@
 	// The scheduler becomes unreachable right after the first death, before it has sent the strike
 	// to the gateway. If the gateway's fallback pool counted from zero, the request would kill one
 	// engine more than the limit.
-	It("is refused at the bound where the scheduler is lost between two deaths", func() {
+	It("is refused at the limit on strikes if the scheduler is lost between two deaths", func() {
 		var engines []*fakeEngine
 		for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
 			engines = append(engines, newFakeEngine(name, 100000))
@@ -239,7 +239,7 @@
 
 	// A request that killed a third engine is repeated and held back until a poll explains the loss.
 	// That poll adds the last strike allowed. A failing run logs "permit granted" with strikes=3 in
-	// the same millisecond as "strike", and a fourth engine dies with all its responses.
+	// the same millisecond as "strike", and a fourth engine dies with all its answers.
 	It("is refused if the loss that it waited for turns out to be the last death allowed", func() {
 		c := newMultiEngineCore(4)
 		for range 2 {
@@ -259,7 +259,7 @@
 	// Several copies of a request that crashes engines are sent at once, after its first death is
 	// known. If each copy got an engine, all would die before their deaths are counted: as many
 	// engines as copies, with a limit of three.
-	It("runs at no more engines at once than it may still kill", func() {
+	It("never runs at more engines at once than it has strikes left", func() {
 		c := newMultiEngineCore(6)
 		c.killEngineOf(c.submit(deadly))
 		var copies []*queuedRequest
@@ -286,9 +286,9 @@
 	})
 
 	// An engine dies of another cause while it runs a prompt that many callers send. Copies wait
-	// for the first complete response, which clears the strikes, and may then run on all engines
+	// for the first complete answer, which clears the strikes, and may then run on all engines
 	// again.
-	It("waits only for the first complete response if it is innocent", func() {
+	It("waits only for the first complete answer if it is innocent", func() {
 		c := newMultiEngineCore(6)
 		for range 2 {
 			c.killEngineOf(c.submit(innocent))
