--- a/gateway/call.go
+++ b/gateway/call.go
@@ -111,12 +111,12 @@
 			"no endpoint of %q takes a call of this gateway for %v", c.route.Prefix, wait.Round(time.Millisecond))}
 	}
 	if spec == nil {
-		return callResult{refusal: crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, lostRetryAfter, "no endpoint serves %q", c.route.Prefix)}
+		return callResult{refusal: crocusreel.Refuse(crocusreel.ReasonNoEndpoint, crocusreel.OutcomeNotRun, defaultRetryAfter, "no endpoint serves %q", c.route.Prefix)}
 	}
 	if number == 1 {
 		c.g.endpointRetryBudgets.Get(spec.Name, c.snap.config.Limits.RetryRatio).RecordAttempt()
 	} else if !c.g.allowRetry(c.Workspace.Name, spec.Name, c.snap.config.Limits.RetryRatio) {
-		return callResult{refusal: crocusreel.Refuse(crocusreel.ReasonRateLimit, crocusreel.OutcomeNotRun, lostRetryAfter, "no retry is left in the budget")}
+		return callResult{refusal: crocusreel.Refuse(crocusreel.ReasonRateLimit, crocusreel.OutcomeNotRun, defaultRetryAfter, "no retry is left in the budget")}
 	}
 	if c.NonIdempotent && c.claim == nil {
 		claim, stored, refusal := c.g.claim(ctx, c.Attempt)
@@ -207,11 +207,11 @@
 func (c *call) failedResult(name string, err error) callResult {
 	c.track.step("failed", name, err.Error())
 	if outcomeOf(err) == crocusreel.OutcomeNotRun {
-		return callResult{retryable: true, refusal: crocusreel.Refuse(crocusreel.ReasonEndpointRefused, crocusreel.OutcomeNotRun, lostRetryAfter, "%v", err)}
+		return callResult{retryable: true, refusal: crocusreel.Refuse(crocusreel.ReasonEndpointRefused, crocusreel.OutcomeNotRun, defaultRetryAfter, "%v", err)}
 	}
 	return callResult{
 		retryable: !c.NonIdempotent,
-		refusal:   crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetryAfter, "%v", err),
+		refusal:   crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, defaultRetryAfter, "%v", err),
 	}
 }
 
--- a/gateway/claims.go
+++ b/gateway/claims.go
@@ -102,7 +102,7 @@
 		err = sink.Finish(a.Finish)
 	}
 	if err != nil {
-		return crocusreel.Refuse(crocusreel.ReasonCallerGone, crocusreel.OutcomeRan, lostRetryAfter, "the caller closed its connection")
+		return crocusreel.Refuse(crocusreel.ReasonCallerGone, crocusreel.OutcomeRan, defaultRetryAfter, "the caller closed its connection")
 	}
 	return nil
 }
--- a/gateway/ending.go
+++ b/gateway/ending.go
@@ -46,7 +46,7 @@
 		return crocusreel.Refuse(crocusreel.ReasonShuttingDown, outcome, leavingRetryAfter, "the gateway is shutting down")
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return crocusreel.Refuse(crocusreel.ReasonDeadlineUnreachable, outcome, lostRetryAfter, "the caller's deadline has passed")
+		return crocusreel.Refuse(crocusreel.ReasonDeadlineUnreachable, outcome, defaultRetryAfter, "the caller's deadline has passed")
 	}
-	return crocusreel.Refuse(crocusreel.ReasonCallerGone, outcome, lostRetryAfter, "the caller closed its connection")
+	return crocusreel.Refuse(crocusreel.ReasonCallerGone, outcome, defaultRetryAfter, "the caller closed its connection")
 }
--- a/gateway/enginerun.go
+++ b/gateway/enginerun.go
@@ -257,20 +257,20 @@
 func (u *engineRun) endpointLost() attemptResult {
 	u.gen.g.background(u.cancel)
 	if u.gen.NonIdempotent {
-		return attemptResult{refusal: crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetryAfter,
+		return attemptResult{refusal: crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, defaultRetryAfter,
 			"the endpoint was lost after the work was sent")}
 	}
 	if u.replaceable() {
-		return attemptResult{retryable: true, refusal: crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, lostRetryAfter,
+		return attemptResult{retryable: true, refusal: crocusreel.Refuse(crocusreel.ReasonEndpointLost, crocusreel.OutcomeUnknown, defaultRetryAfter,
 			"the endpoint was lost before the answer was whole")}
 	}
-	return attemptResult{refusal: crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, lostRetryAfter,
+	return attemptResult{refusal: crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, defaultRetryAfter,
 		"the endpoint was lost after %d tokens; the rest of this generation cannot be had", u.next)}
 }
 
 func (u *engineRun) notStarted(reason crocusreel.Reason, detail string) attemptResult {
 	u.gen.track.step("not started", u.permit.Endpoint, detail)
-	return attemptResult{retryable: true, refusal: crocusreel.Refuse(reason, crocusreel.OutcomeNotRun, lostRetryAfter, "%s", detail)}
+	return attemptResult{retryable: true, refusal: crocusreel.Refuse(reason, crocusreel.OutcomeNotRun, defaultRetryAfter, "%s", detail)}
 }
 
 func outcomeOf(err error) crocusreel.Outcome {
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// lostRetryAfter is the retry delay in refusals for which no better estimate exists, such as
+	// defaultRetryAfter is the retry delay in refusals for which no better estimate exists, such as
 	// those of work that was lost or found no endpoint.
-	lostRetryAfter = time.Second
+	defaultRetryAfter = time.Second
 	// maxPrefixes bounds the number of prefix hashes sent to the scheduler with one request.
 	maxPrefixes = 32
 )
@@ -162,7 +162,7 @@
 	case errors.As(err, &refusal):
 		return permit, refusal
 	default:
-		return permit, crocusreel.Refuse(crocusreel.ReasonSchedulerUnreachable, crocusreel.OutcomeNotRun, lostRetryAfter, "%v", err)
+		return permit, crocusreel.Refuse(crocusreel.ReasonSchedulerUnreachable, crocusreel.OutcomeNotRun, defaultRetryAfter, "%v", err)
 	}
 }
 
--- a/gateway/generate_test.go
+++ b/gateway/generate_test.go
@@ -79,7 +79,7 @@
 // Guards against repeated stall timeouts when an engine freezes before its first token. It still
 // accepts connections, so each resume would wait for a whole stall timeout without output to the
 // caller.
-func TestFrozenEngineIsLeftAtItsFirstStall(t *testing.T) {
+func TestFrozenEngineIsAbandonedAtItsFirstStall(t *testing.T) {
 	g := gomega.NewWithT(t)
 	frozen := &fakeEngine{length: 20, frozen: true}
 	other := &fakeEngine{length: 20}
@@ -148,7 +148,7 @@
 
 // Guards against lost results when a caller disconnects while its non-idempotent work runs, and
 // retries with the same key. The first run must finish and its result must be stored.
-func TestGoneCallerFindsItsResult(t *testing.T) {
+func TestResultIsStoredAfterCallerDisconnects(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := &fakeEngine{length: 20, gate: make(chan struct{})}
 	tg := newTestGateway(t, map[string]*fakeEngine{"e1": e}, "e1", "e1")
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -24,7 +24,7 @@
 	return &concurrency{running: make(map[string]int)}
 }
 
-func (c *concurrency) enter(workspace string, limit int) bool {
+func (c *concurrency) acquire(workspace string, limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if limit > 0 && c.running[workspace] >= limit {
@@ -35,7 +35,7 @@
 	return true
 }
 
-func (c *concurrency) leave(workspace string) {
+func (c *concurrency) release(workspace string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runningTotal--
@@ -52,11 +52,11 @@
 
 // AcquireSlot implements caller.Core.
 func (g *Gateway) AcquireSlot(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal) {
-	if !g.running.enter(ws.Name, ws.MaxStreams) {
+	if !g.running.acquire(ws.Name, ws.MaxStreams) {
 		return nil, crocusreel.Refuse(crocusreel.ReasonStreamLimit, crocusreel.OutcomeNotRun, streamLimitRetryAfter,
 			"workspace has %d requests running at this gateway", ws.MaxStreams)
 	}
-	return func() { g.running.leave(ws.Name) }, nil
+	return func() { g.running.release(ws.Name) }, nil
 }
 
 // allowRetry takes one retry from the budgets of the workspace and of the plain service that would
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -141,19 +141,19 @@
 
 // Guards against gateways that together exceed the request limit of a service, by first attempts,
 // retries and hedged calls.
-func TestServiceThatNamesALimitIsNotOverrun(t *testing.T) {
+func TestServiceLimitIsNotExceeded(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		others int
+		name        string
+		otherStatus int
 	}{{"other service healthy", http.StatusOK}, {"other service refuses all calls", http.StatusServiceUnavailable}} {
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			limited := newNoticeService(t, http.StatusOK, map[string]string{endpoint.HeaderRequestLimit: fmt.Sprint(limitPerSecond)})
-			other := newNoticeService(t, c.others, map[string]string{endpoint.HeaderOutcome: refusedOutcome(c.others)})
+			other := newNoticeService(t, c.otherStatus, map[string]string{endpoint.HeaderOutcome: refusedOutcome(c.otherStatus)})
 			began := time.Now()
 			refusals := callRepeatedly(newGatewaysTo(t, 3, limited, other), limitLearnTime+limitWindow+time.Second)
 			g.Expect(limited.maxArrivals(began.Add(limitLearnTime), limitWindow)).To(gomega.BeNumerically("<=", limitAllowed))
-			if c.others == http.StatusOK {
+			if c.otherStatus == http.StatusOK {
 				g.Expect(refusals).To(gomega.BeEmpty())
 			}
 		})
@@ -190,7 +190,7 @@
 
 // Guards against calls to a service that has announced in an answer that it is about to stop, and
 // against excluding its address for good when another service starts there.
-func TestServiceThatSaidThatItLeavesGetsNoCalls(t *testing.T) {
+func TestLeavingServiceGetsNoCalls(t *testing.T) {
 	g := gomega.NewWithT(t)
 	leaving := newNoticeService(t, http.StatusOK, map[string]string{endpoint.HeaderLeaving: "1"})
 	other := newNoticeService(t, http.StatusOK, nil)
@@ -209,7 +209,7 @@
 
 // Guards against calls, first attempts as well as retries, to a service that has refused one and
 // asked this gateway for a pause.
-func TestServiceThatAsksForAPauseGetsIt(t *testing.T) {
+func TestPausedServiceGetsNoCalls(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const pause = 2 * time.Second
 	paused := newNoticeService(t, http.StatusServiceUnavailable,
@@ -251,7 +251,7 @@
 }
 
 // Guards against sending generations to an engine that has asked this gateway for a pause.
-func TestEngineThatAsksForAPauseGetsIt(t *testing.T) {
+func TestPausedEngineGetsNoGenerations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	paused, other := &fakeEngine{length: 3}, &fakeEngine{length: 3}
 	tg := newTestGateway(t, map[string]*fakeEngine{"e1": paused, "e2": other}, "e1", "e2")
--- a/gateway/resume.go
+++ b/gateway/resume.go
@@ -68,7 +68,7 @@
 	v, end := u.deliverResuming(ctx, stream, err)
 	if v.retryable {
 		v.retryable = false
-		v.refusal = crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, lostRetryAfter,
+		v.refusal = crocusreel.Refuse(crocusreel.ReasonGenerationLost, crocusreel.OutcomeRan, defaultRetryAfter,
 			"the endpoint was lost %d tokens after the resume", u.next-first)
 	}
 	return v, end
--- a/ledger/background.go
+++ b/ledger/background.go
@@ -21,7 +21,7 @@
 	closed bool
 }
 
-func newPool(workers, queue int) *workerPool {
+func newWorkerPool(workers, queue int) *workerPool {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &workerPool{jobs: make(chan func(context.Context), queue), ctx: ctx, cancel: cancel}
 	for range workers {
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -126,8 +126,8 @@
 		return err
 	}
 	ours := rec.AttemptID == a.claim.AttemptID && rec.State == StateStarted
-	unreached := row.Version == a.baseVersion
-	if !ours && !unreached {
+	unchanged := row.Version == a.baseVersion
+	if !ours && !unchanged {
 		return nil
 	}
 	a.claim.record.State = StateNotRun
--- a/ledger/claim_test.go
+++ b/ledger/claim_test.go
@@ -160,9 +160,9 @@
 	g.Expect(b.Claim(t.Context(), key, "other", true).Refusal.Reason).To(Equal(crocusreel.ReasonKeyReused))
 
 	g.Expect(b.RecordNotRun(t.Context(), held)).To(Equal(crocusreel.OutcomeNotRun))
-	anew := b.Claim(t.Context(), key, "h", false).Claim
-	g.Expect(anew).NotTo(BeNil())
-	b.RecordUnknown(t.Context(), anew)
+	reclaimed := b.Claim(t.Context(), key, "h", false).Claim
+	g.Expect(reclaimed).NotTo(BeNil())
+	b.RecordUnknown(t.Context(), reclaimed)
 	g.Expect(b.Claim(t.Context(), key, "h", false).Refusal.Outcome).To(Equal(crocusreel.OutcomeUnknown))
 }
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -149,7 +149,7 @@
 	if opts.Jitter == nil {
 		opts.Jitter = func(limit time.Duration) time.Duration { return rand.N(limit) + 1 }
 	}
-	return &Ledger{tables: tables, objects: objects, opts: opts, pool: newPool(opts.Workers, opts.QueueLength)}
+	return &Ledger{tables: tables, objects: objects, opts: opts, pool: newWorkerPool(opts.Workers, opts.QueueLength)}
 }
 
 // Close stops the background work: it waits for the queued jobs until ctx is done and drops the
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -9,9 +9,9 @@
 // per step.
 var horizon = [horizonPoints]float64{1, 32, 64, 128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 4096, 8192}
 
-// blockSlack is the memory, in tokens, that an answer uses beyond its own tokens: engines allocate
+// blockSlackTokens is the memory, in tokens, that an answer uses beyond its own tokens: engines allocate
 // memory in blocks of about 16 tokens.
-const blockSlack = 8
+const blockSlackTokens = 8
 
 // Demand is the predicted memory use of one answer. At point i of the horizon, the answer uses
 // size[i] tokens with probability prob[i]; otherwise it has ended and uses none.
@@ -22,7 +22,7 @@
 // PredictDemand predicts the demand of an answer of unknown length. prompt and produced are in
 // tokens; maxTokens limits the length of the answer, 0 means no limit.
 func PredictDemand(s *Survival, prompt, produced, maxTokens int) (d Demand) {
-	now := float64(prompt + produced + blockSlack)
+	now := float64(prompt + produced + blockSlackTokens)
 	for i, h := range horizon {
 		if maxTokens > 0 && float64(produced)+h > float64(maxTokens) {
 			break
@@ -42,7 +42,7 @@
 		if left < before {
 			break
 		}
-		d.size[i] = float64(prompt+produced+blockSlack) + min(h, left)
+		d.size[i] = float64(prompt+produced+blockSlackTokens) + min(h, left)
 		d.prob[i] = 1
 		before = h
 	}
--- a/policy/suspects_test.go
+++ b/policy/suspects_test.go
@@ -7,23 +7,23 @@
 	"github.com/onsi/gomega"
 )
 
-const strikeLife = StrikeTTL
+const strikeTTL = StrikeTTL
 
 func TestStrikesAddUpAndExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := NewSuspects(strikeLife)
+	s := NewSuspects(strikeTTL)
 	s.Record(Strike{Fingerprint: 7, Death: 1, At: 0})
 	s.Record(Strike{Fingerprint: 7, Death: 2, At: time.Minute})
 	g.Expect(s.Count(7, time.Minute)).To(gomega.Equal(2))
-	g.Expect(s.TimeUntilBelow(7, 1, time.Minute)).To(gomega.Equal(strikeLife))
-	g.Expect(s.TimeUntilBelow(7, 2, time.Minute)).To(gomega.Equal(strikeLife - time.Minute))
+	g.Expect(s.TimeUntilBelow(7, 1, time.Minute)).To(gomega.Equal(strikeTTL))
+	g.Expect(s.TimeUntilBelow(7, 2, time.Minute)).To(gomega.Equal(strikeTTL - time.Minute))
 	g.Expect(s.TimeUntilBelow(7, 3, time.Minute)).To(gomega.BeZero())
-	g.Expect(s.Count(7, time.Minute+strikeLife+1)).To(gomega.BeZero())
+	g.Expect(s.Count(7, time.Minute+strikeTTL+1)).To(gomega.BeZero())
 }
 
 func TestFinishedRequestIsCleared(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := NewSuspects(strikeLife)
+	s := NewSuspects(strikeTTL)
 	s.Record(Strike{Fingerprint: 7, Death: 1})
 	s.Clear(7, time.Second)
 	g.Expect(s.Count(7, 0)).To(gomega.BeZero())
@@ -39,19 +39,19 @@
 // more engine, with all other answers in progress there.
 func TestStrikesOfAnotherSchedulerAreTakenOver(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := NewSuspects(strikeLife)
+	s := NewSuspects(strikeTTL)
 	s.Record(Strike{Fingerprint: 7, Death: 1, At: time.Minute})
 	s.Merge(Strike{Fingerprint: 7, Death: 1, At: time.Minute}, time.Minute)
 	s.Merge(Strike{Fingerprint: 7, Death: 2, At: time.Minute}, time.Minute)
-	s.Merge(Strike{Fingerprint: 8, Death: 3, At: 0}, strikeLife+time.Second)
+	s.Merge(Strike{Fingerprint: 8, Death: 3, At: 0}, strikeTTL+time.Second)
 	g.Expect(s.Count(7, time.Minute)).To(gomega.Equal(2))
-	g.Expect(s.Count(8, strikeLife+time.Second)).To(gomega.BeZero())
+	g.Expect(s.Count(8, strikeTTL+time.Second)).To(gomega.BeZero())
 	g.Expect(s.AppendStrikes(nil, 10, time.Minute)).To(gomega.HaveLen(2))
 }
 
 func TestSuspectsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := NewSuspects(strikeLife)
+	s := NewSuspects(strikeTTL)
 	for n := range uint64(maxSuspects + 10) {
 		s.Record(Strike{Fingerprint: n + 1, Death: 1, At: time.Duration(n)})
 	}
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -80,7 +80,7 @@
 	// backlogs holds the service rate of each class.
 	backlogs          map[crocusreel.Class]*backlog
 	suspects          *policy.Suspects
-	feedback          *policy.RiskController
+	riskController    *policy.RiskController
 	picker            policy.Picker
 	reservation       *policy.Reservation
 	engines           map[string]*engine
@@ -134,12 +134,12 @@
 			crocusreel.ClassShort:      {},
 			crocusreel.ClassGeneration: {},
 		},
-		suspects:    policy.NewSuspects(policy.StrikeTTL),
-		feedback:    policy.NewRiskController(1, 1),
-		engines:     make(map[string]*engine),
-		permits:     make(map[string]*grant),
-		tombstones:  make(map[string]time.Duration),
-		lastReports: make(map[string]time.Duration),
+		suspects:       policy.NewSuspects(policy.StrikeTTL),
+		riskController: policy.NewRiskController(1, 1),
+		engines:        make(map[string]*engine),
+		permits:        make(map[string]*grant),
+		tombstones:     make(map[string]time.Duration),
+		lastReports:    make(map[string]time.Duration),
 	}
 }
 
@@ -147,7 +147,7 @@
 func (c *core) configure(pc poolConfig, now time.Duration) {
 	old := c.pc
 	c.pc = pc
-	c.feedback.SetWeights(pc.cfg.Weights.Stall, pc.cfg.Weights.Preemption)
+	c.riskController.SetWeights(pc.cfg.Weights.Stall, pc.cfg.Weights.Preemption)
 	c.workspaces = make(map[string]config.WorkspaceSpec, len(pc.cfg.Workspaces))
 	for _, w := range pc.cfg.Workspaces {
 		c.workspaces[w.Name] = w
--- a/scheduler/engine.go
+++ b/scheduler/engine.go
@@ -125,7 +125,7 @@
 	if n <= 0 || first {
 		return
 	}
-	c.feedback.RecordPreemptions(int(n))
+	c.riskController.RecordPreemptions(int(n))
 	c.hooks.count("engine_preemptions", n)
 }
 
--- a/scheduler/holdings.go
+++ b/scheduler/holdings.go
@@ -186,8 +186,8 @@
 func (h *permitStore) openByPool() map[string][]*heldPermit {
 	open := make(map[string][]*heldPermit)
 	h.open.Range(func(_, x any) bool {
-		one := x.(*heldPermit)
-		open[one.pool] = append(open[one.pool], one)
+		held := x.(*heldPermit)
+		open[held.pool] = append(open[held.pool], held)
 		return true
 	})
 	return open
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -20,12 +20,12 @@
 			return notice.Notice{Limited: e.Name == "e1", Limit: perSecond}
 		}
 		var granted []time.Duration
-		var waits []*queuedRequest
+		var requests []*queuedRequest
 		const step = 20 * time.Millisecond
 		for range 500 {
 			c.now += step
-			waits = append(waits, c.submit(0))
-			for _, w := range waits {
+			requests = append(requests, c.submit(0))
+			for _, w := range requests {
 				if g, open := c.permits[w.permitID]; open {
 					if g.Endpoint == "e1" {
 						granted = append(granted, c.now)
--- a/scheduler/permits.go
+++ b/scheduler/permits.go
@@ -116,7 +116,7 @@
 	c.suspects.Clear(p.Fingerprint, now)
 	q := c.queue(p.Class)
 	if q.Len() > 0 {
-		c.feedback.RecordCompletion()
+		c.riskController.RecordCompletion()
 	}
 	if g != nil {
 		q.AdjustCharge(p.Workspace, float64(p.Produced)-g.expectedTokens)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -139,7 +139,7 @@
 // gateways that stopped reporting.
 func (p *pool) handleTick(lastExpiry *time.Duration) {
 	now := p.opts.now()
-	p.setActive(now)
+	p.updateActive(now)
 	if !p.active {
 		return
 	}
@@ -151,8 +151,8 @@
 	p.core.dispatch(now)
 }
 
-// setActive activates or deactivates the pool, and with it the polling of engines.
-func (p *pool) setActive(now time.Duration) {
+// updateActive activates or deactivates the pool, and with it the polling of engines.
+func (p *pool) updateActive(now time.Duration) {
 	// A pool with queued requests stays active: once stopped, it would never answer them.
 	shouldBeActive := p.chosen.Load() || p.core.anyWaiting() || now-time.Duration(p.lastUsed.Load()) < idleTimeout
 	if shouldBeActive == p.active {
@@ -174,7 +174,7 @@
 
 func (e acquireEvent) apply(p *pool, now time.Duration) {
 	p.lastUsed.Store(int64(now))
-	p.setActive(now)
+	p.updateActive(now)
 	p.core.enqueue(e.w, now)
 }
 
@@ -189,7 +189,7 @@
 }
 
 func (e reportEvent) apply(p *pool, now time.Duration) {
-	p.setActive(now)
+	p.updateActive(now)
 	strikes := p.core.report(e.report, now)
 	if e.reply != nil {
 		e.reply <- strikes
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -230,7 +230,7 @@
 	if c.reservation == nil {
 		return
 	}
-	c.reservation.Risk = c.feedback.Risk()
+	c.reservation.Risk = c.riskController.Risk()
 	c.reservation.Share = c.pc.share
 	if now-c.activatedAt < takeoverGracePeriod {
 		c.reservation.Share *= takeoverGraceShare
@@ -243,7 +243,7 @@
 	}
 	q.BeginRound()
 	c.blockedModels = c.blockedModels[:0]
-	for passed := 0; passed < lookahead; {
+	for failed := 0; failed < lookahead; {
 		i := q.Next(now)
 		if i == nil {
 			return
@@ -265,7 +265,7 @@
 			continue
 		}
 		q.Skip(i)
-		passed++
+		failed++
 		if c.starving(i.Value, now) {
 			c.blockedModels = append(c.blockedModels, model)
 		}
--- a/scheduler/suspects_test.go
+++ b/scheduler/suspects_test.go
@@ -60,8 +60,8 @@
 	return w
 }
 
-// loseResponse reports the lost answer of a granted request.
-func (c *multiEngineCore) loseResponse(w *queuedRequest) {
+// loseAnswer reports the lost answer of a granted request.
+func (c *multiEngineCore) loseAnswer(w *queuedRequest) {
 	c.now += time.Millisecond
 	c.release(&Release{Permit: c.permits[w.permitID].Permit, End: EndEndpointLost}, c.now)
 	c.dispatch(c.now)
@@ -72,7 +72,7 @@
 func (c *multiEngineCore) killEngineOf(w *queuedRequest) {
 	name := c.permits[w.permitID].Endpoint
 	c.restart(name)
-	c.loseResponse(w)
+	c.loseAnswer(w)
 	c.pollEngine(name)
 }
 
@@ -248,7 +248,7 @@
 		third := c.submit(deadly)
 		engine := c.permits[third.permitID].Endpoint
 		c.restart(engine)
-		c.loseResponse(third)
+		c.loseAnswer(third)
 		again := c.submit(deadly)
 		Expect(again.done).To(BeFalse(), "held back")
 		c.pollEngine(engine)
