--- a/policy/demand.go
+++ b/policy/demand.go
@@ -9,8 +9,8 @@
 // per step.
 var horizon = [horizonPoints]float64{1, 32, 64, 128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 4096, 8192}
 
-// blockSlackTokens is the memory, in tokens, that an answer uses beyond its own tokens: engines allocate
-// memory in blocks of about 16 tokens.
+// blockSlackTokens is the memory that an answer uses beyond its own tokens: engines allocate memory
+// in blocks of about 16 tokens.
 const blockSlackTokens = 8
 
 // Demand is the predicted memory use of one answer. At point i of the horizon, the answer uses
