--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -12,8 +12,8 @@
 // streamLimitRetryAfter is the retry delay sent to callers of a workspace that is at its limit.
 const streamLimitRetryAfter = 500 * time.Millisecond
 
-// concurrency counts the running requests of each workspace. Without a limit, a burst from one
-// workspace would use up this gateway's memory at the expense of all others.
+// concurrency counts and limits the running requests of each workspace. Without a limit, a burst
+// from one workspace would use up this gateway's memory at the expense of all others.
 type concurrency struct {
 	mu           sync.Mutex
 	running      map[string]int
@@ -24,7 +24,7 @@
 	return &concurrency{running: make(map[string]int)}
 }
 
-func (c *concurrency) enter(workspace string, limit int) bool {
+func (c *concurrency) acquire(workspace string, limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if limit > 0 && c.running[workspace] >= limit {
@@ -35,7 +35,7 @@
 	return true
 }
 
-func (c *concurrency) leave(workspace string) {
+func (c *concurrency) release(workspace string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runningTotal--
@@ -50,13 +50,13 @@
 	return c.runningTotal
 }
 
-// Enter implements caller.Core.
+// AcquireSlot implements caller.Core.
 func (g *Gateway) AcquireSlot(ws *config.WorkspaceSpec) (func(), *crocusreel.Refusal) {
-	if !g.running.enter(ws.Name, ws.MaxStreams) {
+	if !g.running.acquire(ws.Name, ws.MaxStreams) {
 		return nil, crocusreel.Refuse(crocusreel.ReasonStreamLimit, crocusreel.OutcomeNotRun, streamLimitRetryAfter,
 			"workspace has %d requests running at this gateway", ws.MaxStreams)
 	}
-	return func() { g.running.leave(ws.Name) }, nil
+	return func() { g.running.release(ws.Name) }, nil
 }
 
 // allowRetry takes one retry from the budgets of the workspace and of the plain service that would
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -118,16 +118,16 @@
 }
 
 // withdraw ensures that the claim does not remain in the started state. It also overwrites a row
-// that the claim has not reached: a write that is still in flight then meets another version and is
-// never applied.
+// that the claim has not changed: a write that is still in flight then fails its condition on the
+// version and is never applied.
 func (a *claimAttempt) withdraw(ctx context.Context) error {
 	row, rec, err := a.ledger.readRecord(ctx, a.claim.Key)
 	if err != nil {
 		return err
 	}
 	ours := rec.AttemptID == a.claim.AttemptID && rec.State == StateStarted
-	unreached := row.Version == a.baseVersion
-	if !ours && !unreached {
+	unchanged := row.Version == a.baseVersion
+	if !ours && !unchanged {
 		return nil
 	}
 	a.claim.record.State = StateNotRun
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -10,22 +10,22 @@
 	"github.com/crocusreel/crocusreel/notice"
 )
 
-var _ = Describe("an engine that names a limit", func() {
+var _ = Describe("an engine that announces a rate limit", func() {
 	// Guards against granting permits beyond an engine's rate limit, with and without another
 	// engine that has no limit.
-	DescribeTable("gets no more permits", func(engines int) {
+	DescribeTable("gets no permits beyond it", func(engines int) {
 		const perSecond = 3.0
 		c := newMultiEngineCore(engines)
 		c.hooks.notice = func(e config.EndpointSpec) notice.Notice {
 			return notice.Notice{Limited: e.Name == "e1", Limit: perSecond}
 		}
 		var granted []time.Duration
-		var waits []*queuedRequest
+		var requests []*queuedRequest
 		const step = 20 * time.Millisecond
 		for range 500 {
 			c.now += step
-			waits = append(waits, c.submit(0))
-			for _, w := range waits {
+			requests = append(requests, c.submit(0))
+			for _, w := range requests {
 				if g, open := c.permits[w.permitID]; open {
 					if g.Endpoint == "e1" {
 						granted = append(granted, c.now)
@@ -45,7 +45,7 @@
 			Expect(within).To(BeNumerically("<=", int(1.5*perSecond*4)+5))
 		}
 	},
-		Entry("beside another", 2),
-		Entry("as the only one", 1),
+		Entry("next to an engine without a limit", 2),
+		Entry("as the only engine", 1),
 	)
 })
--- a/scheduler/queueing.go
+++ b/scheduler/queueing.go
@@ -118,8 +118,8 @@
 	return time.Duration(float64(ahead+1) / (perSecond * share) * float64(time.Second))
 }
 
-// shed refuses queued requests of the same class, least valued first, while the queue is longer
-// than the configured limit per model of the pool.
+// shed refuses queued requests of the same class, in the order of the queue's drop candidates,
+// while the queue is longer than the configured limit per model of the pool.
 func (c *core) shed(w *queuedRequest, now time.Duration) {
 	q := c.queue(w.req.Class)
 	limit := c.pc.cfg.Limits.QueueLength
@@ -230,7 +230,7 @@
 	if c.reservation == nil {
 		return
 	}
-	c.reservation.Risk = c.feedback.Risk()
+	c.reservation.Risk = c.riskController.Risk()
 	c.reservation.Share = c.pc.share
 	if now-c.activatedAt < takeoverGracePeriod {
 		c.reservation.Share *= takeoverGraceShare
@@ -243,7 +243,7 @@
 	}
 	q.BeginRound()
 	c.blockedModels = c.blockedModels[:0]
-	for passed := 0; passed < lookahead; {
+	for failed := 0; failed < lookahead; {
 		i := q.Next(now)
 		if i == nil {
 			return
@@ -265,7 +265,7 @@
 			continue
 		}
 		q.Skip(i)
-		passed++
+		failed++
 		if c.starving(i.Value, now) {
 			c.blockedModels = append(c.blockedModels, model)
 		}
@@ -304,8 +304,8 @@
 	return true
 }
 
-// allExcluded reports whether the request has already failed at every healthy endpoint. It may then
-// be tried at any of them again.
+// allExcluded reports whether the request excludes every healthy endpoint. The exclusions are then
+// ignored, so that it may be tried again at endpoints at which it has failed.
 func (c *core) allExcluded(endpoints []*policy.Endpoint, excluded []string) bool {
 	if len(excluded) == 0 {
 		return false
