--- a/tests/node/notices_soak_test.go
+++ b/tests/node/notices_soak_test.go
@@ -17,65 +17,75 @@
 )
 
 const (
-	// noticeSoakFor is the time in which faults are injected and endpoints say things.
-	noticeSoakFor = 9 * time.Second
-	// Bounds of the users' rules beside those of limits and pauses.
-	leavingBound  = 2 * time.Second
-	contactTime   = 3 * time.Second
-	pauseStart    = 500 * time.Millisecond
-	pauseRequests = 2
+	// noticeSoakDuration is the time during which faults are injected and endpoints change their
+	// notices.
+	noticeSoakDuration = 9 * time.Second
+	// leavingBound is the users' bound on the time from a node's first answer in which an endpoint
+	// announces that it leaves until the node sends it no further requests.
+	leavingBound = 2 * time.Second
+	// limitGracePeriod is the time from when an endpoint begins to report a limit until the bound on
+	// limits applies to it.
+	limitGracePeriod = 3 * time.Second
+	// The users' bound on pauses: from pauseNoticeDelay after a refusal until the end of the pause
+	// that it asks for, the node sends the endpoint at most maxPauseRequests requests.
+	pauseNoticeDelay = 500 * time.Millisecond
+	maxPauseRequests = 2
 )
 
-// span is a time in which a node was killed, frozen or cut off.
-type span struct{ from, to time.Time }
+// disturbance is a period during which a node was killed or frozen.
+type disturbance struct{ from, to time.Time }
 
-// sent is a request as its caller saw it.
-type sent struct {
+// sentRequest is a request from its caller's point of view: at is when it was sent, done when the
+// answer was complete or had failed.
+type sentRequest struct {
 	node     int
 	at, done time.Time
 	status   int
 }
 
-// noticeSoak is one random run of endpoints that say what they take.
+// noticeSoak is the state of one random run of endpoints that announce limits, pauses and that they
+// leave.
 type noticeSoak struct {
 	*site
 	random  *rand.Rand
 	workers map[string]*worker.Worker
 
+	// mu guards the fields below while callers run.
 	mu sync.Mutex
 	// requests are those of callers, by ID.
-	requests map[string]sent
-	// disturbed are the times in which each node was disturbed.
-	disturbed map[int][]span
-	// named is when each worker began to name its limit, and what.
-	named map[string]time.Time
-	limit map[string]float64
+	requests map[string]sentRequest
+	// disturbances holds the periods during which each node was killed or frozen, by its index.
+	disturbances map[int][]disturbance
+	// limitSince holds when each worker began to report its limit, by its ID.
+	limitSince map[string]time.Time
+	// limits holds the limit in requests per second that each worker reports, by its ID.
+	limits map[string]float64
 }
 
-var _ = Describe("a random run of endpoints that say what they take", func() {
+var _ = Describe("a random run of endpoints that announce limits, pauses and leaving", func() {
 	for _, seed := range soakSeeds() {
-		// Guards against anything that is sent beyond what an endpoint has said, whatever happens to
-		// nodes, the store and entries meanwhile.
-		It(fmt.Sprintf("keeps what they say with seed %d", seed), func() {
+		// Guards against requests that violate an endpoint's notices while nodes are killed or frozen,
+		// the store is unreachable or drops its history, and entries are removed and written again.
+		It(fmt.Sprintf("complies with their notices with seed %d", seed), func() {
 			s := &noticeSoak{
 				site: newSite(), random: rand.New(rand.NewPCG(uint64(seed), 7)), workers: make(map[string]*worker.Worker),
-				requests: make(map[string]sent), disturbed: make(map[int][]span),
-				named: make(map[string]time.Time), limit: make(map[string]float64),
+				requests: make(map[string]sentRequest), disturbances: make(map[int][]disturbance),
+				limitSince: make(map[string]time.Time), limits: make(map[string]float64),
 			}
 			for i := range 4 {
-				s.workers[fmt.Sprintf("app-%d", i)] = s.app(fmt.Sprintf("app-%d", i))
+				s.workers[fmt.Sprintf("app-%d", i)] = s.startApp(fmt.Sprintf("app-%d", i))
 			}
 			for i := range 3 {
 				id := fmt.Sprintf("engine-%d", i)
-				s.workers[id] = s.engine(id, 40)
+				s.workers[id] = s.startEngine(id, 40)
 			}
 			s.start(3)
 			stop := make(chan struct{})
 			var load sync.WaitGroup
-			for i := range callers {
+			for i := range callerCount {
 				load.Go(func() { s.call(i, stop) })
 			}
-			s.play()
+			s.runRandomActions()
 			close(stop)
 			load.Wait()
 			for id, w := range s.workers {
@@ -87,7 +97,7 @@
 				w.Pause("")
 				w.SetNotice("Server-Limit", "")
 			}
-			// A limit ends with the next answer; pauses of 3 s are over by then.
+			// The longest pause, 2.5 s, is over after this; a limit ends with the next answer.
 			time.Sleep(3 * time.Second)
 			for _, n := range s.nodes {
 				Eventually(func() int { return s.send(n, "/calls/end", "key").status }, 5*time.Second).Should(Equal(http.StatusOK))
@@ -96,7 +106,7 @@
 	}
 })
 
-// call sends requests of all kinds to any node until stop is closed.
+// call sends requests of all kinds to random nodes until stop is closed.
 func (s *noticeSoak) call(caller int, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(uint64(caller), 3))
 	paths := []string{"/calls/1", "/bookings/1", "/drafts/1"}
@@ -110,30 +120,32 @@
 		at := time.Now()
 		r := s.send(s.nodes[node], paths[random.IntN(len(paths))], "key")
 		s.mu.Lock()
-		s.requests[r.id] = sent{node: node, at: at, done: time.Now(), status: r.status}
+		s.requests[r.id] = sentRequest{node: node, at: at, done: time.Now(), status: r.status}
 		s.mu.Unlock()
 	}
 }
 
-// play lets endpoints say things and injects faults until the time is over. One endpoint of each
-// service says nothing, so that there is always one to serve.
-func (s *noticeSoak) play() {
-	until := time.Now().Add(noticeSoakFor)
+// runRandomActions changes the notices of endpoints and injects faults at random for
+// noticeSoakDuration. One endpoint of each service gives no notice, so that there is always one
+// that serves.
+func (s *noticeSoak) runRandomActions() {
+	until := time.Now().Add(noticeSoakDuration)
 	for time.Now().Before(until) {
 		switch s.random.IntN(4) {
 		case 0:
-			s.disturb()
+			s.injectFault()
 		case 1:
-			s.tellEntry()
+			s.rewriteEntry()
 		default:
-			s.sayOne()
+			s.announceNotice()
 		}
 		time.Sleep(time.Duration(s.random.IntN(400)) * time.Millisecond)
 	}
 }
 
-// sayOne makes one endpoint say something from now on.
-func (s *noticeSoak) sayOne() {
+// announceNotice makes a random endpoint announce from now on that it leaves, a pause, or a limit.
+// A limit once reported stays the same.
+func (s *noticeSoak) announceNotice() {
 	id := []string{"app-1", "app-2", "app-3", "engine-1", "engine-2"}[s.random.IntN(5)]
 	w := s.workers[id]
 	switch s.random.IntN(4) {
@@ -144,16 +156,17 @@
 	default:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if _, names := s.named[id]; names {
+		if _, names := s.limitSince[id]; names {
 			return
 		}
-		s.named[id], s.limit[id] = time.Now(), 0.5+float64(s.random.IntN(40))/10
-		w.SetNotice("Server-Limit", strconv.FormatFloat(s.limit[id], 'g', -1, 64))
+		s.limitSince[id], s.limits[id] = time.Now(), 0.5+float64(s.random.IntN(40))/10
+		w.SetNotice("Server-Limit", strconv.FormatFloat(s.limits[id], 'g', -1, 64))
 	}
 }
 
-// tellEntry writes an endpoint's entry as it was, or takes it away for a moment.
-func (s *noticeSoak) tellEntry() {
+// rewriteEntry writes the entry of a random plain endpoint again, in half of the cases after
+// removing it for up to 200 ms.
+func (s *noticeSoak) rewriteEntry() {
 	id := fmt.Sprintf("app-%d", s.random.IntN(4))
 	if s.random.IntN(2) == 0 {
 		s.write(platform.Write{Table: platform.TableEndpoints, Key: id, Delete: true})
@@ -162,8 +175,9 @@
 	s.register(id, "app", s.workers[id].Address(), "ready")
 }
 
-// disturb kills or freezes a node, or takes the store away from all.
-func (s *noticeSoak) disturb() {
+// injectFault kills and restarts or freezes and thaws a random node, makes the store unreachable
+// for a while, or drops its history.
+func (s *noticeSoak) injectFault() {
 	ctx := GinkgoT().Context()
 	number := s.random.IntN(len(s.nodes))
 	n, from := s.nodes[number], time.Now()
@@ -172,12 +186,12 @@
 		n.Kill()
 		time.Sleep(time.Duration(s.random.IntN(400)) * time.Millisecond)
 		Expect(n.Start()).To(Succeed())
-		s.note(number, from)
+		s.recordDisturbance(number, from)
 	case 1:
 		n.Freeze()
 		time.Sleep(time.Duration(s.random.IntN(900)) * time.Millisecond)
 		n.Thaw()
-		s.note(number, from)
+		s.recordDisturbance(number, from)
 	case 2:
 		Expect(s.faults.SetFaults(ctx, admin.PlatformFaults{Unreachable: true})).To(Succeed())
 		time.Sleep(time.Duration(s.random.IntN(1500)) * time.Millisecond)
@@ -187,15 +201,17 @@
 	}
 }
 
-func (s *noticeSoak) note(node int, from time.Time) {
+// recordDisturbance records that the node was killed or frozen from the given time until now.
+func (s *noticeSoak) recordDisturbance(node int, from time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.disturbed[node] = append(s.disturbed[node], span{from: from, to: time.Now()})
+	s.disturbances[node] = append(s.disturbances[node], disturbance{from: from, to: time.Now()})
 }
 
-// calm tells whether the node was not disturbed within the time.
-func (s *noticeSoak) calm(node int, from, to time.Time) bool {
-	for _, d := range s.disturbed[node] {
+// undisturbed reports whether the node was neither killed nor frozen at any time between from and
+// to.
+func (s *noticeSoak) undisturbed(node int, from, to time.Time) bool {
+	for _, d := range s.disturbances[node] {
 		if d.from.Before(to) && d.to.After(from) {
 			return false
 		}
@@ -203,33 +219,37 @@
 	return true
 }
 
-// passedOn returns when each node had passed on a first answer of the worker that says so.
-func (s *noticeSoak) passedOn(w *worker.Worker, says func(worker.Arrival) bool) map[int]time.Time {
+// firstAnswers returns, by node index, when the node's first answer with status 200 from the worker
+// for which matches returns true was complete at the caller.
+func (s *noticeSoak) firstAnswers(w *worker.Worker, matches func(worker.Arrival) bool) map[int]time.Time {
 	first := make(map[int]time.Time)
 	for _, a := range w.Arrivals() {
 		r, known := s.requests[a.ID]
-		if !known || r.status != http.StatusOK || !says(a) || a.Pause != "" {
+		if !known || r.status != http.StatusOK || !matches(a) || a.Pause != "" {
 			continue
 		}
-		if t, told := first[r.node]; !told || r.done.Before(t) {
+		if t, seen := first[r.node]; !seen || r.done.Before(t) {
 			first[r.node] = r.done
 		}
 	}
 	return first
 }
 
+// checkLeaving fails the spec if a request reached a worker although its caller sent it more than
+// leavingBound after the node had passed on an answer in which the worker announces that it leaves.
 func (s *noticeSoak) checkLeaving(id string, w *worker.Worker) {
 	GinkgoHelper()
-	told := s.passedOn(w, func(a worker.Arrival) bool { return a.Notices["Server-Leaving"] != "" })
+	firstAnswers := s.firstAnswers(w, func(a worker.Arrival) bool { return a.Notices["Server-Leaving"] != "" })
 	for _, a := range w.Arrivals() {
 		r := s.requests[a.ID]
-		t, known := told[r.node]
-		if known && r.at.Sub(t) > leavingBound && s.calm(r.node, t, a.At) {
-			Fail(fmt.Sprintf("%s got %s from node %d %v after it had said that it leaves", id, a.ID, r.node, r.at.Sub(t)))
+		t, known := firstAnswers[r.node]
+		if known && r.at.Sub(t) > leavingBound && s.undisturbed(r.node, t, a.At) {
+			Fail(fmt.Sprintf("%s got request %s from node %d %v after it had announced that it leaves", id, a.ID, r.node, r.at.Sub(t)))
 		}
 	}
 }
 
+// checkPauses checks for each refusal of a worker the bound on requests during the pause.
 func (s *noticeSoak) checkPauses(id string, w *worker.Worker) {
 	GinkgoHelper()
 	all := w.Arrivals()
@@ -241,28 +261,30 @@
 		node, end := s.requests[refused.ID].node, refused.At.Add(time.Duration(seconds*float64(time.Second)))
 		n := 0
 		for _, a := range all {
-			if s.requests[a.ID].node == node && a.At.After(refused.At.Add(pauseStart)) && a.At.Before(end) {
+			if s.requests[a.ID].node == node && a.At.After(refused.At.Add(pauseNoticeDelay)) && a.At.Before(end) {
 				n++
 			}
 		}
-		if s.calm(node, refused.At, end) {
-			Expect(n).To(BeNumerically("<=", pauseRequests), "%s asked node %d for %s s at %v", id, node, refused.Pause, refused.At)
+		if s.undisturbed(node, refused.At, end) {
+			Expect(n).To(BeNumerically("<=", maxPauseRequests), "requests to %s, which asked node %d for a pause of %s s at %v", id, node, refused.Pause, refused.At)
 		}
 	}
 }
 
+// checkLimit checks the bound on limits for the arrivals at a worker from undisturbed nodes that
+// had received the limit at least limitNoticeDelay before.
 func (s *noticeSoak) checkLimit(id string, w *worker.Worker) {
 	GinkgoHelper()
-	named, names := s.named[id]
-	if !names {
+	since, limited := s.limitSince[id]
+	if !limited {
 		return
 	}
-	told := s.passedOn(w, func(a worker.Arrival) bool { return a.Notices["Server-Limit"] != "" })
+	firstAnswers := s.firstAnswers(w, func(a worker.Arrival) bool { return a.Notices["Server-Limit"] != "" })
 	var counted []time.Time
 	for _, a := range w.Arrivals() {
 		r := s.requests[a.ID]
-		t, known := told[r.node]
-		if known && a.At.Sub(t) >= limitKnown && a.At.Sub(named) >= contactTime && s.calm(r.node, t, a.At) {
+		t, known := firstAnswers[r.node]
+		if known && a.At.Sub(t) >= limitNoticeDelay && a.At.Sub(since) >= limitGracePeriod && s.undisturbed(r.node, t, a.At) {
 			counted = append(counted, a.At)
 		}
 	}
@@ -273,6 +295,6 @@
 				n++
 			}
 		}
-		Expect(n).To(BeNumerically("<=", allowed(s.limit[id])), "%s names %g a second", id, s.limit[id])
+		Expect(n).To(BeNumerically("<=", maxAllowed(s.limits[id])), "requests to %s within the window, limit %g per second", id, s.limits[id])
 	}
 }
