--- a/endpoint/checked_test.go
+++ b/endpoint/checked_test.go
@@ -35,7 +35,7 @@
 	return endpoint.Frame{RequestID: "r", GenerationID: generation, Index: index, Done: true}
 }
 
-var _ = Describe("checked streams", func() {
+var _ = Describe("validated streams", func() {
 	check := func(in frames, next int) ([]endpoint.Frame, map[string]int, error) {
 		drops := map[string]int{}
 		out, err := drain(endpoint.ValidateStream(&in, "r", "g", next, func(kind string) { drops[kind]++ }))
@@ -84,7 +84,7 @@
 	})
 
 	// Guards against wrong answers from an engine with all frame faults at once: the answer must be
-	// complete, or end with an error and be resumable where it broke off.
+	// complete, or end with an error and be resumable from where it ended.
 	It("deliver a complete answer of a faulty engine by resuming", func() {
 		ctx := context.Background()
 		client, faults := startEngine(engine.Options{Seed: 7})
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -28,8 +28,8 @@
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
 }
 
-// Frame is one event of a generation. A frame carries either one token or, with
-// Done set, the end of the generation.
+// Frame is one event of a generation. A frame carries either one token or, with Done set, the end
+// of the generation.
 type Frame struct {
 	RequestID    string `json:"request_id"`
 	GenerationID string `json:"generation_id"`
--- a/endpoint/service_test.go
+++ b/endpoint/service_test.go
@@ -76,7 +76,7 @@
 
 	// Guards against calls that fail at random: a timer created with a timeout of 0 fires
 	// immediately and occasionally cancels a call before it is sent.
-	It("answers all of many calls without a stall timeout", func() {
+	It("completes many calls without a stall timeout", func() {
 		client, _ := startService(service.Options{})
 		for i := range 2000 {
 			_, err := client.Do(ctx, booking(fmt.Sprint(i)))
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -256,8 +256,8 @@
 }
 
 // Live returns the live nodes, ordered by address. The result is shared and must not be modified:
-// it is read for each request and many times a second besides, and building it each time would take
-// up the processor of a small VM once there are hundreds of nodes.
+// it is read for each request and many times a second besides, and building it each time would use
+// up the CPU of a small VM once there are hundreds of nodes.
 func (g *Gossip) Live() []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -474,7 +474,7 @@
 }
 
 // liveAddresses returns at most the given number of addresses of live nodes. The iteration order of
-// maps is random, so that each call returns other ones.
+// maps is random, so each call returns different ones.
 func (g *Gossip) liveAddresses(limit int) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -509,7 +509,7 @@
 	return data
 }
 
-// removeAddresses removes the fields that change with a new incarnation only.
+// removeAddresses removes the fields that change only with a new incarnation.
 func removeAddresses(s *exchangev1.NodeState) {
 	s.Brief = true
 	s.CallerAddress, s.PeerAddress, s.DataCentre = "", "", ""
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -141,7 +141,7 @@
 
 	// Guards against counting the work of a node that has stopped without notice, and sending
 	// callers to it, forever. OnLost announces the resulting change at once while it holds its own
-	// locks: a Gossip that waited for these would deadlock, and its node would soon serve no keys.
+	// locks: a Gossip that waited for these would deadlock, and its node would soon refuse all keys.
 	It("detects the loss of a silent node and its return", func() {
 		a, b := start(loopbackIP(21), 1), start(loopbackIP(22), 1)
 		a.Add(b.ip)
--- a/knowledge/evacuations.go
+++ b/knowledge/evacuations.go
@@ -7,9 +7,9 @@
 )
 
 // EvacuationTracker tracks the data centres that the operator has evacuated, so that no new work is
-// sent to endpoints there. It holds the exact set as of one version of the store; the set with the
-// later version is therefore right, whichever node it comes from. Its methods are safe for
-// concurrent use.
+// sent to endpoints there. It holds the exact set as of one version of the store. Of two sets, the
+// one with the later version is therefore correct, regardless of which node it comes from. Its
+// methods are safe for concurrent use.
 type EvacuationTracker struct {
 	// IsKnown reports whether a data centre belongs to the deployment. At most
 	// maxUnknownEvacuations orders are kept for names for which it returns false. It must be set
--- a/knowledge/uptime.go
+++ b/knowledge/uptime.go
@@ -14,14 +14,14 @@
 
 const (
 	// minOutageHeartbeats is the minimum length, in heartbeats, of an outage in which entries of
-	// living endpoints can expire. An entry expires after three missed heartbeats in a row, and
+	// live endpoints can expire. An entry expires after three missed heartbeats in a row, and
 	// heartbeats may come early.
 	minOutageHeartbeats = 1.5
 	// maxPauseHeartbeats is the longest pause between two responses, in heartbeats, that does not
 	// count as an outage if no request has failed: the node that queries the store may have died,
 	// and another node takes over.
 	maxPauseHeartbeats = 2
-	// entryRecoveryTime is the time after the end of an outage by which the entries of living
+	// entryRecoveryTime is the time after the end of an outage by which the entries of live
 	// endpoints have been written again: the platform promises about two seconds.
 	entryRecoveryTime = 2100 * time.Millisecond
 )
@@ -69,9 +69,9 @@
 	return r.mergeLocked(Uptime{Since: at, Until: at}, r.maxPause)
 }
 
-// MergeWithEntries merges the span known to another node, which sent all its entries as of
-// span.Until with it. It returns the length of the outage between the known span and this one, 0 if
-// there was none.
+// MergeWithEntries merges the span known to another node that has sent, together with the span, all
+// its entries as of span.Until. It returns the length of the outage between the known span and this
+// one, 0 if there was none.
 func (r *UptimeTracker) MergeWithEntries(span Uptime) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/knowledge/uptime_test.go
+++ b/knowledge/uptime_test.go
@@ -16,15 +16,15 @@
 	// time after an outage within which the entries that expired in it are written again.
 	expiry           = 3 * heartbeat
 	promisedRecovery = 2 * time.Second
-	// noticedOutage is the length from which every outage makes a request fail and all nodes learn
-	// of it.
+	// noticedOutage is the length from which every outage makes a request fail, so that all nodes
+	// learn of it.
 	noticedOutage = 1600 * time.Millisecond
 	// maxGraceTime bounds the time from the store's return until missing entries are final at a
 	// node that gets responses.
 	maxGraceTime = 2200 * time.Millisecond
 )
 
-// livingEndpoint writes its entry at each heartbeat while the store is up.
+// livingEndpoint is a live endpoint, which writes its entry at each heartbeat while the store is up.
 type livingEndpoint struct {
 	// interval is the time between two heartbeats, close to the configured one.
 	phase, interval time.Duration
@@ -36,7 +36,7 @@
 // span is the time of one outage.
 type span struct{ from, to time.Duration }
 
-// uptimeModel models a store with outages, a living endpoint, and nodes that track the store's
+// uptimeModel models a store with outages, a live endpoint, and nodes that track the store's
 // uptime.
 type uptimeModel struct {
 	now      time.Duration
@@ -82,7 +82,7 @@
 	return 0
 }
 
-// Guards against giving up living endpoints whose entries expired in an outage, and against a grace
+// Guards against dropping live endpoints whose entries expired in an outage, and against a grace
 // time that outlasts the time in which such entries are written again.
 func TestGraceTimeCoversExpiredEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -106,7 +106,7 @@
 				for i, n := range w.nodes {
 					known := n.Current()
 					if known.Until > 0 && n.GraceRemaining() == 0 && !w.present(known.Until) {
-						t.Fatalf("node %d, %+v, considers the entry of a living endpoint gone at %s, outages %v", i, known, known.Until, w.outages[1:])
+						t.Fatalf("node %d, %+v, considers the entry of a live endpoint gone at %s, outages %v", i, known, known.Until, w.outages[1:])
 					}
 				}
 			},
@@ -148,8 +148,8 @@
 	})
 }
 
-// Guards against a grace time at a node that alone got no responses for long, because it was cut
-// off, frozen or turned away by the store, while the store served other nodes.
+// Guards against a grace time at a node that alone got no responses for a long time, because it was
+// cut off, frozen or rejected by the store, while the store served other nodes.
 func TestUptimeOfOtherNodesCoversAPause(t *testing.T) {
 	reader, other := knowledge.NewUptimeTracker(heartbeat), knowledge.NewUptimeTracker(heartbeat)
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
@@ -167,8 +167,8 @@
 }
 
 // Guards against a grace time that delays the removal of endpoints because the node that queries
-// the store has died, and against giving up living endpoints after an outage as short as the pause
-// of such a takeover.
+// the store has died, and against dropping live endpoints after an outage as short as the pause of
+// such a takeover.
 func TestUptimeDistinguishesATakeoverFromAnOutage(t *testing.T) {
 	const pause = 2100 * time.Millisecond
 	for _, failed := range []bool{false, true} {
@@ -187,7 +187,7 @@
 	}
 }
 
-// Guards against giving up living endpoints because a node that did not notice an outage sends the
+// Guards against dropping live endpoints because a node that did not detect an outage sends the
 // span from before it.
 func TestUptimeOfOtherNodesDoesNotCoverAnOutage(t *testing.T) {
 	const before, after = 6 * time.Second, 8100 * time.Millisecond
--- a/node/addresses_test.go
+++ b/node/addresses_test.go
@@ -23,17 +23,17 @@
 		caller string
 		fresh  bool
 		bound  []string
-		// gone lists the addresses of nodes that are not ready.
+		// gone lists the caller addresses of the nodes that are not ready.
 		gone []string
 		want []string
 	}{
 		{name: "own data centre", caller: "dc1", fresh: true, want: []string{"dc1a", "dc1b"}},
-		{name: "another one", caller: "dc2", fresh: true, want: []string{"dc2a", "dc2b"}},
-		{name: "another one whose losses show late", caller: "dc2", want: []string{"dc1a", "dc1b"}},
-		{name: "another region whose losses show late", caller: "dc3", want: []string{"dc3a", "dc3b"}},
+		{name: "another data centre", caller: "dc2", fresh: true, want: []string{"dc2a", "dc2b"}},
+		{name: "another data centre, losses detected late", caller: "dc2", want: []string{"dc1a", "dc1b"}},
+		{name: "another region, losses detected late", caller: "dc3", want: []string{"dc3a", "dc3b"}},
 		{name: "too few nearby", caller: "dc1", fresh: true, gone: []string{"dc1a"}, want: []string{"dc1b", "dc2a", "dc2b"}},
 		{name: "too few in the region", caller: "dc3", fresh: true, gone: []string{"dc3a"}, want: []string{"dc1a", "dc1b", "dc2a", "dc2b", "dc3b"}},
-		{name: "bound, one is enough", caller: "dc3", fresh: true, bound: []string{"south"}, gone: []string{"dc3a"}, want: []string{"dc3b"}},
+		{name: "bound, one node is enough", caller: "dc3", fresh: true, bound: []string{"south"}, gone: []string{"dc3a"}, want: []string{"dc3b"}},
 		{name: "bound elsewhere", caller: "dc3", fresh: true, bound: []string{"north"}, gone: []string{"dc3a", "dc3b"}, want: []string{"dc1a", "dc1b", "dc2a", "dc2b"}},
 		{
 			name: "bound to a region without nodes", caller: "dc3", fresh: true, bound: []string{"south"}, gone: []string{"dc3a", "dc3b"},
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -22,12 +22,12 @@
 	faulty map[string]int64
 }
 
-// maxFaulty bounds the number of faulty entries remembered. When it is reached the record is
-// cleared, so some entries are logged again.
+// maxFaulty bounds the number of faulty entries remembered. When it is reached, all are forgotten,
+// so some entries are logged again.
 const maxFaulty = 1024
 
 // fromStore returns a callback for answers that this node gets from the store itself. Such an
-// answer clears peerStoreAway, the state of the store as reported by the node followed before.
+// answer clears peerStoreAway, which the node followed before has reported.
 func (n *Node) fromStore(apply func(platform.Listing, knowledge.Confirmation, uptimeUpdate)) func(platform.Listing, knowledge.Confirmation) {
 	return func(l platform.Listing, seen knowledge.Confirmation) {
 		n.peerStoreAway.Store(false)
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -73,7 +73,7 @@
 		}
 	}
 	if faulty > maxFaultyRowsLogged {
-		n.log.Warn("further evacuation rows are faulty; not logged one by one", zap.Int("count", faulty-maxFaultyRowsLogged))
+		n.log.Warn("more evacuation rows are faulty; not logged individually", zap.Int("count", faulty-maxFaultyRowsLogged))
 	}
 	return orders
 }
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -44,7 +44,7 @@
 // SetVersion sets the version from which the feed requests changes.
 func SetVersion(f *Feed, version int64) { f.version = version }
 
-// Run polls the table; IsLost reports whether the store counts as lost.
+// Run polls the table. IsLost reports whether the feed polls the store and gets no answer.
 var (
 	Run    = (*feed).run
 	IsLost = (*feed).isLost
@@ -96,19 +96,20 @@
 	}}
 }
 
-// FetchFromPeer asks another node; it returns false if the node is not to wait for one.
+// FetchFromPeer requests a snapshot from a ready node, or pauses if there is none. It returns false
+// if the node must not wait for one.
 func (s Starter) FetchFromPeer(ctx context.Context) bool { return s.s.fetchFromPeer(ctx) }
 
-// WaitsForPeers reports whether the node still leaves reading the store to others.
+// WaitsForPeers reports whether the node waits for other nodes instead of reading the store.
 func (s Starter) WaitsForPeers() bool { return s.s.waitsForPeers() }
 
 // TableLimiter exports the limit on sending full tables.
 type TableLimiter = tableLimiter
 
-// Allow reports whether one more table may be sent, and counts it.
+// Allow reports whether one more table may be sent, and counts its bytes if so.
 var Allow = (*tableLimiter).allow
 
-// ErrBusy is the refusal of a node that has sent too many tables.
+// ErrBusy is returned by a node that has reached its limit on sending full tables.
 var ErrBusy = errBusy
 
 // TableBytesPerWindow and TableWindow bound the tables that a node sends.
--- a/node/feed.go
+++ b/node/feed.go
@@ -25,7 +25,7 @@
 	// news that an endpoint is leaving must reach all nodes within two seconds.
 	endpointsWait = time.Second
 	// answerSlack is the time beyond the requested wait after which a poll is abandoned. The
-	// store's slowest answers take some hundred times its usual 4 ms.
+	// store's slowest answers take about a hundred times its usual 4 ms.
 	answerSlack = 500 * time.Millisecond
 	// emptyPause is the pause before reading again a store that has never been written to. Nodes
 	// may run long before the operator's first configuration.
@@ -36,13 +36,13 @@
 	// enabledCheckInterval is the interval at which a suspended feed checks whether it must poll
 	// again.
 	enabledCheckInterval = 50 * time.Millisecond
-	// minBackoff and maxBackoff bound the pause after a failed poll. After an outage all
-	// nodes poll at the same time, so the pause grows and is jittered.
+	// minBackoff and maxBackoff bound the pause after a failed poll. After an outage all nodes poll
+	// at the same time, so the pause grows and is jittered.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 	// lostRetryInterval is the pause between two polls of an unavailable store by a node that is
-	// neither a seed nor the first of its data centre, and by a node that follows another one
-	// meanwhile.
+	// neither a seed nor the first of its data centre, or that follows another node in the
+	// meantime.
 	lostRetryInterval = 2 * time.Second
 	// slowAnswerDelay is the delay of an answer, beyond the requested wait, from which the store
 	// counts as slow: 25 times the usual delay. Endpoints write their entries to the same store,
@@ -55,8 +55,8 @@
 type backoffBounds struct{ min, max time.Duration }
 
 // backoffBoundsFor returns the bounds for a node; leads reports whether others depend on its polls.
-// Hundreds of nodes may start while the store is unavailable, and every call has a cost: a
-// few nodes poll often, and the others learn from them within the time of one datagram.
+// Hundreds of nodes may start while the store is unavailable, and every call has a cost. Therefore
+// only a few nodes poll often; the others learn from them within the latency of one datagram.
 func backoffBoundsFor(leads bool) backoffBounds {
 	if leads {
 		return backoffBounds{min: minBackoff, max: maxBackoff}
@@ -71,7 +71,7 @@
 	table string
 	wait  time.Duration
 	log   *zap.Logger
-	// enabled reports whether this node is to poll the store now.
+	// enabled reports whether this node must poll the store now.
 	enabled func() bool
 	// onListing is called with each full listing, onChanges with each list of changed rows.
 	onListing func(l platform.Listing, seen knowledge.Confirmation)
@@ -103,11 +103,11 @@
 	retryAt time.Duration
 	// answered is set once the store has answered.
 	answered bool
-	// suspended is set while another node is followed. A loss of the store then says nothing about
-	// how current the data is.
+	// suspended is set while another node is followed. A loss of the store then does not show how
+	// current the data is.
 	suspended bool
-	// sentAt is when the pending poll was sent, 0 if there is none; requestedWait is the wait
-	// requested from the store for it.
+	// sentAt is when the pending poll was sent, 0 if there is none; requestedWait is how long that
+	// poll asks the store to wait for changes.
 	sentAt, requestedWait time.Duration
 	// delay is the delay of the last answer beyond the requested wait.
 	delay time.Duration
@@ -147,7 +147,7 @@
 func (f *feed) poll(ctx context.Context) error {
 	sentAt := f.begin()
 	defer f.end()
-	// Versions learned from other nodes meanwhile need not be read again.
+	// Versions learned from other nodes in the meantime need not be read again.
 	f.version = max(f.version, f.peerVersion())
 	if f.version == 0 || f.relist {
 		// The timeout applies to each page, not to the whole listing. With thousands of endpoints
@@ -282,8 +282,8 @@
 	}
 }
 
-// retryDue reports whether an unavailable store is to be polled again although another node is
-// followed meanwhile.
+// retryDue reports whether an unavailable store must be polled again although this node follows
+// another one in the meantime.
 func (f *feed) retryDue() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/feed_test.go
+++ b/node/feed_test.go
@@ -18,8 +18,7 @@
 )
 
 var _ = Describe("a feed", func() {
-	// Guards against a listing of many pages that is abandoned before its last page, again and
-	// again.
+	// Guards against a listing of many pages that times out before its last page at every attempt.
 	It("reads a table of several pages from a slow store", func() {
 		const rows, pages = 1100, 3
 		server := httptest.NewServer(standin.New(standin.Options{Latency: 600 * time.Millisecond}).Handler())
@@ -41,8 +40,8 @@
 		Eventually(listed, (pages+2)*600*time.Millisecond).Should(Receive(Equal(rows)))
 	})
 
-	// Guards against hundreds of nodes that all poll an unavailable store as often as the first
-	// few.
+	// Guards against hundreds of nodes that all poll an unavailable store as often as the few nodes
+	// on which others depend.
 	It("polls an unavailable store rarely if no other node depends on it", func() {
 		var calls atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
@@ -57,7 +56,8 @@
 		Expect(calls.Load()).To(BeNumerically("<=", 2))
 	})
 
-	// Guards against endless health checks of all engines by a node that follows another one.
+	// Guards against endless health checks of the engines by a node that has lost the store and now
+	// follows another node.
 	It("does not report the store as lost once another node is followed", func() {
 		var direct atomic.Bool
 		direct.Store(true)
@@ -73,8 +73,8 @@
 		Eventually(done, 2*time.Second).Should(Receive(BeNil()))
 	})
 
-	// Guards against overestimating the length of an outage: a poll that the store holds open
-	// because nothing has changed would show the store's return up to a second late.
+	// Guards against overestimating the length of an outage: the store holds a poll open while
+	// nothing changes, so its return would be detected up to a second late.
 	It("detects the return of the store without a held poll", func() {
 		var away atomic.Bool
 		away.Store(true)
--- a/node/follow.go
+++ b/node/follow.go
@@ -24,17 +24,19 @@
 // data from others with a delay, and a follower of such a node would learn seconds late that an
 // endpoint is leaving; so nobody follows it. If all nodes of a data centre have lost the store,
 // they follow any node that still reads it.
+
 const (
 	// readerWait is how long a reader holds a follower's request open. It answers earlier when the
 	// store has answered it, which is about once per second.
 	readerWait = 600 * time.Millisecond
-	// readerTimeout bounds that request. A reader that is frozen or cut off is excluded after it.
+	// readerTimeout bounds that request. A reader that does not answer within it, because it is
+	// frozen or cut off, is excluded.
 	readerTimeout = readerWait + 250*time.Millisecond
 	// readerStaleAfter is the age of the endpoint table from which the first node of a data centre
-	// polls the store itself although the reader answers: the store has not answered the reader's
-	// poll of one second. Followers of that first node keep following it. If all of them searched
-	// for another reader, sixty nodes would try each other in turn while the store answers nobody
-	// for one second, and half of them would lag for two more seconds.
+	// polls the store itself although the reader answers: at that age, the store has not answered
+	// the reader's poll of one second. Followers of that first node keep following it. If all of
+	// them searched for another reader while the store answers nobody for one second, sixty nodes
+	// would try one another in turn, and half of them would lag for two more seconds.
 	readerStaleAfter = endpointsWait + 250*time.Millisecond
 	// directStorePeriod is how long the first node then keeps polling the store.
 	directStorePeriod = 5 * time.Second
@@ -122,7 +124,7 @@
 		return
 	}
 	for _, id := range n.fleet.Reinstate(reinstateAfter) {
-		n.log.Info("endpoint stays after all: its entry does not announce that it leaves", zap.String("endpoint", id))
+		n.log.Info("endpoint reinstated: its entry does not announce that it is leaving", zap.String("endpoint", id))
 	}
 }
 
@@ -145,8 +147,8 @@
 	if err != nil {
 		return err
 	}
-	// The peer made its answer after the request was sent, so its ages count back from that moment:
-	// the time the answer spent in transit is unknown.
+	// ConfirmedAt counts back from the time the request was sent: the peer computed the ages later
+	// than that, and how long its answer was in transit is unknown.
 	answered := boottime.Now()
 	seen := knowledge.Confirmation{
 		ConfirmedAt: asked - millis(resp.Msg.GetConfigAgeMs()),
--- a/node/health.go
+++ b/node/health.go
@@ -18,8 +18,9 @@
 	// made while the store reports leaving endpoints.
 	healthInterval = 300 * time.Millisecond
 	// reinstateAfter is the time after which a health check that reported an endpoint as leaving is
-	// reverted if the store is available and the endpoint's entry does not confirm it. It is longer
-	// than any endpoint's notice plus the propagation of its entry. Health answers may be false.
+	// reverted if the store is available and the endpoint's entry does not confirm it, because
+	// health answers may be wrong. It is longer than any endpoint's notice period plus the
+	// propagation time of its entry.
 	reinstateAfter = 4 * time.Second
 	// healthTimeout bounds a check, which usually takes milliseconds.
 	healthTimeout = 250 * time.Millisecond
@@ -28,9 +29,9 @@
 	maxHealthChecks = 32
 )
 
-// checkHealth checks endpoints of this data centre while the store does not report which ones
-// leave: busy engines while the store is unavailable, and endpoints whose entries are missing and
-// may have been withdrawn. The first node of a data centre does it for all of them.
+// checkHealth checks endpoints of this data centre while the store does not report which ones are
+// leaving: busy engines while the store is unavailable or slow, and endpoints whose entries are
+// missing and may have been withdrawn. The first node of a data centre does it for all its nodes.
 func (n *Node) checkHealth(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause(ctx, healthInterval)
@@ -115,7 +116,7 @@
 	}
 }
 
-// logExclusion logs that an endpoint is excluded or taken back into service.
+// logExclusion logs that an endpoint is excluded or reinstated.
 func (n *Node) logExclusion(e fleet.Exclusion) {
 	fields := []zap.Field{
 		zap.String("endpoint", e.Instance.ID), zap.String("service", e.Instance.Service),
--- a/node/limits.go
+++ b/node/limits.go
@@ -9,7 +9,7 @@
 	"github.com/crocusreel/crocusreel/routing"
 )
 
-// Defaults for limits of callers' connections that the configuration does not set.
+// Defaults of the limits on callers' connections, for limits that the configuration does not set.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultHeaderTimeout = 3 * time.Second
--- a/node/members.go
+++ b/node/members.go
@@ -49,7 +49,7 @@
 			n.gossip.Add(host)
 		}
 	}
-	// Gossip will have discovered the nodes that started at the same time.
+	// After this delay, gossip has discovered the nodes that started at the same time.
 	pause(ctx, jitter(registrationDelay))
 	registered := -1
 	var absent absences
@@ -73,8 +73,8 @@
 }
 
 // shouldRegister reports whether this node is one of the first few of its data centre, through
-// which others are found. With a row for each of hundreds of nodes, every node would read all of
-// them at its start and learn no more.
+// which others are discovered. If each of hundreds of nodes had a row, every node would read all
+// rows at its start without learning anything more.
 func (n *Node) shouldRegister() bool {
 	before := 0
 	for _, p := range n.gossip.Live() {
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
 // Package node implements the node, the process that runs on each VM of the platform: it serves
-// callers, tells them which nodes to connect to, and tracks the configuration, the endpoints and
-// the other nodes.
+// callers, answers their queries for nodes to connect to, and tracks the configuration, the
+// endpoints and the other nodes.
 package node
 
 import (
@@ -33,9 +33,9 @@
 var errNoConfiguration = eris.New("no configuration yet")
 
 const (
-	// memoryShare is the fraction of the VM's memory at which the garbage collector starts to work
-	// harder. It leaves room for data received but not yet read, which counts as well, outside the
-	// heap.
+	// memoryShare is the fraction of the VM's memory that the Go runtime may use before it collects
+	// garbage more often. The rest is left for data that was received but not read yet, which
+	// occupies the VM's memory outside the Go heap.
 	memoryShare = 0.55
 	// requestBodiesShare is the fraction of the VM's memory that request bodies may use together.
 	// Each body is held twice while it is sent.
@@ -44,13 +44,13 @@
 	// rest covers the time a request takes to reach the endpoint.
 	freshnessShare = 0.92
 	// lenientKeysLimit replaces the revocation limit where keys need not be revoked on nodes that
-	// are cut off. Service continues through any outage that operators would sit out.
+	// are cut off. It is longer than any outage that operators would wait out without intervening.
 	lenientKeysLimit = time.Hour
-	// storeTimeout bounds a call to the store. The store's slowest answers take some hundred times
-	// its usual 4 ms.
+	// storeTimeout bounds a call to the store. The store's slowest answers take about a hundred
+	// times its usual 4 ms.
 	storeTimeout = 1500 * time.Millisecond
-	// denialAge is the age of the configuration from which an unknown key or route is not denied,
-	// because it may have been added since.
+	// denialAge is the time since the store's last answer after which an unknown key or route is no
+	// longer denied for good, because it may have been added since.
 	denialAge = changesWait + 800*time.Millisecond
 )
 
@@ -83,7 +83,7 @@
 	// uptime records when the store was up, by the store's own clock.
 	uptime *knowledge.UptimeTracker
 	// peerStoreAway is set while the node that this one follows reports that the store does not
-	// show in time which endpoints leave.
+	// show in time which endpoints are leaving.
 	peerStoreAway atomic.Bool
 	endpointFeed  *feed
 	configFeed    *feed
--- a/node/pack.go
+++ b/node/pack.go
@@ -18,10 +18,10 @@
 
 // A starting node needs the full table of endpoints. Thousands of rows are half a megabyte, and
 // after a power failure hundreds of nodes request them at once: the few nodes that have the table
-// first would send for twenty seconds over their links, every answer would arrive after its
+// first would need twenty seconds to send it over their links, every answer would arrive after its
 // requester's timeout, and no node would become ready. Therefore the table is packed once for all
-// requesters, a node sends it to a few at a time, and rejected requesters turn to other nodes,
-// whose number multiplies with each round.
+// requesters, a node sends it to a few at a time, and rejected requesters retry at other nodes that
+// have it, whose number multiplies with each round.
 
 const (
 	// tableBytesPerWindow is the number of bytes of full tables that a node sends per tableWindow;
@@ -39,7 +39,8 @@
 	sentBytes   int
 }
 
-// allow reports whether one more table of the given size in bytes may be sent, and counts it.
+// allow reports whether one more table of the given size in bytes may be sent, and counts its bytes
+// if so.
 func (p *tableLimiter) allow(now time.Duration, size int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +128,8 @@
 	return list.GetRows(), nil
 }
 
-// fullListing returns the full table of an answer: the packed rows, updated by the unpacked ones.
+// fullListing returns the full table that an answer contains: the packed rows, updated by the
+// unpacked ones, which are newer.
 func fullListing(resp *exchangev1.SnapshotResponse) (platform.Listing, error) {
 	listing := platform.Listing{Version: resp.GetEndpointsVersion()}
 	rows, err := unpackRows(resp.GetEndpointsPacked())
@@ -149,7 +151,7 @@
 	return listing, nil
 }
 
-// changedRows returns the changes that an answer holds.
+// changedRows returns the changes that an answer contains.
 func changedRows(resp *exchangev1.SnapshotResponse) (platform.Listing, error) {
 	listing := platform.Listing{Version: resp.GetEndpointsVersion()}
 	packed, err := unpackRows(resp.GetEndpointsPacked())
--- a/node/peers.go
+++ b/node/peers.go
@@ -74,7 +74,7 @@
 	n.gossip.Announce(dataCentre)
 }
 
-// vacatedAnnouncePeriod is how long it is announced that a run has left its engine: the time of
+// vacatedAnnouncePeriod is how long a node announces that a run has left its engine: the time of
 // several datagrams.
 const vacatedAnnouncePeriod = 600 * time.Millisecond
 
@@ -123,7 +123,7 @@
 	n.relay.Claims.SetRemote(s.GetAddress(), claims)
 }
 
-// applyPeerUnhealthy applies which endpoints leave according to another node's health checks.
+// applyPeerUnhealthy applies which endpoints are leaving according to another node's health checks.
 func (n *Node) applyPeerUnhealthy(s *exchangev1.NodeState) {
 	for _, key := range s.GetLeavingEndpoints() {
 		if n.fleet.MarkUnhealthy(fleet.EndpointKey(key)) {
--- a/node/population.go
+++ b/node/population.go
@@ -24,8 +24,8 @@
 type population struct {
 	bucketMax    [populationBuckets]int
 	latestBucket int64
-	// maxNodes is the largest number; it is 0 until another node was heard from if the settings
-	// name others. majorityLive is set if at least half of that number are live. Both are read by
+	// maxNodes is that largest number. If the settings name other nodes, it is 0 until another node
+	// has been live. majorityLive is set if at least half of that number are live. Both are read by
 	// other goroutines.
 	maxNodes     atomic.Int64
 	majorityLive atomic.Bool
@@ -55,11 +55,11 @@
 	return fleet.ClusterSize{Nodes: int(p.maxNodes.Load()), HalfLive: p.majorityLive.Load()}
 }
 
-// roster tracks the nodes heard from within populationWindow, including this one.
+// roster tracks the nodes that were live within populationWindow, including this one.
 type roster struct {
 	lastHeard map[string]time.Duration
-	// current is the latest list; it is nil until another node was heard from if the settings name
-	// others.
+	// current is the latest list. If the settings name other nodes, it is nil until another node
+	// has been live.
 	current atomic.Pointer[fleet.Roster]
 }
 
@@ -85,8 +85,8 @@
 	}
 }
 
-// recordLiveNodes records the live nodes. A node that has heard from no other, although its
-// settings name some, does not know how many there are.
+// recordLiveNodes records the live nodes. It records nothing on a node whose settings name others
+// but that has not received a datagram from any: the number of nodes is not known there.
 func (n *Node) recordLiveNodes() {
 	live := []string{n.settings.IP}
 	for _, p := range n.gossip.Live() {
--- a/node/population_test.go
+++ b/node/population_test.go
@@ -21,7 +21,7 @@
 		now += after
 		node.PopulationRecord(&p, now, nodes)
 		if got := node.PopulationCurrent(&p); got != (fleet.ClusterSize{Nodes: want, HalfLive: heard}) {
-			t.Errorf("population %+v, want %d nodes, heard %t", got, want, heard)
+			t.Errorf("population %+v, want %d nodes, half live: %t", got, want, heard)
 		}
 	}
 	see(0, 75, 75, true)
--- a/node/serve.go
+++ b/node/serve.go
@@ -116,7 +116,7 @@
 	return v.choose(q)
 }
 
-// addressFreshness is how long a node that is gone may still be named in answers.
+// addressFreshness is the maximum time for which answers may name a node that is gone.
 const addressFreshness = 5 * time.Second
 
 // addressView is the input from which address answers are made.
@@ -184,7 +184,7 @@
 }
 
 const (
-	// shutdownMargin is how long before the platform kills the process it ends by itself.
+	// shutdownMargin is the time from the end of the process until the platform would kill it.
 	shutdownMargin = 400 * time.Millisecond
 	// leaveAcceptPeriod is how long a leaving node continues to accept requests: until the answers
 	// that name it have expired, even at callers that cache them three times as long.
--- a/node/source.go
+++ b/node/source.go
@@ -120,8 +120,8 @@
 
 // parent returns the node of this data centre that this one follows. The nodes form a tree: four
 // nodes follow the first, four more follow each of these, and so on. A parent has a lower address
-// than its children, so no two nodes wait for each other. The children of a node that does not
-// answer leave it out. The first node has no parent.
+// than its children, so no two nodes follow each other. The children of a node that does not answer
+// skip it. The first node has no parent.
 func (n *Node) parent(live []gossip.Peer) (gossip.Peer, bool) {
 	var before []gossip.Peer
 	for _, p := range live {
@@ -167,7 +167,7 @@
 	return false
 }
 
-// shouldPollStore reports whether a feed is to poll the store.
+// shouldPollStore reports whether a feed must poll the store.
 func (n *Node) shouldPollStore(f *feed) bool {
 	if n.fleet.Disabled[fleet.OneReader] {
 		return true
--- a/node/start.go
+++ b/node/start.go
@@ -39,7 +39,7 @@
 	startTimeout = 500 * time.Millisecond
 )
 
-// starter gets a starting node ready to serve.
+// starter fetches from other nodes what a starting node needs in order to serve.
 type starter struct {
 	log *zap.Logger
 	// now reads the clock; started is the time of that clock at which the node started.
@@ -53,15 +53,16 @@
 	readyPeers func() []gossip.Peer
 	// othersReadStore reports whether the store answers another node.
 	othersReadStore func() bool
-	// fetch applies a snapshot of another node; exclude leaves a node out for a while.
+	// fetch fetches a snapshot from another node and applies it; exclude excludes a node for a
+	// while.
 	fetch   func(context.Context, gossip.Peer) error
 	exclude func(gossip.Peer)
 	// readySince is when a ready node was first seen, in nanoseconds of the clock; 0 before that.
 	readySince atomic.Int64
 }
 
-// fetchFromPeer asks a ready node, or pauses if there is none yet. It returns false if the node is
-// not to wait for one.
+// fetchFromPeer requests a snapshot from a ready node, or pauses if there is none yet. It returns
+// false if this node must not wait for one.
 func (s *starter) fetchFromPeer(ctx context.Context) bool {
 	ready := s.readyPeers()
 	if len(ready) == 0 {
@@ -89,7 +90,7 @@
 	return true
 }
 
-// waitsForPeers reports whether the node still leaves reading the store to others.
+// waitsForPeers reports whether the node waits for other nodes instead of reading the store.
 func (s *starter) waitsForPeers() bool {
 	age := s.now() - s.started
 	switch {
@@ -107,12 +108,11 @@
 
 // startWaitFor returns the wait of a node that is not a seed, from a random number in [0, 1). If
 // the seeds are gone, hundreds of nodes wait for each other; the cube root gives few of them a
-// short wait, and the others learn from these while they wait.
+// short wait, and the others fetch the data from these while they wait.
 func startWaitFor(draw float64) time.Duration {
 	return startWait + time.Duration(math.Cbrt(draw)*float64(startSpread))
 }
 
-// newStarter returns the starter of this node.
 func (n *Node) newStarter() *starter {
 	wait := startWaitFor(rand.Float64())
 	if n.isSeed() {
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -28,7 +28,7 @@
 	cases := []struct {
 		name    string
 		options startOptions
-		// fewReaders is set if no more than that fraction may read it.
+		// fewReaders is set if at most maxReaderShare of the nodes may read the store.
 		fewReaders bool
 		// storeDelay is the time before the store answers any node.
 		storeDelay time.Duration
@@ -39,9 +39,9 @@
 		{name: "410 nodes", options: startOptions{nodes: 410, seeds: 3}, fewReaders: true},
 		{name: "stale seeds", options: startOptions{nodes: 300, seeds: 3, deadSeeds: 2}, fewReaders: true},
 		{name: "slow store", options: startOptions{nodes: 300, seeds: 3, callTime: 60 * 4 * time.Millisecond}, storeDelay: 60 * 8 * 4 * time.Millisecond},
-		{name: "store turns a third away", options: startOptions{nodes: 300, seeds: 3, unansweredEvery: 3}},
+		{name: "store never answers a third", options: startOptions{nodes: 300, seeds: 3, unansweredEvery: 3}},
 		{name: "store empty at first", options: startOptions{nodes: 300, seeds: 3, storeEmptyTime: time.Second}, fewReaders: true, storeDelay: time.Second},
-		{name: "store away at first", options: startOptions{nodes: 300, seeds: 3, storeAwayTime: 3 * time.Second}, storeDelay: 3 * time.Second},
+		{name: "store unavailable at first", options: startOptions{nodes: 300, seeds: 3, storeAwayTime: 3 * time.Second}, storeDelay: 3 * time.Second},
 	}
 	for _, c := range cases {
 		for seed := range uint64(2) {
@@ -50,10 +50,10 @@
 					w := &startSimulation{startOptions: c.options}
 					w.run(seed)
 					if took := w.lastServes - c.storeDelay; took > startLimit {
-						t.Errorf("last node serves %v after the store answers, later than the limit", took)
+						t.Errorf("last node serves %v after the store answers, which exceeds the limit", took)
 					}
 					if c.fewReaders && float64(w.storeReadings) > maxReaderShare*float64(w.nodes) {
-						t.Errorf("%d readings of the store, more than the permitted fraction of the nodes", w.storeReadings)
+						t.Errorf("%d reads of the store, more than the permitted fraction of the nodes", w.storeReadings)
 					}
 					if most := (node.TableBytesPerWindow + tableBytes) * int(startLimit/node.TableWindow+1); w.mostSent > most {
 						t.Errorf("a node sent %d bytes of tables, more than its limit", w.mostSent)
@@ -79,7 +79,7 @@
 	storeFailureDelay = 100 * time.Millisecond
 )
 
-// startOptions describe nodes that start at the same moment, and their store.
+// startOptions describes nodes that start at the same time, and their store.
 type startOptions struct {
 	nodes, seeds int
 	// deadSeeds is the number of seeds that do not start.
@@ -104,7 +104,8 @@
 	limiters []node.TableLimiter
 	// storeAnswered is when the store first answered a node; 0 if it has not.
 	storeAnswered time.Duration
-	// linkFree is when each node's link will have sent all it was given.
+	// linkFree is when each node's link will have sent everything queued on it. sent is the number
+	// of bytes of tables that each node has sent, mostSent the largest of these.
 	linkFree []time.Duration
 	sent     []int
 
--- a/node/uptime.go
+++ b/node/uptime.go
@@ -13,8 +13,8 @@
 	return &exchangev1.Uptime{SinceMs: u.Since.Milliseconds(), UntilMs: u.Until.Milliseconds()}
 }
 
-// readUptime decodes another node's record of the store's uptime. It is empty for a node that sends
-// none.
+// readUptime decodes another node's record of the store's uptime. The result is empty if the node
+// has sent none.
 func readUptime(m *exchangev1.Uptime) knowledge.Uptime {
 	return knowledge.Uptime{
 		Since: time.Duration(m.GetSinceMs()) * time.Millisecond,
