--- a/knowledge/evacuations_test.go
+++ b/knowledge/evacuations_test.go
@@ -141,7 +141,7 @@
 	e.Replace(set)
 	e.Apply([]knowledge.EvacuationOrder{{DataCentre: "dc1", Version: 2}})
 	got := e.Current()
-	if _, is := got.Orders["dc1"]; !is {
+	if _, ok := got.Orders["dc1"]; !ok {
 		t.Error("the order for dc1 was not kept")
 	}
 	if len(got.Orders) > 300 {
--- a/knowledge/uptime_test.go
+++ b/knowledge/uptime_test.go
@@ -16,16 +16,16 @@
 	// time after an outage within which the entries that expired in it are written again.
 	expiry           = 3 * heartbeat
 	promisedRecovery = 2 * time.Second
-	// noticedOutage is the length from which every outage makes a request fail, so that all nodes
+	// detectedOutage is the length from which every outage makes a request fail, so that all nodes
 	// learn of it.
-	noticedOutage = 1600 * time.Millisecond
+	detectedOutage = 1600 * time.Millisecond
 	// maxGraceTime bounds the time from the store's return until missing entries are final at a
 	// node that gets responses.
 	maxGraceTime = 2200 * time.Millisecond
 )
 
-// livingEndpoint is a live endpoint, which writes its entry at each heartbeat while the store is up.
-type livingEndpoint struct {
+// liveEndpoint models an endpoint that writes its entry at each heartbeat while the store is up.
+type liveEndpoint struct {
 	// interval is the time between two heartbeats, close to the configured one.
 	phase, interval time.Duration
 	// rewriteDelay is the delay after an outage with which the endpoint writes an expired entry
@@ -41,7 +41,7 @@
 type uptimeModel struct {
 	now      time.Duration
 	outages  []span
-	endpoint livingEndpoint
+	endpoint liveEndpoint
 	nodes    []*knowledge.UptimeTracker
 }
 
@@ -123,13 +123,13 @@
 				}
 			},
 			// An outage begins only after heartbeats have succeeded since the last one. From the
-			// length noticedOutage on, all nodes know of a failed request.
+			// length detectedOutage on, all nodes know of a failed request.
 			"outage": func(t *rapid.T) {
 				if w.now > returned()+promisedRecovery+heartbeat {
 					from := w.now
 					w.now += time.Duration(rapid.IntRange(100, 7000).Draw(t, "outage")) * time.Millisecond
 					w.outages = append(w.outages, span{from: from, to: w.now})
-					if w.now-from >= noticedOutage {
+					if w.now-from >= detectedOutage {
 						for _, n := range w.nodes {
 							n.RecordFailure()
 						}
@@ -191,16 +191,16 @@
 // span from before it.
 func TestUptimeOfOtherNodesDoesNotCoverAnOutage(t *testing.T) {
 	const before, after = 6 * time.Second, 8100 * time.Millisecond
-	told := knowledge.Uptime{Since: time.Second, Until: before}
+	reported := knowledge.Uptime{Since: time.Second, Until: before}
 	r := knowledge.NewUptimeTracker(heartbeat)
-	r.MergeWithEntries(told)
+	r.MergeWithEntries(reported)
 	r.RecordFailure()
 	r.RecordAnswer(after)
-	if r.MergeWithoutEntries(told) || r.GraceRemaining() == 0 {
-		t.Errorf("an outage of %v is hidden by %+v", after-before, told)
+	if r.MergeWithoutEntries(reported) || r.GraceRemaining() == 0 {
+		t.Errorf("an outage of %v is hidden by %+v", after-before, reported)
 	}
-	if r.MergeWithEntries(told); r.GraceRemaining() == 0 {
-		t.Errorf("an outage of %v is hidden by %+v with its entries", after-before, told)
+	if r.MergeWithEntries(reported); r.GraceRemaining() == 0 {
+		t.Errorf("an outage of %v is hidden by %+v with its entries", after-before, reported)
 	}
 }
 
--- a/node/addresses_test.go
+++ b/node/addresses_test.go
@@ -19,24 +19,24 @@
 		}
 	}
 	cases := []struct {
-		name   string
-		caller string
-		fresh  bool
-		bound  []string
-		// gone lists the caller addresses of the nodes that are not ready.
-		gone []string
-		want []string
+		name         string
+		caller       string
+		farFresh     bool
+		boundRegions []string
+		// notReady lists the caller addresses of the nodes that are not ready.
+		notReady []string
+		want     []string
 	}{
-		{name: "own data centre", caller: "dc1", fresh: true, want: []string{"dc1a", "dc1b"}},
-		{name: "another data centre", caller: "dc2", fresh: true, want: []string{"dc2a", "dc2b"}},
+		{name: "own data centre", caller: "dc1", farFresh: true, want: []string{"dc1a", "dc1b"}},
+		{name: "another data centre", caller: "dc2", farFresh: true, want: []string{"dc2a", "dc2b"}},
 		{name: "another data centre, losses detected late", caller: "dc2", want: []string{"dc1a", "dc1b"}},
 		{name: "another region, losses detected late", caller: "dc3", want: []string{"dc3a", "dc3b"}},
-		{name: "too few nearby", caller: "dc1", fresh: true, gone: []string{"dc1a"}, want: []string{"dc1b", "dc2a", "dc2b"}},
-		{name: "too few in the region", caller: "dc3", fresh: true, gone: []string{"dc3a"}, want: []string{"dc1a", "dc1b", "dc2a", "dc2b", "dc3b"}},
-		{name: "bound, one node is enough", caller: "dc3", fresh: true, bound: []string{"south"}, gone: []string{"dc3a"}, want: []string{"dc3b"}},
-		{name: "bound elsewhere", caller: "dc3", fresh: true, bound: []string{"north"}, gone: []string{"dc3a", "dc3b"}, want: []string{"dc1a", "dc1b", "dc2a", "dc2b"}},
+		{name: "too few nearby", caller: "dc1", farFresh: true, notReady: []string{"dc1a"}, want: []string{"dc1b", "dc2a", "dc2b"}},
+		{name: "too few in the region", caller: "dc3", farFresh: true, notReady: []string{"dc3a"}, want: []string{"dc1a", "dc1b", "dc2a", "dc2b", "dc3b"}},
+		{name: "bound, one node is enough", caller: "dc3", farFresh: true, boundRegions: []string{"south"}, notReady: []string{"dc3a"}, want: []string{"dc3b"}},
+		{name: "bound elsewhere", caller: "dc3", farFresh: true, boundRegions: []string{"north"}, notReady: []string{"dc3a", "dc3b"}, want: []string{"dc1a", "dc1b", "dc2a", "dc2b"}},
 		{
-			name: "bound to a region without nodes", caller: "dc3", fresh: true, bound: []string{"south"}, gone: []string{"dc3a", "dc3b"},
+			name: "bound to a region without nodes", caller: "dc3", farFresh: true, boundRegions: []string{"south"}, notReady: []string{"dc3a", "dc3b"},
 			want: []string{"dc1a", "dc1b", "dc2a", "dc2b"},
 		},
 	}
@@ -44,10 +44,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			nodes := slices.Clone(all)
 			for i := range nodes {
-				nodes[i].Ready = !slices.Contains(c.gone, nodes[i].CallerAddress)
+				nodes[i].Ready = !slices.Contains(c.notReady, nodes[i].CallerAddress)
 			}
-			question := platform.AddressQuery{Host: "a.example", DataCentre: c.caller, Region: regions[c.caller]}
-			if got := node.ChooseAddresses(nodes, regions, c.bound, "dc1", c.fresh, question); !slices.Equal(got, c.want) {
+			query := platform.AddressQuery{Host: "a.example", DataCentre: c.caller, Region: regions[c.caller]}
+			if got := node.ChooseAddresses(nodes, regions, c.boundRegions, "dc1", c.farFresh, query); !slices.Equal(got, c.want) {
 				t.Errorf("chosen addresses %v, want %v", got, c.want)
 			}
 		})
--- a/node/benchmark_test.go
+++ b/node/benchmark_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func benchEntries() *node.EndpointTable {
+func benchTable() *node.EndpointTable {
 	var l platform.Listing
 	for i := range benchEndpoints {
 		l.Rows = append(l.Rows, benchRow(i, 1))
@@ -34,7 +34,7 @@
 // BenchmarkChange measures applying an answer of the store with ten changed rows and making the
 // response for a follower.
 func BenchmarkChange(b *testing.B) {
-	e := benchEntries()
+	e := benchTable()
 	version := int64(1)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -48,9 +48,9 @@
 	}
 }
 
-// BenchmarkWhole measures making the response for a starting node.
-func BenchmarkWhole(b *testing.B) {
-	e := benchEntries()
+// BenchmarkFullTable measures making the response for a starting node.
+func BenchmarkFullTable(b *testing.B) {
+	e := benchTable()
 	b.ReportAllocs()
 	for b.Loop() {
 		node.FillResponse(e, &exchangev1.SnapshotResponse{}, 0)
@@ -60,7 +60,7 @@
 // BenchmarkUnpack measures decoding such a response, and reports its packed size.
 func BenchmarkUnpack(b *testing.B) {
 	resp := &exchangev1.SnapshotResponse{}
-	node.FillResponse(benchEntries(), resp, 0)
+	node.FillResponse(benchTable(), resp, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		if l, err := node.FullListing(resp); err != nil || len(l.Rows) != benchEndpoints {
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -9,10 +9,10 @@
 )
 
 // applyConfigurationListing applies a full listing of the operator's table.
-func (n *Node) applyConfigurationListing(l platform.Listing, seen knowledge.Confirmation) {
+func (n *Node) applyConfigurationListing(l platform.Listing, confirmation knowledge.Confirmation) {
 	for _, row := range l.Rows {
 		if row.Key == platform.KeyConfiguration {
-			n.applyConfiguration(row.Value, row.Version, seen)
+			n.applyConfiguration(row.Value, row.Version, confirmation)
 		}
 	}
 	n.applyEvacuationListing(l)
@@ -20,33 +20,33 @@
 
 // applyConfigurationChanges applies changes of the operator's table. If none of them is a new
 // configuration, it confirms the known version.
-func (n *Node) applyConfigurationChanges(l platform.Listing, seen knowledge.Confirmation) {
+func (n *Node) applyConfigurationChanges(l platform.Listing, confirmation knowledge.Confirmation) {
 	found := false
 	for _, row := range l.Rows {
 		if row.Key == platform.KeyConfiguration && !row.Deleted {
-			n.applyConfiguration(row.Value, row.Version, seen)
+			n.applyConfiguration(row.Value, row.Version, confirmation)
 			found = true
 		}
 	}
 	if !found {
 		known, _ := n.config.Current()
-		n.config.Confirm(known.RowVersion, seen)
+		n.config.Confirm(known.RowVersion, confirmation)
 	}
 	n.applyEvacuationChanges(l.Rows)
 }
 
-func (n *Node) applyConfiguration(data []byte, row int64, seen knowledge.Confirmation) {
-	if known, _ := n.config.Current(); row <= known.RowVersion {
-		n.config.Confirm(row, seen)
+func (n *Node) applyConfiguration(data []byte, rowVersion int64, confirmation knowledge.Confirmation) {
+	if known, _ := n.config.Current(); rowVersion <= known.RowVersion {
+		n.config.Confirm(rowVersion, confirmation)
 		return
 	}
 	c, err := platform.DecodeConfiguration(data)
 	if err != nil {
-		n.log.Error("stored configuration not readable; keeping the previous one", zap.Int64("row", row), zap.Error(err))
+		n.log.Error("stored configuration not readable; keeping the previous one", zap.Int64("row", rowVersion), zap.Error(err))
 		return
 	}
-	if n.config.Apply(routing.NewTable(c), row, data, seen) {
-		n.log.Info("configuration applied", zap.Int64("config_version", c.Version), zap.Int64("row", row),
+	if n.config.Apply(routing.NewTable(c), rowVersion, data, confirmation) {
+		n.log.Info("configuration applied", zap.Int64("config_version", c.Version), zap.Int64("row", rowVersion),
 			zap.Int("routes", len(c.Routes)), zap.Int("workspaces_keys", len(c.Keys)))
 		n.warnUnknownRegions(c)
 		n.callerServer.apply(c.Limits)
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -22,16 +22,16 @@
 	faulty map[string]int64
 }
 
-// maxFaulty bounds the number of faulty entries remembered. When it is reached, all are forgotten,
-// so some entries are logged again.
-const maxFaulty = 1024
+// maxFaultyRemembered bounds the number of faulty entries remembered. When it is reached, all are
+// forgotten, so some entries are logged again.
+const maxFaultyRemembered = 1024
 
 // fromStore returns a callback for answers that this node gets from the store itself. Such an
-// answer clears peerStoreAway, which the node followed before has reported.
+// answer clears peerStoreDegraded, which the node followed before has reported.
 func (n *Node) fromStore(apply func(platform.Listing, knowledge.Confirmation, uptimeUpdate)) func(platform.Listing, knowledge.Confirmation) {
-	return func(l platform.Listing, seen knowledge.Confirmation) {
-		n.peerStoreAway.Store(false)
-		apply(l, seen, func() time.Duration { return n.uptime.RecordAnswer(l.StoreTime) })
+	return func(l platform.Listing, confirmation knowledge.Confirmation) {
+		n.peerStoreDegraded.Store(false)
+		apply(l, confirmation, func() time.Duration { return n.uptime.RecordAnswer(l.StoreTime) })
 	}
 }
 
@@ -50,10 +50,10 @@
 	}
 }
 
-func (n *Node) applyEndpointListing(l platform.Listing, seen knowledge.Confirmation, updateUptime uptimeUpdate) {
+func (n *Node) applyEndpointListing(l platform.Listing, confirmation knowledge.Confirmation, updateUptime uptimeUpdate) {
 	n.endpointUpdates.mu.Lock()
 	defer n.endpointUpdates.mu.Unlock()
-	if !n.endpointTable.replace(l, seen.AnsweredAt) {
+	if !n.endpointTable.replace(l, confirmation.AnsweredAt) {
 		metrics.Count("endpoints_outdated")
 		return
 	}
@@ -64,22 +64,22 @@
 			instances = append(instances, in)
 		}
 	}
-	doubt := n.uptime.GraceRemaining()
-	added, removed := n.fleet.Replace(instances, doubt > 0)
+	grace := n.uptime.GraceRemaining()
+	added, removed := n.fleet.Replace(instances, grace > 0)
 	n.log.Info("endpoints listed", zap.Int("count", len(instances)), zap.Strings("added", added),
-		zap.Strings("removed", removed), zap.Bool("tentative", doubt > 0), zap.Duration("doubt", doubt),
+		zap.Strings("removed", removed), zap.Bool("tentative", grace > 0), zap.Duration("doubt", grace),
 		zap.Int64("version", l.Version))
 	n.dropMissing()
 	n.changes.notify()
 }
 
-func (n *Node) applyEndpointChanges(l platform.Listing, seen knowledge.Confirmation, updateUptime uptimeUpdate) {
+func (n *Node) applyEndpointChanges(l platform.Listing, confirmation knowledge.Confirmation, updateUptime uptimeUpdate) {
 	n.endpointUpdates.mu.Lock()
 	defer n.endpointUpdates.mu.Unlock()
-	fresh := n.endpointTable.update(l, seen.AnsweredAt)
+	fresh := n.endpointTable.update(l, confirmation.AnsweredAt)
 	n.recordUptime(updateUptime)
 	for _, row := range fresh {
-		n.applyEndpointRow(row, seen)
+		n.applyEndpointRow(row, confirmation)
 	}
 	n.dropMissing()
 	n.changes.notify()
@@ -98,12 +98,12 @@
 	}
 }
 
-func (n *Node) applyEndpointRow(row platform.Row, seen knowledge.Confirmation) {
+func (n *Node) applyEndpointRow(row platform.Row, confirmation knowledge.Confirmation) {
 	if row.Deleted {
-		doubt := n.uptime.GraceRemaining()
-		n.fleet.Remove(row.Key, doubt > 0)
+		grace := n.uptime.GraceRemaining()
+		n.fleet.Remove(row.Key, grace > 0)
 		n.log.Info("endpoint removed", zap.String("endpoint", row.Key), zap.Int64("version", row.Version),
-			zap.Bool("tentative", doubt > 0), zap.Duration("doubt", doubt))
+			zap.Bool("tentative", grace > 0), zap.Duration("doubt", grace))
 		return
 	}
 	in, ok := n.readEndpoint(row)
@@ -118,7 +118,7 @@
 	}
 	n.log.Info("endpoint known", zap.String("endpoint", in.ID), zap.Int64("born", in.StartedAtMS), zap.String("service", in.Service),
 		zap.String("address", in.Address), zap.Stringer("change", change), zap.Bool("leaving", in.Leaving),
-		zap.Int64("version", row.Version), zap.Duration("age", boottime.Now()-seen.AnsweredAt))
+		zap.Int64("version", row.Version), zap.Duration("age", boottime.Now()-confirmation.AnsweredAt))
 }
 
 // readEndpoint decodes an entry. It returns false if the entry does not describe an endpoint. The
@@ -132,7 +132,7 @@
 	if version, logged := r.faulty[row.Key]; logged && version == row.Version {
 		return in, false
 	}
-	if r.faulty == nil || len(r.faulty) >= maxFaulty {
+	if r.faulty == nil || len(r.faulty) >= maxFaultyRemembered {
 		r.faulty = make(map[string]int64)
 	}
 	r.faulty[row.Key] = row.Version
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -48,7 +48,7 @@
 		ConfigVersion: known.RowVersion,
 		ConfigAgeMs:   uint64(ages.Confirmed.Milliseconds()) + 1,
 		AnsweredAgeMs: uint64(ages.Answered.Milliseconds()) + 1,
-		Away:          n.storeAway(),
+		Away:          n.storeDegraded(),
 		Evacuations:   evacuations,
 	}
 	if known.RowVersion > req.Msg.GetConfigVersion() {
--- a/node/feed.go
+++ b/node/feed.go
@@ -74,8 +74,8 @@
 	// enabled reports whether this node must poll the store now.
 	enabled func() bool
 	// onListing is called with each full listing, onChanges with each list of changed rows.
-	onListing func(l platform.Listing, seen knowledge.Confirmation)
-	onChanges func(l platform.Listing, seen knowledge.Confirmation)
+	onListing func(l platform.Listing, confirmation knowledge.Confirmation)
+	onChanges func(l platform.Listing, confirmation knowledge.Confirmation)
 
 	// onLinkChange is called when the store becomes unavailable or available again. It runs under
 	// mu and must not block.
@@ -213,13 +213,13 @@
 	f.sentAt = 0
 }
 
-func (f *feed) recordDelay(by time.Duration) {
+func (f *feed) recordDelay(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if (by >= slowAnswerDelay) != (f.delay >= slowAnswerDelay) {
-		f.log.Info("store's pace changed", zap.String("table", f.table), zap.Duration("delay", by), zap.Duration("before", f.delay))
+	if (delay >= slowAnswerDelay) != (f.delay >= slowAnswerDelay) {
+		f.log.Info("store's pace changed", zap.String("table", f.table), zap.Duration("delay", delay), zap.Duration("before", f.delay))
 	}
-	f.delay = by
+	f.delay = delay
 }
 
 // isSlow reports whether the last answer was late, or the pending one is.
--- a/node/feed_test.go
+++ b/node/feed_test.go
@@ -59,15 +59,15 @@
 	// Guards against endless health checks of the engines by a node that has lost the store and now
 	// follows another node.
 	It("does not report the store as lost once another node is followed", func() {
-		var direct atomic.Bool
-		direct.Store(true)
-		f := node.NewFeed(platform.NewStore("127.0.0.1:1", 200*time.Millisecond), direct.Load)
+		var enabled atomic.Bool
+		enabled.Store(true)
+		f := node.NewFeed(platform.NewStore("127.0.0.1:1", 200*time.Millisecond), enabled.Load)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
 		go func() { done <- node.Run(f, ctx) }()
 		lost := func() bool { return node.IsLost(f) }
 		Eventually(lost, 2*time.Second).Should(BeTrue())
-		direct.Store(false)
+		enabled.Store(false)
 		Eventually(lost, 2*time.Second).Should(BeFalse())
 		cancel()
 		Eventually(done, 2*time.Second).Should(Receive(BeNil()))
@@ -76,11 +76,11 @@
 	// Guards against overestimating the length of an outage: the store holds a poll open while
 	// nothing changes, so its return would be detected up to a second late.
 	It("detects the return of the store without a held poll", func() {
-		var away atomic.Bool
-		away.Store(true)
+		var down atomic.Bool
+		down.Store(true)
 		inner := standin.New(standin.Options{}).Handler()
 		server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-			if away.Load() {
+			if down.Load() {
 				rw.WriteHeader(http.StatusServiceUnavailable)
 				return
 			}
@@ -95,7 +95,7 @@
 		go func() { _ = node.Run(f, ctx) }()
 		lost := func() bool { return node.IsLost(f) }
 		Eventually(lost, time.Second, time.Millisecond).Should(BeTrue())
-		away.Store(false)
+		down.Store(false)
 		Eventually(lost, 700*time.Millisecond, time.Millisecond).Should(BeFalse())
 	})
 })
--- a/node/follow.go
+++ b/node/follow.go
@@ -120,7 +120,7 @@
 // confirmed. It does nothing while entries may be missing after an outage: endpoints need as long
 // to announce in their entries that they leave as to write their entries again.
 func (n *Node) reinstateEndpoints() {
-	if n.storeAway() || n.uptime.GraceRemaining() > 0 {
+	if n.storeDegraded() || n.uptime.GraceRemaining() > 0 {
 		return
 	}
 	for _, id := range n.fleet.Reinstate(reinstateAfter) {
@@ -134,7 +134,7 @@
 	defer cancel()
 	known, _ := n.config.Current()
 	endpoints := n.endpointTable.knownVersion()
-	asked := boottime.Now()
+	sentAt := boottime.Now()
 	client := exchangev1.NewExchangeClient(n.peerClient, peer.BaseURL(address, nil))
 	resp, err := client.Snapshot(ctx, connect.NewRequest(&exchangev1.SnapshotRequest{
 		ConfigVersion:    known.RowVersion,
@@ -150,8 +150,8 @@
 	// ConfirmedAt counts back from the time the request was sent: the peer computed the ages later
 	// than that, and how long its answer was in transit is unknown.
 	answered := boottime.Now()
-	seen := knowledge.Confirmation{
-		ConfirmedAt: asked - millis(resp.Msg.GetConfigAgeMs()),
+	confirmation := knowledge.Confirmation{
+		ConfirmedAt: sentAt - millis(resp.Msg.GetConfigAgeMs()),
 		AnsweredAt:  answered - millis(resp.Msg.GetAnsweredAgeMs()),
 	}
 	if c := resp.Msg.GetConfig(); c != nil {
@@ -159,25 +159,25 @@
 		if err != nil {
 			return err
 		}
-		n.applyConfiguration(data, c.GetVersion(), seen)
+		n.applyConfiguration(data, c.GetVersion(), confirmation)
 	}
-	n.config.Confirm(resp.Msg.GetConfigVersion(), seen)
+	n.config.Confirm(resp.Msg.GetConfigVersion(), confirmation)
 	n.applyPeerEvacuations(resp.Msg.GetEvacuations(), address)
 	age := millis(resp.Msg.GetEndpointsAgeMs())
-	return n.applyPeerEndpoints(resp.Msg, endpoints, knowledge.Confirmation{ConfirmedAt: asked - age, AnsweredAt: answered - age})
+	return n.applyPeerEndpoints(resp.Msg, endpoints, knowledge.Confirmation{ConfirmedAt: sentAt - age, AnsweredAt: answered - age})
 }
 
 func millis(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func (n *Node) applyPeerEndpoints(resp *exchangev1.SnapshotResponse, known int64, seen knowledge.Confirmation) error {
-	n.peerStoreAway.Store(resp.GetAway())
+func (n *Node) applyPeerEndpoints(resp *exchangev1.SnapshotResponse, known int64, confirmation knowledge.Confirmation) error {
+	n.peerStoreDegraded.Store(resp.GetAway())
 	updateUptime := func() time.Duration { return n.uptime.MergeWithEntries(readUptime(resp.GetUptime())) }
 	if resp.GetEndpointsWhole() {
 		listing, err := fullListing(resp)
 		if err != nil {
 			return err
 		}
-		n.applyEndpointListing(listing, seen, updateUptime)
+		n.applyEndpointListing(listing, confirmation, updateUptime)
 		return nil
 	}
 	listing, err := changedRows(resp)
@@ -185,7 +185,7 @@
 		return err
 	}
 	if resp.GetEndpointsVersion() >= known {
-		n.applyEndpointChanges(listing, seen, updateUptime)
+		n.applyEndpointChanges(listing, confirmation, updateUptime)
 	}
 	return nil
 }
--- a/node/health.go
+++ b/node/health.go
@@ -55,18 +55,18 @@
 // now.
 func (n *Node) endpointsToCheck(name string, service *routing.Service) []fleet.Instance {
 	endpoints := n.fleet.UnconfirmedEndpoints(name, n.settings.DataCentre)
-	if service.Engine != nil && n.storeAway() {
+	if service.Engine != nil && n.storeDegraded() {
 		endpoints = append(endpoints, n.fleet.BusyEndpoints(name, n.settings.DataCentre)...)
 	}
 	return endpoints
 }
 
-// storeAway reports whether the store fails to show in time which endpoints leave: it is
+// storeDegraded reports whether the store fails to show in time which endpoints leave: it is
 // unavailable to this node or to the node followed, or so slow that the endpoints' own writes are
 // late.
-func (n *Node) storeAway() bool {
+func (n *Node) storeDegraded() bool {
 	return n.configFeed.isLost() || n.endpointFeed.isLost() || n.endpointTable.age() > endpointsStaleAfter ||
-		n.configFeed.isSlow() || n.endpointFeed.isSlow() || n.peerStoreAway.Load()
+		n.configFeed.isSlow() || n.endpointFeed.isSlow() || n.peerStoreDegraded.Load()
 }
 
 func (n *Node) firstInDataCentre() bool {
--- a/node/limits.go
+++ b/node/limits.go
@@ -36,23 +36,23 @@
 }
 
 // apply puts limits into force. Zero values select the defaults.
-func (l *callerServer) apply(r routing.Limits) {
+func (l *callerServer) apply(limits routing.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.conns != nil && r == l.current {
+	if l.conns != nil && limits == l.current {
 		return
 	}
 	if l.conns != nil {
 		// Ends Serve. The server continues to serve the connections it has already accepted.
 		_ = l.conns.Close()
 	}
-	l.current = r
+	l.current = limits
 	l.conns = &connListener{addr: l.listener.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
 	server := &http.Server{
 		Handler:           l.handler,
-		MaxHeaderBytes:    orDefault(r.MaxHeaderBytes, defaultHeaderBytes),
-		ReadHeaderTimeout: orDefault(r.HeaderTimeout, defaultHeaderTimeout),
-		IdleTimeout:       orDefault(r.IdleTimeout, defaultIdleTimeout),
+		MaxHeaderBytes:    orDefault(limits.MaxHeaderBytes, defaultHeaderBytes),
+		ReadHeaderTimeout: orDefault(limits.HeaderTimeout, defaultHeaderTimeout),
+		IdleTimeout:       orDefault(limits.IdleTimeout, defaultIdleTimeout),
 	}
 	l.servers = append(l.servers, server)
 	conns := l.conns
--- a/node/node.go
+++ b/node/node.go
@@ -43,15 +43,15 @@
 	// freshnessShare is the fraction of the revocation limit up to which keys are accepted. The
 	// rest covers the time a request takes to reach the endpoint.
 	freshnessShare = 0.92
-	// lenientKeysLimit replaces the revocation limit where keys need not be revoked on nodes that
+	// lenientMaxKeyAge replaces the revocation limit where keys need not be revoked on nodes that
 	// are cut off. It is longer than any outage that operators would wait out without intervening.
-	lenientKeysLimit = time.Hour
+	lenientMaxKeyAge = time.Hour
 	// storeTimeout bounds a call to the store. The store's slowest answers take about a hundred
 	// times its usual 4 ms.
 	storeTimeout = 1500 * time.Millisecond
-	// denialAge is the time since the store's last answer after which an unknown key or route is no
-	// longer denied for good, because it may have been added since.
-	denialAge = changesWait + 800*time.Millisecond
+	// maxDenialAge is the time since the store's last answer after which an unknown key or route is
+	// no longer denied for good, because it may have been added since.
+	maxDenialAge = changesWait + 800*time.Millisecond
 )
 
 // Node is the state of one node process.
@@ -82,12 +82,12 @@
 	changes         changeNotifier
 	// uptime records when the store was up, by the store's own clock.
 	uptime *knowledge.UptimeTracker
-	// peerStoreAway is set while the node that this one follows reports that the store does not
+	// peerStoreDegraded is set while the node that this one follows reports that the store does not
 	// show in time which endpoints are leaving.
-	peerStoreAway atomic.Bool
-	endpointFeed  *feed
-	configFeed    *feed
-	starter       *starter
+	peerStoreDegraded atomic.Bool
+	endpointFeed      *feed
+	configFeed        *feed
+	starter           *starter
 	// announcedReady is the readiness last broadcast to the other nodes.
 	announcedReady atomic.Bool
 	packedConfig   packedConfiguration
@@ -96,8 +96,8 @@
 	callerServer   *callerServer
 }
 
-// New returns a node with the given settings. The mechanisms in without are disabled.
-func New(s *platform.NodeSettings, without fleet.DisabledMechanisms, log *zap.Logger) *Node {
+// New returns a node with the given settings. The mechanisms in disabled are switched off.
+func New(s *platform.NodeSettings, disabled fleet.DisabledMechanisms, log *zap.Logger) *Node {
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
 	n := &Node{
 		settings:    s,
@@ -125,7 +125,7 @@
 		OnLost:              n.forgetPeer,
 		Log:                 log,
 	})
-	n.fleet.Name, n.fleet.Disabled = s.IP, without
+	n.fleet.Name, n.fleet.Disabled = s.IP, disabled
 	n.evacuations.IsKnown = n.knowsDataCentre
 	metrics.GaugeFunc("evacuations", func() any { return n.fleet.Evacuations() })
 	n.fleet.Regions = s.Regions
@@ -181,8 +181,8 @@
 		Gate:       n.gate,
 		BodyMemory: entry.NewBodyMemory(int64(requestBodiesShare * float64(n.settings.MemoryMB) * (1 << 20))),
 		Freshness: entry.FreshnessLimits{
-			MaxKeyAge:    n.keysLimit(),
-			MaxDenialAge: denialAge,
+			MaxKeyAge:    n.maxKeyAge(),
+			MaxDenialAge: maxDenialAge,
 		},
 		Log: n.log,
 	}
@@ -190,10 +190,10 @@
 	return h
 }
 
-// keysLimit returns the age of the configuration up to which keys are accepted.
-func (n *Node) keysLimit() time.Duration {
+// maxKeyAge returns the age of the configuration up to which keys are accepted.
+func (n *Node) maxKeyAge() time.Duration {
 	if !n.settings.RevocationStrict {
-		return lenientKeysLimit
+		return lenientMaxKeyAge
 	}
 	return time.Duration(freshnessShare * float64(n.settings.RevocationLimit))
 }
--- a/node/notices.go
+++ b/node/notices.go
@@ -49,14 +49,14 @@
 	if len(s.GetLimits()) == 0 {
 		return
 	}
-	news := make([]fleet.LimitReport, 0, len(s.GetLimits()))
+	reports := make([]fleet.LimitReport, 0, len(s.GetLimits()))
 	for _, l := range s.GetLimits() {
-		news = append(news, fleet.LimitReport{
+		reports = append(reports, fleet.LimitReport{
 			Key: fleet.EndpointKey(l.GetKey()), Limited: l.GetLimited(), Limit: l.GetRequestsPerSecond(),
 			Age: time.Duration(l.GetAgeMs()) * time.Millisecond,
 		})
 	}
-	n.fleet.RecordRemoteLimits(s.GetAddress(), news)
+	n.fleet.RecordRemoteLimits(s.GetAddress(), reports)
 }
 
 // applyPeerLeaving applies which endpoints have announced to another node that they are about to
--- a/node/population.go
+++ b/node/population.go
@@ -25,16 +25,16 @@
 	bucketMax    [populationBuckets]int
 	latestBucket int64
 	// maxNodes is that largest number. If the settings name other nodes, it is 0 until another node
-	// has been live. majorityLive is set if at least half of that number are live. Both are read by
+	// has been live. halfLive is set if at least half of that number are live. Both are read by
 	// other goroutines.
-	maxNodes     atomic.Int64
-	majorityLive atomic.Bool
+	maxNodes atomic.Int64
+	halfLive atomic.Bool
 }
 
 // record records the number of live nodes. It must be called from one goroutine only.
 func (p *population) record(now time.Duration, nodes int) {
-	const length = populationWindow / populationBuckets
-	for bucket := int64(now / length); p.latestBucket < bucket; p.latestBucket++ {
+	const bucketLength = populationWindow / populationBuckets
+	for bucket := int64(now / bucketLength); p.latestBucket < bucket; p.latestBucket++ {
 		if bucket-p.latestBucket > populationBuckets {
 			p.latestBucket = bucket - populationBuckets
 		}
@@ -47,17 +47,17 @@
 		most = max(most, n)
 	}
 	p.maxNodes.Store(int64(most))
-	p.majorityLive.Store(2*nodes >= most)
+	p.halfLive.Store(2*nodes >= most)
 }
 
 // current returns the tracked number of nodes. It may be called from any goroutine.
 func (p *population) current() fleet.ClusterSize {
-	return fleet.ClusterSize{Nodes: int(p.maxNodes.Load()), HalfLive: p.majorityLive.Load()}
+	return fleet.ClusterSize{Nodes: int(p.maxNodes.Load()), HalfLive: p.halfLive.Load()}
 }
 
 // roster tracks the nodes that were live within populationWindow, including this one.
 type roster struct {
-	lastHeard map[string]time.Duration
+	lastLive map[string]time.Duration
 	// current is the latest list. If the settings name other nodes, it is nil until another node
 	// has been live.
 	current atomic.Pointer[fleet.Roster]
@@ -65,23 +65,23 @@
 
 // record records which nodes are live. It must be called from one goroutine only.
 func (r *roster) record(now time.Duration, live []string) {
-	if r.lastHeard == nil {
-		r.lastHeard = make(map[string]time.Duration)
+	if r.lastLive == nil {
+		r.lastLive = make(map[string]time.Duration)
 	}
-	before := len(r.lastHeard)
-	for name, at := range r.lastHeard {
+	before := len(r.lastLive)
+	for name, at := range r.lastLive {
 		if now-at > populationWindow {
-			delete(r.lastHeard, name)
+			delete(r.lastLive, name)
 		}
 	}
-	changed := len(r.lastHeard) != before
+	changed := len(r.lastLive) != before
 	for _, name := range live {
-		_, known := r.lastHeard[name]
+		_, known := r.lastLive[name]
 		changed = changed || !known
-		r.lastHeard[name] = now
+		r.lastLive[name] = now
 	}
 	if changed {
-		r.current.Store(&fleet.Roster{Names: slices.Sorted(maps.Keys(r.lastHeard))})
+		r.current.Store(&fleet.Roster{Names: slices.Sorted(maps.Keys(r.lastLive))})
 	}
 }
 
--- a/node/population_test.go
+++ b/node/population_test.go
@@ -10,39 +10,39 @@
 
 // Guards against a node behind a partition that underestimates the number of nodes and sends a cold
 // endpoint more than its share.
-func TestPopulationRemembersNodesThatAreNotHeard(t *testing.T) {
+func TestPopulationCountsNodesThatAreNotLive(t *testing.T) {
 	var p node.Population
 	if got := node.PopulationCurrent(&p); got.Nodes != 0 {
 		t.Errorf("%d nodes before any was recorded, want 0", got.Nodes)
 	}
 	now := 3 * time.Hour
-	see := func(after time.Duration, nodes, want int, heard bool) {
+	record := func(after time.Duration, nodes, want int, halfLive bool) {
 		t.Helper()
 		now += after
 		node.PopulationRecord(&p, now, nodes)
-		if got := node.PopulationCurrent(&p); got != (fleet.ClusterSize{Nodes: want, HalfLive: heard}) {
-			t.Errorf("population %+v, want %d nodes, half live: %t", got, want, heard)
+		if got := node.PopulationCurrent(&p); got != (fleet.ClusterSize{Nodes: want, HalfLive: halfLive}) {
+			t.Errorf("population %+v, want %d nodes, half live: %t", got, want, halfLive)
 		}
 	}
-	see(0, 75, 75, true)
-	see(time.Second, 1, 75, false)
-	see(time.Second, 38, 75, true)
-	see(8*time.Minute, 37, 75, false)
-	see(time.Second, 88, 88, true)
-	see(11*time.Minute, 7, 7, true)
-	see(24*time.Hour, 3, 3, true)
-	see(time.Second, 0, 3, false)
+	record(0, 75, 75, true)
+	record(time.Second, 1, 75, false)
+	record(time.Second, 38, 75, true)
+	record(8*time.Minute, 37, 75, false)
+	record(time.Second, 88, 88, true)
+	record(11*time.Minute, 7, 7, true)
+	record(24*time.Hour, 3, 3, true)
+	record(time.Second, 0, 3, false)
 }
 
 // Guards against a node behind a partition that takes over the other nodes' shares of a limit, and
 // against names that are never forgotten.
-func TestRosterRemembersNodesThatAreNotHeard(t *testing.T) {
+func TestRosterKeepsNodesThatAreNotLive(t *testing.T) {
 	var r node.Roster
 	if node.RosterCurrent(&r) != nil {
 		t.Error("roster is not nil before any node was recorded")
 	}
 	now := 3 * time.Hour
-	see := func(after time.Duration, want int, live ...string) {
+	record := func(after time.Duration, want int, live ...string) {
 		t.Helper()
 		now += after
 		node.RosterRecord(&r, now, live)
@@ -50,13 +50,13 @@
 			t.Errorf("roster has %d names, want %d: %v", len(got), want, got)
 		}
 	}
-	see(0, 3, "a", "b", "c")
+	record(0, 3, "a", "b", "c")
 	before := node.RosterCurrent(&r)
-	see(time.Minute, 3, "a")
+	record(time.Minute, 3, "a")
 	if node.RosterCurrent(&r) != before {
 		t.Error("roster was replaced although its nodes have not changed")
 	}
-	see(time.Minute, 4, "a", "d")
-	see(9*time.Minute, 2, "a", "d")
-	see(11*time.Minute, 1, "a")
+	record(time.Minute, 4, "a", "d")
+	record(9*time.Minute, 2, "a", "d")
+	record(11*time.Minute, 1, "a")
 }
--- a/node/serve.go
+++ b/node/serve.go
@@ -42,7 +42,7 @@
 // ready reports whether callers may be sent to this node.
 func (n *Node) ready() bool {
 	known, ages := n.config.Current()
-	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Confirmed < n.keysLimit()
+	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Confirmed < n.maxKeyAge()
 }
 
 // announceReadiness broadcasts a change of this node's readiness at once. Starting nodes wait for
@@ -78,11 +78,11 @@
 func (n *Node) addressHandler() http.Handler {
 	e := echo.New()
 	e.GET(platform.PathAddresses, func(c echo.Context) error {
-		question, err := platform.ParseAddressQuery(c.Request())
+		query, err := platform.ParseAddressQuery(c.Request())
 		if err != nil {
 			return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 		}
-		addresses := n.addresses(question)
+		addresses := n.addresses(query)
 		if len(addresses) == 0 {
 			return echo.NewHTTPError(http.StatusServiceUnavailable, "no node is ready")
 		}
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -41,7 +41,7 @@
 		{name: "slow store", options: startOptions{nodes: 300, seeds: 3, callTime: 60 * 4 * time.Millisecond}, storeDelay: 60 * 8 * 4 * time.Millisecond},
 		{name: "store never answers a third", options: startOptions{nodes: 300, seeds: 3, unansweredEvery: 3}},
 		{name: "store empty at first", options: startOptions{nodes: 300, seeds: 3, storeEmptyTime: time.Second}, fewReaders: true, storeDelay: time.Second},
-		{name: "store unavailable at first", options: startOptions{nodes: 300, seeds: 3, storeAwayTime: 3 * time.Second}, storeDelay: 3 * time.Second},
+		{name: "store unavailable at first", options: startOptions{nodes: 300, seeds: 3, storeDownTime: 3 * time.Second}, storeDelay: 3 * time.Second},
 	}
 	for _, c := range cases {
 		for seed := range uint64(2) {
@@ -52,11 +52,11 @@
 					if took := w.lastServes - c.storeDelay; took > startLimit {
 						t.Errorf("last node serves %v after the store answers, which exceeds the limit", took)
 					}
-					if c.fewReaders && float64(w.storeReadings) > maxReaderShare*float64(w.nodes) {
-						t.Errorf("%d reads of the store, more than the permitted fraction of the nodes", w.storeReadings)
+					if c.fewReaders && float64(w.storeReads) > maxReaderShare*float64(w.nodes) {
+						t.Errorf("%d reads of the store, more than the permitted fraction of the nodes", w.storeReads)
 					}
-					if most := (node.TableBytesPerWindow + tableBytes) * int(startLimit/node.TableWindow+1); w.mostSent > most {
-						t.Errorf("a node sent %d bytes of tables, more than its limit", w.mostSent)
+					if most := (node.TableBytesPerWindow + tableBytes) * int(startLimit/node.TableWindow+1); w.maxSentBytes > most {
+						t.Errorf("a node sent %d bytes of tables, more than its limit", w.maxSentBytes)
 					}
 				})
 			})
@@ -86,9 +86,9 @@
 	deadSeeds int
 	// callTime is the time of a call to the store; 0 selects pageTime.
 	callTime time.Duration
-	// storeAwayTime is the time during which the store answers no node. If unansweredEvery is not
+	// storeDownTime is the time during which the store answers no node. If unansweredEvery is not
 	// 0, the store never answers one in every unansweredEvery nodes.
-	storeAwayTime   time.Duration
+	storeDownTime   time.Duration
 	unansweredEvery int
 	// storeEmptyTime is the time during which the store holds nothing.
 	storeEmptyTime time.Duration
@@ -104,14 +104,14 @@
 	limiters []node.TableLimiter
 	// storeAnswered is when the store first answered a node; 0 if it has not.
 	storeAnswered time.Duration
-	// linkFree is when each node's link will have sent everything queued on it. sent is the number
-	// of bytes of tables that each node has sent, mostSent the largest of these.
-	linkFree []time.Duration
-	sent     []int
-
-	lastServes    time.Duration
-	storeReadings int
-	mostSent      int
+	// linkFree is when each node's link will have sent everything queued on it. sentBytes is the
+	// number of bytes of tables that each node has sent, maxSentBytes the largest of these.
+	linkFree  []time.Duration
+	sentBytes []int
+
+	lastServes   time.Duration
+	storeReads   int
+	maxSentBytes int
 }
 
 func (w *startSimulation) now() time.Duration { return time.Since(w.began) }
@@ -119,7 +119,7 @@
 func (w *startSimulation) run(seed uint64) {
 	w.began = time.Now()
 	w.served = make([]time.Duration, w.nodes)
-	w.limiters, w.linkFree, w.sent = make([]node.TableLimiter, w.nodes), make([]time.Duration, w.nodes), make([]int, w.nodes)
+	w.limiters, w.linkFree, w.sentBytes = make([]node.TableLimiter, w.nodes), make([]time.Duration, w.nodes), make([]int, w.nodes)
 	if w.callTime == 0 {
 		w.callTime = pageTime
 	}
@@ -133,7 +133,7 @@
 	all.Wait()
 	for i := w.deadSeeds; i < w.nodes; i++ {
 		w.lastServes = max(w.lastServes, w.served[i])
-		w.mostSent = max(w.mostSent, w.sent[i])
+		w.maxSentBytes = max(w.maxSentBytes, w.sentBytes[i])
 	}
 }
 
@@ -204,7 +204,7 @@
 	w.mu.Lock()
 	allowed := node.Allow(&w.limiters[from], w.now(), tableBytes)
 	if allowed {
-		w.sent[from] += tableBytes
+		w.sentBytes[from] += tableBytes
 		w.linkFree[from] = max(w.linkFree[from], w.now()) + tableTime
 	}
 	arrives := w.linkFree[from]
@@ -220,9 +220,9 @@
 // readStore reads the table from the store.
 func (w *startSimulation) readStore(i int) bool {
 	w.mu.Lock()
-	w.storeReadings++
+	w.storeReads++
 	w.mu.Unlock()
-	if w.now() < w.storeAwayTime || (w.unansweredEvery != 0 && i%w.unansweredEvery == 0) {
+	if w.now() < w.storeDownTime || (w.unansweredEvery != 0 && i%w.unansweredEvery == 0) {
 		time.Sleep(storeFailureDelay)
 		return false
 	}
--- a/node/uptime.go
+++ b/node/uptime.go
@@ -25,8 +25,8 @@
 // endpointsMaxWait returns the maximum wait of the next poll of the endpoints. While entries are
 // missing, it ends when the store's answer can show which endpoints are gone.
 func (n *Node) endpointsMaxWait() time.Duration {
-	if doubt := n.uptime.GraceRemaining(); doubt > 0 && n.fleet.MissingCount() > 0 {
-		return min(doubt+time.Millisecond, endpointsWait)
+	if grace := n.uptime.GraceRemaining(); grace > 0 && n.fleet.MissingCount() > 0 {
+		return min(grace+time.Millisecond, endpointsWait)
 	}
 	return endpointsWait
 }
