--- a/endpoint/checked.go
+++ b/endpoint/checked.go
@@ -81,10 +81,10 @@
 		case f.Index < c.next:
 			c.onDrop(DropRepeated)
 		case f.Index > c.next:
-			return Frame{}, unknownOutcomeError(KindProtocol, eris.Errorf("got frame %d, want frame %d", f.Index, c.next))
+			return Frame{}, unknownOutcomeError(KindProtocol, eris.Errorf("frame %d where %d was due", f.Index, c.next))
 		default:
 			return f, nil
 		}
 	}
-	return Frame{}, unknownOutcomeError(KindProtocol, eris.Errorf("%d consecutive invalid frames", maxDrops))
+	return Frame{}, unknownOutcomeError(KindProtocol, eris.Errorf("%d wrong frames one after the other", maxDrops))
 }
--- a/endpoint/http.go
+++ b/endpoint/http.go
@@ -196,7 +196,7 @@
 		return nil, readError(err)
 	}
 	if int64(len(data)) > limit {
-		return nil, unknownOutcomeError(KindProtocol, eris.Errorf("answer exceeds the limit of %d bytes", limit))
+		return nil, unknownOutcomeError(KindProtocol, eris.Errorf("answer over %d bytes", limit))
 	}
 	return data, nil
 }
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -89,7 +89,7 @@
 	}
 	switch {
 	case len(longLine) > maxFrameBytes:
-		return nil, unknownOutcomeError(KindProtocol, eris.Errorf("frame exceeds the limit of %d bytes", maxFrameBytes))
+		return nil, unknownOutcomeError(KindProtocol, eris.Errorf("frame over %d bytes", maxFrameBytes))
 	case err == io.EOF:
 		return nil, unknownOutcomeError(KindLost, io.ErrUnexpectedEOF)
 	case err != nil:
@@ -104,7 +104,7 @@
 		return Frame{}, unknownOutcomeError(KindProtocol, eris.Wrap(err, "decode frame"))
 	}
 	if f.Index < 0 || f.RequestID == "" || f.GenerationID == "" {
-		return Frame{}, unknownOutcomeError(KindProtocol, eris.New("frame has a negative index or lacks an ID"))
+		return Frame{}, unknownOutcomeError(KindProtocol, eris.New("frame without its IDs or index"))
 	}
 	return f, nil
 }
--- a/entry/gate.go
+++ b/entry/gate.go
@@ -42,7 +42,7 @@
 
 // CloseIfIdle closes the gate if no request is in flight, and reports whether the gate is closed.
 // Checking InFlight before stopping the process is not enough: a request could arrive in between
-// and would be cut off.
+// and would be aborted.
 func (g *Gate) CloseIfIdle() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/knowledge/evacuations_test.go
+++ b/knowledge/evacuations_test.go
@@ -117,7 +117,7 @@
 					t.Fatalf("node %d received version %d but is still at version %d", to, w.nodes[from].Version(), w.nodes[to].Version())
 				}
 			},
-			"start again": func(t *rapid.T) {
+			"node restarts": func(t *rapid.T) {
 				i := node.Draw(t, "node")
 				w.nodes[i], w.readVersion[i] = &knowledge.EvacuationTracker{IsKnown: func(string) bool { return true }}, 0
 			},
--- a/knowledge/uptime_test.go
+++ b/knowledge/uptime_test.go
@@ -149,7 +149,7 @@
 }
 
 // Guards against a grace time at a node that alone got no responses for a long time, because it was
-// cut off, frozen or rejected by the store, while the store served other nodes.
+// disconnected, frozen or rejected by the store, while the store served other nodes.
 func TestUptimeOfOtherNodesCoversAPause(t *testing.T) {
 	reader, other := knowledge.NewUptimeTracker(heartbeat), knowledge.NewUptimeTracker(heartbeat)
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
--- a/node/feed.go
+++ b/node/feed.go
@@ -21,8 +21,8 @@
 	// well below the age at which keys must no longer be accepted, and costs less than one call per
 	// second.
 	changesWait = time.Second
-	// endpointsWait is equally short: a missing answer is detected only after this time, and the
-	// news that an endpoint is leaving must reach all nodes within two seconds.
+	// endpointsWait is equally short: a missing answer is detected only after this time, and all
+	// nodes must learn within two seconds that an endpoint is leaving.
 	endpointsWait = time.Second
 	// answerSlack is the time beyond the requested wait after which a poll is abandoned. The
 	// store's slowest answers take about a hundred times its usual 4 ms.
--- a/node/follow.go
+++ b/node/follow.go
@@ -30,7 +30,7 @@
 	// store has answered it, which is about once per second.
 	readerWait = 600 * time.Millisecond
 	// readerTimeout bounds that request. A reader that does not answer within it, because it is
-	// frozen or cut off, is excluded.
+	// frozen or disconnected, is excluded.
 	readerTimeout = readerWait + 250*time.Millisecond
 	// readerStaleAfter is the age of the endpoint table from which the first node of a data centre
 	// polls the store itself although the reader answers: at that age, the store has not answered
--- a/node/members.go
+++ b/node/members.go
@@ -16,7 +16,7 @@
 const tableNodes = "nodes"
 
 // member is the row of a node. Liveness is known from datagrams; the row lets a node that is new,
-// or was cut off for a long time, find the others.
+// or was disconnected for a long time, find the others.
 type member struct {
 	DataCentre string `json:"data_centre"`
 }
@@ -37,7 +37,7 @@
 	membersInterval = 30 * time.Second
 	// pruneAfter is how long a node must be absent before its row is removed. VMs are replaced
 	// daily, at new addresses, and their rows would accumulate without bound. A node that was only
-	// cut off that long registers again.
+	// disconnected for that long registers again.
 	pruneAfter = 5 * time.Minute
 )
 
--- a/node/node.go
+++ b/node/node.go
@@ -44,7 +44,8 @@
 	// rest covers the time a request takes to reach the endpoint.
 	freshnessShare = 0.92
 	// lenientMaxKeyAge replaces the revocation limit where keys need not be revoked on nodes that
-	// are cut off. It is longer than any outage that operators would wait out without intervening.
+	// are disconnected from the store. It is longer than any outage that operators would wait out
+	// without intervening.
 	lenientMaxKeyAge = time.Hour
 	// storeTimeout bounds a call to the store. The store's slowest answers take about a hundred
 	// times its usual 4 ms.
@@ -242,7 +243,7 @@
 }
 
 // addServer adds a server to the group that serves the listener until the group ends. Requests in
-// flight are then cut off: the process has already drained, and waiting for peers would use up the
+// flight are then aborted: the process has already drained, and waiting for peers would use up the
 // rest of the grace period.
 func addServer(g *run.Group, s *http.Server, l net.Listener) {
 	g.Add(func() error { return s.Serve(l) }, func(error) { _ = s.Close() })
--- a/node/time.go
+++ b/node/time.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// jitter returns a random duration between half of d and d, so that nodes that were cut off
+// jitter returns a random duration between half of d and d, so that nodes that were disconnected
 // together do not reconnect at the same moment.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d/2)+1))
