--- a/node/node.go
+++ b/node/node.go
@@ -44,8 +44,8 @@
 	// rest covers the time a request takes to reach the endpoint.
 	freshnessShare = 0.92
 	// lenientMaxKeyAge replaces the revocation limit where keys need not be revoked on nodes that
-	// are disconnected from the store. It is longer than any outage that operators would wait out
-	// without intervening.
+	// are disconnected. It is longer than any outage that operators would wait out without
+	// intervening.
 	lenientMaxKeyAge = time.Hour
 	// storeTimeout bounds a call to the store. The store's slowest answers take about a hundred
 	// times its usual 4 ms.
--- a/node/serve.go
+++ b/node/serve.go
@@ -25,8 +25,8 @@
 	MetricsPort = 9464
 	PathMetrics = "/debug/vars"
 
-	// addressTTL is how long callers may cache an address answer. It is short so that they soon leave a
-	// node that is about to stop, at the cost of about one request per caller and second.
+	// addressTTL is how long callers may cache an address answer. It is short so that they soon
+	// leave a node that is about to stop, at the cost of about one request per caller and second.
 	addressTTL = 1500 * time.Millisecond
 	// startupTTL replaces addressTTL during the first startupPeriod of a node. The first node that
 	// is up after a restart of all nodes would otherwise keep every caller.
