--- a/knowledge/evacuations_test.go
+++ b/knowledge/evacuations_test.go
@@ -117,7 +117,7 @@
 					t.Fatalf("node %d received version %d but is still at version %d", to, w.nodes[from].Version(), w.nodes[to].Version())
 				}
 			},
-			"start again": func(t *rapid.T) {
+			"node restarts": func(t *rapid.T) {
 				i := node.Draw(t, "node")
 				w.nodes[i], w.readVersion[i] = &knowledge.EvacuationTracker{IsKnown: func(string) bool { return true }}, 0
 			},
@@ -141,7 +141,7 @@
 	e.Replace(set)
 	e.Apply([]knowledge.EvacuationOrder{{DataCentre: "dc1", Version: 2}})
 	got := e.Current()
-	if _, is := got.Orders["dc1"]; !is {
+	if _, ok := got.Orders["dc1"]; !ok {
 		t.Error("the order for dc1 was not kept")
 	}
 	if len(got.Orders) > 300 {
--- a/node/follow.go
+++ b/node/follow.go
@@ -24,17 +24,19 @@
 // data from others with a delay, and a follower of such a node would learn seconds late that an
 // endpoint is leaving; so nobody follows it. If all nodes of a data centre have lost the store,
 // they follow any node that still reads it.
+
 const (
 	// readerWait is how long a reader holds a follower's request open. It answers earlier when the
 	// store has answered it, which is about once per second.
 	readerWait = 600 * time.Millisecond
-	// readerTimeout bounds that request. A reader that is frozen or cut off is excluded after it.
+	// readerTimeout bounds that request. A reader that does not answer within it, because it is
+	// frozen or disconnected, is excluded.
 	readerTimeout = readerWait + 250*time.Millisecond
 	// readerStaleAfter is the age of the endpoint table from which the first node of a data centre
-	// polls the store itself although the reader answers: the store has not answered the reader's
-	// poll of one second. Followers of that first node keep following it. If all of them searched
-	// for another reader, sixty nodes would try each other in turn while the store answers nobody
-	// for one second, and half of them would lag for two more seconds.
+	// polls the store itself although the reader answers: at that age, the store has not answered
+	// the reader's poll of one second. Followers of that first node keep following it. If all of
+	// them searched for another reader while the store answers nobody for one second, sixty nodes
+	// would try one another in turn, and half of them would lag for two more seconds.
 	readerStaleAfter = endpointsWait + 250*time.Millisecond
 	// directStorePeriod is how long the first node then keeps polling the store.
 	directStorePeriod = 5 * time.Second
@@ -118,7 +120,7 @@
 // confirmed. It does nothing while entries may be missing after an outage: endpoints need as long
 // to announce in their entries that they leave as to write their entries again.
 func (n *Node) reinstateEndpoints() {
-	if n.storeAway() || n.uptime.GraceRemaining() > 0 {
+	if n.storeDegraded() || n.uptime.GraceRemaining() > 0 {
 		return
 	}
 	for _, id := range n.fleet.Reinstate(reinstateAfter) {
@@ -132,7 +134,7 @@
 	defer cancel()
 	known, _ := n.config.Current()
 	endpoints := n.endpointTable.knownVersion()
-	asked := boottime.Now()
+	sentAt := boottime.Now()
 	client := exchangev1.NewExchangeClient(n.peerClient, peer.BaseURL(address, nil))
 	resp, err := client.Snapshot(ctx, connect.NewRequest(&exchangev1.SnapshotRequest{
 		ConfigVersion:    known.RowVersion,
@@ -145,11 +147,11 @@
 	if err != nil {
 		return err
 	}
-	// The peer made its answer after the request was sent, so its ages count back from that moment:
-	// the time the answer spent in transit is unknown.
+	// ConfirmedAt counts back from the time the request was sent: the peer computed the ages later
+	// than that, and how long its answer was in transit is unknown.
 	answered := boottime.Now()
-	seen := knowledge.Confirmation{
-		ConfirmedAt: asked - millis(resp.Msg.GetConfigAgeMs()),
+	confirmation := knowledge.Confirmation{
+		ConfirmedAt: sentAt - millis(resp.Msg.GetConfigAgeMs()),
 		AnsweredAt:  answered - millis(resp.Msg.GetAnsweredAgeMs()),
 	}
 	if c := resp.Msg.GetConfig(); c != nil {
@@ -157,25 +159,25 @@
 		if err != nil {
 			return err
 		}
-		n.applyConfiguration(data, c.GetVersion(), seen)
+		n.applyConfiguration(data, c.GetVersion(), confirmation)
 	}
-	n.config.Confirm(resp.Msg.GetConfigVersion(), seen)
+	n.config.Confirm(resp.Msg.GetConfigVersion(), confirmation)
 	n.applyPeerEvacuations(resp.Msg.GetEvacuations(), address)
 	age := millis(resp.Msg.GetEndpointsAgeMs())
-	return n.applyPeerEndpoints(resp.Msg, endpoints, knowledge.Confirmation{ConfirmedAt: asked - age, AnsweredAt: answered - age})
+	return n.applyPeerEndpoints(resp.Msg, endpoints, knowledge.Confirmation{ConfirmedAt: sentAt - age, AnsweredAt: answered - age})
 }
 
 func millis(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func (n *Node) applyPeerEndpoints(resp *exchangev1.SnapshotResponse, known int64, seen knowledge.Confirmation) error {
-	n.peerStoreAway.Store(resp.GetAway())
+func (n *Node) applyPeerEndpoints(resp *exchangev1.SnapshotResponse, known int64, confirmation knowledge.Confirmation) error {
+	n.peerStoreDegraded.Store(resp.GetAway())
 	updateUptime := func() time.Duration { return n.uptime.MergeWithEntries(readUptime(resp.GetUptime())) }
 	if resp.GetEndpointsWhole() {
 		listing, err := fullListing(resp)
 		if err != nil {
 			return err
 		}
-		n.applyEndpointListing(listing, seen, updateUptime)
+		n.applyEndpointListing(listing, confirmation, updateUptime)
 		return nil
 	}
 	listing, err := changedRows(resp)
@@ -183,7 +185,7 @@
 		return err
 	}
 	if resp.GetEndpointsVersion() >= known {
-		n.applyEndpointChanges(listing, seen, updateUptime)
+		n.applyEndpointChanges(listing, confirmation, updateUptime)
 	}
 	return nil
 }
--- a/node/members.go
+++ b/node/members.go
@@ -16,7 +16,7 @@
 const tableNodes = "nodes"
 
 // member is the row of a node. Liveness is known from datagrams; the row lets a node that is new,
-// or was cut off for a long time, find the others.
+// or was disconnected for a long time, find the others.
 type member struct {
 	DataCentre string `json:"data_centre"`
 }
@@ -37,7 +37,7 @@
 	membersInterval = 30 * time.Second
 	// pruneAfter is how long a node must be absent before its row is removed. VMs are replaced
 	// daily, at new addresses, and their rows would accumulate without bound. A node that was only
-	// cut off that long registers again.
+	// disconnected for that long registers again.
 	pruneAfter = 5 * time.Minute
 )
 
@@ -49,7 +49,7 @@
 			n.gossip.Add(host)
 		}
 	}
-	// Gossip will have discovered the nodes that started at the same time.
+	// After this delay, gossip has discovered the nodes that started at the same time.
 	pause(ctx, jitter(registrationDelay))
 	registered := -1
 	var absent absences
@@ -73,8 +73,8 @@
 }
 
 // shouldRegister reports whether this node is one of the first few of its data centre, through
-// which others are found. With a row for each of hundreds of nodes, every node would read all of
-// them at its start and learn no more.
+// which others are discovered. If each of hundreds of nodes had a row, every node would read all
+// rows at its start without learning anything more.
 func (n *Node) shouldRegister() bool {
 	before := 0
 	for _, p := range n.gossip.Live() {
--- a/node/serve.go
+++ b/node/serve.go
@@ -25,8 +25,8 @@
 	MetricsPort = 9464
 	PathMetrics = "/debug/vars"
 
-	// addressTTL is how long callers may cache an answer. It is short so that they soon leave a
-	// node that is about to stop, at the cost of about one request per caller and second.
+	// addressTTL is how long callers may cache an address answer. It is short so that they soon
+	// leave a node that is about to stop, at the cost of about one request per caller and second.
 	addressTTL = 1500 * time.Millisecond
 	// startupTTL replaces addressTTL during the first startupPeriod of a node. The first node that
 	// is up after a restart of all nodes would otherwise keep every caller.
@@ -42,7 +42,7 @@
 // ready reports whether callers may be sent to this node.
 func (n *Node) ready() bool {
 	known, ages := n.config.Current()
-	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Confirmed < n.keysLimit()
+	return known.Table != nil && n.evacuations.Version() > 0 && !n.gate.Leaving() && ages.Confirmed < n.maxKeyAge()
 }
 
 // announceReadiness broadcasts a change of this node's readiness at once. Starting nodes wait for
@@ -78,11 +78,11 @@
 func (n *Node) addressHandler() http.Handler {
 	e := echo.New()
 	e.GET(platform.PathAddresses, func(c echo.Context) error {
-		question, err := platform.ParseAddressQuery(c.Request())
+		query, err := platform.ParseAddressQuery(c.Request())
 		if err != nil {
 			return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 		}
-		addresses := n.addresses(question)
+		addresses := n.addresses(query)
 		if len(addresses) == 0 {
 			return echo.NewHTTPError(http.StatusServiceUnavailable, "no node is ready")
 		}
@@ -116,7 +116,7 @@
 	return v.choose(q)
 }
 
-// addressFreshness is how long a node that is gone may still be named in answers.
+// addressFreshness is the maximum time for which answers may name a node that is gone.
 const addressFreshness = 5 * time.Second
 
 // addressView is the input from which address answers are made.
@@ -184,7 +184,7 @@
 }
 
 const (
-	// shutdownMargin is how long before the platform kills the process it ends by itself.
+	// shutdownMargin is the time from the end of the process until the platform would kill it.
 	shutdownMargin = 400 * time.Millisecond
 	// leaveAcceptPeriod is how long a leaving node continues to accept requests: until the answers
 	// that name it have expired, even at callers that cache them three times as long.
