--- a/caller/errors.go
+++ b/caller/errors.go
@@ -79,9 +79,9 @@
 	if r.Outcome != crocusreel.OutcomeNotRun || !keyed || h.Get(api.HeaderAttempt) == "1" || invalidRequestReasons[r.Reason] {
 		return r
 	}
-	t := *r
-	t.Outcome = crocusreel.OutcomeUnknown
-	return &t
+	adjusted := *r
+	adjusted.Outcome = crocusreel.OutcomeUnknown
+	return &adjusted
 }
 
 // logWriteError records an error of writing the response to work that ran. It always returns nil: as a
--- a/caller/generations.go
+++ b/caller/generations.go
@@ -143,7 +143,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// The body has been read. The read deadline set for it must be cleared, since on expiry it would
+	// The read deadline that limitBody set for the body must be cleared, since on expiry it would
 	// cancel the request.
 	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Time{})
 	if d == 0 {
--- a/client/addresses.go
+++ b/client/addresses.go
@@ -98,9 +98,9 @@
 func (b *addressBook) refresh(ctx context.Context) error {
 	var lastErr error
 	for _, from := range b.sources() {
-		answer, err := b.fetch(ctx, from)
-		if err == nil && len(answer.Addresses) > 0 {
-			b.store(answer)
+		list, err := b.fetch(ctx, from)
+		if err == nil && len(list.Addresses) > 0 {
+			b.store(list)
 			return nil
 		}
 		if err != nil {
@@ -136,11 +136,11 @@
 }
 
 // store caches an address list and removes the entries of avoided that have expired.
-func (b *addressBook) store(answer api.Addresses) {
-	ttl := max(time.Duration(answer.TTLMS)*time.Millisecond, minAddressTTL)
+func (b *addressBook) store(list api.Addresses) {
+	ttl := max(time.Duration(list.TTLMS)*time.Millisecond, minAddressTTL)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.known = answer.Addresses
+	b.known = list.Addresses
 	b.expires = time.Now().Add(ttl)
 	for a, until := range b.avoided {
 		if time.Now().After(until) {
@@ -213,28 +213,28 @@
 func (c *Client) fetchAddresses(ctx context.Context, from string) (api.Addresses, error) {
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
-	var answer api.Addresses
+	var list api.Addresses
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(from, "/v1/addresses"), nil)
 	if err != nil {
-		return answer, eris.Wrap(err, "client: build address request")
+		return list, eris.Wrap(err, "client: build address request")
 	}
 	req.Header.Set("Authorization", "Bearer "+c.opts.Key)
 	res, err := c.http.Do(req)
 	if err != nil {
-		return answer, eris.Wrapf(err, "client: request address list from %s", from)
+		return list, eris.Wrapf(err, "client: request address list from %s", from)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return answer, decodeRefusal(res)
+		return list, decodeRefusal(res)
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAddressBytes))
 	if err != nil {
-		return answer, eris.Wrapf(err, "client: read address list from %s", from)
+		return list, eris.Wrapf(err, "client: read address list from %s", from)
 	}
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return answer, eris.Wrapf(err, "client: decode address list from %s", from)
+	if err := json.Unmarshal(body, &list); err != nil {
+		return list, eris.Wrapf(err, "client: decode address list from %s", from)
 	}
-	return answer, nil
+	return list, nil
 }
 
 func (c *Client) url(addr, path string) string { return c.opts.Scheme + "://" + addr + path }
--- a/client/call.go
+++ b/client/call.go
@@ -94,7 +94,7 @@
 // readReply reads the response of a service, or returns the refusal of a gateway as an error. With
 // an error status, the body distinguishes the two: only a refusal holds a reason and an outcome.
 func readReply(res *http.Response) (Reply, error) {
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return Reply{}, &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: res.Request.URL.Host, Cause: err}
 	}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -96,15 +96,15 @@
 			sendTokens(w, "g", 0, 2)
 			sendEnd(w, 2)
 		}
-		impatient, err := client.New(client.Options{
+		shortTimeouts, err := client.New(client.Options{
 			Seeds: fake.addresses(), Key: "secret",
 			StartTimeout: 200 * time.Millisecond, CallTimeout: 200 * time.Millisecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		answer, err := impatient.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
+		answer, err := shortTimeouts.Complete(ctx, client.Request{Model: "m", Prompt: "p"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Text).To(Equal(fullText("g", 2)))
-		reply, err := impatient.Call(ctx, client.CallRequest{Path: "/beds"})
+		reply, err := shortTimeouts.Call(ctx, client.CallRequest{Path: "/beds"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(reply.Body)).To(Equal("12 beds"))
 		seen := fake.received()
--- a/client/complete.go
+++ b/client/complete.go
@@ -11,8 +11,8 @@
 	"github.com/crocusreel/crocusreel"
 )
 
-// maxAnswerBytes limits the size of a response that is not streamed.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes limits the size of a response that is not streamed.
+const maxResponseBytes = 64 << 20
 
 // Complete runs a generation and returns its complete answer. If an idempotent generation fails
 // midway, Complete starts it again and discards the tokens of the failed one. It fails with the
@@ -84,7 +84,7 @@
 func (s *Stream) readStoredResult(res *http.Response) error {
 	defer res.Body.Close()
 	gateway := res.Request.URL.Host
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return &GatewayLostError{Outcome: crocusreel.OutcomeUnknown, Gateway: gateway, Cause: err}
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -145,10 +145,10 @@
 	Address    string       `toml:"address" required:"yes" format:"address"` // IP:port
 	DataCentre string       `toml:"data_centre" required:"yes" format:"name"`
 	Region     string       `toml:"region" required:"yes" format:"name"`
-	// Models lists the models that an engine is to have loaded. Controllers send it orders until it
-	// does.
+	// Models lists the models that an engine must have loaded. Controllers send it orders until its
+	// state matches.
 	Models []string `toml:"models" format:"name"`
-	// Role is the role that an engine is to have. Default: "mixed".
+	// Role is the role assigned to an engine. Default: "mixed".
 	Role string `toml:"role" default:"mixed" format:"name"`
 	// ChecksFence states that the engine rejects orders with an outdated fencing token.
 	ChecksFence bool `toml:"checks_fence"`
--- a/controller/backend.go
+++ b/controller/backend.go
@@ -45,8 +45,9 @@
 	return versions, wrapUnavailable(err)
 }
 
-// wrapUnavailable wraps operator.ErrUnavailable around platform errors after which the result is
-// unavailable or unknown, and returns other errors unchanged.
+// wrapUnavailable turns platform.ErrUnavailable and platform.ErrUnknown into an error that wraps
+// operator.ErrPlatformUnavailable. It is used for reads only, so both mean that nothing was changed.
+// Other errors are returned unchanged.
 func wrapUnavailable(err error) error {
 	if errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown) {
 		return eris.Wrap(operator.ErrPlatformUnavailable, err.Error())
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,6 +1,7 @@
 // Package controller is the control plane of a VM. It maintains membership with the controllers of
 // other VMs, distributes each accepted configuration to the gateway of its VM, and, while it holds
-// the lease of its region, orders endpoints to load what the configuration says.
+// the lease of its region, sends orders to the region's engines until their roles and models match
+// the configuration.
 //
 // One goroutine owns the state. Other goroutines send it functions through withState, and read
 // immutable snapshots.
@@ -53,11 +54,11 @@
 	fetchSlot chan struct{}
 }
 
-// opQueueSize bounds the functions that wait for the goroutine that owns the state.
+// opQueueSize bounds the number of functions queued for the goroutine that owns the state.
 const opQueueSize = 256
 
-// New returns a controller whose loops start with Run. Its state is already served from a
-// goroutine, which ends when Run returns.
+// New returns a controller whose loops start with Run. The goroutine that owns the state starts in
+// New and ends when Run returns.
 func New(opts Options) *Controller {
 	if opts.Now == nil {
 		opts.Now = time.Now
--- a/controller/lease.go
+++ b/controller/lease.go
@@ -37,7 +37,7 @@
 
 // unloadIntent is an unload order that is stored before it is sent. An order of a holder that was
 // paused may reach an engine long after another process has acquired the lease, and an engine that
-// ignores fencing numbers carries it out. The successor finds the intent in the row and does not
+// ignores fencing tokens carries it out. The successor finds the intent in the row and does not
 // count that engine's copy.
 type unloadIntent struct {
 	Endpoint string `json:"endpoint"`
@@ -84,7 +84,7 @@
 func (l *lease) key() string { return "orders-" + l.region }
 
 // remaining returns a lower bound of the time for which this process still holds the lease, and the
-// fencing number. Callers must ask immediately before each order.
+// fencing token. Callers must call it immediately before each order.
 //
 // The monotonic clock does not advance while the whole VM is paused, and the wall clock may be set
 // back, so the smaller of the two remaining times is returned.
@@ -174,13 +174,13 @@
 	return true
 }
 
-// acquirable reports whether this process may acquire the lease: the lease is free, the row names
-// this process, or the holder's time is certainly over.
+// acquirable reports whether this process may acquire the lease: it is free, the row names this
+// process, or the former holder's lease has certainly expired.
 func (l *lease) acquirable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	over := l.now().Sub(l.seenAt) > l.duration+l.duration/skewMarginDivisor
-	return over || l.row.Holder == "" || l.isHolder()
+	expired := l.now().Sub(l.seenAt) > l.duration+l.duration/skewMarginDivisor
+	return expired || l.row.Holder == "" || l.isHolder()
 }
 
 // writeRow applies change to the row and stores it, on condition that the stored row is still the
@@ -233,7 +233,7 @@
 }
 
 // abandon gives up the lease in this process without writing the row. It is called when an engine
-// has seen a higher fencing number, which means that another process holds the lease.
+// has seen a higher fencing token, which means that another process holds the lease.
 func (l *lease) abandon() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -244,10 +244,10 @@
 // release frees the lease in the store, so that a successor does not have to wait for it to expire.
 func (l *lease) release(ctx context.Context) {
 	l.mu.Lock()
-	mine := l.known && l.isHolder()
+	holder := l.known && l.isHolder()
 	l.expiresAt = time.Time{}
 	l.mu.Unlock()
-	if mine {
+	if holder {
 		l.writeRow(ctx, func(row *leaseRow) { row.Holder, row.Process = "", "" })
 	}
 }
--- a/controller/membership_test.go
+++ b/controller/membership_test.go
@@ -44,8 +44,8 @@
 		Entry("8", 8), Entry("32", 32), Entry("128", 128),
 	)
 
-	// A VM dies without notice. Callers that are sent to it wait in vain until the others detect
-	// the death.
+	// A VM dies without notice. Callers that are sent to it get no answer until the other members
+	// detect its death and withdraw its address.
 	It("detect a death, and no other member is removed", func() {
 		net := newNetwork()
 		nodes := net.startAll(12)
--- a/controller/network_test.go
+++ b/controller/network_test.go
@@ -99,10 +99,10 @@
 	return nodes
 }
 
-func (n *network) setDropped(cut func(from, to string) bool) {
+func (n *network) setDropped(dropped func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dropped = cut
+	n.dropped = dropped
 }
 
 // serversAt returns the servers of the member at an address, or errMessageLost if a message does
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -36,7 +36,7 @@
 	// loading.
 	verifyTimeout = 5 * time.Second
 	// minLeaseDivisor sets the part of the lease (duration/minLeaseDivisor) that must remain for an
-	// order to be sent. For an engine that ignores fencing numbers, this time is the only
+	// order to be sent. For an engine that ignores fencing tokens, this time is the only
 	// protection against two holders.
 	minLeaseDivisor = 4
 )
--- a/controller/orders_status.go
+++ b/controller/orders_status.go
@@ -7,8 +7,8 @@
 	"github.com/crocusreel/crocusreel/operator"
 )
 
-// publishStatus publishes the state of the engines for status. While the lease is not held, nothing
-// is published.
+// publishStatus publishes the state of the engines for the status method. While the lease is not
+// held, nothing is published.
 func (r *reconciler) publishStatus() {
 	if !r.lease.held() {
 		r.publishedStatus.Store(nil)
@@ -43,15 +43,15 @@
 	if err != nil {
 		return nil
 	}
-	read := make(map[string]operator.EndpointStatus)
-	if shown := r.publishedStatus.Load(); shown != nil {
-		for _, s := range *shown {
-			read[s.Name] = s
+	published := make(map[string]operator.EndpointStatus)
+	if statuses := r.publishedStatus.Load(); statuses != nil {
+		for _, s := range *statuses {
+			published[s.Name] = s
 		}
 	}
 	var list []operator.EndpointStatus
 	for _, e := range compiled.Endpoints {
-		s := read[e.Name]
+		s := published[e.Name]
 		s.Name, s.Kind, s.Address = e.Name, string(e.Kind), e.Address
 		s.DataCentre, s.Leaving = e.DataCentre, e.Leaving
 		list = append(list, s)
--- a/controller/orders_test.go
+++ b/controller/orders_test.go
@@ -288,13 +288,13 @@
 		a.lease.renewOrAcquire(context.Background(), true)
 		Expect(a.lease.held()).To(BeFalse())
 	},
-		Entry("at engines that check fencing numbers", true),
+		Entry("at engines that check fencing tokens", true),
 		Entry("at engines that ignore them", false),
 	)
 
 	// The pause falls between the holder's last check of its lease and its order, so the order
 	// arrives after the successor's.
-	It("that arrive late are refused by engines that check fencing numbers, and the holder abandons the lease", func() {
+	It("that arrive late are refused by engines that check fencing tokens, and the holder abandons the lease", func() {
 		f := newFleet(true, "e1", "e2")
 		a, b := f.newReconciler("vm-1"), f.newReconciler("vm-2")
 		a.lease.renewOrAcquire(context.Background(), true)
@@ -411,7 +411,7 @@
 
 	// A paused holder's unload order is delayed on a stalled link. The successor's newer
 	// configuration keeps the model on just that engine and unloads the other copy; then an engine
-	// that ignores fencing numbers carries out the old order.
+	// that ignores fencing tokens carries out the old order.
 	It("stays when a former holder's unload may still reach the other copy", func() {
 		f := newFleet(false, "e1", "e2")
 		f.load("e1", "e2")
--- a/controller/prober.go
+++ b/controller/prober.go
@@ -174,9 +174,9 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*c.pingTimeout())
 	defer cancel()
 	results := make(chan bool, len(probers))
-	for _, h := range probers {
+	for _, p := range probers {
 		go func() {
-			res, err := c.opts.Transport.IndirectPing(ctx, h.ControllerAddress, req)
+			res, err := c.opts.Transport.IndirectPing(ctx, p.ControllerAddress, req)
 			results <- err == nil && res.Reached
 		}()
 	}
--- a/controller/reader.go
+++ b/controller/reader.go
@@ -30,7 +30,7 @@
 )
 
 // readLoop reads the configuration head from the platform. One VM of each data centre, the reader,
-// does so at each interval and the others rarely; peers spread what is read.
+// does so at each interval and the others rarely; a new configuration spreads through the peers.
 func (c *Controller) readLoop(ctx context.Context) {
 	failures := 0
 	for {
--- a/controller/unload.go
+++ b/controller/unload.go
@@ -14,8 +14,8 @@
 const staleOrderLifetime = 16 * time.Minute
 
 // mayUnload reports whether the model keeps its required copies after an unload. The states of
-// other engines are read again, since an engine that has just died is no copy any more. An engine
-// that may still receive an unload of the model is counted as having unloaded it.
+// other engines are read again, since the copy of an engine that has just died does not count. An
+// engine that may still receive an unload of the model is counted as having unloaded it.
 func (r *reconciler) mayUnload(ctx context.Context, t *trackedEngine, o endpoint.Order) bool {
 	need := r.minCopies[o.Model]
 	if need == 0 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// refusedByFence reports whether the engine checks fencing numbers and has seen a higher one than
+// refusedByFence reports whether the engine checks fencing tokens and has seen a higher one than
 // that of the intent.
 func (r *reconciler) refusedByFence(intent unloadIntent) bool {
 	t, ok := r.engines[intent.Endpoint]
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -46,7 +46,7 @@
 	return version, row, err
 }
 
-// read returns one version with its document, or operator.ErrNoVersion.
+// read returns one version with its document, or operator.ErrVersionNotFound.
 func (v *versionStore) read(ctx context.Context, version uint64) (operator.Version, error) {
 	row, err := v.tables.Get(ctx, configTable, versionKey(version))
 	if err != nil {
@@ -92,9 +92,9 @@
 	return versions, nil
 }
 
-// apply stores an edit as the next version. The document must be valid. Errors: *operator.Conflict,
-// operator.ErrUnavailable if this call has written nothing, operator.ErrUnknown if the outcome is
-// not known.
+// apply stores an edit as the next version. The document must be valid. It fails with
+// *operator.Conflict, with operator.ErrPlatformUnavailable if this call has written nothing, or with
+// operator.ErrResultUnknown if the edit may be in force.
 func (v *versionStore) apply(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	head, row, err := v.head(ctx)
 	if err != nil {
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -26,19 +26,19 @@
 	// Two operators edit the same version at the same time. Without the condition on the head, the
 	// later edit would overwrite the earlier one without notice.
 	It("result from one of several concurrent edits, and the others get a conflict with its changes", func() {
-		const racers = 8
+		const concurrentEdits = 8
 		p := newFakePlatform()
 		store := newStore(p)
 		// All have read the same head before the first commits.
 		var arrived sync.WaitGroup
-		arrived.Add(racers)
+		arrived.Add(concurrentEdits)
 		p.beforeCommit = func() {
 			arrived.Done()
 			arrived.Wait()
 		}
-		results := make([]error, racers)
+		results := make([]error, concurrentEdits)
 		var wg sync.WaitGroup
-		for i := range racers {
+		for i := range concurrentEdits {
 			wg.Go(func() { _, results[i] = store.apply(context.Background(), newEdit(0, fmt.Sprint("e", i))) })
 		}
 		wg.Wait()
--- a/operator/client.go
+++ b/operator/client.go
@@ -130,11 +130,11 @@
 // ErrUnreachable.
 func decodeResponse(status int, body []byte, out any) error {
 	if status >= http.StatusBadRequest {
-		refusal := &RemoteError{Status: status}
-		if err := json.Unmarshal(body, &refusal.ErrorBody); err != nil || refusal.Code == "" {
+		remoteErr := &RemoteError{Status: status}
+		if err := json.Unmarshal(body, &remoteErr.ErrorBody); err != nil || remoteErr.Code == "" {
 			return eris.Wrapf(ErrUnreachable, "response with status %d is not from a controller", status)
 		}
-		return refusal
+		return remoteErr
 	}
 	if out == nil {
 		return nil
--- a/operator/types.go
+++ b/operator/types.go
@@ -84,13 +84,15 @@
 	CallerAddress  string `json:"caller_address,omitempty"`
 }
 
-// LeaseStatus is the orders lease of the controller's region, as last read.
+// LeaseStatus is the state of the orders lease, which permits its holder to send orders to the
+// engines of the controller's region, as last read.
 type LeaseStatus struct {
 	Region string `json:"region"`
 	// Holder is the ID of the VM that holds the lease; empty if the lease is free or has not been
 	// read yet.
 	Holder string `json:"holder"`
-	Fence  uint64 `json:"fence"`
+	// Fence is the fencing token of the lease.
+	Fence uint64 `json:"fence"`
 	// HeldHere is true if the answering VM is the holder.
 	HeldHere bool `json:"held_here"`
 }
@@ -107,7 +109,7 @@
 	Reached bool     `json:"reached"`
 	Models  []string `json:"models,omitempty"`
 	Role    string   `json:"role,omitempty"`
-	// Pending is the order that the endpoint has not executed yet.
+	// Pending is the last order, while its effect is not visible in the endpoint's state.
 	Pending string `json:"pending,omitempty"`
 }
 
--- a/outcome.go
+++ b/outcome.go
@@ -6,8 +6,8 @@
 type Outcome string
 
 const (
-	// OutcomeNotRun means that no endpoint started the work, neither in this
-	// attempt nor in an earlier attempt with the same idempotency key.
+	// OutcomeNotRun means that no endpoint started the work, neither in this attempt nor in an
+	// earlier attempt with the same idempotency key.
 	OutcomeNotRun Outcome = "not_run"
 	// OutcomeRan means that an endpoint completed the work in whole or in part.
 	OutcomeRan Outcome = "ran"
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -85,7 +85,8 @@
 	// ConfigIntervalMS is the interval at which a data centre's reader reads the current
 	// configuration version from the platform, in milliseconds. Default: 500.
 	ConfigIntervalMS int `toml:"config_interval_ms" default:"500" min:"20" max:"60000"`
-	// LeaseMS is the duration of the orders lease, in milliseconds. Default: 6000.
+	// LeaseMS is the duration of the orders lease, in milliseconds. Its holder alone sends orders to
+	// the engines of the region. Default: 6000.
 	LeaseMS     int `toml:"lease_ms" default:"6000" min:"200" max:"600000"`
 	OperatorTLS TLS `toml:"operator_tls"`
 	PeerTLS     TLS `toml:"peer_tls"`
