--- a/config/check.go
+++ b/config/check.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// replicas checks that in each region at least min_replicas engines are configured for each model.
-// With fewer engines min_replicas could never be met, and no unload would ever be allowed.
+// replicas checks that each region that has a model on any engine has it on at least min_replicas
+// engines. With fewer engines min_replicas could never be met, and no unload would ever be allowed.
 func (k checker) replicas() {
 	holders := make(map[string]map[string]int)
 	for _, e := range k.c.Endpoints {
--- a/config/config.go
+++ b/config/config.go
@@ -53,8 +53,8 @@
 	QueueWaitMS int `toml:"queue_wait_ms" default:"30000" min:"1" max:"3600000"`
 	// Attempts is the maximum number of attempts at endpoints for one request. Default: 3.
 	Attempts int `toml:"attempts" default:"3" min:"1" max:"10"`
-	// RetryRatio is the number of retries that each first attempt of a workspace adds to its retry
-	// budget. Default: 0.1.
+	// RetryRatio is the number of retries that each first attempt adds to the retry budget of its
+	// workspace and, for calls to plain services, to that of the endpoint. Default: 0.1.
 	RetryRatio float64 `toml:"retry_ratio" default:"0.1" min:"0" max:"1"`
 	// Strikes is the number of endpoint deaths after which a request is refused with
 	// suspect_request. Default: 3.
@@ -105,7 +105,8 @@
 	Name     string   `toml:"name" required:"yes" format:"name"`
 	Version  string   `toml:"version" required:"yes" format:"name"`
 	Adapters []string `toml:"adapters" format:"name"`
-	// MinReplicas is the number of endpoints in a region that must keep the model. Default: 1.
+	// MinReplicas is the number of engines in a region that must keep the model. Unloads leave at
+	// least one copy, even if it is 0. Default: 1.
 	MinReplicas int `toml:"min_replicas" default:"1" min:"0" max:"10000"`
 	// MaxTokens is the maximum length of an answer, in tokens. Default: 32768.
 	MaxTokens int `toml:"max_tokens" default:"32768" min:"1" max:"10000000"`
