--- a/controller/versions.go
+++ b/controller/versions.go
@@ -92,9 +92,9 @@
 	return versions, nil
 }
 
-// apply stores an edit as the next version. The document must be valid. It returns an
-// *operator.Conflict if another edit is in force, operator.ErrPlatformUnavailable if this call has
-// written nothing, and operator.ErrResultUnknown if the outcome is not known.
+// apply stores an edit as the next version. The document must be valid. It fails with
+// *operator.Conflict, with operator.ErrPlatformUnavailable if this call has written nothing, or with
+// operator.ErrResultUnknown if the edit may be in force.
 func (v *versionStore) apply(ctx context.Context, e operator.Edit) (operator.Version, error) {
 	head, row, err := v.head(ctx)
 	if err != nil {
