--- a/answers/line.go
+++ b/answers/line.go
@@ -31,8 +31,8 @@
 }
 
 // parseLine parses the key=value pairs of a line. ok is false if the line lacks a valid time or an
-// event, which no node wrote. Text before the first pair is skipped, because log collectors
-// put names and times there.
+// event and was therefore not written by a node. Text before the first pair is skipped, because log
+// collectors add names and times there.
 func parseLine(text string) (l line, ok bool) {
 	l.fields = make(map[string]string)
 	for text != "" {
--- a/answers/plot.go
+++ b/answers/plot.go
@@ -18,9 +18,9 @@
 // with one line for each cause. The extension of the file name selects the format.
 func (r *Report) Plot(file string) error {
 	p := plot.New()
-	p.Title.Text = "Answers that were not whole and on time"
+	p.Title.Text = "Answers that were not complete and on time"
 	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = "in a window"
+	p.Y.Label.Text = "requests per window"
 	p.Legend.Top = true
 	var series []any
 	for _, cause := range causesByCount(r.Causes) {
--- a/answers/report.go
+++ b/answers/report.go
@@ -12,7 +12,7 @@
 // Cause is the outcome of a request and, if the answer was not complete and on time, the reason.
 type Cause string
 
-// Causes. For a stream that broke off, the cause is inferred from what the logs show of its engine.
+// Causes. For an interrupted stream, the cause is inferred from the log lines about its engine.
 const (
 	// Whole is a complete answer without a delay above the thresholds.
 	Whole Cause = "whole"
@@ -23,8 +23,8 @@
 	// EngineLeft is a stream whose engine had announced that it was leaving, and that had no copy
 	// in time.
 	EngineLeft Cause = "engine left, no copy"
-	// CopyNotUsed is a stream that had a copy, or looked for one after it broke off, and was not
-	// resumed from it.
+	// CopyNotUsed is a stream that had a copy, or for which one was looked up after it broke off,
+	// and that was not resumed.
 	CopyNotUsed Cause = "engine gone, copy not used"
 	// EngineDied is a stream whose engine failed without notice.
 	EngineDied   Cause = "engine died, no backup"
@@ -91,8 +91,8 @@
 	windowLength time.Duration
 	report       *Report
 	// leaving holds the endpoints that announced that they were leaving, by name. copied holds the
-	// streams of which another engine had a copy, and brokeOff those that broke off and looked for
-	// a copy, both by request ID.
+	// streams of which another engine had a copy, and brokeOff those that broke off and for which a
+	// copy was looked up, both by request ID.
 	leaving, copied, brokeOff map[string]bool
 	windows                   map[int64]*Window
 	paceSum                   time.Duration
--- a/answers/text.go
+++ b/answers/text.go
@@ -26,7 +26,7 @@
 	for _, reason := range slices.Sorted(maps.Keys(r.Reasons)) {
 		fmt.Fprintf(w, "refused: %s\t%d\t\n", reason, r.Reasons[reason])
 	}
-	fmt.Fprintf(w, "\nstreams went on elsewhere\t%d\t\n", r.Resumed)
+	fmt.Fprintf(w, "\nstreams resumed on another engine\t%d\t\n", r.Resumed)
 	fmt.Fprintf(w, "time between events of long streams\t%s\t\n", r.Pace.Round(100*time.Microsecond))
 	for _, q := range []struct {
 		name   string
@@ -34,7 +34,7 @@
 	}{{"first event", r.FirstEvents}, {"longest pause", r.Pauses}} {
 		fmt.Fprintf(w, "%s, median, 95 %%, 99 %%\t%s\t%s %s\n", q.name, roundedQuantile(q.values, 0.5), roundedQuantile(q.values, 0.95), roundedQuantile(q.values, 0.99))
 	}
-	fmt.Fprintf(w, "\nfrom\tnot whole and on time\t\n")
+	fmt.Fprintf(w, "\nfrom\tnot complete and on time\t\n")
 	for _, window := range r.Windows {
 		if text := window.text(); text != "" {
 			fmt.Fprintf(w, "%s\t%s\t\n", window.From.Format("15:04:05"), text)
--- a/cmd/crocusreel-controller/main.go
+++ b/cmd/crocusreel-controller/main.go
@@ -12,7 +12,7 @@
 	"github.com/crocusreel/crocusreel/settings"
 )
 
-const description = `Keeps membership, configuration and orders to endpoints for one VM.
+const description = `Maintains membership and configuration and sends orders to endpoints, for one VM.
 
 Example:
   crocusreel-controller --settings /etc/crocusreel/controller.toml
--- a/cmd/crocusreel-gateway/main.go
+++ b/cmd/crocusreel-gateway/main.go
@@ -17,7 +17,7 @@
   crocusreel-gateway --settings /etc/crocusreel/gateway.toml
 
 Exit codes: 0 ended by a signal, 1 failed, 2 bad usage or settings.
-SIGTERM drains: no request is cut off. A second SIGTERM ends at once.`
+SIGTERM drains: no request is cut off. A second SIGTERM exits immediately.`
 
 func main() {
 	os.Exit(daemon.Program[*settings.Gateway]{
--- a/cmd/crocusreel-node/main.go
+++ b/cmd/crocusreel-node/main.go
@@ -19,7 +19,7 @@
 The settings file is named by the environment variable ` + platform.SettingsVariable + `.
 
 Exit codes: 0 ended by a signal, 1 failed, 2 bad usage or settings.
-SIGTERM drains: requests under way are finished within the grace time.`
+SIGTERM drains: requests in flight may finish within the grace period.`
 
 // Exit codes of the command.
 const (
--- a/cmd/crocusreel-standin/main.go
+++ b/cmd/crocusreel-standin/main.go
@@ -15,7 +15,7 @@
 	exitUsage  = 2
 )
 
-const description = `Stand-ins for tests and for trying out.
+const description = `Stand-ins for tests and local trials.
 
 Example:
   crocusreel-standin engine --listen 127.0.0.1:8000 --name e1 --model m
--- a/cmd/crocusreel/demo.go
+++ b/cmd/crocusreel/demo.go
@@ -46,7 +46,7 @@
   crocusreel demo --bin bin
   crocusreel demo --bin bin --hold 5m
 
-Exit codes: 0 everything answered as promised, 1 otherwise.`
+Exit codes: 0 all requests were answered as expected, 1 otherwise.`
 }
 
 // Run starts the system, sends the sample requests, waits for the hold time and stops the system. It
--- a/cmd/crocusreel/experiment.go
+++ b/cmd/crocusreel/experiment.go
@@ -39,7 +39,7 @@
 
 // Help implements kong.HelpProvider.
 func (experimentCommand) Help() string {
-	return `Runs the same seeded traces under each scheduling policy, every run on a whole
+	return `Runs the same seeded traces under each scheduling policy, each run on a complete
 system of its own on loopback, and writes tables, aims and plots.
 
 Examples:
@@ -47,7 +47,7 @@
   crocusreel experiment --overhead
   crocusreel experiment --page docs/EXPERIMENTS.md --results out.json
 
-Exit codes: 0 all runs were made, 1 otherwise, 5 an answer was broken.`
+Exit codes: 0 all runs completed, 1 otherwise, 5 an answer violated a guarantee.`
 }
 
 // Run runs the experiment, or reads the results of an earlier one, and writes tables and plots. If
--- a/cmd/crocusreel/load.go
+++ b/cmd/crocusreel/load.go
@@ -47,8 +47,8 @@
   crocusreel load --gateways 10.0.0.1:8080 --key SECRET --mix my.toml \
       --rate 50 --duration 60s --seed 7 --output json --report out
 
-Exit codes: 0 every answer kept the promises (refusals are allowed), 1 the run
-could not be made, 2 wrong usage or mix, 5 a wrong, missing or repeated token.`
+Exit codes: 0 all answers met the guarantees (refusals are allowed), 1 the run
+failed, 2 invalid usage or mix, 5 a wrong, missing or repeated token.`
 }
 
 // brokenAnswersError means that an answer violated a guarantee to callers, for example by a wrong,
--- a/cmd/crocusreel/main.go
+++ b/cmd/crocusreel/main.go
@@ -33,7 +33,7 @@
 
 Exit codes: 0 done, 1 failed, 2 bad usage, settings or configuration,
 3 conflict with another edit, 4 controller, gateway or platform unreachable,
-5 an answer under load was broken.`
+5 an answer under load violated a guarantee.`
 
 type commandLine struct {
 	Config      configCommand      `cmd:"" help:"Check, compare and apply the configuration."`
--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -19,7 +19,7 @@
 const shutdownTimeout = 2 * time.Second
 
 // AddServer adds an actor to the group that serves HTTP on the listener. When the group ends, the
-// server is shut down within stopTimeout.
+// server is shut down within shutdownTimeout.
 func AddServer(g *run.Group, s *http.Server, l net.Listener) {
 	g.Add(func() error {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/httponce/client_test.go
+++ b/internal/httponce/client_test.go
@@ -56,7 +56,8 @@
 
 var _ = Describe("a pooled connection that breaks after the request was written", func() {
 	// A service executes a booking that arrived on a pooled connection and crashes before it
-	// answers. A transport that retries on its own would book a second bed unknown to the caller.
+	// answers. A transport that retries on its own would book a second bed without the caller's
+	// knowledge.
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
 		for _, body := range []string{"", "bed 7"} {
 			It("sends "+method+" with body '"+body+"' once", func() {
@@ -101,8 +102,8 @@
 })
 
 var _ = Describe("whether a failed request was sent", func() {
-	// Nothing listens at the address of the endpoint. The request was certainly not run, so that
-	// it can be retried on another endpoint at once.
+	// Nothing listens at the address of the endpoint. The request was certainly not run, so it
+	// can be retried on another endpoint immediately.
 	It("is no when the connection is refused", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -67,7 +67,7 @@
 	})
 
 	// The test of an entry was renamed or its name is misspelled. The entry then skips nothing, and
-	// would stay on the list for ever although nobody knows whether its fault persists.
+	// would stay on the list for ever, although it is unknown whether its fault persists.
 	It("is refused if an entry names a test that does not exist", func() {
 		for _, e := range []knownred.Entry{entry(specs, "a sample (of specs) is not there"), entry(plain, "TestNotThere")} {
 			_, _, err := runSample(append(listed, e), specs, plain)
--- a/internal/standin/admin/client.go
+++ b/internal/standin/admin/client.go
@@ -58,7 +58,7 @@
 	return list, err
 }
 
-// SetVMs replaces the platform's list of VMs. The first list is visible at once, each later one
+// SetVMs replaces the platform's list of VMs. The first list is visible immediately, each later one
 // after the platform's VM lag.
 func (c *Client) SetVMs(ctx context.Context, vms []platform.VM) error {
 	return c.do(ctx, http.MethodPut, PathVMs, vms, nil)
--- a/internal/standin/admin/faults.go
+++ b/internal/standin/admin/faults.go
@@ -62,7 +62,7 @@
 	// ReclaimInMS announces in load reports that the engine is leaving, and ends the process
 	// with status 0 after this time. It cannot be changed or reset once set.
 	ReclaimInMS int `json:"reclaim_in_ms,omitempty"`
-	// Die ends the process at once with ExitStatusDied.
+	// Die ends the process immediately with ExitStatusDied.
 	Die bool `json:"die,omitempty"`
 	// DieAfterTokens ends the process with ExitStatusDied after this many more tokens.
 	DieAfterTokens int `json:"die_after_tokens,omitempty"`
@@ -119,7 +119,7 @@
 	SlowMS int `json:"slow_ms,omitempty"`
 	// SlowAnswerMS is a delay between the run of the call and its response.
 	SlowAnswerMS int `json:"slow_answer_ms,omitempty"`
-	// Die ends the process at once with ExitStatusDied.
+	// Die ends the process immediately with ExitStatusDied.
 	Die bool `json:"die,omitempty"`
 }
 
--- a/internal/standin/platform/limits.go
+++ b/internal/standin/platform/limits.go
@@ -85,8 +85,8 @@
 	l.versions = append(l.versions, vmVersion{at: now, vms: vms})
 }
 
-// get returns the newest list that is at least as old as the lag. The first list is visible at
-// once, so that test clusters need not wait for the lag at startup.
+// get returns the newest list that is at least as old as the lag. The first list is visible
+// immediately, so that test clusters need not wait for the lag at startup.
 func (l *laggingVMs) get(now time.Time) []platform.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -127,7 +127,7 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// perform runs the call. If repeats are dropped and a call with the same key has already started,
+// perform runs the call. With Options.Deduplicate, if a call with the same key has already started,
 // it waits for that call's answer instead.
 func (s *Server) perform(r *http.Request, body string) (Answer, error) {
 	key := idempotencyKey{r.Header.Get(endpoint.HeaderWorkspace), r.Header.Get(endpoint.HeaderIdempotencyKey)}
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -123,8 +123,8 @@
 	// moveTargets are the target engines of move orders.
 	moveTargets []string
 	// answering is held for reading from the creation of a copy to the end of the response. Stop
-	// takes the write lock to wait for the response: without it nobody knows the handle of the
-	// copy, and no node can resume from it. CrashAfterCopy simulates a crash in between.
+	// takes the write lock to wait for the response, because it carries the handle of the copy,
+	// without which no node can resume from the copy. CrashAfterCopy simulates a crash in between.
 	answering sync.RWMutex
 }
 
--- a/load/experiment/faults.go
+++ b/load/experiment/faults.go
@@ -18,9 +18,10 @@
 // slowFactor multiplies the step time of the slowed engine.
 const slowFactor = 3
 
-// injectFaults starts a goroutine that, at the same times in each run, slows down the first engine,
-// kills and restarts the last one, and kills the last gateway. It does nothing unless Plan.Faults
-// is set. The returned function skips the remaining faults and waits for the goroutine.
+// injectFaults starts a goroutine that injects faults at the same times in each run: it slows down the
+// first engine, kills the last one, restarts it and ends the slowdown, and kills the last gateway. It
+// does nothing unless Plan.Faults is set. The returned function skips the remaining faults and waits
+// for the goroutine.
 func (s *system) injectFaults(ctx context.Context, p Plan) (stop func()) {
 	if !p.Faults {
 		return func() {}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -86,7 +86,7 @@
 		func(texts []string, want load.Violation) {
 			Expect(load.Verify(texts, 3)).To(Equal(want))
 		},
-		Entry("whole", []string{"g.0 ", "g.1 ", "g.2 "}, load.Violation("")),
+		Entry("complete", []string{"g.0 ", "g.1 ", "g.2 "}, load.Violation("")),
 		Entry("cut", []string{"g.0 ", "g.1 "}, load.ViolationMissingTokens),
 		Entry("gap", []string{"g.0 ", "g.2 ", "g.3 "}, load.ViolationMissingTokens),
 		Entry("repeated", []string{"g.0 ", "g.0 ", "g.1 "}, load.ViolationRepeatedToken),
--- a/load/table.go
+++ b/load/table.go
@@ -15,8 +15,8 @@
 		fmt.Fprintf(t, "%s\t%s\n", name, fmt.Sprintf(format, args...))
 	}
 	row("mix, seed", "%s, %d", r.Mix, r.Seed)
-	row("sent over, ended after", "%.1f s, %.1f s", r.DurationS, r.ElapsedS)
-	row("requests", "%d planned, %d whole, %d over the bound in flight", r.Requests, r.Whole, r.NotSent)
+	row("sending period, last answer after", "%.1f s, %.1f s", r.DurationS, r.ElapsedS)
+	row("requests", "%d planned, %d complete, %d not sent at the in-flight limit", r.Requests, r.Whole, r.NotSent)
 	row("tokens/s", "%.0f offered, %.0f goodput", r.OfferedTokensPerS, r.Goodput)
 	row("stall time per answer", "%.2f ms mean, %.1f ms p99 (gaps beyond %.1f ms; %d of %d answers)",
 		r.StallMeanMS, r.StallP99MS, r.StallThresholdMS, r.Stalled, r.Generations)
