--- a/answers/answers_test.go
+++ b/answers/answers_test.go
@@ -39,7 +39,7 @@
 
 // The cause of a request may be stated on a later line or in the log of another node. The causes
 // must not depend on the order of the lines or on which node wrote them.
-func TestCausesAreToldFromTheLogsOfAllNodes(t *testing.T) {
+func TestCausesAreInferredFromTheLogsOfAllNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, logs := range [][]string{{nodeA, nodeB}, {nodeB, nodeA}} {
 		r, err := answers.Read([]io.Reader{strings.NewReader(logs[0]), strings.NewReader(logs[1])}, limits, time.Second)
--- a/answers/report.go
+++ b/answers/report.go
@@ -24,7 +24,7 @@
 	// in time.
 	EngineLeft Cause = "engine left, no copy"
 	// CopyNotUsed is a stream that had a copy, or for which one was looked up after it broke off,
-	// and that was not resumed.
+	// and that was not resumed from a copy.
 	CopyNotUsed Cause = "engine gone, copy not used"
 	// EngineDied is a stream whose engine failed without notice.
 	EngineDied   Cause = "engine died, no backup"
--- a/cmd/crocusreel/experiment.go
+++ b/cmd/crocusreel/experiment.go
@@ -78,7 +78,7 @@
 	}
 	for _, run := range res.Runs {
 		if !run.Report.OK() {
-			return brokenAnswersError{}
+			return violationError{}
 		}
 	}
 	return nil
--- a/cmd/crocusreel/load.go
+++ b/cmd/crocusreel/load.go
@@ -51,12 +51,12 @@
 failed, 2 invalid usage or mix, 5 a wrong, missing or repeated token.`
 }
 
-// brokenAnswersError means that an answer violated a guarantee to callers, for example by a wrong,
+// violationError means that an answer violated a guarantee to callers, for example by a wrong,
 // missing or repeated token.
-type brokenAnswersError struct{}
+type violationError struct{}
 
 // Error implements the error interface.
-func (brokenAnswersError) Error() string {
+func (violationError) Error() string {
 	return "some answers violated the guarantees to callers; see the report"
 }
 
@@ -65,7 +65,7 @@
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// Run sends the requests and prints the report. It returns a brokenAnswersError if an answer violated
+// Run sends the requests and prints the report. It returns a violationError if an answer violated
 // a guarantee.
 func (c *loadCommand) Run() error {
 	ctx, stop := signalContext()
@@ -87,7 +87,7 @@
 		}
 	}
 	if !rep.OK() {
-		return brokenAnswersError{}
+		return violationError{}
 	}
 	return nil
 }
--- a/cmd/crocusreel/main.go
+++ b/cmd/crocusreel/main.go
@@ -18,7 +18,7 @@
 	exitUsage       = 2
 	exitConflict    = 3
 	exitUnreachable = 4
-	exitBroken      = 5
+	exitViolation   = 5
 )
 
 const description = `Command line of crocusreel.
@@ -70,10 +70,10 @@
 	var usage usageError
 	var problems config.Problems
 	var refusal *operator.RemoteError
-	var broken brokenAnswersError
+	var violation violationError
 	switch {
-	case errors.As(err, &broken):
-		return exitBroken
+	case errors.As(err, &violation):
+		return exitViolation
 	case errors.As(err, &usage), errors.As(err, &problems):
 		return exitUsage
 	case errors.Is(err, operator.ErrUnreachable):
--- a/internal/httponce/client.go
+++ b/internal/httponce/client.go
@@ -99,8 +99,8 @@
 	if err == nil {
 		return resp, true, nil
 	}
-	for _, m := range uses {
-		sent = m.conn.abort(m.writesBefore) || sent
+	for _, use := range uses {
+		sent = use.conn.abort(use.writesBefore) || sent
 	}
 	return nil, sent, err
 }
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -24,7 +24,7 @@
 
 // The process that reads the log stops reading. If writing a log line blocked, every request that
 // logs would hang, and callers would see a node that accepts requests and never answers.
-func TestStuckReaderBlocksNobody(t *testing.T) {
+func TestStuckReaderDoesNotBlockWriters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	stuck := &stuckWriter{release: make(chan struct{})}
 	w := newAsyncWriter(stuck)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,7 +9,7 @@
 
 // A caller sends a name that contains a line break and an equals sign. Without quotes it would add
 // a second line to the log that looks like a genuine event.
-func TestHostileValueStaysInItsPair(t *testing.T) {
+func TestHostileValueIsQuoted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	enc := newEncoder()
 	enc.AddString("name", "a\nevent=forged b")
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -39,7 +39,7 @@
 const buildTimeout = 5 * time.Minute
 
 // Tests that kill, freeze or disconnect stand-ins prove nothing if these faults do not take effect.
-func TestStandinsDieFreezeAndComeBack(t *testing.T) {
+func TestStandinsDieFreezeAndRestart(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "bin")
--- a/internal/standin/engine/model/model_test.go
+++ b/internal/standin/engine/model/model_test.go
@@ -108,7 +108,7 @@
 
 // Guards against lost, repeated or reordered tokens, KV use above capacity, leaked KV blocks and
 // a prefix cache above its limit, for random mixes of sequences.
-func TestAnyLoadComesToItsEnd(t *testing.T) {
+func TestAnyLoadRunsToCompletion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newSmallEngine(rapid.IntRange(4, 40).Draw(t, "blocks"))
 		capacity := e.Usage().KVCapacity
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -21,28 +21,28 @@
 }
 
 func newOrderState(models []string, role string) orderState {
-	l := orderState{role: role}
+	s := orderState{role: role}
 	for _, m := range models {
 		name, version, ok := strings.Cut(m, "@")
 		if !ok {
 			version = defaultVersion
 		}
-		l.models = append(l.models, endpoint.LoadedModel{Model: name, Version: version})
+		s.models = append(s.models, endpoint.LoadedModel{Model: name, Version: version})
 	}
-	return l
+	return s
 }
 
-func (l *orderState) find(model string) *endpoint.LoadedModel {
-	for i := range l.models {
-		if l.models[i].Model == model {
-			return &l.models[i]
+func (s *orderState) find(model string) *endpoint.LoadedModel {
+	for i := range s.models {
+		if s.models[i].Model == model {
+			return &s.models[i]
 		}
 	}
 	return nil
 }
 
-func (l *orderState) serves(model, adapter string) bool {
-	m := l.find(model)
+func (s *orderState) serves(model, adapter string) bool {
+	m := s.find(model)
 	return m != nil && (adapter == "" || slices.Contains(m.Adapters, adapter))
 }
 
--- a/internal/standin/platform/calls.go
+++ b/internal/standin/platform/calls.go
@@ -25,7 +25,7 @@
 // list serves one page of a table. A read of a single key is recorded as a get; reads of the VM
 // table are not recorded.
 func (s *Server) list(c echo.Context) error {
-	op := admin.Operation{Kind: "scan", InvokedNS: s.now()}
+	op := admin.Operation{Kind: "scan", InvokedNS: s.nowNS()}
 	table, from, to := c.QueryParam(platform.ParamTable), c.QueryParam(platform.ParamFrom), c.QueryParam(platform.ParamTo)
 	limit := maxPageRows
 	if text := c.QueryParam(platform.ParamLimit); text != "" {
@@ -118,7 +118,7 @@
 	if s.chance(s.currentFaults().LoseRequests) {
 		abort()
 	}
-	op := admin.Operation{Kind: "commit", Txn: &txn, InvokedNS: s.now()}
+	op := admin.Operation{Kind: "commit", Txn: &txn, InvokedNS: s.nowNS()}
 	var version int64
 	op.Rows, version, op.Applied = s.store.commit(txn)
 	op.AnswerLost = op.Applied && s.loseAnswer()
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -178,7 +178,7 @@
 }
 
 func (s *Server) record(op admin.Operation) {
-	op.ReturnedNS = s.now()
+	op.ReturnedNS = s.nowNS()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.history) < maxHistoryOperations {
@@ -186,4 +186,4 @@
 	}
 }
 
-func (s *Server) now() int64 { return time.Since(s.start).Nanoseconds() }
+func (s *Server) nowNS() int64 { return time.Since(s.start).Nanoseconds() }
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -395,13 +395,13 @@
 
 // takeCopy removes the copy that a Kv-From header names and returns the number of the event after
 // which the run continues. It returns false if there is no such copy or lastEvent is not a number.
-func (m *KVStore) takeCopy(from, lastEvent string) (int64, bool) {
+func (s *KVStore) takeCopy(from, lastEvent string) (int64, bool) {
 	_, handle, _ := strings.Cut(from, "/")
 	last, err := strconv.ParseInt(lastEvent, 10, 64)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	_, ok := m.handles[handle]
-	delete(m.handles, handle)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, ok := s.handles[handle]
+	delete(s.handles, handle)
 	return last, ok && err == nil
 }
 
@@ -454,18 +454,18 @@
 }
 
 // saveBackup creates or renews the backup of a run, whose handle is the run's ID.
-func (m *KVStore) saveBackup(run string, lastEvent int64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.handles[run] = lastEvent
+func (s *KVStore) saveBackup(run string, lastEvent int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.handles[run] = lastEvent
 }
 
 // saveCopy creates or renews the copy of a run and returns its handle.
-func (m *KVStore) saveCopy(run string, lastEvent int64) string {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (s *KVStore) saveCopy(run string, lastEvent int64) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	handle := "copy-of-" + run
-	m.handles[handle] = lastEvent
+	s.handles[handle] = lastEvent
 	return handle
 }
 
@@ -474,17 +474,17 @@
 	rw.WriteHeader(http.StatusOK)
 }
 
-func (m *KVStore) remove(handle string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	delete(m.handles, handle)
+func (s *KVStore) remove(handle string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.handles, handle)
 }
 
 // Copies returns the number of copies and backups that are neither used nor freed.
-func (m *KVStore) Copies() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return len(m.handles)
+func (s *KVStore) Copies() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.handles)
 }
 
 func (w *Worker) report(rw http.ResponseWriter, _ *http.Request) {
--- a/load/experiment/cpu.go
+++ b/load/experiment/cpu.go
@@ -46,13 +46,13 @@
 	return t
 }
 
-// busySince returns the fraction of CPU time in use between then and t, or -1 if unknown.
-func (t cpuTimes) busySince(then cpuTimes) float64 {
-	total := t.total - then.total
+// busySince returns the fraction of CPU time in use between earlier and t, or -1 if unknown.
+func (t cpuTimes) busySince(earlier cpuTimes) float64 {
+	total := t.total - earlier.total
 	if total <= 0 {
 		return -1
 	}
-	return 1 - (t.idle-then.idle)/total
+	return 1 - (t.idle-earlier.idle)/total
 }
 
 const (
--- a/load/experiment/markdown.go
+++ b/load/experiment/markdown.go
@@ -36,15 +36,15 @@
 		fmt.Fprintf(b, "| %s | %.0f | %.2f | %.2f | %.0f%% |\n", c.Mix, c.Capacity, c.MedianGapMS, c.StallMS, 100*c.CPUBusy)
 	}
 	low, high := math.Inf(1), 0.0
-	broken := 0
+	violations := 0
 	for _, run := range r.Runs {
 		low, high = min(low, run.CPUBusy), max(high, run.CPUBusy)
 		for _, n := range run.Report.Violations {
-			broken += n
+			violations += n
 		}
 	}
 	fmt.Fprintf(b, "\n%d runs; processors of the whole machine, other work included, %.0f%% to %.0f%% busy; answers with a wrong, missing or repeated token: %d.\n",
-		len(r.Runs), 100*low, 100*high, broken)
+		len(r.Runs), 100*low, 100*high, violations)
 }
 
 func (r *Results) writeAims(b *strings.Builder) {
--- a/load/experiment/overhead.go
+++ b/load/experiment/overhead.go
@@ -57,7 +57,7 @@
 
 // streamFunc sends one generation of the given number of tokens over one path and reads the answer.
 // It returns the time to the first token and the time to the end of the stream.
-type streamFunc func(ctx context.Context, tokens int) (first, whole time.Duration, err error)
+type streamFunc func(ctx context.Context, tokens int) (first, total time.Duration, err error)
 
 // MeasureOverhead measures both paths alternately on one system, with one engine and one gateway
 // that is also the scheduler. It starts the system in a temporary directory below s.Dir and removes
@@ -99,7 +99,7 @@
 }
 
 func directStream(engine endpoint.Engine) streamFunc {
-	return func(ctx context.Context, tokens int) (first, whole time.Duration, err error) {
+	return func(ctx context.Context, tokens int) (first, total time.Duration, err error) {
 		begin := time.Now()
 		stream, err := engine.Generate(ctx, endpoint.GenerateRequest{
 			RequestID: uuid.NewString(), GenerationID: uuid.NewString(), Workspace: "w",
@@ -117,7 +117,7 @@
 }
 
 func gatewayStream(c *client.Client) streamFunc {
-	return func(ctx context.Context, tokens int) (first, whole time.Duration, err error) {
+	return func(ctx context.Context, tokens int) (first, total time.Duration, err error) {
 		begin := time.Now()
 		stream, err := c.Generate(ctx, client.Request{
 			Model: overheadModel, Prompt: lengthPrompt(tokens), MaxTokens: tokens,
@@ -138,7 +138,7 @@
 // timeTokens reads a stream to its end and returns the times since begin of the first token and of
 // the end. It fails if the stream has fewer than the given number of tokens. The last frame of the
 // engine carries no token, so the number of frames may exceed that of the tokens.
-func timeTokens(begin time.Time, tokens int, next func() error) (first, whole time.Duration, err error) {
+func timeTokens(begin time.Time, tokens int, next func() error) (first, total time.Duration, err error) {
 	for i := 0; ; i++ {
 		err := next()
 		if errors.Is(err, io.EOF) {
@@ -175,12 +175,12 @@
 	for range overheadLongAnswers {
 		for i, p := range paths {
 			before := cpuTime(processes)
-			first, whole, err := p(ctx, overheadAnswerTokens)
+			first, total, err := p(ctx, overheadAnswerTokens)
 			if err != nil {
 				return nil, err
 			}
 			processor[i] += cpuTime(processes) - before
-			perToken[i] = append(perToken[i], micros(whole-first)/(overheadAnswerTokens-1))
+			perToken[i] = append(perToken[i], micros(total-first)/(overheadAnswerTokens-1))
 		}
 	}
 	for i := range costs {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -86,7 +86,7 @@
 		func(texts []string, want load.Violation) {
 			Expect(load.Verify(texts, 3)).To(Equal(want))
 		},
-		Entry("complete", []string{"g.0 ", "g.1 ", "g.2 "}, load.Violation("")),
+		Entry("whole", []string{"g.0 ", "g.1 ", "g.2 "}, load.Violation("")),
 		Entry("cut", []string{"g.0 ", "g.1 "}, load.ViolationMissingTokens),
 		Entry("gap", []string{"g.0 ", "g.2 ", "g.3 "}, load.ViolationMissingTokens),
 		Entry("repeated", []string{"g.0 ", "g.0 ", "g.1 "}, load.ViolationRepeatedToken),
@@ -104,14 +104,14 @@
 		demand := map[string]float64{"a": 1000, "b": 1000, "c": 20}
 		fair := map[string]float64{"a": 360, "b": 120, "c": 20}
 		Expect(load.Fairness(workspaces, demand, fair)).To(BeNumerically("~", 1, 1e-9))
-		grab := map[string]float64{"a": 10, "b": 470, "c": 20}
-		Expect(load.Fairness(workspaces, demand, grab)).To(BeNumerically("<", 0.6))
+		unfair := map[string]float64{"a": 10, "b": 470, "c": 20}
+		Expect(load.Fairness(workspaces, demand, unfair)).To(BeNumerically("<", 0.6))
 	})
 })
 
-// miniGateway starts a stub gateway that answers each generation with as many tokens as the length
+// stubGateway starts a stub gateway that answers each generation with as many tokens as the length
 // marker in its prompt requests. The caller must close it.
-func miniGateway() *httptest.Server {
+func stubGateway() *httptest.Server {
 	marker := regexp.MustCompile(`\[\[len=(\d+)\]\]`)
 	var server *httptest.Server
 	server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -137,7 +137,7 @@
 
 var _ = Describe("Run", func() {
 	It("sends all requests of the trace and reports the results", func() {
-		server := miniGateway()
+		server := stubGateway()
 		defer server.Close()
 		trace := load.NewCountTrace(exampleMix("schronisko"), 400, 200, 3)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
