--- a/cmd/crocusreel/explain.go
+++ b/cmd/crocusreel/explain.go
@@ -20,8 +20,9 @@
 	explainMaxBodyBytes = 1 << 20
 )
 
-// errNoRecord means that a gateway has no record of the request.
-var errNoRecord = eris.New("no gateway has a record of this request; only recent requests are kept")
+// errNoRecord means that a gateway has no record of the request, or, as the result of Run, that none
+// of the reachable gateways has one.
+var errNoRecord = eris.New("no reachable gateway has a record of this request; only recent requests are kept")
 
 type explainCommand struct {
 	Request     string `arg:"" help:"Request ID, from the X-Request-Id header of the answer."`
@@ -30,8 +31,9 @@
 	outputFlags `embed:""`
 }
 
-// Run asks the gateways one after the other for the record of the request and prints the first record
-// found. Unreachable gateways are skipped.
+// Run asks the given gateway for the addresses of all gateways, then asks them one after the other for
+// the record of the request and prints the first record found. Gateways that cannot be reached for
+// the record are skipped.
 func (c *explainCommand) Run() error {
 	key, err := c.key()
 	if err != nil {
--- a/load/experiment/aims.go
+++ b/load/experiment/aims.go
@@ -153,12 +153,12 @@
 	if len(candidates) == 0 {
 		return Cell{}, false
 	}
-	first := primaryMetric(mix)
-	need := equalGoodput * own.Median(metricGoodput)
+	primary := primaryMetric(mix)
+	minGoodput := equalGoodput * own.Median(metricGoodput)
 	best, found := candidates[0], false
 	for _, c := range candidates {
 		switch {
-		case c.Median(metricGoodput) >= need && (!found || c.Median(first) < best.Median(first)):
+		case c.Median(metricGoodput) >= minGoodput && (!found || c.Median(primary) < best.Median(primary)):
 			best, found = c, true
 		case !found && c.Median(metricGoodput) > best.Median(metricGoodput):
 			best = c
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -166,7 +166,7 @@
 }
 
 // forEach calls do for every item, up to parallel at a time. After the first error it cancels the
-// context that is passed to the calls, stops handing out items and returns the error.
+// context that is passed to the calls, starts no further calls and returns the error.
 func forEach[T any](ctx context.Context, items []T, parallel int, do func(context.Context, *T) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
