--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -131,7 +131,7 @@
 	near, far roundSchedule
 	// roundRequested requests a round before the next one is due; pending holds its recipients.
 	roundRequested chan struct{}
-	// urgent ends the minRoundGap before a round early.
+	// urgent ends the wait of minRoundGap before a round early, but not before minUrgentRoundGap.
 	urgent chan struct{}
 	// pendingMu guards pending only. Callers of Announce hold locks of their own that OnLost also
 	// takes: if Announce took mu instead, a callback that runs with mu held would deadlock with it.
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -109,7 +109,7 @@
 		Expect(r.waitEnded().FinishReason).To(Equal("cancelled"))
 	})
 
-	It("executes orders with stale fencing numbers if it does not check them", func() {
+	It("executes orders with stale fencing tokens if it does not check them", func() {
 		r := startEngine(Options{})
 		Expect(r.client.Order(ctx, endpoint.Order{Fence: 9, Verb: "load", Model: "n", Version: "2"})).To(Succeed())
 		Expect(r.client.Order(ctx, endpoint.Order{Fence: 3, Verb: "unload", Model: "m"})).To(Succeed())
@@ -120,7 +120,7 @@
 		Expect(r.admin.Orders(ctx)).To(HaveLen(2))
 	})
 
-	It("refuses orders with stale fencing numbers if it checks them, and records all orders", func() {
+	It("refuses orders with stale fencing tokens if it checks them, and records all orders", func() {
 		r := startEngine(Options{ChecksFence: true})
 		Expect(r.client.Order(ctx, endpoint.Order{Fence: 9, Verb: "role", Role: "decode"})).To(Succeed())
 		Expect(r.client.Order(ctx, endpoint.Order{Fence: 3, Verb: "unload", Model: "m"})).NotTo(Succeed())
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -38,7 +38,7 @@
 	Retention time.Duration
 	// KeepAlive is the interval of keep-alive bytes on streams. Default 1 s.
 	KeepAlive time.Duration
-	// ChecksFence refuses orders whose fencing number is lower than the highest one seen.
+	// ChecksFence refuses orders whose fencing token is lower than the highest one seen.
 	ChecksFence bool
 	// Deduplicate refuses generations whose idempotency key was used before, and enables
 	// lookups by key.
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -51,7 +51,8 @@
 // idempotencyKey identifies a call by its idempotency key within a workspace.
 type idempotencyKey struct{ workspace, key string }
 
-// call is the only run of an idempotencyKey. done is closed after answer is set.
+// call is the only run of the calls that share an idempotency key in a workspace. done is closed
+// after answer is set.
 type call struct {
 	done   chan struct{}
 	answer Answer
--- a/load/mix.go
+++ b/load/mix.go
@@ -75,7 +75,7 @@
 	// MaxTokens is the maximum length of an answer.
 	MaxTokens int `toml:"max_tokens" default:"4096" min:"1" max:"100000"`
 	// Correlation is the fraction, from 0 to 1, of the variance of the log length that is common to
-	// all requests of a workspace within one correlationPeriod.
+	// all requests of a workspace within the same period of length correlationPeriod.
 	Correlation float64 `toml:"correlation" default:"0" min:"0" max:"1"`
 	Priority    int     `toml:"priority" default:"0" min:"-10" max:"10"`
 	// Method and Path are the HTTP method and path of calls to plain services.
--- a/load/trace.go
+++ b/load/trace.go
@@ -176,7 +176,7 @@
 }
 
 // length draws a lognormal answer length in tokens. A fraction RequestTemplate.Correlation of the
-// variance of its logarithm is common to the workspace within a correlationPeriod.
+// variance of its logarithm is common to the workspace within a period of length correlationPeriod.
 func (g *traceGenerator) length(at time.Duration, ws *Workspace, template *RequestTemplate) int {
 	z := math.Sqrt(template.Correlation)*g.sharedNormal(at, ws) +
 		math.Sqrt(1-template.Correlation)*g.random.NormFloat64()
@@ -189,7 +189,7 @@
 }
 
 // sharedNormal returns a standard normal value that depends only on the seed, the workspace and the
-// correlationPeriod that contains at.
+// period of length correlationPeriod that contains at.
 func (g *traceGenerator) sharedNormal(at time.Duration, ws *Workspace) float64 {
 	hash := uint64(14695981039346656037)
 	for _, b := range []byte(ws.Name) {
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -27,7 +27,7 @@
 const maxFaultyRemembered = 1024
 
 // fromStore returns a callback for answers that this node gets from the store itself. Such an
-// answer clears peerStoreDegraded, which the node followed before has reported.
+// answer clears peerStoreDegraded, which may have been set while this node followed another node.
 func (n *Node) fromStore(apply func(platform.Listing, knowledge.Confirmation, uptimeUpdate)) func(platform.Listing, knowledge.Confirmation) {
 	return func(l platform.Listing, confirmation knowledge.Confirmation) {
 		n.peerStoreDegraded.Store(false)
--- a/tests/suite_test.go
+++ b/tests/suite_test.go
@@ -88,7 +88,7 @@
 	return runs
 }
 
-// setFaults replaces the injected setFaults of engines or services.
+// setFaults replaces the faults injected into engines or services.
 func setFaults(ctx context.Context, f any, endpoints ...*rig.Endpoint) {
 	GinkgoHelper()
 	for _, e := range endpoints {
