--- a/policy/demand.go
+++ b/policy/demand.go
@@ -58,8 +58,8 @@
 
 // Occupancy is the distribution of the total memory used by several independent answers at each
 // point of the horizon. It keeps the whole distribution rather than mean and variance: one engine
-// runs so few answers that the sum is far from normal, and in trials a normal bound admitted too
-// much in some states and too little in others.
+// runs so few answers that the sum is far from normal, and a normal approximation admits too much
+// in some states and too little in others.
 type Occupancy struct {
 	mean [horizonPoints]float64
 	// tail[i][k] is the probability that at least k bins are in use at point i.
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -15,7 +15,7 @@
 	// the answers that started before it.
 	shortWorkBonus = 5 * time.Minute
 	// expectedDurationWeight is the weight of an answer's expected duration relative to its start
-	// time. In trials with 0, 1 and 4, the value 4 gave the least stall and the fewest preemptions.
+	// time. Smaller weights lead to more stalls and more preemptions.
 	expectedDurationWeight = 4
 	// enginePriorityRange is the number of units, 124 days, after which engine priorities wrap
 	// around. For the duration of one answer after that, victims of preemption are chosen badly.
